--- /dev/null
+++ b/coordination/admission/main_test.go
@@ -0,0 +1,20 @@
+package admission_test
+
+import (
+	"flag"
+	"fmt"
+	"os"
+	"testing"
+)
+
+// TestMain fixes the seed of the property tests, so that they give the same
+// verdict every time; -rapid.seed on the command line goes first.
+func TestMain(m *testing.M) {
+	for name, value := range map[string]string{"rapid.seed": "1", "rapid.nofailfile": "true"} {
+		if err := flag.Set(name, value); err != nil {
+			fmt.Println(err)
+			os.Exit(1)
+		}
+	}
+	os.Exit(m.Run())
+}
--- a/coordination/limit/admission.go
+++ b/coordination/admission/point.go
@@ -1,4 +1,4 @@
-package limit
+package admission
 
 import (
 	"sync"
@@ -38,16 +38,17 @@
 	OutstandingTokens uint64
 }
 
-// minRetryAfter keeps refused requests from coming back in a tight loop.
+// minRetryAfter is the shortest pause of a refusal. It keeps refused requests
+// from coming back in a tight loop. Chosen, not measured.
 const minRetryAfter = 20 * time.Millisecond
 
-// Admission counts exactly what engines have outstanding. One node is the
+// Point counts exactly what engines have outstanding. One node is the
 // admission point of an engine at a time, by rendezvous hash among live nodes.
 // That is a hint: two nodes that both act as the point admit at most twice the
 // capacity, and the engine's own queue absorbs it.
 //
 // A reservation ends with Release or, where its node died, after the lifetime.
-type Admission struct {
+type Point struct {
 	lifetime time.Duration
 
 	mutex   sync.Mutex
@@ -57,36 +58,37 @@
 type admittedEngine struct {
 	capacity Capacity
 	tokens   uint64
-	requests map[string]admitted
-	// refusedTokens were told to come back at or before refusedUntil.
+	requests map[string]admittedRequest
+	// refusedUntil is the latest time at which a refused request was told to
+	// come back.
 	refusedUntil time.Time
 }
 
-type admitted struct {
+type admittedRequest struct {
 	tokens  uint64
 	expires time.Time
 }
 
-// NewAdmission makes an admission point whose reservations lapse after the
+// NewPoint makes an admission point whose reservations lapse after the
 // lifetime.
-func NewAdmission(lifetime time.Duration) *Admission {
-	return &Admission{lifetime: lifetime, engines: make(map[string]*admittedEngine)}
+func NewPoint(lifetime time.Duration) *Point {
+	return &Point{lifetime: lifetime, engines: make(map[string]*admittedEngine)}
 }
 
 // SetCapacity sets what an engine may have outstanding.
-func (a *Admission) SetCapacity(engine string, capacity Capacity) {
-	a.mutex.Lock()
-	defer a.mutex.Unlock()
-	a.open(engine).capacity = capacity
+func (p *Point) SetCapacity(engine string, capacity Capacity) {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	p.open(engine).capacity = capacity
 }
 
 // Reserve takes room for a request or refuses it. A repeat of a request that
 // was admitted is admitted again and takes no more room. An engine that has
 // nothing outstanding admits any one request.
-func (a *Admission) Reserve(reservation Reservation, now time.Time) Verdict {
-	a.mutex.Lock()
-	defer a.mutex.Unlock()
-	engine := a.open(reservation.Engine)
+func (p *Point) Reserve(reservation Reservation, now time.Time) Verdict {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	engine := p.open(reservation.Engine)
 	engine.expire(now)
 	if _, repeated := engine.requests[reservation.RequestID]; repeated {
 		return Verdict{Admitted: true, OutstandingTokens: engine.tokens}
@@ -95,55 +97,55 @@
 		return Verdict{RetryAfter: wait, OutstandingTokens: engine.tokens}
 	}
 	engine.tokens += reservation.Tokens()
-	engine.requests[reservation.RequestID] = admitted{
+	engine.requests[reservation.RequestID] = admittedRequest{
 		tokens:  reservation.Tokens(),
-		expires: a.expiry(&reservation, now),
+		expires: p.expiry(&reservation, now),
 	}
 	return Verdict{Admitted: true, OutstandingTokens: engine.tokens}
 }
 
 // Release gives the room of a request back. Releasing twice changes nothing.
-func (a *Admission) Release(engine, requestID string) {
-	a.mutex.Lock()
-	defer a.mutex.Unlock()
-	point, known := a.engines[engine]
+func (p *Point) Release(engine, requestID string) {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	admitted, known := p.engines[engine]
 	if !known {
 		return
 	}
-	point.drop(requestID)
+	admitted.drop(requestID)
 }
 
 // Outstanding returns the tokens and requests an engine has outstanding.
-func (a *Admission) Outstanding(engine string, now time.Time) (tokens uint64, requests int) {
-	a.mutex.Lock()
-	defer a.mutex.Unlock()
-	point, known := a.engines[engine]
+func (p *Point) Outstanding(engine string, now time.Time) (tokens uint64, requests int) {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	admitted, known := p.engines[engine]
 	if !known {
 		return 0, 0
 	}
-	point.expire(now)
-	return point.tokens, len(point.requests)
+	admitted.expire(now)
+	return admitted.tokens, len(admitted.requests)
 }
 
 // Forget drops an engine that this node is no longer the admission point of.
-func (a *Admission) Forget(engine string) {
-	a.mutex.Lock()
-	defer a.mutex.Unlock()
-	delete(a.engines, engine)
+func (p *Point) Forget(engine string) {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	delete(p.engines, engine)
 }
 
-func (a *Admission) open(engine string) *admittedEngine {
-	point, known := a.engines[engine]
+func (p *Point) open(engine string) *admittedEngine {
+	opened, known := p.engines[engine]
 	if !known {
-		point = &admittedEngine{requests: make(map[string]admitted)}
-		a.engines[engine] = point
+		opened = &admittedEngine{requests: make(map[string]admittedRequest)}
+		p.engines[engine] = opened
 	}
-	return point
+	return opened
 }
 
 // expiry is the end of the lifetime, or of the deadline where that is sooner.
-func (a *Admission) expiry(reservation *Reservation, now time.Time) time.Time {
-	end := now.Add(a.lifetime)
+func (p *Point) expiry(reservation *Reservation, now time.Time) time.Time {
+	end := now.Add(p.lifetime)
 	if !reservation.Deadline.IsZero() && reservation.Deadline.Before(end) {
 		return reservation.Deadline
 	}
--- a/coordination/limit/pool.go
+++ b/coordination/admission/pool.go
@@ -1,26 +1,22 @@
-package limit
+package admission
 
 import (
 	"sync"
 	"time"
-)
 
-// Rate is what a tenant or a program may use in all nodes together.
-type Rate struct {
-	// TokensPerSecond is the sustained use.
-	TokensPerSecond float64
-	// Burst is how many tokens may be used at once after a pause.
-	Burst float64
-}
+	"github.com/marblering/marblering/coordination/limit"
+)
 
-// sliceFraction of the burst is what one grant gives at most.
+// sliceFraction is the divisor of the burst that one grant adds at most to what
+// was asked for. Chosen, not measured: eight nodes can hold a slice at once.
 const sliceFraction = 8
 
-// Slice is a part of a rate that one node may use until it expires.
+// Slice is the part of a rate that one node may use until it expires.
 type Slice struct {
 	Tokens  float64
 	Expires time.Time
-	// RetryAfter is set where nothing could be granted.
+	// RetryAfter is the pause after which to ask again; zero where tokens were
+	// granted.
 	RetryAfter time.Duration
 }
 
@@ -45,8 +41,8 @@
 }
 
 type pooledRate struct {
-	rate   Rate
-	bucket Bucket
+	rate   limit.Rate
+	bucket limit.Bucket
 }
 
 // NewPool makes a pool whose slices expire after the lifetime.
@@ -56,12 +52,12 @@
 
 // SetRate sets the rate of a name, a tenant or program. A name that is new
 // starts with an empty bucket.
-func (p *Pool) SetRate(name string, rate Rate, now time.Time) {
+func (p *Pool) SetRate(name string, rate limit.Rate, now time.Time) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	pooled, known := p.buckets[name]
 	if !known {
-		pooled = &pooledRate{bucket: NewBucket(0, rate.Burst, now)}
+		pooled = &pooledRate{bucket: limit.NewBucket(0, rate.Burst, now)}
 		p.buckets[name] = pooled
 	}
 	pooled.rate = rate
--- a/coordination/limit/share.go
+++ b/coordination/admission/share.go
@@ -1,8 +1,10 @@
-package limit
+package admission
 
 import (
 	"sync"
 	"time"
+
+	"github.com/marblering/marblering/coordination/limit"
 )
 
 // Granter asks the pool of a name for a slice. It returns false where no pool
@@ -21,7 +23,7 @@
 
 type share struct {
 	slice    Slice
-	fallback Bucket
+	fallback limit.Bucket
 }
 
 // NewShare makes a share of one of the configured nodes.
@@ -32,7 +34,7 @@
 // Use spends tokens of a name's rate. It returns zero where they were spent,
 // else the pause after which another try makes sense. The rate is needed for
 // the fallback: where no pool is reached, the node spends its equal part.
-func (s *Share) Use(name string, rate Rate, tokens float64, granter Granter, now time.Time) time.Duration {
+func (s *Share) Use(name string, rate limit.Rate, tokens float64, granter Granter, now time.Time) time.Duration {
 	if s.spend(name, rate, tokens, now) {
 		return 0
 	}
@@ -51,7 +53,7 @@
 	return 0
 }
 
-func (s *Share) spend(name string, rate Rate, tokens float64, now time.Time) bool {
+func (s *Share) spend(name string, rate limit.Rate, tokens float64, now time.Time) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	own := s.open(name, rate, now)
@@ -62,11 +64,11 @@
 	return true
 }
 
-func (s *Share) open(name string, rate Rate, now time.Time) *share {
+func (s *Share) open(name string, rate limit.Rate, now time.Time) *share {
 	own, known := s.names[name]
 	part := float64(s.configured)
 	if !known {
-		own = &share{fallback: NewBucket(rate.TokensPerSecond/part, rate.Burst/part, now)}
+		own = &share{fallback: limit.NewBucket(rate.TokensPerSecond/part, rate.Burst/part, now)}
 		s.names[name] = own
 	}
 	own.fallback.SetRate(rate.TokensPerSecond/part, rate.Burst/part, now)
--- a/coordination/limit/shed.go
+++ b/coordination/admission/shed.go
@@ -1,4 +1,4 @@
-package limit
+package admission
 
 import (
 	"math/rand/v2"
--- a/coordination/fleet/fleet.go
+++ b/coordination/fleet/fleet.go
@@ -14,6 +14,7 @@
 
 	"go.uber.org/zap"
 
+	"github.com/marblering/marblering/coordination/admission"
 	"github.com/marblering/marblering/coordination/execution"
 	"github.com/marblering/marblering/coordination/limit"
 	"github.com/marblering/marblering/coordination/routing"
@@ -59,7 +60,7 @@
 	Admit(ctx context.Context, engine, request string, promptTokens, outputTokens uint64, deadline time.Time) (admitted bool, retryAfter time.Duration)
 	Leave(engine, request string)
 	// SetCapacity says what an engine may have outstanding.
-	SetCapacity(engine string, capacity limit.Capacity)
+	SetCapacity(engine string, capacity admission.Capacity)
 }
 
 // Options holds what a Fleet is made of.
@@ -103,7 +104,7 @@
 	locality *routing.Locality
 	speeds   *routing.Speeds
 	ejector  *limit.Ejector
-	shedder  *limit.Shedder
+	shedder  *admission.Shedder
 	journal  *journal
 }
 
@@ -134,7 +135,7 @@
 		locality: routing.NewLocality(localityLimit, eventLag),
 		speeds:   routing.NewSpeeds(),
 		ejector:  limit.NewEjector(limit.DefaultEjectionPolicy()),
-		shedder:  limit.NewShedder(limit.DefaultShedPolicy()),
+		shedder:  admission.NewShedder(admission.DefaultShedPolicy()),
 		journal:  newJournal(),
 	}
 	f.table.Store(&table{})
@@ -284,7 +285,7 @@
 	}
 	f.random.Lock()
 	defer f.random.Unlock()
-	return f.shedder.Admit(limit.Demand{
+	return f.shedder.Admit(admission.Demand{
 		Begun:         query.HistoryTokens > 0,
 		ExpectedQueue: seconds(best.Queue),
 		Service:       seconds(best.Prefill + best.Decode),
--- a/coordination/fleet/fleet_test.go
+++ b/coordination/fleet/fleet_test.go
@@ -11,9 +11,9 @@
 	"go.uber.org/zap"
 	"gotest.tools/v3/assert"
 
+	"github.com/marblering/marblering/coordination/admission"
 	"github.com/marblering/marblering/coordination/execution"
 	"github.com/marblering/marblering/coordination/fleet"
-	"github.com/marblering/marblering/coordination/limit"
 	"github.com/marblering/marblering/coordination/routing"
 	"github.com/marblering/marblering/state/result"
 )
@@ -34,8 +34,8 @@
 func (o openAdmitter) Admit(_ context.Context, engine, _ string, _, _ uint64, _ time.Time) (bool, time.Duration) {
 	return !o.full[engine], 5 * time.Second
 }
-func (openAdmitter) Leave(string, string)               {}
-func (openAdmitter) SetCapacity(string, limit.Capacity) {}
+func (openAdmitter) Leave(string, string)                   {}
+func (openAdmitter) SetCapacity(string, admission.Capacity) {}
 
 func newFleet(leaving func(string, bool)) *fleet.Fleet {
 	now := time.Unix(1000, 0)
--- a/coordination/fleet/poll.go
+++ b/coordination/fleet/poll.go
@@ -9,7 +9,7 @@
 	"go.uber.org/zap"
 	"golang.org/x/sync/errgroup"
 
-	"github.com/marblering/marblering/coordination/limit"
+	"github.com/marblering/marblering/coordination/admission"
 )
 
 // Polling is bounded by a node's control budget, not by the number of engines.
@@ -153,7 +153,7 @@
 		entry.load = load
 		entry.reportedAt = now
 	})
-	f.Admitter.SetCapacity(engine, limit.Capacity{
+	f.Admitter.SetCapacity(engine, admission.Capacity{
 		MaxTokens:       load.CacheLimit,
 		TokensPerSecond: load.PrefillSpeed,
 	})
--- a/coordination/limit/bucket.go
+++ b/coordination/limit/bucket.go
@@ -4,6 +4,14 @@
 	"time"
 )
 
+// Rate is what a tenant or a program may use in all nodes together.
+type Rate struct {
+	// TokensPerSecond is the sustained use.
+	TokensPerSecond float64
+	// Burst is how many tokens may be used at once after a pause.
+	Burst float64
+}
+
 // Bucket is a token bucket. It is not safe for concurrent use.
 type Bucket struct {
 	rate   float64
--- a/coordination/limit/doc.go
+++ b/coordination/limit/doc.go
@@ -1,9 +1,8 @@
-// Package limit holds the limits of a system of several equal nodes: what an
-// engine may have outstanding (Admission), what a tenant may use (Pool and
-// Share), how many retries a node may send (RetryBudget), which engines are
-// too slow to be used (Ejector), when a call is shed and when it may come back
-// (Shedder), and when a program is looping or abandoned (ProgramLimits).
+// Package limit holds the rules that bound load and repetition at every daemon:
+// a rate and its token bucket (Rate, Bucket), how many retries and hedges may be
+// sent (RetryBudget), how many operations may be under way (Adaptive), and which
+// engines are too slow or fail too often to be used (Ejector).
 //
-// Clock readings and random sources are passed in. All types are safe for
-// concurrent use unless they say otherwise.
+// It owns counts in memory and no I/O. Clock readings are passed in. All types
+// are safe for concurrent use unless they say otherwise.
 package limit
--- a/lab/experiment/marblering.go
+++ b/lab/experiment/marblering.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"github.com/marblering/marblering/coordination/admission"
 	"github.com/marblering/marblering/coordination/limit"
 	"github.com/marblering/marblering/coordination/routing"
 	"github.com/marblering/marblering/lab/engine"
@@ -16,7 +17,7 @@
 
 // marbleringNode is what one node keeps beside its tables.
 type marbleringNode struct {
-	shedder *limit.Shedder
+	shedder *admission.Shedder
 	ejector *limit.Ejector
 	engines []routing.EngineState
 	// batches are the greatest numbers of running requests seen while others
@@ -39,7 +40,7 @@
 		p := &marblering{weights: weights}
 		for range s.nodes {
 			p.nodes = append(p.nodes, marbleringNode{
-				shedder:  limit.NewShedder(limit.DefaultShedPolicy()),
+				shedder:  admission.NewShedder(admission.DefaultShedPolicy()),
 				ejector:  limit.NewEjector(limit.DefaultEjectionPolicy()),
 				engines:  make([]routing.EngineState, len(s.engines)),
 				batches:  make([]int, len(s.engines)),
@@ -136,7 +137,7 @@
 
 // shed refuses calls of new programs while the wait is long.
 func (p *marblering) shed(s *simulation, n *simNode, c *call, decision *routing.Decision, now time.Time) time.Duration {
-	demand := limit.Demand{
+	demand := admission.Demand{
 		Begun:         c.program.tree.calls > 1,
 		ExpectedQueue: seconds(decision.Candidates[0].Queue),
 		Expected:      decision.Expected,
--- a/node/limits.go
+++ b/node/limits.go
@@ -8,6 +8,7 @@
 	"go.uber.org/zap"
 
 	peerv1 "github.com/marblering/marblering/api/peer/v1"
+	"github.com/marblering/marblering/coordination/admission"
 	"github.com/marblering/marblering/coordination/configuration"
 	"github.com/marblering/marblering/coordination/execution"
 	"github.com/marblering/marblering/coordination/fleet"
@@ -36,9 +37,9 @@
 // other nodes about the rest.
 type limits struct {
 	holder    *configuration.Holder
-	admission *limit.Admission
-	pool      *limit.Pool
-	share     *limit.Share
+	admission *admission.Point
+	pool      *admission.Pool
+	share     *admission.Share
 	retries   *limit.RetryBudget
 	peers     *peer.Client
 	// owner returns the address of the node that looks after the name; local is
@@ -63,9 +64,9 @@
 func newLimits(holder *configuration.Holder, peers *peer.Client, owner func(string) (string, bool), logger *zap.Logger, instruments *instruments) *limits {
 	return &limits{
 		holder:      holder,
-		admission:   limit.NewAdmission(reservationLifetime),
-		pool:        limit.NewPool(sliceLifetime),
-		share:       limit.NewShare(1),
+		admission:   admission.NewPoint(reservationLifetime),
+		pool:        admission.NewPool(sliceLifetime),
+		share:       admission.NewShare(1),
 		retries:     limit.NewRetryBudget(limit.DefaultRetryPolicy(), time.Now()),
 		peers:       peers,
 		owner:       owner,
@@ -101,7 +102,7 @@
 	if configured.Limits.MaxConcurrentCalls == 0 {
 		return func() {}, 0
 	}
-	verdict := l.reserve(ctx, limit.Reservation{Engine: tenantPrefix + tenant, RequestID: call, PromptTokens: tokens})
+	verdict := l.reserve(ctx, admission.Reservation{Engine: tenantPrefix + tenant, RequestID: call, PromptTokens: tokens})
 	if !verdict.Admitted {
 		l.refused(limitConcurrentCalls)
 		return nil, max(verdict.RetryAfter, time.Second)
@@ -138,7 +139,7 @@
 
 // Admit implements fleet.Admitter.
 func (l *limits) Admit(ctx context.Context, engine, request string, promptTokens, outputTokens uint64, deadline time.Time) (admitted bool, retryAfter time.Duration) {
-	verdict := l.reserve(ctx, limit.Reservation{
+	verdict := l.reserve(ctx, admission.Reservation{
 		Engine: enginePrefix + engine, RequestID: request,
 		PromptTokens: promptTokens, OutputTokens: outputTokens, Deadline: deadline,
 	})
@@ -152,13 +153,13 @@
 func (l *limits) Leave(engine, request string) { l.queueRelease(enginePrefix+engine, request) }
 
 // SetCapacity implements fleet.Admitter.
-func (l *limits) SetCapacity(engine string, capacity limit.Capacity) {
+func (l *limits) SetCapacity(engine string, capacity admission.Capacity) {
 	l.admission.SetCapacity(enginePrefix+engine, capacity)
 }
 
 // reserve asks the admission point of the name. Where it can't be reached the
 // call goes on: the engine's own queue bounds it.
-func (l *limits) reserve(ctx context.Context, reservation limit.Reservation) limit.Verdict {
+func (l *limits) reserve(ctx context.Context, reservation admission.Reservation) admission.Verdict {
 	address, local := l.owner(reservation.Engine)
 	if local || address == "" {
 		return l.reserveHere(reservation)
@@ -175,9 +176,9 @@
 	if err != nil {
 		l.unanswered(limitOf(reservation.Engine))
 		l.logger.Debug("admission point silent", zap.String("name", reservation.Engine), zap.Error(err))
-		return limit.Verdict{Admitted: true}
+		return admission.Verdict{Admitted: true}
 	}
-	return limit.Verdict{
+	return admission.Verdict{
 		Admitted:          response.GetAdmitted(),
 		RetryAfter:        time.Duration(response.GetRetryAfterMs()) * time.Millisecond,
 		OutstandingTokens: response.GetOutstandingTokens(),
@@ -200,7 +201,7 @@
 }
 
 // reserveHere is the admission point's side.
-func (l *limits) reserveHere(reservation limit.Reservation) limit.Verdict {
+func (l *limits) reserveHere(reservation admission.Reservation) admission.Verdict {
 	l.refreshTenant(reservation.Engine)
 	return l.admission.Reserve(reservation, time.Now())
 }
@@ -215,7 +216,7 @@
 	if !found {
 		return
 	}
-	l.admission.SetCapacity(name, limit.Capacity{MaxRequests: int(tenant.Limits.MaxConcurrentCalls)})
+	l.admission.SetCapacity(name, admission.Capacity{MaxRequests: int(tenant.Limits.MaxConcurrentCalls)})
 	if tenant.Limits.TokensPerMinute > 0 {
 		l.pool.SetRate(name, rateOf(tenant), time.Now())
 	}
@@ -248,24 +249,24 @@
 	ctx    context.Context
 }
 
-// Grant implements limit.Granter.
-func (g rateGranter) Grant(name string, needed float64) (limit.Slice, bool) {
+// Grant implements admission.Granter.
+func (g rateGranter) Grant(name string, needed float64) (admission.Slice, bool) {
 	address, local := g.limits.owner(name)
 	if local {
 		g.limits.refreshTenant(name)
 		return g.limits.pool.Grant(name, needed, time.Now()), true
 	}
 	if address == "" {
-		return limit.Slice{}, false
+		return admission.Slice{}, false
 	}
 	ctx, cancel := context.WithTimeout(g.ctx, limitTimeout)
 	defer cancel()
 	response, err := g.limits.peers.Grant(ctx, address, &peerv1.GrantRequest{Name: name, NeededTokens: needed})
 	if err != nil {
 		g.limits.unanswered(limitTokenRate)
-		return limit.Slice{}, false
+		return admission.Slice{}, false
 	}
-	return limit.Slice{
+	return admission.Slice{
 		Tokens:     response.GetTokens(),
 		Expires:    time.Now().Add(time.Duration(response.GetLifetimeMs()) * time.Millisecond),
 		RetryAfter: time.Duration(response.GetRetryAfterMs()) * time.Millisecond,
--- a/node/peerlimits.go
+++ b/node/peerlimits.go
@@ -4,12 +4,12 @@
 	"time"
 
 	peerv1 "github.com/marblering/marblering/api/peer/v1"
-	"github.com/marblering/marblering/coordination/limit"
+	"github.com/marblering/marblering/coordination/admission"
 )
 
 // Reserve implements peer.Node.
 func (p *peerNode) Reserve(request *peerv1.ReserveRequest) *peerv1.ReserveResponse {
-	reservation := limit.Reservation{
+	reservation := admission.Reservation{
 		Engine:       request.GetEngine(),
 		RequestID:    request.GetRequestId(),
 		PromptTokens: request.GetPromptTokens(),
