--- a/node/control.go
+++ b/node/control.go
@@ -11,12 +11,12 @@
 	"github.com/marblering/marblering/coordination/repair"
 	"github.com/marblering/marblering/coordination/shard"
 	"github.com/marblering/marblering/protocol/objectapi"
-	"github.com/marblering/marblering/transport/peer"
+	"github.com/marblering/marblering/transport/nodepeer"
 )
 
 // buildControl makes the agent that keeps the configuration in force at this
 // node, and the acceptor of operators' changes.
-func (n *Node) buildControl(platform *objectapi.Client, peers *peer.Client) error {
+func (n *Node) buildControl(platform *objectapi.Client, peers *nodepeer.Client) error {
 	options := configuration.AgentOptions{
 		Platform: objectapi.NewPlatform(platform, watchSilence),
 		Peers:    &configurationPeers{client: peers},
--- a/node/controlwire.go
+++ b/node/controlwire.go
@@ -6,7 +6,7 @@
 
 	peerv1 "github.com/marblering/marblering/api/peer/v1"
 	"github.com/marblering/marblering/coordination/configuration"
-	"github.com/marblering/marblering/transport/peer"
+	"github.com/marblering/marblering/transport/nodepeer"
 )
 
 // rejectedMark stands before the kind of an object that is stored but isn't in
@@ -15,7 +15,7 @@
 
 // configurationPeers implements configuration.Peers by the internal protocol.
 type configurationPeers struct {
-	client *peer.Client
+	client *nodepeer.Client
 }
 
 var _ configuration.Peers = (*configurationPeers)(nil)
--- a/node/installer.go
+++ b/node/installer.go
@@ -9,6 +9,7 @@
 	"github.com/marblering/marblering/coordination/configuration"
 	"github.com/marblering/marblering/coordination/register"
 	"github.com/marblering/marblering/coordination/shard"
+	"github.com/marblering/marblering/transport/nodepeer"
 	"github.com/marblering/marblering/transport/peer"
 )
 
@@ -63,7 +64,7 @@
 	return err == nil
 }
 
-func (n *Node) configuredInstaller(client *peer.Client) *configuredInstaller {
+func (n *Node) configuredInstaller(client *nodepeer.Client) *configuredInstaller {
 	return &configuredInstaller{
 		installer:   n.installer,
 		incarnation: n.replica.Incarnation(),
--- a/node/limits.go
+++ b/node/limits.go
@@ -13,7 +13,7 @@
 	"github.com/marblering/marblering/coordination/execution"
 	"github.com/marblering/marblering/coordination/fleet"
 	"github.com/marblering/marblering/coordination/limit"
-	"github.com/marblering/marblering/transport/peer"
+	"github.com/marblering/marblering/transport/nodepeer"
 )
 
 const (
@@ -41,7 +41,7 @@
 	pool      *admission.Pool
 	share     *admission.Share
 	retries   *limit.RetryBudget
-	peers     *peer.Client
+	peers     *nodepeer.Client
 	// owner returns the address of the node that looks after the name; local is
 	// set where it is this one.
 	owner       func(name string) (address string, local bool)
@@ -61,7 +61,7 @@
 	_ fleet.Admitter    = (*limits)(nil)
 )
 
-func newLimits(holder *configuration.Holder, peers *peer.Client, owner func(string) (string, bool), logger *zap.Logger, instruments *instruments) *limits {
+func newLimits(holder *configuration.Holder, peers *nodepeer.Client, owner func(string) (string, bool), logger *zap.Logger, instruments *instruments) *limits {
 	return &limits{
 		holder:      holder,
 		admission:   admission.NewPoint(reservationLifetime),
--- a/node/node.go
+++ b/node/node.go
@@ -34,6 +34,7 @@
 	"github.com/marblering/marblering/state/replica"
 	"github.com/marblering/marblering/telemetry"
 	"github.com/marblering/marblering/transport/listener"
+	"github.com/marblering/marblering/transport/nodepeer"
 	"github.com/marblering/marblering/transport/peer"
 )
 
@@ -61,7 +62,7 @@
 	views      *shard.Map
 	store      replica.Store
 	replica    *shard.Replica
-	peers      *peer.Client
+	peers      *nodepeer.Client
 	installer  *shard.Installer
 	repair     *repair.Service
 	membership *membership.Service
@@ -187,7 +188,7 @@
 		return nil, err
 	}
 	peerMetrics := peer.NewMetrics(n.metrics)
-	peers := peer.NewClient(n.wire.client(wirePeer), n.settings.PeerTimeout, peerMetrics)
+	peers := nodepeer.NewClient(n.wire.client(wirePeer), n.settings.PeerTimeout, peerMetrics)
 	n.peers = peers
 	platform := objectapi.NewClient(n.settings.ObjectAPI, n.wire.client(wirePlatform)).Named(n.settings.Name)
 	engineClient := engineapi.NewClient(n.wire.client(wireEngine))
@@ -205,7 +206,7 @@
 		BodyLimit: int64(n.settings.RequestSizeLimit),
 		Observer:  callerMetrics,
 	})
-	peerMux.set(peer.NewHandler(n.replica, n.configuredInstaller(peers), &peerNode{
+	peerMux.set(nodepeer.NewHandler(n.replica, n.configuredInstaller(peers), &peerNode{
 		identity:   n.identity,
 		membership: n.membership,
 		executor:   n.executor,
@@ -246,7 +247,7 @@
 			interval: sweepInterval, records: n.records, executor: n.executor, replica: n.replica,
 			mine: n.prefers, now: time.Now, defaults: catalog{n.holder}.limits, logger: n.logger, instruments: n.instruments,
 			holds: &holdSweep{
-				records: n.records, fleet: n.fleet, engines: engineClient, peers: peers, views: &shardViews{n.views, n.holder},
+				records: n.records, fleet: n.fleet, engines: engineClient, peers: peers.Client, views: &shardViews{n.views, n.holder},
 				locate: n.views.Locate, owns: n.ownsEngine, now: time.Now, random: n.newRandom(), logger: n.logger,
 				released: n.instruments.releasedHolds,
 				verified: make(map[string]map[string]time.Time),
@@ -276,7 +277,7 @@
 	return errors.Join(n.peerListener.Socket.Close(), n.callerListener.Socket.Close(), n.operatorListener.Socket.Close())
 }
 
-func (n *Node) buildMembership(peers *peer.Client) {
+func (n *Node) buildMembership(peers *nodepeer.Client) {
 	now := time.Now()
 	identity := membership.Identity{
 		Node:          n.settings.Name,
@@ -332,7 +333,7 @@
 	}
 }
 
-func (n *Node) buildExecution(peers *peer.Client, engineClient *engineapi.Client) {
+func (n *Node) buildExecution(peers *nodepeer.Client, engineClient *engineapi.Client) {
 	views := &shardViews{Map: n.views, holder: n.holder}
 	client := register.NewClient(n.identity, peers, views, register.SystemClock{}, n.newRandom(), register.DefaultSettings())
 	n.records = record.NewStore(client, n.views.Locate, recentTrees)
--- a/node/peer.go
+++ b/node/peer.go
@@ -8,7 +8,7 @@
 	"github.com/marblering/marblering/coordination/configuration"
 	"github.com/marblering/marblering/coordination/execution"
 	"github.com/marblering/marblering/coordination/membership"
-	"github.com/marblering/marblering/transport/peer"
+	"github.com/marblering/marblering/transport/nodepeer"
 )
 
 // identitySeparator stands between the replica's incarnation and the id of one
@@ -36,14 +36,14 @@
 	limits     *limits
 }
 
-var _ peer.Node = (*peerNode)(nil)
+var _ nodepeer.Node = (*peerNode)(nil)
 
-// Exchange implements peer.Node.
+// Exchange implements nodepeer.Node.
 func (p *peerNode) Exchange(ctx context.Context, request *peerv1.ExchangeRequest) (*peerv1.ExchangeResponse, error) {
 	return p.membership.Exchange(ctx, request)
 }
 
-// AttemptStatus implements peer.Node.
+// AttemptStatus implements nodepeer.Node.
 func (p *peerNode) AttemptStatus(request *peerv1.AttemptStatusRequest) *peerv1.AttemptStatusResponse {
 	if request.GetExecutor() != p.identity {
 		return &peerv1.AttemptStatusResponse{OtherIncarnation: true}
@@ -53,7 +53,7 @@
 	}
 }
 
-// FetchConfiguration implements peer.Node.
+// FetchConfiguration implements nodepeer.Node.
 func (p *peerNode) FetchConfiguration(request *peerv1.FetchConfigurationRequest) *peerv1.FetchConfigurationResponse {
 	update := p.agent.Fetch(request.GetKnownVersion())
 	return &peerv1.FetchConfigurationResponse{
@@ -63,7 +63,7 @@
 	}
 }
 
-// InstallConfiguration implements peer.Node.
+// InstallConfiguration implements nodepeer.Node.
 func (p *peerNode) InstallConfiguration(request *peerv1.InstallConfigurationRequest) (*peerv1.InstallConfigurationResponse, error) {
 	installed, err := p.agent.Install(installFromWire(request))
 	if err != nil {
--- a/transport/peer/call.go
+++ b/transport/peer/call.go
@@ -18,7 +18,7 @@
 
 // call sends one call over the peer's link and waits for its answer.
 func (c *Client) call(ctx context.Context, address string, call *peerv1.Call) (*peerv1.Answer, error) {
-	ctx, cancel := c.bound(ctx)
+	ctx, cancel := c.Bound(ctx)
 	defer cancel()
 	began := time.Now()
 	if deadline, bounded := ctx.Deadline(); bounded {
--- a/transport/peer/client.go
+++ b/transport/peer/client.go
@@ -12,7 +12,6 @@
 	peerv1 "github.com/marblering/marblering/api/peer/v1"
 	"github.com/marblering/marblering/api/peer/v1/peerv1connect"
 	"github.com/marblering/marblering/coordination/archive"
-	"github.com/marblering/marblering/coordination/execution"
 	"github.com/marblering/marblering/coordination/register"
 	"github.com/marblering/marblering/state/replica"
 )
@@ -34,7 +33,6 @@
 var (
 	_ register.Transport = (*Client)(nil)
 	_ archive.Replicas   = (*Client)(nil)
-	_ execution.Peers    = (*Client)(nil)
 )
 
 // NewClient makes a client whose requests end after the timeout at the latest.
@@ -56,15 +54,18 @@
 	return c.stubs(address).replica
 }
 
-func (c *Client) node(address string) peerv1connect.NodeServiceClient { return c.stubs(address).node }
+// Node returns the generated client of the node at the address, for the calls that
+// only some daemons answer. Calls through it are to be bound by Bound.
+func (c *Client) Node(address string) peerv1connect.NodeServiceClient { return c.stubs(address).node }
 
-func (c *Client) bound(ctx context.Context) (context.Context, context.CancelFunc) {
+// Bound ends the context after the client's timeout at the latest.
+func (c *Client) Bound(ctx context.Context) (context.Context, context.CancelFunc) {
 	return context.WithTimeout(ctx, c.timeout)
 }
 
 // ReadTurns implements archive.Replicas.
 func (c *Client) ReadTurns(ctx context.Context, member register.Member, fence register.Fence, program string, from uint64) ([]replica.Turn, archive.Reply, error) {
-	ctx, cancel := c.bound(ctx)
+	ctx, cancel := c.Bound(ctx)
 	defer cancel()
 	stream, err := c.replica(member.Address).ReadTurns(ctx, connect.NewRequest(&peerv1.ReadTurnsRequest{
 		Fence:        fenceToWire(fence),
@@ -93,83 +94,11 @@
 	return turns, archive.Reply{}, stream.Err()
 }
 
-// AttemptStatus implements execution.Peers.
-func (c *Client) AttemptStatus(ctx context.Context, address, executor, program string, sequence uint64, attempt uint32) execution.AttemptState {
-	ctx, cancel := c.bound(ctx)
-	defer cancel()
-	response, err := c.node(address).AttemptStatus(ctx, connect.NewRequest(&peerv1.AttemptStatusRequest{
-		Program:  program,
-		Sequence: sequence,
-		Attempt:  attempt,
-		Executor: executor,
-	}))
-	if err != nil {
-		return execution.AttemptUnreachable
-	}
-	if response.Msg.GetRunning() {
-		return execution.AttemptRunning
-	}
-	return execution.AttemptLost
-}
-
 // Exchange runs one round of gossip with the node at the address.
 func (c *Client) Exchange(ctx context.Context, address string, request *peerv1.ExchangeRequest) (*peerv1.ExchangeResponse, error) {
-	ctx, cancel := c.bound(ctx)
-	defer cancel()
-	response, err := c.node(address).Exchange(ctx, connect.NewRequest(request))
-	if err != nil {
-		return nil, err
-	}
-	return response.Msg, nil
-}
-
-// FetchConfiguration asks the node at the address for what is newer than the
-// known version.
-func (c *Client) FetchConfiguration(ctx context.Context, address string, request *peerv1.FetchConfigurationRequest) (*peerv1.FetchConfigurationResponse, error) {
-	ctx, cancel := c.bound(ctx)
-	defer cancel()
-	response, err := c.node(address).FetchConfiguration(ctx, connect.NewRequest(request))
-	if err != nil {
-		return nil, err
-	}
-	return response.Msg, nil
-}
-
-// InstallConfiguration gives the node at the address configuration objects.
-func (c *Client) InstallConfiguration(ctx context.Context, address string, request *peerv1.InstallConfigurationRequest) (*peerv1.InstallConfigurationResponse, error) {
-	ctx, cancel := c.bound(ctx)
-	defer cancel()
-	response, err := c.node(address).InstallConfiguration(ctx, connect.NewRequest(request))
-	if err != nil {
-		return nil, err
-	}
-	return response.Msg, nil
-}
-
-// Reserve asks the admission point at the address for room.
-func (c *Client) Reserve(ctx context.Context, address string, request *peerv1.ReserveRequest) (*peerv1.ReserveResponse, error) {
-	ctx, cancel := c.bound(ctx)
-	defer cancel()
-	response, err := c.node(address).Reserve(ctx, connect.NewRequest(request))
-	if err != nil {
-		return nil, err
-	}
-	return response.Msg, nil
-}
-
-// Release gives room back to the admission point at the address.
-func (c *Client) Release(ctx context.Context, address string, request *peerv1.ReleaseRequest) error {
-	ctx, cancel := c.bound(ctx)
-	defer cancel()
-	_, err := c.node(address).Release(ctx, connect.NewRequest(request))
-	return err
-}
-
-// Grant asks the node at the address for a slice of a tenant's rate.
-func (c *Client) Grant(ctx context.Context, address string, request *peerv1.GrantRequest) (*peerv1.GrantResponse, error) {
-	ctx, cancel := c.bound(ctx)
+	ctx, cancel := c.Bound(ctx)
 	defer cancel()
-	response, err := c.node(address).Grant(ctx, connect.NewRequest(request))
+	response, err := c.Node(address).Exchange(ctx, connect.NewRequest(request))
 	if err != nil {
 		return nil, err
 	}
@@ -178,7 +107,7 @@
 
 // Peek asks one replica for its copy of a register, a hint.
 func (c *Client) Peek(ctx context.Context, member register.Member, fence register.Fence, key string) ([]byte, register.Refusal, error) {
-	ctx, cancel := c.bound(ctx)
+	ctx, cancel := c.Bound(ctx)
 	defer cancel()
 	response, err := c.replica(member.Address).Peek(ctx, connect.NewRequest(&peerv1.PeekRequest{
 		Fence: fenceToWire(fence),
--- a/transport/peer/convert.go
+++ b/transport/peer/convert.go
@@ -1,6 +1,3 @@
-// Package peer carries the internal protocol between nodes over connect-go: the
-// client that coordination packages use through their own interfaces, and the
-// server that hands requests to this node's replica and to the node itself.
 package peer
 
 import (
--- a/transport/peer/mirror.go
+++ b/transport/peer/mirror.go
@@ -29,7 +29,7 @@
 
 // FetchMirror implements mirror.Fetcher.
 func (c *Client) FetchMirror(ctx context.Context, address netip.AddrPort) ([]mirror.Copy, error) {
-	ctx, cancel := c.bound(ctx)
+	ctx, cancel := c.Bound(ctx)
 	defer cancel()
 	response, err := c.stubs(address.String()).mirror.FetchMirror(ctx, connect.NewRequest(&peerv1.FetchMirrorRequest{}))
 	if err != nil {
--- a/transport/peer/server.go
+++ b/transport/peer/server.go
@@ -34,30 +34,8 @@
 	Install(ctx context.Context, request shard.InstallRequest) archive.Reply
 }
 
-// Node answers what isn't about a shard. The messages are those of the wire:
-// each of them is owned by one coordination package.
-type Node interface {
-	Exchanger
-	AttemptStatus(request *peerv1.AttemptStatusRequest) *peerv1.AttemptStatusResponse
-	Reserve(request *peerv1.ReserveRequest) *peerv1.ReserveResponse
-	Release(request *peerv1.ReleaseRequest) *peerv1.ReleaseResponse
-	Grant(request *peerv1.GrantRequest) *peerv1.GrantResponse
-	FetchConfiguration(request *peerv1.FetchConfigurationRequest) *peerv1.FetchConfigurationResponse
-	InstallConfiguration(request *peerv1.InstallConfigurationRequest) (*peerv1.InstallConfigurationResponse, error)
-}
-
-// NewHandler serves the internal protocol.
-func NewHandler(replica Replica, installer Installer, node Node, metrics *Metrics) http.Handler {
-	mux := http.NewServeMux()
-	options := handlerOptions(metrics)
-	replicas := &replicaServer{replica: replica, installer: installer}
-	mux.Handle(peerv1connect.NewReplicaServiceHandler(replicas, options...))
-	mux.Handle(peerv1connect.NewCallServiceHandler(&callServer{replica: replicas, metrics: metrics}, connect.WithReadMaxBytes(maxMessageBytes)))
-	mux.Handle(peerv1connect.NewNodeServiceHandler(&nodeServer{node: node}, options...))
-	return mux
-}
-
-func handlerOptions(metrics *Metrics) []connect.HandlerOption {
+// HandlerOptions bounds the messages that a node takes, and counts its answers.
+func HandlerOptions(metrics *Metrics) []connect.HandlerOption {
 	return []connect.HandlerOption{
 		connect.WithReadMaxBytes(maxMessageBytes),
 		connect.WithInterceptors(metrics),
@@ -92,16 +70,27 @@
 // tenants, and what it has mirrored of the store.
 func NewStorageHandler(replica Replica, installer Installer, membership Exchanger, budgets BudgetHost, quotas QuotaHolder, mirrored Mirror, metrics *Metrics) http.Handler {
 	mux := http.NewServeMux()
-	options := handlerOptions(metrics)
-	replicas := &replicaServer{replica: replica, installer: installer}
-	calls := &callServer{replica: replicas, budgets: &budgetServer{host: budgets}, quotas: quotas, metrics: metrics}
-	mux.Handle(peerv1connect.NewReplicaServiceHandler(replicas, options...))
-	mux.Handle(peerv1connect.NewCallServiceHandler(calls, connect.WithReadMaxBytes(maxMessageBytes)))
+	calls := &callServer{budgets: &budgetServer{host: budgets}, quotas: quotas, metrics: metrics}
+	mountReplica(mux, replica, installer, calls)
+	options := HandlerOptions(metrics)
 	mux.Handle(peerv1connect.NewNodeServiceHandler(&exchangeServer{membership: membership}, options...))
 	mux.Handle(peerv1connect.NewMirrorServiceHandler(&mirrorServer{mirror: mirrored}, options...))
 	return mux
 }
 
+// MountReplica serves requests to the replica of a node that hosts no budgets and
+// holds no quotas.
+func MountReplica(mux *http.ServeMux, replica Replica, installer Installer, metrics *Metrics) {
+	mountReplica(mux, replica, installer, &callServer{metrics: metrics})
+}
+
+// mountReplica serves requests to the replica, alone and in streams of calls.
+func mountReplica(mux *http.ServeMux, replica Replica, installer Installer, calls *callServer) {
+	calls.replica = &replicaServer{replica: replica, installer: installer}
+	mux.Handle(peerv1connect.NewReplicaServiceHandler(calls.replica, HandlerOptions(calls.metrics)...))
+	mux.Handle(peerv1connect.NewCallServiceHandler(calls, connect.WithReadMaxBytes(maxMessageBytes)))
+}
+
 // exchangeServer answers nothing but exchanges.
 type exchangeServer struct {
 	peerv1connect.UnimplementedNodeServiceHandler
@@ -109,10 +98,12 @@
 }
 
 func (s *exchangeServer) Exchange(ctx context.Context, request *connect.Request[peerv1.ExchangeRequest]) (*connect.Response[peerv1.ExchangeResponse], error) {
-	return exchange(ctx, s.membership, request)
+	return AnswerExchange(ctx, s.membership, request)
 }
 
-func exchange(ctx context.Context, membership Exchanger, request *connect.Request[peerv1.ExchangeRequest]) (*connect.Response[peerv1.ExchangeResponse], error) {
+// AnswerExchange has the membership answer an exchange; one that it can't take
+// fails with connect.CodeFailedPrecondition.
+func AnswerExchange(ctx context.Context, membership Exchanger, request *connect.Request[peerv1.ExchangeRequest]) (*connect.Response[peerv1.ExchangeResponse], error) {
 	response, err := membership.Exchange(ctx, request.Msg)
 	if err != nil {
 		return nil, connect.NewError(connect.CodeFailedPrecondition, err)
@@ -196,40 +187,3 @@
 		View:    ViewToWire(reply.View),
 	})
 }
-
-type nodeServer struct {
-	peerv1connect.UnimplementedNodeServiceHandler
-	node Node
-}
-
-func (s *nodeServer) Exchange(ctx context.Context, request *connect.Request[peerv1.ExchangeRequest]) (*connect.Response[peerv1.ExchangeResponse], error) {
-	return exchange(ctx, s.node, request)
-}
-
-func (s *nodeServer) AttemptStatus(_ context.Context, request *connect.Request[peerv1.AttemptStatusRequest]) (*connect.Response[peerv1.AttemptStatusResponse], error) {
-	return connect.NewResponse(s.node.AttemptStatus(request.Msg)), nil
-}
-
-func (s *nodeServer) Reserve(_ context.Context, request *connect.Request[peerv1.ReserveRequest]) (*connect.Response[peerv1.ReserveResponse], error) {
-	return connect.NewResponse(s.node.Reserve(request.Msg)), nil
-}
-
-func (s *nodeServer) Release(_ context.Context, request *connect.Request[peerv1.ReleaseRequest]) (*connect.Response[peerv1.ReleaseResponse], error) {
-	return connect.NewResponse(s.node.Release(request.Msg)), nil
-}
-
-func (s *nodeServer) Grant(_ context.Context, request *connect.Request[peerv1.GrantRequest]) (*connect.Response[peerv1.GrantResponse], error) {
-	return connect.NewResponse(s.node.Grant(request.Msg)), nil
-}
-
-func (s *nodeServer) FetchConfiguration(_ context.Context, request *connect.Request[peerv1.FetchConfigurationRequest]) (*connect.Response[peerv1.FetchConfigurationResponse], error) {
-	return connect.NewResponse(s.node.FetchConfiguration(request.Msg)), nil
-}
-
-func (s *nodeServer) InstallConfiguration(_ context.Context, request *connect.Request[peerv1.InstallConfigurationRequest]) (*connect.Response[peerv1.InstallConfigurationResponse], error) {
-	response, err := s.node.InstallConfiguration(request.Msg)
-	if err != nil {
-		return nil, connect.NewError(connect.CodeInvalidArgument, err)
-	}
-	return connect.NewResponse(response), nil
-}
