--- a/test/harness/fault.go
+++ b/test/harness/fault.go
@@ -61,11 +61,6 @@
 	return func(request *http.Request) bool { return strings.Contains(request.URL.Path, part) }
 }
 
-// HeaderIs matches requests that carry the header with the given value.
-func HeaderIs(name, value string) func(*http.Request) bool {
-	return func(request *http.Request) bool { return request.Header.Get(name) == value }
-}
-
 // matches tells whether the fault is meant for the request, which is nil before
 // the first one of a connection.
 func (f Fault) matches(request *http.Request) bool {
