--- /dev/null
+++ b/coordination/register/stored_test.go
@@ -0,0 +1,210 @@
+package register_test
+
+import (
+	"context"
+	"fmt"
+	"maps"
+	"math/rand/v2"
+	"slices"
+	"strings"
+	"sync"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"go.uber.org/zap"
+	"gotest.tools/v3/assert"
+	"gotest.tools/v3/golden"
+
+	statev1 "github.com/marblering/marblering/api/state/v1"
+	"github.com/marblering/marblering/coordination/archive"
+	"github.com/marblering/marblering/coordination/follow"
+	"github.com/marblering/marblering/coordination/mirror"
+	"github.com/marblering/marblering/coordination/quota"
+	"github.com/marblering/marblering/coordination/record"
+	"github.com/marblering/marblering/coordination/register"
+	"github.com/marblering/marblering/coordination/shard"
+	"github.com/marblering/marblering/coordination/tokenbudget"
+	"github.com/marblering/marblering/state/program"
+	"github.com/marblering/marblering/state/replica"
+)
+
+const storedLife = "s-1/a"
+
+// storageNode is a storage node of one, with the parts that write to its store.
+type storageNode struct {
+	store     *namedStore
+	member    register.Member
+	views     *shard.Map
+	replica   *shard.Replica
+	installer *shard.Installer
+	client    *register.Client
+}
+
+func newStorageNode() *storageNode {
+	n := &storageNode{
+		store:  &namedStore{Memory: replica.NewMemory(), meta: make(map[string][]byte)},
+		member: register.Member{Node: "s-1", Incarnation: storedLife, Address: "10.0.0.1:7000", Zone: "z-1"},
+		views:  shard.NewMap(1),
+	}
+	n.views.Learn(register.View{Epoch: shard.FirstEpoch, Members: []register.Member{n.member}})
+	n.replica = shard.NewReplica(storedLife, n.store, n.views, func() uint64 { return 41 })
+	n.installer = shard.NewInstaller(n.replica, n, zap.NewNop())
+	n.client = register.NewClient("g-1/b", n, clientViews{n.views}, register.SystemClock{}, rand.New(rand.NewPCG(1, 1)), register.DefaultSettings())
+	return n
+}
+
+// namedStore remembers the meta values: a replica.Store doesn't list them.
+type namedStore struct {
+	*replica.Memory
+	mutex sync.Mutex
+	meta  map[string][]byte
+}
+
+func (s *namedStore) SaveMeta(shard uint32, name string, value []byte) error {
+	s.mutex.Lock()
+	s.meta[fmt.Sprintf("%d %q", shard, name)] = value
+	s.mutex.Unlock()
+	return s.Memory.SaveMeta(shard, name, value)
+}
+
+// clientViews is the shard's map at configuration version 41.
+type clientViews struct{ *shard.Map }
+
+func (clientViews) ConfigurationVersion() uint64               { return 41 }
+func (clientViews) LearnConfiguration(context.Context, uint64) {}
+
+var (
+	_ shard.Members = (*storageNode)(nil)
+	_ shard.Source  = (*storageNode)(nil)
+)
+
+func (n *storageNode) Prepare(ctx context.Context, _ register.Member, request register.PrepareRequest) (register.PrepareReply, error) {
+	return n.replica.Prepare(ctx, request), nil
+}
+
+func (n *storageNode) Accept(ctx context.Context, _ register.Member, request register.AcceptRequest) (register.AcceptReply, error) {
+	return n.replica.Accept(ctx, request), nil
+}
+
+func (n *storageNode) Seal(ctx context.Context, _ register.Member, request shard.SealRequest) (archive.Reply, error) {
+	return n.replica.Seal(ctx, request), nil
+}
+
+func (n *storageNode) Install(ctx context.Context, _ register.Member, request shard.InstallRequest) (archive.Reply, error) {
+	return n.installer.Install(ctx, request), nil
+}
+
+func (n *storageNode) Open(ctx context.Context, _ register.Member, request shard.OpenRequest) (archive.Reply, error) {
+	return n.replica.Open(ctx, request), nil
+}
+
+func (n *storageNode) Pull(ctx context.Context, _ register.Member, request shard.PullRequest, visit func(shard.PullItem) error) (archive.Reply, error) {
+	return n.replica.Pull(ctx, request, visit)
+}
+
+// text lists all that the store has.
+func (n *storageNode) text(t *testing.T) string {
+	t.Helper()
+	var text strings.Builder
+	assert.NilError(t, n.store.EachRegister(0, func(key string, state replica.Register) error {
+		fmt.Fprintf(&text, "register %q\n  promised %+q\n  accepted %+q\n  %+q\n", key, ballotText(state.Promised), ballotText(state.Accepted), state.Value)
+		return nil
+	}))
+	n.store.mutex.Lock()
+	defer n.store.mutex.Unlock()
+	for _, name := range slices.Sorted(maps.Keys(n.store.meta)) {
+		fmt.Fprintf(&text, "meta of shard %s\n  %+q\n", name, n.store.meta[name])
+	}
+	return text.String()
+}
+
+func ballotText(ballot replica.Ballot) string {
+	return fmt.Sprintf("%d of %s", ballot.Counter, ballot.Proposer)
+}
+
+// TestWhatCoordinationStores has each package that keeps something in registers or
+// meta values of a replica write it, and pins keys and values: a disk outlives the
+// program that wrote it, and nodes of two versions share registers.
+func TestWhatCoordinationStores(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		n := newStorageNode()
+		writeProgram(t, n)
+		writeBudget(t, n)
+		writeSlot(t, n)
+		writeMirror(t, n)
+		assert.NilError(t, n.replica.HoldConfiguration())
+		writeSuccessor(t, n)
+		golden.Assert(t, n.text(t), "stored.golden")
+	})
+}
+
+func writeProgram(t *testing.T, n *storageNode) {
+	t.Helper()
+	records := record.NewStore(n.client, n.views.Locate, 10)
+	_, err := records.Apply(t.Context(), "p-1", func(*statev1.ProgramTree) (*statev1.ProgramTree, error) {
+		return program.New(program.Specification{Root: "p-1", Tenant: "shop", Model: "m", BudgetTokens: 1000, CreatedUnixMS: 1_700_000_000_000}), nil
+	})
+	assert.NilError(t, err)
+}
+
+func writeBudget(t *testing.T, n *storageNode) {
+	t.Helper()
+	ledger := tokenbudget.New(storedLife, n.client, n.views.Locate, tokenbudget.DefaultSettings(), time.Now, zap.NewNop())
+	assert.NilError(t, ledger.Reserve(t.Context(), tokenbudget.Reservation{Program: "conversation", Limit: 5000, Most: 100}))
+}
+
+func writeSlot(t *testing.T, n *storageNode) {
+	t.Helper()
+	ctx, cancel := context.WithCancel(t.Context())
+	holder := quota.NewHolder(storedLife, "s-1", n.client, time.Now, zap.NewNop())
+	done := make(chan struct{})
+	go func() {
+		defer close(done)
+		_ = holder.Serve(ctx)
+	}()
+	for isHolder := false; !isHolder; time.Sleep(time.Millisecond) {
+		_, isHolder = holder.Take(quota.Ask{}).(quota.Granted)
+	}
+	cancel()
+	<-done
+}
+
+func writeMirror(t *testing.T, n *storageNode) {
+	t.Helper()
+	ctx, cancel := context.WithCancel(t.Context())
+	holder, err := mirror.NewHolder([]string{"instances"}, n.store, time.Now, zap.NewNop())
+	assert.NilError(t, err)
+	holder.Keep("instances", follow.Snapshot{
+		Objects: []follow.Object{{Name: "i-1", Revision: 7, Spec: []byte(`{"a":1}`), Status: []byte(`{}`)}},
+		At:      9, Unreadable: 1, Age: time.Second, Proved: time.Now(),
+	})
+	done := make(chan struct{})
+	go func() {
+		defer close(done)
+		_ = holder.Serve(ctx)
+	}()
+	time.Sleep(time.Minute)
+	cancel()
+	<-done
+}
+
+// writeSuccessor gives the shard its second epoch.
+func writeSuccessor(t *testing.T, n *storageNode) {
+	t.Helper()
+	driver := shard.NewDriver(storedLife, n, n.views, register.SystemClock{}, rand.New(rand.NewPCG(1, 1)), register.DefaultSettings(), zap.NewNop())
+	current, _ := n.views.View(0)
+	opened, err := driver.Drive(t.Context(), current, current.Members)
+	assert.NilError(t, err)
+	assert.Equal(t, opened.Epoch, shard.FirstEpoch+1)
+}
+
+// TestRank pins the order of members in which all nodes ask for a key.
+func TestRank(t *testing.T) {
+	var text strings.Builder
+	for _, node := range []string{"s-1", "s-2", "s-3"} {
+		fmt.Fprintf(&text, "%s %016x\n", node, register.Rank(node, "conversation"))
+	}
+	fmt.Fprintf(&text, "shard of conversation among 64: %d\n", shard.NewMap(64).Locate("conversation.2"))
+	golden.Assert(t, text.String(), "rank.golden")
+}
