--- a/cmd/marblering-lab/command.go
+++ b/cmd/marblering-lab/command.go
@@ -68,8 +68,6 @@
 		newToolCommand(),
 		newWeightStoreCommand(),
 		newMeasureCommand(),
-		newScaleCommand(),
-		newScaleGroupCommand(),
 		newExperimentCommand(),
 	)
 	return root
--- a/lab/deployment/deployment.go
+++ b/lab/deployment/deployment.go
@@ -11,7 +11,6 @@
 	"fmt"
 	"net/http"
 	"net/http/httptest"
-	"slices"
 	"strings"
 	"time"
 
@@ -47,17 +46,10 @@
 
 // Options describe a deployment.
 type Options struct {
-	Zones int
-	Nodes int
-	// Platform is the base URL of an object API that runs elsewhere and is
-	// configured already; empty starts and configures one.
-	Platform string
-	// FirstNode is how many nodes of the same system run elsewhere under the
-	// names before these, and Seeds are addresses of some of them.
-	FirstNode int
-	Seeds     []string
-	Engines   int
-	Shards    int
+	Zones   int
+	Nodes   int
+	Engines int
+	Shards  int
 	// Generations are dealt to the engines in turn; empty means the default.
 	Generations []string
 	Seed        uint64
@@ -66,10 +58,6 @@
 	// DataFolders gives each node a folder for its replicas; empty keeps them
 	// in memory.
 	DataFolders []string
-	// Hollow are engines that run elsewhere: they are only configured.
-	Hollow []HollowEngine
-	// Tenants are configured beside TenantName.
-	Tenants int
 	// TenantLimits are those of TenantName.
 	TenantLimits configuration.TenantLimits
 	// Limits hold for all tenants; nil writes no object, so that the defaults
@@ -78,13 +66,6 @@
 	Logger *zap.Logger
 }
 
-// HollowEngine is an engine that the deployment doesn't start.
-type HollowEngine struct {
-	Name    string
-	Address string
-	Zone    string
-}
-
 // Deployment is a running system.
 type Deployment struct {
 	Platform string
@@ -108,10 +89,6 @@
 }
 
 func (d *Deployment) start(ctx context.Context) error {
-	if d.options.Platform != "" {
-		d.Platform = d.options.Platform
-		return d.startNodes(ctx)
-	}
 	d.Platform = d.serve(objectstore.New(objectstore.Options{Seed: d.options.Seed})).URL
 	for index := range d.options.Engines {
 		stand := engine.New(engine.Options{
@@ -183,19 +160,6 @@
 			Models: []string{ModelName}, Role: configuration.RoleMixed,
 		}))
 	}
-	for _, hollow := range d.options.Hollow {
-		err = errors.Join(err, d.put(ctx, configuration.KindEngine, hollow.Name, configuration.Engine{
-			Address: hollow.Address, Zone: hollow.Zone, Generation: engine.DefaultGeneration, Pool: PoolName,
-			Models: []string{ModelName}, Role: configuration.RoleMixed,
-		}))
-	}
-	for index := range d.options.Tenants {
-		name := fmt.Sprintf("extra-%d", index)
-		digest := sha256.Sum256([]byte(name))
-		err = errors.Join(err, d.put(ctx, configuration.KindTenant, name, configuration.Tenant{
-			APIKeySHA256: []string{hex.EncodeToString(digest[:])}, Weight: 1,
-		}))
-	}
 	return err
 }
 
@@ -255,12 +219,12 @@
 // nodeSettings are those of one node.
 func (d *Deployment) nodeSettings(index int) (settings.Settings, error) {
 	arguments := []string{
-		"--name", fmt.Sprintf("node-%d", d.options.FirstNode+index+1),
-		"--zone", d.zone(d.options.FirstNode + index),
+		"--name", fmt.Sprintf("node-%d", index+1),
+		"--zone", d.zone(index),
 		"--object-api", d.Platform,
 		"--shards", fmt.Sprint(d.options.Shards),
 	}
-	seeds := slices.Clone(d.options.Seeds)
+	var seeds []string
 	for _, started := range d.Nodes[:min(maxSeeds, len(d.Nodes))] {
 		seeds = append(seeds, started.PeerAddress())
 	}
