--- a/cmd/marblering-lab/command.go
+++ b/cmd/marblering-lab/command.go
@@ -67,7 +67,6 @@
 		newObjectStoreCommand(),
 		newToolCommand(),
 		newWeightStoreCommand(),
-		newMeasureCommand(),
 		newExperimentCommand(),
 	)
 	return root
--- a/lab/deployment/deployment.go
+++ b/lab/deployment/deployment.go
@@ -1,5 +1,5 @@
 // Package deployment starts a whole system in one process on loopback: an
-// object API, engines and nodes. The demo, the measurements and tests use it.
+// object API, engines and nodes. The demo and tests use it.
 package deployment
 
 import (
