--- a/coordination/conversation/conversation.go
+++ b/coordination/conversation/conversation.go
@@ -1,6 +1,11 @@
-// Package conversation carries one turn of a program through a gateway: it puts
-// the line of turns before it in front, reserves what it may generate, counts
-// what it hands out, and stores it before its answer ends.
+// Package conversation carries one turn of a program through a gateway. It reads the
+// turns that the new one goes on from and puts them in front of its input, reserves
+// the tokens that it may generate, counts what is handed out, and stores the turn
+// before its answer ends.
+//
+// It owns nothing but the turns under way. It relies on turnstore for kept turns and
+// on tokenbudget for budgets. When a client that is refused here may come back is
+// decided in pause.go.
 package conversation
 
 import (
@@ -29,22 +34,16 @@
 	End(ended tokenbudget.Ended)
 }
 
-const (
-	// stateTimeout bounds the reading of state before a turn is sent out.
-	stateTimeout = 800 * time.Millisecond
-	// retryPause is the shortest that a refused client is asked to wait.
-	retryPause = 200 * time.Millisecond
-	// elsewherePause is the same where another gateway may do better at once.
-	elsewherePause = 60 * time.Millisecond
-	// reservedPause is the same where another gateway has to give a reserve back.
-	reservedPause = 400 * time.Millisecond
-)
+// stateTimeout bounds the reading of earlier turns and the reservation of tokens, both
+// together, before a turn is sent out: two slow hosts of a budget (0.35 s each), or a
+// change of a replica set, which takes about 0.3 s.
+const stateTimeout = 800 * time.Millisecond
 
 // Service begins turns. It is safe for concurrent use.
 type Service struct {
 	turns   Turns
 	budgets Budgets
-	// cutOff tells that no storage node can be reached from here.
+	// cutOff reports that no storage node can be reached from this gateway.
 	cutOff  func() bool
 	logger  *zap.Logger
 	trouble trouble
@@ -57,30 +56,32 @@
 
 // Request describes a turn that is about to begin.
 type Request struct {
-	// ID is that of the client's request and, once it is whole, of the turn.
+	// ID is the id of the client's request, which becomes that of the turn once its
+	// answer is complete.
 	ID      string
 	Program string
-	// Tenant is whose turn it is; empty where there are no tenants.
+	// Tenant owns the turn; empty where there are no tenants.
 	Tenant string
-	// Previous is the turn that this one goes on from; empty at the start.
+	// Previous is the turn that this one goes on from; empty for a program's first.
 	Previous string
-	// Budget is what all turns of the program may generate; zero for no bound.
+	// Budget is what all turns of the program may generate, in tokens; zero for no
+	// bound.
 	Budget uint64
 	// Most is the most that this turn may generate, in tokens.
 	Most uint64
-	// TokensPerEvent is how many tokens one event of the answer stands for.
+	// TokensPerEvent is the number of tokens that one event of the answer has.
 	TokensPerEvent uint64
-	// Retained tells that the turn is kept, and that what came before it is put
-	// in front of its input.
+	// Retained tells that the turn is kept for Retention, and that the turns before
+	// it are put in front of its input.
 	Retained  bool
 	Retention time.Duration
-	// Timeout is how long the turn may take at the utmost.
+	// Timeout is the longest time that the turn may take.
 	Timeout time.Duration
 	// Input is the body of the request.
 	Input []byte
 }
 
-// Begin prepares the turn. On success End must be called.
+// Begin prepares the turn, within stateTimeout. On success End must be called.
 func (s *Service) Begin(ctx context.Context, request Request) (*Turn, *result.Error) {
 	if s.cutOff() {
 		return nil, result.Errorf(result.NoQuorum, "no storage node can be reached from this gateway").After(elsewherePause)
@@ -103,13 +104,14 @@
 type Turn struct {
 	service *Service
 	request Request
-	// line are the turns before this one, oldest first.
+	// line holds the turns before this one, oldest first.
 	line     []*statev1.RetainedTurn
 	reserved bool
 	events   uint64
 	output   []byte
 }
 
+// readLine reads the turns before this one. A turn of another tenant is refused.
 func (t *Turn) readLine(ctx context.Context) *result.Error {
 	line, err := t.service.turns.Line(ctx, t.request.Program, t.request.Previous)
 	if errors.Is(err, turnstore.ErrUnknown) {
@@ -129,12 +131,13 @@
 	return nil
 }
 
-// unknownTurn is told of a turn of another tenant as well: nobody learns that it
-// exists.
+// unknownTurn is the refusal of a turn that isn't kept. A turn of another tenant gets
+// the same one, so that nobody learns that it exists.
 func unknownTurn(id string) *result.Error {
 	return result.Errorf(result.UnknownTurn, "no turn %q is kept", id)
 }
 
+// reserve reserves the tokens that the turn may generate.
 func (t *Turn) reserve(ctx context.Context) *result.Error {
 	if t.request.Budget == 0 {
 		return nil
@@ -155,8 +158,8 @@
 	return nil
 }
 
-// Body is what the back end is to get: the input and output of each turn of the
-// line, and then the new input.
+// Body returns what the back end gets: input and output of each turn before this one,
+// and then the new input.
 func (t *Turn) Body() []byte {
 	if len(t.line) == 0 {
 		return t.request.Input
@@ -173,7 +176,7 @@
 	return append(body, t.request.Input...)
 }
 
-// Event counts an event that is about to be handed out. Data is its content.
+// Event counts an event that is about to be handed out, with its content.
 func (t *Turn) Event(data []byte) {
 	t.events++
 	if t.request.Retained {
@@ -182,8 +185,8 @@
 	}
 }
 
-// Complete stores the turn. Only when it returns nil may the answer end as a
-// whole one.
+// Complete stores the turn. The answer may end as complete only after it has returned
+// nil.
 func (t *Turn) Complete(ctx context.Context) error {
 	if !t.request.Retained {
 		return nil
@@ -198,7 +201,7 @@
 	})
 }
 
-// End settles the turn by what was handed out.
+// End settles the budget by what was handed out.
 func (t *Turn) End() {
 	if !t.reserved {
 		return
--- a/coordination/quota/account.go
+++ b/coordination/quota/account.go
@@ -12,8 +12,8 @@
 	// Version of the configuration that the part is of.
 	Version int64
 	Part    Part
-	// Program is the one that the request belongs to, Kind what programs like it have
-	// in common; empty for none.
+	// Program is the one that the request belongs to, empty for none. Kind is what
+	// programs with a like demand have in common.
 	Program string
 	Kind    string
 	// Ahead is how many permits are wanted for requests to come.
@@ -30,7 +30,8 @@
 
 // Exhausted says that the tenant has used its part of the quota.
 type Exhausted struct {
-	// RetryAfter is when there is a permit again, Left how much of one there is.
+	// RetryAfter is the time until there is a permit again, Left the fraction of a
+	// permit that there is.
 	RetryAfter time.Duration
 	Left       float64
 }
@@ -50,13 +51,15 @@
 func (NotHolder) isGrant() {}
 
 const (
-	// plentyPart of the burst has to be left for permits to be granted ahead and for
-	// programs to be let in without a look at what they need.
+	// plentyPart is the part of the burst that must be left for permits to be granted
+	// ahead, and for new programs to be let in whatever they need. Chosen, not
+	// measured.
 	plentyPart = 0.5
-	// crowdedPause is when a program that was kept away may come again at the soonest:
-	// those that have begun need longer to end.
+	// crowdedPause is the Retry-After of a new program that is refused: about the time
+	// in which programs that have begun end. Chosen, not measured.
 	crowdedPause = 500 * time.Millisecond
-	// leastPause keeps refused requests from coming back in a tight loop.
+	// leastPause is the shortest Retry-After. It keeps refused requests from coming
+	// back in a tight loop. Chosen, not measured.
 	leastPause = 50 * time.Millisecond
 )
 
@@ -69,12 +72,20 @@
 	programs *programs
 }
 
-// newAccount makes an account as if it had been there, empty, since the term began.
+// newAccount makes an account whose bucket was empty when the term began.
 func newAccount(rate limit.Rate, began time.Time) *account {
 	return &account{rate: rate, bucket: limit.NewBucket(rate.TokensPerSecond, rate.Burst, began), programs: newPrograms()}
 }
 
-// take decides on the ask.
+// take decides on a request for permits:
+//
+//   - A new program is refused (Crowded) unless half of the burst is left or the rate
+//     can carry it to its end beside those that have begun: a program that is cut off
+//     in its middle has used its permits in vain. At four times the rate 45 programs
+//     finish in place of 8 with refusals by lot (virtual time, the replay of
+//     plan_test.go).
+//   - Any request is refused (Exhausted) where the bucket has no permit.
+//   - Permits ahead are granted only from what is left beyond half of the burst.
 func (a *account) take(ask Ask, now time.Time) Grant {
 	if ask.Version > a.version {
 		a.version, a.rate = ask.Version, ask.Part.Rate
--- a/coordination/quota/announce.go
+++ b/coordination/quota/announce.go
@@ -8,15 +8,16 @@
 )
 
 const (
-	// announcePause lies between two looks whether slots have to be asked for, and
-	// announceAfter is how long no request may have asked for them: less than
-	// interestTime.
+	// announcePause is the pause between two checks whether slots must be announced.
+	// Chosen, not measured.
 	announcePause = time.Second
+	// announceAfter is how long no request may have asked for a permit before slots
+	// are announced. It is less than interestTime, after which they would lapse.
 	announceAfter = 5 * time.Second
 )
 
-// Announcer has every slot held before the first request needs it: a holder begins
-// with nothing saved up, so that the first requests of a day would be refused. It is a
+// Announcer keeps every slot held while no request needs it: a new holder begins with
+// an empty bucket, so that the first requests after a pause would be refused. It is a
 // suture service.
 type Announcer struct {
 	client *Client
--- a/coordination/quota/client.go
+++ b/coordination/quota/client.go
@@ -3,7 +3,6 @@
 import (
 	"cmp"
 	"context"
-	"math"
 	"slices"
 	"sync"
 	"time"
@@ -29,34 +28,39 @@
 }
 
 const (
-	// tryTimeout bounds one question to one storage node: some times what one takes
-	// that has room.
+	// tryTimeout bounds one request to one storage node: a few times what one takes
+	// that isn't overloaded. Chosen, not measured.
 	tryTimeout = 150 * time.Millisecond
-	// takeTimeout bounds the time in which a request gets its permit: what takes
-	// longer is better tried at another gateway.
-	takeTimeout = 450 * time.Millisecond
-	// vacantPause is how long a slot that had no holder isn't asked again: its next
-	// holder is there within leaseTime and a moment.
+	// takeTimeout bounds the time in which a request gets its permit: that of three
+	// storage nodes that are late. Another gateway may do better after it.
+	takeTimeout = 3 * tryTimeout
+	// vacantPause is how long a slot that had no holder isn't asked again. It is short
+	// beside leaseTime, within which the slot has its next holder. Chosen, not
+	// measured.
 	vacantPause = 100 * time.Millisecond
-	// foundPause lies between two tries of a request where no slot had a holder: where
-	// a slot was never held, it is within a round of its register.
+	// foundPause is the pause between two tries of a request where no slot had a
+	// holder: a slot that nobody has held yet is taken within one round of its
+	// register. Chosen, not measured.
 	foundPause = 25 * time.Millisecond
-	// unavailablePause is when a client may come back that nobody could grant a permit.
+	// unavailablePause is the Retry-After of a request that no storage node could
+	// decide. Chosen, not measured.
 	unavailablePause = 300 * time.Millisecond
 	// longestWait is how long a request may wait for the next permit rather than be
-	// refused, maxWaits how often.
+	// refused, maxWaits how often it may. Chosen, not measured.
 	longestWait = 100 * time.Millisecond
 	maxWaits    = 2
-	// slotsAsked bounds the main slots that a request asks: others of the tenant may
-	// have permits left.
+	// slotsAsked bounds the main slots that a request asks: another slot of the tenant
+	// may have permits left. Chosen, not measured.
 	slotsAsked = 2
-	// aheadPart of a permit's life is what permits granted ahead should last for.
+	// aheadPart is the part of a permit's life within which permits granted ahead are
+	// expected to be used. Chosen, not measured.
 	aheadPart = 0.6
-	// maxAhead bounds the permits that are asked for ahead.
+	// maxAhead bounds the permits that are asked for ahead. Chosen, not measured.
 	maxAhead = 16
 )
 
-// Client gets permits for a gateway's requests. It is safe for concurrent use.
+// Client is a gateway's side: it gets permits for requests. It is safe for concurrent
+// use.
 type Client struct {
 	holders Holders
 	views   Views
@@ -68,16 +72,16 @@
 
 	mutex  sync.Mutex
 	stocks map[string]*stock
-	// holderOf is where each slot's holder was found last, vacantUntil until when
-	// slots without one aren't asked.
+	// holderOf is the address at which each slot's holder was found last, vacantUntil
+	// the end of the time for which a slot without a holder isn't asked.
 	holderOf    map[uint32]string
 	vacantUntil map[uint32]time.Time
-	// askedAt is when holders were last asked.
+	// askedAt is when a request last wanted a permit, or slots were announced.
 	askedAt time.Time
 }
 
-// NewClient makes a client without permits. The tracker is told which storage nodes
-// answer.
+// NewClient makes a client without permits. The client tells the tracker which storage
+// nodes answer.
 func NewClient(holders Holders, views Views, tracker *reach.Tracker, bounds Bounds, metrics *Metrics, now func() time.Time, logger *zap.Logger) *Client {
 	return &Client{
 		holders: holders, views: views, reach: tracker, bounds: bounds, now: now, logger: logger, metrics: metrics,
@@ -96,7 +100,7 @@
 	Kind    string
 }
 
-// Permit lets one request run. Return must be called where it did not.
+// Permit lets one request run. Return must be called if the request did not run.
 type Permit struct {
 	client  *Client
 	tenant  string
@@ -113,8 +117,9 @@
 	p.client.stock(p.tenant).add(1, p.expires)
 }
 
-// Take gets a permit, or says why there is none: result.TenantLimit or
-// result.QuotaUnavailable. A tenant without a rate needs none.
+// Take returns a permit, or the refusal with its Retry-After: result.TenantLimit where
+// the quota is used up, result.QuotaUnavailable where no storage node could decide. A
+// tenant without a rate needs no permit. It takes takeTimeout at the longest.
 func (c *Client) Take(ctx context.Context, request Request) (Permit, *result.Error) {
 	if request.Rate.TokensPerSecond <= 0 {
 		return Permit{}, nil
@@ -133,22 +138,24 @@
 	return permit, failure
 }
 
-// ask tries the plan's slots until one decides.
+// ask asks the plan's slots until one decides: the main slots, then the reserve slot
+// where a main slot has no holder. A request waits for the next permit where it comes
+// within longestWait; where no slot has a holder it asks again until the context ends.
 func (c *Client) ask(ctx context.Context, ask Ask, plan Plan) (Permit, *result.Error) {
 	for waits := 0; ; {
-		said, permit := c.askMain(ctx, ask, plan)
-		if said == nil && plan.HasReserve {
-			said, permit = c.askSlot(ctx, ask, plan.Reserve)
+		answer, permit := c.askMain(ctx, ask, plan)
+		if answer == nil && plan.HasReserve {
+			answer, permit = c.askSlot(ctx, ask, plan.Reserve)
 		}
-		if _, isGranted := said.(Granted); isGranted {
+		if _, isGranted := answer.(Granted); isGranted {
 			return permit, nil
 		}
-		if waits < maxWaits && awaitNext(ctx, said) {
+		if waits < maxWaits && awaitNext(ctx, answer) {
 			waits++
 			continue
 		}
-		if said != nil {
-			return Permit{}, refusal(ask.Tenant, said)
+		if answer != nil {
+			return Permit{}, refusal(ask.Tenant, answer)
 		}
 		if sleep.For(ctx, foundPause) != nil {
 			return Permit{}, refusal(ask.Tenant, nil)
@@ -156,16 +163,17 @@
 	}
 }
 
-// awaitNext waits for the next permit where it comes soon, and tells whether it did.
-func awaitNext(ctx context.Context, said Grant) bool {
-	exhausted, is := said.(Exhausted)
-	return is && exhausted.RetryAfter <= longestWait && sleep.For(ctx, sleep.Jitter(exhausted.RetryAfter)) == nil
+// awaitNext waits until the next permit is due if that is soon, and tells whether it
+// has waited.
+func awaitNext(ctx context.Context, answer Grant) bool {
+	exhausted, isExhausted := answer.(Exhausted)
+	return isExhausted && exhausted.RetryAfter <= longestWait && sleep.For(ctx, sleep.Jitter(exhausted.RetryAfter)) == nil
 }
 
-// refusal is what a caller is told of a holder's answer that grants nothing; nil is that
-// nobody answered.
-func refusal(tenant string, said Grant) *result.Error {
-	switch grant := said.(type) {
+// refusal returns what a caller is told after a holder's answer that grants nothing, or
+// after none, where the answer is nil.
+func refusal(tenant string, answer Grant) *result.Error {
+	switch grant := answer.(type) {
 	case Exhausted:
 		return result.Errorf(result.TenantLimit, "tenant %s is over its quota, %.1f permits are left", tenant, grant.Left).After(grant.RetryAfter)
 	case Crowded:
@@ -175,8 +183,8 @@
 	return result.Errorf(result.QuotaUnavailable, "nobody grants requests of tenant %s", tenant).After(unavailablePause)
 }
 
-// askMain asks main slots until one has a permit. It returns nil where a slot without
-// a holder may have had one.
+// askMain asks main slots until one grants a permit. It returns nil where one of them
+// has no holder, so that the reserve slot stands in for it.
 func (c *Client) askMain(ctx context.Context, ask Ask, plan Plan) (Grant, Permit) {
 	var refusal Grant
 	isVacant := len(plan.Main) == 0
@@ -184,12 +192,12 @@
 		if index >= slotsAsked {
 			break
 		}
-		said, permit := c.askSlot(ctx, ask, part)
-		switch said.(type) {
+		answer, permit := c.askSlot(ctx, ask, part)
+		switch answer.(type) {
 		case Granted, Crowded:
-			return said, permit
+			return answer, permit
 		case Exhausted:
-			refusal = said
+			refusal = answer
 		default:
 			isVacant = true
 		}
@@ -200,8 +208,8 @@
 	return refusal, Permit{}
 }
 
-// askSlot asks the members of the slot's shard for its holder, the one of last time
-// first. It returns nil where none of them is.
+// askSlot asks the members of the slot's shard for its holder, first the member that
+// held it last. It returns nil where no member holds the slot.
 func (c *Client) askSlot(ctx context.Context, ask Ask, part Part) (Grant, Permit) {
 	view, known := c.views.View(part.Slot)
 	if !known || c.isVacant(part.Slot) {
@@ -213,14 +221,14 @@
 			return nil, Permit{}
 		}
 		sent := c.now()
-		said := c.askMember(ctx, address, ask)
-		if _, isNot := said.(NotHolder); isNot || said == nil {
+		answer := c.askMember(ctx, address, ask)
+		if _, isNotHolder := answer.(NotHolder); isNotHolder || answer == nil {
 			continue
 		}
 		c.mutex.Lock()
 		c.holderOf[part.Slot] = address
 		c.mutex.Unlock()
-		return said, c.keep(ask, said, sent)
+		return answer, c.keep(ask, answer, sent)
 	}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -229,10 +237,11 @@
 	return nil, Permit{}
 }
 
-// keep puts what was granted beyond the request's own permit in stock.
-func (c *Client) keep(ask Ask, said Grant, sent time.Time) Permit {
-	granted, is := said.(Granted)
-	if !is {
+// keep puts the permits granted beyond the request's own one in stock. A permit's life
+// counts from when it was asked for: the holder may have granted it any time after.
+func (c *Client) keep(ask Ask, answer Grant, sent time.Time) Permit {
+	granted, isGranted := answer.(Granted)
+	if !isGranted {
 		return Permit{}
 	}
 	expires := sent.Add(c.bounds.PermitLife())
@@ -244,13 +253,14 @@
 	return Permit{client: c, tenant: ask.Tenant, expires: expires}
 }
 
+// askMember asks one storage node; nil means that it failed.
 func (c *Client) askMember(ctx context.Context, address string, ask Ask) Grant {
 	bounded, cancel := context.WithTimeout(ctx, tryTimeout)
 	defer cancel()
-	said, err := c.holders.TakePermits(bounded, address, ask)
+	answer, err := c.holders.TakePermits(bounded, address, ask)
 	if err == nil {
 		c.reach.Heard(address)
-		return said
+		return answer
 	}
 	if ctx.Err() == nil {
 		c.reach.Failed(address)
@@ -260,15 +270,16 @@
 	return nil
 }
 
+// isVacant tells that the slot had no holder a moment ago.
 func (c *Client) isVacant(slot uint32) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.now().Before(c.vacantUntil[slot])
 }
 
-// order puts the holder of last time first, and members that failed lately last; else
-// all gateways have the same order, so that one member is asked for a slot that is
-// vacant.
+// order puts the last known holder first, and members that failed lately last. The
+// rest have the same order at all gateways, so that for a slot without a holder they
+// all ask the same member, which then takes it.
 func (c *Client) order(view register.View) []string {
 	c.mutex.Lock()
 	last := c.holderOf[view.Shard]
@@ -283,7 +294,7 @@
 	return addresses
 }
 
-// compareFlags puts what has the flag first.
+// compareFlags orders set flags first.
 func compareFlags(a, b bool) int {
 	switch {
 	case a == b:
@@ -294,8 +305,8 @@
 	return 1
 }
 
-// fromStock takes a permit out of stock. Without one it says how many to ask for
-// ahead.
+// fromStock takes a permit out of stock. Where there is none it returns how many to ask
+// for ahead.
 func (c *Client) fromStock(tenant string, now time.Time) (ahead int, permit Permit, found bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -309,7 +320,7 @@
 	return int(min(wanted, maxAhead)), Permit{}, false
 }
 
-// stock returns the tenant's. The mutex must be held.
+// stock returns the tenant's stock, a new one at first. The mutex must be held.
 func (c *Client) stock(tenant string) *stock {
 	own := c.stocks[tenant]
 	if own == nil {
@@ -318,41 +329,3 @@
 	}
 	return own
 }
-
-// stock are the permits of one tenant that a gateway has left.
-type stock struct {
-	// expiries are in the order in which permits came.
-	expiries []time.Time
-	// perSecond is how many requests came lately, decaying with demandTime.
-	perSecond float64
-	counted   time.Time
-}
-
-// demandTime is the time constant of what a gateway knows of a tenant's demand: a few
-// times the life of a permit.
-const demandTime = time.Second
-
-// used counts a request.
-func (s *stock) used(now time.Time) {
-	elapsed := now.Sub(s.counted).Seconds()
-	s.perSecond = s.perSecond*math.Exp(-elapsed/demandTime.Seconds()) + 1/demandTime.Seconds()
-	s.counted = now
-}
-
-func (s *stock) add(permits int, expires time.Time) {
-	for range permits {
-		s.expiries = append(s.expiries, expires)
-	}
-}
-
-// take takes the permit that expires first.
-func (s *stock) take(now time.Time) (expires time.Time, found bool) {
-	s.expiries = slices.DeleteFunc(s.expiries, func(expiry time.Time) bool { return !now.Before(expiry) })
-	if len(s.expiries) == 0 {
-		return time.Time{}, false
-	}
-	first := slices.MinFunc(s.expiries, time.Time.Compare)
-	index := slices.Index(s.expiries, first)
-	s.expiries = slices.Delete(s.expiries, index, index+1)
-	return first, true
-}
--- a/coordination/quota/holder.go
+++ b/coordination/quota/holder.go
@@ -17,12 +17,14 @@
 	// registerKey is the register of a slot's lease in the slot's shard. No program
 	// can have the name: a header can't carry it.
 	registerKey = "\nquota"
-	// changeTimeout bounds one change of a lease.
+	// changeTimeout bounds one change of a lease: less than leaseTime, so that a slow
+	// change can be tried again within it. Chosen, not measured.
 	changeTimeout = 800 * time.Millisecond
 	// interestTime is how long after it was last asked for permits a node keeps a slot
-	// or tries to take it: where no tenant has a quota, leases cost nothing.
+	// or tries to take it. Without interest leases cost nothing. Chosen, not measured.
 	interestTime = 10 * time.Second
-	// stepPause lies between two looks at the leases while there is interest.
+	// stepPause is the pause between two checks of the leases while there is interest.
+	// Chosen, not measured.
 	stepPause = 50 * time.Millisecond
 )
 
@@ -31,7 +33,7 @@
 	Apply(ctx context.Context, shard uint32, key string, change register.Change) ([]byte, error)
 }
 
-// Holder holds slots on one storage node and grants permits of theirs. It is a suture
+// Holder holds slots on one storage node and grants their permits. It is a suture
 // service and safe for concurrent use.
 type Holder struct {
 	life, node string
@@ -56,11 +58,12 @@
 	// asked is when a gateway last asked, changing set while the register is changed.
 	asked    time.Time
 	changing bool
-	// held is whether the slot was held when that was last looked at.
+	// held is what noteHeld logged last.
 	held bool
 }
 
-// NewHolder makes a holder of no slot. The life must be unique over all processes.
+// NewHolder makes a holder of no slot. The life identifies this process: it must be
+// unique over all processes and their restarts. The node is the machine's name.
 func NewHolder(life, node string, registers Registers, now func() time.Time, logger *zap.Logger) *Holder {
 	return &Holder{
 		life: life, node: node, registers: registers, now: now, logger: logger,
@@ -71,8 +74,8 @@
 // String names the service in the supervisor's messages.
 func (h *Holder) String() string { return "holder of quotas" }
 
-// Take grants permits where this node holds the slot, and else tries to take it. One
-// that names no tenant only tells that the slot is needed.
+// Take grants permits if this node holds the slot; otherwise Serve tries to take the
+// slot. An Ask without a tenant only shows that the slot is needed.
 func (h *Holder) Take(ask Ask) Grant {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -220,7 +223,7 @@
 	}
 }
 
-// vacate takes this process's claim back.
+// vacate withdraws this process's claim from the register's value.
 func (h *Holder) vacate(value []byte) ([]byte, error) {
 	current, err := decodeClaim(value)
 	if err != nil {
--- a/coordination/quota/lease.go
+++ b/coordination/quota/lease.go
@@ -8,15 +8,18 @@
 )
 
 const (
-	// leaseTime is how long a holder grants after it sent its last renewal. A lost
-	// holder's slot is taken about so much later.
+	// leaseTime is how long a holder grants after it sent its last renewal, and so
+	// about the time for which a lost holder's slot grants nothing. Chosen, not
+	// measured.
 	leaseTime = 1200 * time.Millisecond
-	// renewAfter is how old a renewal is when the next one is sent: two may fail.
+	// renewAfter is the time from one renewal to the next. Two may fail within
+	// leaseTime.
 	renewAfter = 350 * time.Millisecond
-	// lapseTime is for how long a node sees no renewal before it takes the slot: more
-	// than leaseTime, for clocks that run at different rates.
+	// lapseTime is for how long a node must see no renewal before it takes the slot.
+	// It is longer than leaseTime by 5 %, for clocks that run at different rates.
 	lapseTime = leaseTime + leaseTime/20
-	// lookPause lies between two looks of a node that waits for a lease to lapse.
+	// lookPause is the pause between two reads of a node that waits for a lease to
+	// lapse. Chosen, not measured.
 	lookPause = 150 * time.Millisecond
 )
 
@@ -37,15 +40,16 @@
 // lease is what one process knows of one slot. It has no I/O and no clock of its own.
 type lease struct {
 	self claim
-	// validUntil is until when this process may grant; zero for not at all.
+	// validUntil is when this process must stop granting; zero if it doesn't hold the
+	// slot.
 	validUntil time.Time
 	// began is when this process took the slot.
 	began time.Time
-	// seen is the newest claim of another process that was read, seenSince when the
-	// read that first returned it had ended.
+	// seen is the newest claim of another process that was read, seenSince the end of
+	// the read that first returned it.
 	seen      claim
 	seenSince time.Time
-	// lookAt is when the register is due to be asked.
+	// lookAt is when the register is to be asked next.
 	lookAt time.Time
 }
 
@@ -71,9 +75,10 @@
 	return claim{Holder: l.self.Holder, Node: l.self.Node, Term: current.Term + 1}, nil
 }
 
-// mayTake tells that nobody grants by the claim any more: it was given back, or its
-// process was an earlier one of this machine, of which only one runs at a time, or it
-// hasn't been renewed since it was first read for longer than its holder may grant.
+// mayTake tells that nobody grants by the claim any more. One of three is so: the claim
+// was given back; it is of an earlier process of this machine, on which only one runs
+// at a time; or it was not renewed for lapseTime after it was first read, which is
+// longer than its holder grants.
 func (l *lease) mayTake(current claim, now time.Time) bool {
 	switch {
 	case current.Holder == "" || current.Node == l.self.Node:
@@ -84,8 +89,8 @@
 	return now.Sub(l.seenSince) >= lapseTime
 }
 
-// granted takes in that the register was changed to the claim: asked at sent, known at
-// now.
+// granted records that the register was changed to the claim by a request sent at sent,
+// whose answer came now. The lease counts from sent.
 func (l *lease) granted(changed claim, sent, now time.Time) {
 	if changed.Term != l.self.Term {
 		l.self.Term, l.began = changed.Term, now
@@ -94,8 +99,7 @@
 	l.lookAt = sent.Add(renewAfter)
 }
 
-// refused takes in that the register holds the claim of another process, as a read
-// that ended now has shown.
+// refused records the claim of another process that a read has found, which ended now.
 func (l *lease) refused(current claim, now time.Time) {
 	l.validUntil = time.Time{}
 	if current != l.seen || l.seenSince.IsZero() {
@@ -104,7 +108,7 @@
 	l.lookAt = now.Add(lookPause)
 }
 
-// failed takes in that the register couldn't be asked.
+// failed records that the register could not be asked.
 func (l *lease) failed(now time.Time) { l.lookAt = now.Add(lookPause) }
 
 func encodeClaim(c claim) ([]byte, error) { return json.Marshal(c) }
--- a/coordination/quota/plan.go
+++ b/coordination/quota/plan.go
@@ -11,38 +11,38 @@
 type Bounds struct {
 	// Window is the span over which requests are counted.
 	Window time.Duration
-	// Over is the part of its quota by which a tenant may exceed it in a window, Slack
-	// the number of requests that may come on top.
+	// Over is the fraction of its quota by which a tenant may exceed it in a window,
+	// Slack a number of requests beyond that.
 	Over  float64
 	Slack int
 }
 
 const (
-	// longestPermit bounds the life of permits where Over is large: what isn't used
-	// is lost to the tenant.
+	// longestPermit bounds the life of permits where Over is large: permits that
+	// expire unused are lost to the tenant. Chosen, not measured.
 	longestPermit = time.Second
 	// reserveBurst and reserveRate are the parts of Slack that a reserve slot grants
-	// at once, and more in each window.
+	// at once, and more in each window. Chosen, not measured.
 	reserveBurst = 0.4
 	reserveRate  = 0.3
-	// burstPart is the part of the burst that main slots grant spread over the window, as
-	// so much more of a rate, in place of at once. A burst that is large beside the
-	// rate is spread less: with it a tenant may mean to send all at once. So is one of a
-	// small tenant, as far as leastBurst needs.
+	// burstPart is the part of the burst that main slots grant as a higher rate over
+	// the window instead of at once. A burst that is large beside the rate is spread
+	// less, since its tenant may mean to send all of it at once; so is the burst of a
+	// small tenant, as far as leastBurst needs. Chosen, not measured.
 	burstPart = 0.8
-	// leastBurst is what stays to be used at once, in requests: the tools and helpers of
-	// a few programs come in such clumps.
+	// leastBurst is what may still be used at once, in requests: tools and helpers of a
+	// few programs send that many together. Chosen, not measured.
 	leastBurst = 20.0
-	// requestsPerSlot is the rate, in requests a second, from which on a tenant has
-	// another main slot: a holder that is lost then takes a part of the quota only. A
-	// tenant with less keeps it whole, since programs come in clumps: 25 requests
-	// within a few seconds each.
+	// requestsPerSlot is the rate in requests a second for each main slot of a tenant:
+	// with several, a lost holder takes only a part of the quota. A tenant with a lower
+	// rate keeps one slot, since a program sends about 25 requests within a few
+	// seconds. Chosen, not measured.
 	requestsPerSlot = 50
-	// maxMainSlots bounds the main slots of a tenant.
+	// maxMainSlots bounds the main slots of a tenant. Chosen, not measured.
 	maxMainSlots = 4
 )
 
-// PermitLife is how long a permit may be used, from when it was asked for.
+// PermitLife is how long a permit may be used, counted from when it was asked for.
 func (b Bounds) PermitLife() time.Duration {
 	return min(time.Duration(b.Over*float64(b.Window)), longestPermit)
 }
@@ -53,7 +53,7 @@
 	Rate limit.Rate
 }
 
-// Plan divides a tenant's quota.
+// Plan is how a tenant's quota is divided among slots.
 type Plan struct {
 	// Main are the slots that the quota is divided among.
 	Main []Part
@@ -86,10 +86,10 @@
 	return plan
 }
 
-// bucketOf returns the rate and burst of the token bucket that all main slots together
-// are. What a tenant may use within a window is the same as with its own rate and
-// burst, but more of it can be used for as long as it asks: one that always sends
-// more than it may gets its window's quota in each window, rather than its rate.
+// bucketOf returns the rate and burst of the token bucket that all main slots form
+// together. A tenant may use as much within a window as with its own rate and burst,
+// but a tenant that always sends more than it may gets this in every window, rather
+// than its rate alone.
 func (b Bounds) bucketOf(rate limit.Rate) limit.Rate {
 	window := b.Window.Seconds()
 	if rate.Burst <= 0 {
@@ -103,13 +103,13 @@
 	}
 }
 
-// spare is what a reserve slot leaves of the slack.
+// spare is the part of the slack, in requests, that a reserve slot leaves.
 func (b Bounds) spare() float64 {
 	return float64(b.Slack) * (1 - reserveBurst - reserveRate*(1+b.Over))
 }
 
-// Order is the plan's main parts as requests of the program ask them: all of a program
-// ask the same slot first, which so knows what the program has had.
+// Order returns the main parts in the order in which requests of the program ask them.
+// All requests of a program ask the same slot first, whose holder so knows the program.
 func (p Plan) Order(program string) []Part {
 	if len(p.Main) < 2 {
 		return p.Main
--- a/coordination/quota/programs.go
+++ b/coordination/quota/programs.go
@@ -7,42 +7,47 @@
 )
 
 const (
-	// programIdle is how long a program may rest before it counts as ended. Programs
-	// rest for their tools and for pauses of a few hundred milliseconds.
+	// programIdle is how long after its last request a program counts as ended: a few
+	// times the pauses for tools. Chosen, not measured.
 	programIdle = 2 * time.Second
-	// programQuiet is how long after its last request a program counts as one that makes
-	// more: a few times the usual pause, so that programs that have ended don't keep
-	// others away until programIdle has passed.
+	// programQuiet is how long after its last request a program is expected to make
+	// another: a few times the usual pause, and shorter than programIdle, so that
+	// programs that have ended don't keep others away until then. Chosen, not
+	// measured.
 	programQuiet = 600 * time.Millisecond
-	// shortestProgram is the least that a program's pace is worked out from.
+	// shortestProgram is the shortest duration that a pace is computed from. Chosen,
+	// not measured.
 	shortestProgram = 200 * time.Millisecond
-	// learnPart is how much of what is known of a kind of programs the newest that
-	// ended replaces.
+	// learnPart is the weight of the newest program in the moving averages of its kind.
+	// Chosen, not measured.
 	learnPart = 0.1
-	// sweepPause lies between two looks for programs that have ended.
+	// sweepPause is the pause between two searches for programs that have ended.
+	// Chosen, not measured.
 	sweepPause = 250 * time.Millisecond
 )
 
-// programs are those of one tenant at one slot. New ones are let in only as far as the
-// rate can carry them to their end: a program that is cut off in its middle has used
-// what it has had for nothing, and one whose requests are refused by lot is almost
-// surely cut off.
+// programs are those of one tenant at one slot. They tell whether the rate can carry a
+// new program to its end: one that is cut off in its middle has used its permits in
+// vain, and one whose requests are refused by lot is almost surely cut off.
 type programs struct {
 	active map[string]*activeProgram
 	kinds  map[string]*programKind
 	swept  time.Time
 }
 
-// activeProgram is one that has begun.
+// activeProgram is a program that has begun.
 type activeProgram struct {
 	kind string
+	// used is the number of its requests.
 	used int
-	// refused is set once a request was: what it needed isn't known then.
-	refused      bool
+	// refused is set once a request was refused: how many it would have made isn't
+	// known then.
+	refused bool
+	// began and heard are the times of its first and its newest request.
 	began, heard time.Time
 }
 
-// programKind is what programs of a kind were seen to need.
+// programKind is what programs of a kind need: moving averages over those that ended.
 type programKind struct {
 	requests float64
 	duration time.Duration
@@ -57,7 +62,7 @@
 	return found
 }
 
-// count notes a request of the program that is let in.
+// count records a request that is let in.
 func (p *programs) count(program, kind string, now time.Time) {
 	one, found := p.active[program]
 	if !found {
@@ -68,14 +73,14 @@
 	one.heard = now
 }
 
-// refuse notes that a request of a program that has begun was refused.
+// refuse records a refused request of a program that has begun.
 func (p *programs) refuse(program string) {
 	if one, found := p.active[program]; found {
 		one.refused = true
 	}
 }
 
-// sweep learns from programs that have ended.
+// sweep forgets programs that have ended, and learns from them.
 func (p *programs) sweep(now time.Time) {
 	if now.Sub(p.swept) < sweepPause {
 		return
@@ -104,9 +109,10 @@
 }
 
 // carries tells whether the rate can carry a new program of the kind to its end beside
-// those that have begun, with the level that is saved up: by how fast programs use
-// requests, since what they use later can't be used up before. What isn't known yet of
-// a kind isn't held against it.
+// those that have begun: the sum of their paces must not exceed the rate and what the
+// level adds to it over the program's duration. Paces are compared rather than sums of
+// requests, since what programs use later is granted later. A program of a kind that
+// isn't known yet is let in.
 func (p *programs) carries(kind string, rate limit.Rate, level float64, now time.Time) bool {
 	known, found := p.kinds[kind]
 	if !found {
@@ -121,8 +127,8 @@
 	return pace <= rate.TokensPerSecond+level/known.seconds()
 }
 
-// seconds is how long a program of the kind takes, a moment at least.
+// seconds is how long a program of the kind takes, shortestProgram at least.
 func (k *programKind) seconds() float64 { return max(k.duration, shortestProgram).Seconds() }
 
-// pace is how many requests a second a program of the kind makes.
+// pace is how many requests a second a program of the kind makes on average.
 func (k *programKind) pace() float64 { return k.requests / k.seconds() }
