--- a/protocol/operator/export_test.go
+++ b/protocol/operator/export_test.go
@@ -33,3 +33,6 @@
 	}
 	return "`" + strings.Join(r.fields, "`, `") + "`"
 }
+
+// Grammar returns the language's grammar in extended Backus-Naur form.
+func Grammar() string { return newParser().String() }
--- a/protocol/operator/fake_test.go
+++ b/protocol/operator/fake_test.go
@@ -177,7 +177,7 @@
 	return body
 }
 
-func newInterpreter(b *backend) *operator.Interpreter {
+func newInterpreter(b operator.Backend) *operator.Interpreter {
 	next := 0
 	return operator.NewInterpreter(operator.Options{
 		Backend: b,
