--- a/node/gate.go
+++ b/node/gate.go
@@ -2,7 +2,6 @@
 
 import (
 	"encoding/json"
-	"math"
 	"net/http"
 	"strconv"
 	"sync/atomic"
@@ -66,24 +65,14 @@
 
 // refuse answers as the caller API does, and closes the connection.
 func (g *callerGate) refuse(writer http.ResponseWriter, refusal *result.Error) {
-	info := refusal.Code.Info()
-	seconds := int64(math.Ceil(refusal.RetryAfter.Seconds()))
+	answer := refusal.Answer(0)
 	header := writer.Header()
 	header.Set("Content-Type", "application/json")
 	header.Set("Connection", "close")
-	header.Set(callerapi.HeaderResult, strconv.FormatUint(uint64(info.Code), 10))
-	if seconds > 0 {
-		header.Set("Retry-After", strconv.FormatInt(seconds, 10))
-	}
-	writer.WriteHeader(info.HTTP)
+	header.Set(callerapi.HeaderResult, strconv.FormatUint(uint64(refusal.Code), 10))
+	answer.SetRetryAfter(header)
+	writer.WriteHeader(answer.Status)
 	// A failed write means that the caller left; nobody is there to be told.
-	_ = json.NewEncoder(writer).Encode(callerapi.ErrorBody{Error: callerapi.ErrorDetail{
-		Code:              info.Code,
-		Type:              info.Name,
-		Message:           refusal.Message,
-		Execution:         info.Execution,
-		Repeat:            info.Repeat,
-		RetryAfterSeconds: seconds,
-	}})
-	g.observer.Observe(callerapi.Observation{Operation: operationGate, Code: info.Code})
+	_ = json.NewEncoder(writer).Encode(answer.Body)
+	g.observer.Observe(callerapi.Observation{Operation: operationGate, Code: refusal.Code})
 }
--- a/protocol/callerapi/client/client.go
+++ b/protocol/callerapi/client/client.go
@@ -178,10 +178,5 @@
 	if body.Error.Code == result.OK {
 		return interrupted(merry.Errorf("status %s without a result code", response.Status), response.Request.Method, response.Request.URL.Path)
 	}
-	return newFailure(body.Error)
-}
-
-func newFailure(detail callerapi.ErrorDetail) error {
-	pause := time.Duration(detail.RetryAfterSeconds) * time.Second
-	return result.Errorf(detail.Code, "%s", detail.Message).After(pause)
+	return body.Error.Err()
 }
--- a/protocol/callerapi/client/stream.go
+++ b/protocol/callerapi/client/stream.go
@@ -71,7 +71,7 @@
 	if err := json.Unmarshal([]byte(data), &body); err != nil || body.Error.Code == result.OK {
 		return merry.Prependf(ErrInterrupted, "the stream ended with an error that can't be read: %.200s", data)
 	}
-	return newFailure(body.Error)
+	return body.Error.Err()
 }
 
 func (r *streamReader) takeChunk(chunk callerapi.Chunk) error {
--- a/protocol/callerapi/exchange.go
+++ b/protocol/callerapi/exchange.go
@@ -115,7 +115,7 @@
 	e.code = failure.Code
 	e.cause = err
 	if e.stream != nil && e.answered {
-		e.stream.fail(e.errorBody(failure))
+		e.stream.fail(failure.Answer(e.handler.options.RetryAfter).Body)
 		return
 	}
 	if e.answered {
--- a/protocol/callerapi/failure.go
+++ b/protocol/callerapi/failure.go
@@ -5,7 +5,6 @@
 	"errors"
 	"net/http"
 	"strconv"
-	"time"
 
 	"github.com/marblering/marblering/state/result"
 )
@@ -32,21 +31,10 @@
 )
 
 // ErrorBody is the JSON form of an error.
-type ErrorBody struct {
-	Error ErrorDetail `json:"error"`
-}
+type ErrorBody = result.Body
 
 // ErrorDetail describes an error; docs/RESULT-CODES.md lists the codes.
-type ErrorDetail struct {
-	Code      result.Code      `json:"code"`
-	Type      string           `json:"type"`
-	Message   string           `json:"message"`
-	Execution result.Execution `json:"execution"`
-	Repeat    result.Repeat    `json:"repeat"`
-	// RetryAfterSeconds equals the Retry-After header; zero where none is set.
-	// A stream has no header for it once it has begun.
-	RetryAfterSeconds int64 `json:"retry_after_seconds,omitempty"`
-}
+type ErrorDetail = result.Detail
 
 // asResult returns what the caller is told of an error. The text of an
 // unexpected one stays in the log.
@@ -61,35 +49,13 @@
 	return result.Errorf(result.Internal, "a fault of this program; the log has the details")
 }
 
-func (e *exchange) errorBody(failure *result.Error) ErrorBody {
-	info := failure.Code.Info()
-	return ErrorBody{Error: ErrorDetail{
-		Code:              failure.Code,
-		Type:              info.Name,
-		Message:           failure.Message,
-		Execution:         info.Execution,
-		Repeat:            info.Repeat,
-		RetryAfterSeconds: e.retryAfterSeconds(failure),
-	}}
-}
-
-// retryAfterSeconds rounds up, so that the caller never asks too early.
-func (e *exchange) retryAfterSeconds(failure *result.Error) int64 {
-	pause := failure.RetryAfter
-	if pause <= 0 && failure.Code.Info().Repeat != result.RepeatNever {
-		pause = e.handler.options.RetryAfter
-	}
-	return int64((pause + time.Second - 1) / time.Second)
-}
-
 func (e *exchange) writeError(failure *result.Error) {
+	answer := failure.Answer(e.handler.options.RetryAfter)
 	header := e.writer.Header()
-	if seconds := e.retryAfterSeconds(failure); seconds > 0 {
-		header.Set("Retry-After", strconv.FormatInt(seconds, 10))
-	}
+	answer.SetRetryAfter(header)
 	header.Set(headerShouldRetry, strconv.FormatBool(e.mayRetry(failure.Code)))
 	header.Set(HeaderResult, resultNumber(failure.Code))
-	e.writeJSON(failure.Code.Info().HTTP, e.errorBody(failure))
+	e.writeJSON(answer.Status, answer.Body)
 }
 
 // mayRetry says whether a client library may repeat the request by itself.
--- a/protocol/operator/client.go
+++ b/protocol/operator/client.go
@@ -45,10 +45,7 @@
 }
 
 // Unwrap gives the result.
-func (e *RemoteError) Unwrap() error {
-	pause := time.Duration(e.Detail.RetryAfterSeconds) * time.Second
-	return result.Errorf(e.Detail.Code, "%s", e.Detail.Message).After(pause)
-}
+func (e *RemoteError) Unwrap() error { return e.Detail.Err() }
 
 // Run sends a statement. A command without an id is given one, which the
 // answer names, as does the error of an unknown outcome.
--- a/protocol/operator/golden_test.go
+++ b/protocol/operator/golden_test.go
@@ -188,8 +188,11 @@
 // TestRemoteErrorsStayAsTheyAre holds what the command line prints of errors.
 func TestRemoteErrorsStayAsTheyAre(t *testing.T) {
 	detail := operator.ErrorDetail{
-		Code: result.SyntaxError, Type: "syntax_error", Message: "column 1: bad", Execution: result.NotRun, Repeat: result.RepeatNever,
-		RetryAfterSeconds: 2, Column: 1, Caret: "x\n^",
+		Detail: result.Detail{
+			Code: result.SyntaxError, Type: "syntax_error", Message: "column 1: bad", Execution: result.NotRun,
+			Repeat: result.RepeatNever, RetryAfterSeconds: 2,
+		},
+		Column: 1, Caret: "x\n^",
 	}
 	encoded, err := json.Marshal(operator.ErrorBody{Error: detail})
 	assert.NilError(t, err)
--- a/protocol/operator/handler.go
+++ b/protocol/operator/handler.go
@@ -5,7 +5,6 @@
 	"errors"
 	"io"
 	"net/http"
-	"strconv"
 	"time"
 
 	"go.uber.org/zap"
@@ -29,12 +28,7 @@
 
 // ErrorDetail describes an error; docs/RESULT-CODES.md lists the codes.
 type ErrorDetail struct {
-	Code              result.Code      `json:"code"`
-	Type              string           `json:"type"`
-	Message           string           `json:"message"`
-	Execution         result.Execution `json:"execution"`
-	Repeat            result.Repeat    `json:"repeat"`
-	RetryAfterSeconds int64            `json:"retry_after_seconds,omitempty"`
+	result.Detail
 	// Column and Caret are set for a syntax error: the place in characters from
 	// 1, and the text with a mark below it.
 	Column int    `json:"column,omitempty"`
@@ -94,32 +88,15 @@
 	if failure.Code == result.Internal {
 		h.logger.Error("operator request failed", zap.Error(err))
 	}
-	detail := describe(failure)
+	answer := failure.Answer(defaultRetryAfter)
+	detail := ErrorDetail{Detail: answer.Body.Error}
 	var syntax *SyntaxError
 	if errors.As(err, &syntax) {
 		detail.Column = syntax.Column
 		detail.Caret = syntax.Caret()
 	}
-	if detail.RetryAfterSeconds > 0 {
-		writer.Header().Set("Retry-After", strconv.FormatInt(detail.RetryAfterSeconds, 10))
-	}
-	h.write(writer, failure.Code.Info().HTTP, ErrorBody{Error: detail})
-}
-
-func describe(failure *result.Error) ErrorDetail {
-	info := failure.Code.Info()
-	pause := failure.RetryAfter
-	if pause <= 0 && info.Repeat != result.RepeatNever {
-		pause = defaultRetryAfter
-	}
-	return ErrorDetail{
-		Code:              failure.Code,
-		Type:              info.Name,
-		Message:           failure.Message,
-		Execution:         info.Execution,
-		Repeat:            info.Repeat,
-		RetryAfterSeconds: int64((pause + time.Second - 1) / time.Second),
-	}
+	answer.SetRetryAfter(writer.Header())
+	h.write(writer, answer.Status, ErrorBody{Error: detail})
 }
 
 func (h *Handler) write(writer http.ResponseWriter, status int, value any) {
--- /dev/null
+++ b/state/result/answer_test.go
@@ -0,0 +1,66 @@
+package result_test
+
+import (
+	"encoding/json"
+	"fmt"
+	"net/http"
+	"testing"
+	"time"
+
+	"gotest.tools/v3/assert"
+
+	"github.com/marblering/marblering/state/result"
+)
+
+func TestAnswerAsksForThePause(t *testing.T) {
+	later := result.Errorf(result.Overloaded, "full")
+	never := result.Errorf(result.BadRequest, "no model")
+	for _, test := range []struct {
+		name  string
+		err   *result.Error
+		usual time.Duration
+		want  int64
+	}{
+		{"the error's", later.After(3 * time.Second), time.Second, 3},
+		{"rounded up", later.After(time.Nanosecond), time.Second, 1},
+		{"a whole second isn't rounded", later.After(time.Second), 0, 1},
+		{"the usual one", later, 1200 * time.Millisecond, 2},
+		{"none is usual", later, 0, 0},
+		{"another try is of no use", never, time.Second, 0},
+		{"the error's, where another try is of no use", never.After(time.Second), 0, 1},
+		{"below zero", later.After(-time.Hour), time.Second, 1},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			answer := test.err.Answer(test.usual)
+			assert.Equal(t, answer.Body.Error.RetryAfterSeconds, test.want)
+			assert.Equal(t, answer.Status, test.err.Code.Info().HTTP)
+			header := make(http.Header)
+			answer.SetRetryAfter(header)
+			want := ""
+			if test.want > 0 {
+				want = fmt.Sprint(test.want)
+			}
+			assert.Equal(t, header.Get("Retry-After"), want)
+		})
+	}
+}
+
+// TestErrorComesBackFromItsDetail follows an error to a client and back.
+func TestErrorComesBackFromItsDetail(t *testing.T) {
+	sent := result.Errorf(result.TenantLimit, "100%% of 40 calls").After(2 * time.Second)
+	encoded, err := json.Marshal(sent.Answer(time.Second).Body)
+	assert.NilError(t, err)
+	var body result.Body
+	assert.NilError(t, json.Unmarshal(encoded, &body))
+	assert.DeepEqual(t, body.Error.Err(), sent)
+}
+
+func ExampleError_Answer() {
+	answer := result.Errorf(result.Draining, "this node is stopping").Answer(time.Second)
+	body, _ := json.Marshal(answer.Body.Error)
+	fmt.Println(answer.Status)
+	fmt.Println(string(body))
+	// Output:
+	// 503
+	// {"code":2005,"type":"draining","message":"this node is stopping","execution":"not run","repeat":"new key, after Retry-After","retry_after_seconds":1}
+}
