--- a/coordination/configuration/agent.go
+++ b/coordination/configuration/agent.go
@@ -198,7 +198,7 @@
 // nothing new. The caller holds the mutex.
 func (a *Agent) noteReadFailure(err error) {
 	if a.readFails {
-		a.logger.Debug("configuration watch fails still", zap.Error(err))
+		a.logger.Debug("configuration watch still fails", zap.Error(err))
 		return
 	}
 	a.readFails = true
@@ -225,7 +225,7 @@
 		_, err = a.learnUpdate(update)
 	}
 	if err != nil {
-		a.logger.Warn("configuration_fetch_failed",
+		a.logger.Warn("configuration not fetched",
 			zap.String("peer", peer.Node), zap.Uint64("known_version", known), zap.Error(err))
 	}
 	a.mutex.Lock()
@@ -239,7 +239,7 @@
 	ctx, cancel := context.WithTimeout(ctx, a.settings.PeerTimeout)
 	defer cancel()
 	if _, err := a.peers.Install(ctx, peer.Member, update); err != nil {
-		a.logger.Debug("configuration_relay_failed", zap.String("peer", peer.Node), zap.Error(err))
+		a.logger.Debug("configuration not relayed", zap.String("peer", peer.Node), zap.Error(err))
 	}
 }
 
--- a/coordination/configuration/learn.go
+++ b/coordination/configuration/learn.go
@@ -114,7 +114,7 @@
 	a.report(next.faults)
 	a.replica = next
 	if a.holder.Move(next.snapshot) {
-		a.logger.Info("configuration_in_force", zap.Uint64("version", next.snapshot.Version()))
+		a.logger.Info("configuration in force", zap.Uint64("version", next.snapshot.Version()))
 		a.wakeUp()
 	}
 	return nil
@@ -138,7 +138,7 @@
 		if known[fault] {
 			continue
 		}
-		a.logger.Error("configuration_object_invalid",
+		a.logger.Error("configuration object refused",
 			zap.String("object", fault.Key.String()),
 			zap.Uint64("object_version", fault.Version),
 			zap.String("field", fault.Field),
--- a/coordination/execution/perform.go
+++ b/coordination/execution/perform.go
@@ -141,7 +141,7 @@
 	cancelContext, cancel := context.WithTimeout(context.WithoutCancel(ctx), cancelTimeout)
 	defer cancel()
 	if err := e.Engines.Cancel(cancelContext, address, requestID); err != nil {
-		e.Logger.Debug("cancel failed", zap.String("request", requestID), zap.Error(err))
+		e.Logger.Debug("request at the engine not cancelled", zap.String("request", requestID), zap.Error(err))
 	}
 }
 
--- a/coordination/fleet/fleet.go
+++ b/coordination/fleet/fleet.go
@@ -363,7 +363,7 @@
 		return decision
 	}
 	last := f.decide(snapshot, request)
-	f.Logger.Info("ejected engines considered", zap.String("program", request.Program),
+	f.Logger.Info("only ejected engines left to choose from", zap.String("program", request.Program),
 		zap.Int("ejected", readmitted), zap.String("chosen", last.Engine))
 	return last
 }
--- a/coordination/fleet/poll.go
+++ b/coordination/fleet/poll.go
@@ -114,7 +114,7 @@
 	defer cancel()
 	leaving, err := f.Reporter.Leaving(ctx, engine.Address)
 	if err != nil {
-		f.Logger.Debug("engine silent", zap.String("engine", engine.Name), zap.Error(err))
+		f.Logger.Debug("engine did not answer", zap.String("engine", engine.Name), zap.Error(err))
 		return nil
 	}
 	f.takeLeaving(engine.Name, leaving)
@@ -129,7 +129,7 @@
 	defer cancel()
 	load, err := f.Reporter.Load(ctx, engine.Address)
 	if err != nil {
-		f.Logger.Debug("no load report", zap.String("engine", engine.Name), zap.Error(err))
+		f.Logger.Debug("load report not read", zap.String("engine", engine.Name), zap.Error(err))
 		return nil
 	}
 	f.takeLoad(engine.Name, load)
--- a/coordination/follow/follower.go
+++ b/coordination/follow/follower.go
@@ -232,7 +232,7 @@
 	defer cancel()
 	changes, err := f.options.Source.Watch(bounded, f.revision(), settings.WatchWait)
 	if errors.Is(err, ErrHistoryGone) {
-		f.options.Logger.Info("history gone", zap.String("objects", f.options.Name), zap.Int64("revision", f.revision()))
+		f.options.Logger.Info("change history gone, listing again", zap.String("objects", f.options.Name), zap.Int64("revision", f.revision()))
 		f.relist = true
 		return nil
 	}
--- a/coordination/membership/service.go
+++ b/coordination/membership/service.go
@@ -180,7 +180,7 @@
 		return
 	}
 	if err != nil {
-		s.options.Logger.Debug("exchange failed",
+		s.options.Logger.Debug("membership exchange failed",
 			zap.String("peer", exchange.Target.Node),
 			zap.String("address", exchange.Target.Address),
 			zap.Error(err))
@@ -254,7 +254,7 @@
 
 func (s *Service) logEvent(event Event) {
 	if event.Kind == EngineChanged {
-		s.options.Logger.Info("membership",
+		s.options.Logger.Info("membership changed",
 			zap.String("event", event.Kind.String()),
 			zap.String("engine", event.Engine),
 			zap.Bool("leaving", event.EngineLeaving))
--- a/coordination/mirror/reader.go
+++ b/coordination/mirror/reader.go
@@ -146,7 +146,7 @@
 func (r *Reader) fetch(ctx context.Context, holder netip.AddrPort) {
 	copies, err := r.fetcher.FetchMirror(ctx, holder)
 	if err != nil {
-		r.logger.Debug("holder didn't answer", zap.Stringer("holder", holder), zap.Error(err))
+		r.logger.Debug("mirroring storage node did not answer", zap.Stringer("holder", holder), zap.Error(err))
 		return
 	}
 	r.offer(holder, copies)
--- a/coordination/mirror/source.go
+++ b/coordination/mirror/source.go
@@ -146,7 +146,7 @@
 		return errNoHolder
 	}
 	if s.through.Swap(nil) != nil {
-		s.logger.Info("following the store itself", zap.String("objects", s.kind))
+		s.logger.Info("following the store directly", zap.String("objects", s.kind))
 	}
 	return nil
 }
@@ -263,7 +263,7 @@
 	s.gate.holderAnswered(s.holders.now())
 	s.holders.answered(holder)
 	if before := s.through.Swap(&holder); before == nil || *before != holder {
-		s.logger.Info("following through a holder", zap.String("objects", s.kind), zap.Stringer("holder", holder))
+		s.logger.Info("following through a storage node", zap.String("objects", s.kind), zap.Stringer("holder", holder))
 	}
 }
 
@@ -279,7 +279,7 @@
 		s.holders.failed(holder)
 	}
 	s.gate.holderFailed(s.holders.now(), err)
-	s.logger.Info("holder left", zap.String("objects", s.kind), zap.Stringer("holder", holder),
+	s.logger.Info("storage node no longer followed", zap.String("objects", s.kind), zap.Stringer("holder", holder),
 		zap.Int64("revision", from), zap.Error(err))
 }
 
--- a/coordination/quota/client.go
+++ b/coordination/quota/client.go
@@ -265,7 +265,7 @@
 	if ctx.Err() == nil {
 		c.reach.Failed(address)
 	}
-	c.logger.Info("holder of quotas failed", zap.String("address", address), zap.Uint32("slot", ask.Part.Slot),
+	c.logger.Info("quota holder did not answer", zap.String("address", address), zap.Uint32("slot", ask.Part.Slot),
 		zap.String("tenant", ask.Tenant), zap.Error(err))
 	return nil
 }
--- a/coordination/quota/holder.go
+++ b/coordination/quota/holder.go
@@ -158,7 +158,7 @@
 func (h *Holder) noteHeld(number uint32, one *slot, now time.Time) {
 	if held := one.lease.holds(now); held != one.held {
 		one.held = held
-		h.logger.Info("slot of quotas", zap.Uint32("slot", number), zap.Bool("held", held), zap.Uint64("term", one.lease.self.Term),
+		h.logger.Info("quota slot taken or lost", zap.Uint32("slot", number), zap.Bool("held", held), zap.Uint64("term", one.lease.self.Term),
 			zap.String("seen_holder", one.lease.seen.Node), zap.Uint64("seen_term", one.lease.seen.Term))
 	}
 }
@@ -197,7 +197,7 @@
 		one.lease.refused(read, now)
 	default:
 		one.lease.failed(now)
-		h.logger.Info("lease of a slot of quotas not changed", zap.Uint32("slot", number), zap.Error(err))
+		h.logger.Info("quota slot lease not changed", zap.Uint32("slot", number), zap.Error(err))
 	}
 	h.noteHeld(number, one, now)
 }
@@ -218,7 +218,7 @@
 	for _, number := range held {
 		_, err := h.registers.Apply(ctx, number, registerKey, h.vacate)
 		if err != nil {
-			h.logger.Info("slot of quotas not given back", zap.Uint32("slot", number), zap.Error(err))
+			h.logger.Info("quota slot not released", zap.Uint32("slot", number), zap.Error(err))
 		}
 	}
 }
--- a/coordination/retirement/retirement.go
+++ b/coordination/retirement/retirement.go
@@ -90,7 +90,7 @@
 		}
 	}
 	if leaving := s.order != nil; leaving != before {
-		s.options.Logger.Info("retirement", zap.Bool("ordered", leaving))
+		s.options.Logger.Info("retirement order changed", zap.Bool("ordered", leaving))
 		s.options.SetLeaving(leaving)
 	}
 }
@@ -102,7 +102,7 @@
 		for _, object := range snapshot.Objects {
 			order, err := read(object)
 			if err != nil {
-				s.options.Logger.Error("retirement refused", zap.String("object", object.Name), zap.Error(err))
+				s.options.Logger.Error("retirement order refused", zap.String("object", object.Name), zap.Error(err))
 				continue
 			}
 			orders = append(orders, order)
--- a/coordination/shard/ahead.go
+++ b/coordination/shard/ahead.go
@@ -95,7 +95,7 @@
 		fills.Go(func() error {
 			reply, err := d.members.Install(ctx, member, request)
 			if err := failure(reply, err); err != nil {
-				d.logger.Info("turns not filled in ahead", zap.Uint32("shard", current.Shard),
+				d.logger.Info("turns not copied ahead to a member", zap.Uint32("shard", current.Shard),
 					zap.String("member", member.Node), zap.Error(err))
 			}
 			return nil
--- a/coordination/shard/driver.go
+++ b/coordination/shard/driver.go
@@ -223,7 +223,7 @@
 	for _, member := range members {
 		reply, err := d.members.Open(ctx, member, OpenRequest{View: view})
 		if err := failure(reply, err); err != nil {
-			d.logger.Info("member not opened", zap.Uint32("shard", view.Shard), zap.Uint64("epoch", view.Epoch),
+			d.logger.Info("replica set not opened at a member", zap.Uint32("shard", view.Shard), zap.Uint64("epoch", view.Epoch),
 				zap.String("node", member.Node), zap.Error(err))
 		}
 	}
--- a/coordination/tokenbudget/ledger.go
+++ b/coordination/tokenbudget/ledger.go
@@ -229,7 +229,7 @@
 		time.Sleep(pause)
 		pause = min(2*pause, longestRelease*l.settings.ReleasePause)
 	}
-	l.logger.Warn("reserve not given back", zap.String("program", program), zap.Uint64("reserved", current.reserved))
+	l.logger.Warn("token reserve not released", zap.String("program", program), zap.Uint64("reserved", current.reserved))
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if current.users == 0 && l.accounts[program] == current {
--- a/node/bootstrap.go
+++ b/node/bootstrap.go
@@ -98,7 +98,7 @@
 func (b *bootstrap) create(ctx context.Context, candidates []shard.Candidate) {
 	body, err := b.shardMap(candidates)
 	if err != nil {
-		b.logger.Error("making the shard map", zap.Error(err))
+		b.logger.Error("shard map not made", zap.Error(err))
 		return
 	}
 	createContext, cancel := context.WithTimeout(ctx, b.timeout)
--- a/node/gateway/gateway.go
+++ b/node/gateway/gateway.go
@@ -285,7 +285,7 @@
 }
 
 func (g *Gateway) logEvent(event suture.Event) {
-	g.logger.Warn("supervisor", zap.String("event", event.String()))
+	g.logger.Warn("supervisor event", zap.String("event", event.String()))
 }
 
 // idleCloser closes connections that have rested too long.
--- a/node/gateway/listen.go
+++ b/node/gateway/listen.go
@@ -91,7 +91,7 @@
 			return ctx.Err()
 		}
 		if err != nil {
-			s.logger.Warn("accepting failed", zap.Error(err))
+			s.logger.Warn("connection not accepted", zap.Error(err))
 			time.Sleep(acceptPause)
 			continue
 		}
--- a/node/gateway/prober.go
+++ b/node/gateway/prober.go
@@ -44,7 +44,7 @@
 	for sleep.For(ctx, probePause) == nil {
 		isCut := p.reach.IsCutOff()
 		if isCut != p.wasCut {
-			p.logger.Info("reach of storage nodes", zap.Bool("cut_off", isCut))
+			p.logger.Info("reach of storage nodes changed", zap.Bool("cut_off", isCut))
 		}
 		p.wasCut = isCut
 		if isCut {
--- a/node/holds.go
+++ b/node/holds.go
@@ -61,7 +61,7 @@
 	defer cancel()
 	listed, err := h.engines.Holds(ctx, engine.Address)
 	if err != nil {
-		h.logger.Debug("no list of holds", zap.String("engine", engine.Name), zap.Error(err))
+		h.logger.Debug("holds not listed", zap.String("engine", engine.Name), zap.Error(err))
 		return
 	}
 	for _, id := range h.longestUnverified(engine.Name, listed) {
@@ -123,5 +123,5 @@
 	if err == nil {
 		h.released.Inc()
 	}
-	h.logger.Info("released a left-over hold", zap.String("engine", engine.Name), zap.String("program", id), zap.Error(err))
+	h.logger.Info("left-over hold released", zap.String("engine", engine.Name), zap.String("program", id), zap.Error(err))
 }
--- a/node/limits.go
+++ b/node/limits.go
@@ -175,7 +175,7 @@
 	})
 	if err != nil {
 		l.unanswered(limitOf(reservation.Engine))
-		l.logger.Debug("admission point silent", zap.String("name", reservation.Engine), zap.Error(err))
+		l.logger.Debug("admission point did not answer", zap.String("name", reservation.Engine), zap.Error(err))
 		return admission.Verdict{Admitted: true}
 	}
 	return admission.Verdict{
--- a/node/machines.go
+++ b/node/machines.go
@@ -49,7 +49,7 @@
 	defer cancel()
 	listed, err := w.platform.Machines(ctx)
 	if err != nil {
-		w.logger.Debug("no machine list", zap.Error(err))
+		w.logger.Debug("machine list not read", zap.Error(err))
 		return
 	}
 	machines := make([]membership.Machine, 0, len(listed))
--- a/node/node.go
+++ b/node/node.go
@@ -142,7 +142,7 @@
 }
 
 func (n *Node) logEvent(event suture.Event) {
-	n.logger.Warn("supervisor", zap.String("event", event.String()))
+	n.logger.Warn("supervisor event", zap.String("event", event.String()))
 }
 
 // PeerAddress is where other nodes reach this one.
--- a/node/storage/storage.go
+++ b/node/storage/storage.go
@@ -119,7 +119,7 @@
 		if !errors.Is(err, errStoreFailed) {
 			return err
 		}
-		logger.Error("starting anew", zap.Error(err))
+		logger.Error("disk refused a write, opening the data again", zap.Error(err))
 		if sleep.For(ctx, restartPause) != nil {
 			return nil
 		}
@@ -146,7 +146,7 @@
 		return errors.Join(err, store.Close())
 	}
 	supervisor := suture.New("storage", suture.Spec{EventHook: func(event suture.Event) {
-		logger.Warn("supervisor", zap.String("event", event.String()))
+		logger.Warn("supervisor event", zap.String("event", event.String()))
 	}})
 	for _, service := range services {
 		supervisor.Add(service)
--- a/node/sweep.go
+++ b/node/sweep.go
@@ -78,7 +78,7 @@
 			return ctx.Err()
 		})
 		if err != nil {
-			s.logger.Warn("sweep of records", zap.Uint32("shard", number), zap.Error(err))
+			s.logger.Warn("records not swept", zap.Uint32("shard", number), zap.Error(err))
 		}
 	}
 	for _, root := range due {
@@ -148,7 +148,7 @@
 		}
 		if s.executor.Lost(ctx, candidate.GetId(), running) {
 			if err := s.executor.EndLost(ctx, candidate.GetId(), running); err != nil {
-				s.logger.Warn("ending a lost call", zap.String("program", candidate.GetId()), zap.Error(err))
+				s.logger.Warn("lost call not ended", zap.String("program", candidate.GetId()), zap.Error(err))
 				continue
 			}
 			s.instruments.endedCalls.Inc()
--- a/protocol/callerapi/exchange.go
+++ b/protocol/callerapi/exchange.go
@@ -159,8 +159,8 @@
 		fields = append(fields, zap.String("error", e.cause.Error()))
 	}
 	if e.code == result.Internal {
-		e.handler.options.Logger.Error("request", fields...)
+		e.handler.options.Logger.Error("request ended", fields...)
 		return
 	}
-	e.handler.options.Logger.Info("request", fields...)
+	e.handler.options.Logger.Info("request ended", fields...)
 }
--- a/telemetry/workload.go
+++ b/telemetry/workload.go
@@ -93,7 +93,7 @@
 func (w *Workload) count() map[string]float64 {
 	families, err := w.registry.Gather()
 	if err != nil {
-		w.logger.Info("workload not counted whole", zap.Error(err))
+		w.logger.Info("workload counted in part", zap.Error(err))
 	}
 	counted := make(map[string]float64)
 	for _, family := range families {
