--- /dev/null
+++ b/coordination/turnstore/trace_test.go
@@ -0,0 +1,139 @@
+package turnstore_test
+
+import (
+	"context"
+	"fmt"
+	"math/rand/v2"
+	"slices"
+	"strings"
+	"sync"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"gotest.tools/v3/golden"
+
+	statev1 "github.com/marblering/marblering/api/state/v1"
+	"github.com/marblering/marblering/coordination/archive"
+	"github.com/marblering/marblering/coordination/reach"
+	"github.com/marblering/marblering/coordination/register"
+	"github.com/marblering/marblering/coordination/shard"
+	"github.com/marblering/marblering/coordination/turnstore"
+	"github.com/marblering/marblering/state/replica"
+)
+
+const (
+	traceSeeds   = 6
+	traceMembers = 5
+	traceActions = 25
+)
+
+// tracedMembers are replicas that answer, fail, refuse or say nothing by a seed, and
+// note when each of them is asked.
+type tracedMembers struct {
+	mutex sync.Mutex
+	// slowest is the longest that an answer takes.
+	slowest time.Duration
+	began   time.Time
+	lines   []string
+}
+
+func (m *tracedMembers) note(format string, args ...any) {
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
+	m.lines = append(m.lines, fmt.Sprintf("%9.3f ms ", time.Since(m.began).Seconds()*1000)+fmt.Sprintf(format, args...))
+}
+
+// answer draws from a source of its own for each member and moment, so that requests
+// that begin at one moment don't depend on each other's order.
+func (m *tracedMembers) answer(ctx context.Context, kind, node string) (archive.Reply, error) {
+	m.note("%s %s", kind, node)
+	drawn := rand.New(rand.NewPCG(uint64(time.Since(m.began)), register.Rank(node, kind)))
+	fate := drawn.IntN(10)
+	if fate == 0 {
+		<-ctx.Done()
+	}
+	time.Sleep(time.Duration(1 + drawn.Int64N(int64(m.slowest))))
+	switch fate {
+	case 0:
+		return archive.Reply{}, ctx.Err()
+	case 1:
+		return archive.Reply{}, errDown
+	case 2:
+		return archive.Reply{Refusal: register.RefusalNotReady}, nil
+	default:
+		return archive.Reply{}, nil
+	}
+}
+
+func (m *tracedMembers) PutTurn(ctx context.Context, member register.Member, _ register.Fence, _ replica.Turn) (archive.Reply, error) {
+	return m.answer(ctx, "put", member.Node)
+}
+
+func (m *tracedMembers) ReadMany(ctx context.Context, member register.Member, _ register.Fence, _ []string) ([]replica.Turn, archive.Reply, error) {
+	reply, err := m.answer(ctx, "read", member.Node)
+	return nil, reply, err
+}
+
+// TestWhoIsAskedWhen pins which members are asked when, over members that are late,
+// fail, refuse and say nothing: order, hedges, their budget, and who is asked last.
+func TestWhoIsAskedWhen(t *testing.T) {
+	var text strings.Builder
+	for seed := range uint64(traceSeeds) {
+		synctest.Test(t, func(t *testing.T) {
+			fmt.Fprintf(&text, "seed %d%s\n\n", seed, trace(t, seed))
+		})
+	}
+	golden.Assert(t, text.String(), "asked.golden")
+}
+
+func trace(t *testing.T, seed uint64) string {
+	random := rand.New(rand.NewPCG(seed, 1))
+	m := &tracedMembers{slowest: time.Duration(1+random.IntN(600)) * time.Millisecond, began: time.Now()}
+	known := shard.NewMap(1)
+	var all []register.Member
+	for index := range traceMembers {
+		name := fmt.Sprint("m", index)
+		all = append(all, register.Member{Node: name, Address: name, Zone: fmt.Sprint("z", index), Incarnation: name})
+	}
+	known.Learn(register.View{Epoch: shard.FirstEpoch, Members: all})
+	store, err := turnstore.New("z2", m, views{known}, reach.New(time.Now), 1<<20)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for action := range traceActions {
+		act(store, m, random, action)
+		time.Sleep(time.Duration(random.Int64N(int64(300 * time.Millisecond))))
+	}
+	time.Sleep(time.Minute)
+	return joined(m.lines)
+}
+
+// joined sorts the lines and makes one of those that differ in the member only.
+func joined(lines []string) string {
+	slices.Sort(lines)
+	var text strings.Builder
+	before := ""
+	for _, line := range lines {
+		end := strings.LastIndexByte(line, ' ')
+		if line[:end] == before {
+			text.WriteString(line[end:])
+			continue
+		}
+		before = line[:end]
+		text.WriteString("\n" + line)
+	}
+	return text.String()
+}
+
+// act stores a turn or looks for one that nobody has.
+func act(store *turnstore.Store, m *tracedMembers, random *rand.Rand, action int) {
+	ctx, cancel := context.WithTimeout(context.Background(), 1900*time.Millisecond)
+	defer cancel()
+	if random.IntN(2) == 0 {
+		m.note("end %d: %v", action, store.Put(ctx, "p", &statev1.RetainedTurn{Id: fmt.Sprint("t", action)}))
+		return
+	}
+	_, err := store.Line(ctx, "p", "none")
+	m.note("end %d: %v", action, err)
+}
