--- /dev/null
+++ b/coordination/multicast/round_test.go
@@ -0,0 +1,120 @@
+package multicast_test
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"gotest.tools/v3/assert"
+
+	"github.com/marblering/marblering/coordination/limit"
+	"github.com/marblering/marblering/coordination/multicast"
+	"github.com/marblering/marblering/coordination/reach"
+)
+
+// fixture is a round over the members a to d, with the places that were asked.
+type fixture struct {
+	*multicast.Round
+	tracker *reach.Tracker
+	asked   []int
+}
+
+var addresses = []string{"a", "b", "c", "d"}
+
+// newFixture makes a round that may send so many hedges.
+func newFixture(hedges float64) *fixture {
+	now := func() time.Time { return time.Unix(1000, 0) }
+	f := &fixture{tracker: reach.New(now)}
+	// One name of requests may use half of the burst.
+	budget := limit.NewRetryBudget(limit.RetryPolicy{Burst: 2 * hedges, Saved: hedges}, now())
+	hedging := multicast.Hedging{Kind: "test", Budget: budget, Reach: f.tracker, Now: now}
+	f.Round = multicast.New(addresses, hedging, func(place int) { f.asked = append(f.asked, place) })
+	return f
+}
+
+// avoided lists the members that are asked last.
+func (f *fixture) avoided() []string {
+	var avoided []string
+	for _, address := range addresses {
+		if f.tracker.IsAvoided(address) {
+			avoided = append(avoided, address)
+		}
+	}
+	return avoided
+}
+
+// TestMembersAreAskedOnceInOrder, also where more are wanted than there are.
+func TestMembersAreAskedOnceInOrder(t *testing.T) {
+	f := newFixture(1)
+	f.Begin(2)
+	f.Ask(0)
+	assert.DeepEqual(t, f.asked, []int{0, 1})
+	assert.Equal(t, f.Left(), 2)
+	f.Ask(9)
+	f.Ask(-1)
+	assert.DeepEqual(t, f.asked, []int{0, 1, 2, 3})
+	assert.Equal(t, f.Asked(), 4)
+	assert.Equal(t, f.Left(), 0)
+}
+
+// TestHedgesEndWithTheBudget: a refused hedge asks nobody and makes nobody late.
+func TestHedgesEndWithTheBudget(t *testing.T) {
+	f := newFixture(1)
+	f.Begin(1)
+	assert.Assert(t, f.Hedge())
+	f.Answered(0)
+	assert.Assert(t, !f.Hedge())
+	assert.DeepEqual(t, f.asked, []int{0, 1})
+	f.AvoidLate()
+	assert.Equal(t, len(f.avoided()), 0)
+}
+
+// TestLateMembersAreAvoidedOnce: only members that hadn't answered at a hedge are late,
+// and only until they answer or are avoided.
+func TestLateMembersAreAvoidedOnce(t *testing.T) {
+	f := newFixture(2)
+	f.Begin(3)
+	f.AvoidLate()
+	assert.Equal(t, len(f.avoided()), 0, "no hedge was sent yet")
+	f.Answered(0)
+	assert.Assert(t, f.Hedge())
+	f.Answered(1)
+	f.AvoidLate()
+	assert.DeepEqual(t, f.avoided(), []string{"c"})
+	f.tracker.Heard("c")
+	f.AvoidLate()
+	assert.Equal(t, len(f.avoided()), 0)
+	assert.Assert(t, f.Hedge(), "a hedge without members left")
+	assert.Equal(t, f.Left(), 0)
+	f.AvoidLate()
+	assert.DeepEqual(t, f.avoided(), []string{"c", "d"})
+}
+
+// TestPendingMembersAreAvoided, late ones among them.
+func TestPendingMembersAreAvoided(t *testing.T) {
+	f := newFixture(1)
+	f.Begin(2)
+	assert.Assert(t, f.Hedge())
+	f.Answered(0)
+	f.AvoidPending()
+	assert.DeepEqual(t, f.avoided(), []string{"b", "c"})
+}
+
+func Example() {
+	now := func() time.Time { return time.Unix(1000, 0) }
+	hedging := multicast.Hedging{
+		Kind: "reads", Budget: limit.NewRetryBudget(limit.HedgePolicy(), now()), Reach: reach.New(now), Now: now,
+	}
+	members := []string{"10.0.0.1:7000", "10.0.0.2:7000", "10.0.0.3:7000"}
+	round := multicast.New(members, hedging, func(place int) { fmt.Println("ask", members[place]) })
+	round.Begin(1)
+	// The first member takes long, so that another one is asked, which answers.
+	round.Hedge()
+	round.Answered(1)
+	round.AvoidLate()
+	fmt.Println("asked last from now on:", hedging.Reach.IsAvoided(members[0]))
+	// Output:
+	// ask 10.0.0.1:7000
+	// ask 10.0.0.2:7000
+	// asked last from now on: true
+}
--- /dev/null
+++ b/coordination/register/exchange.go
@@ -0,0 +1,138 @@
+package register
+
+import (
+	"context"
+	"sync/atomic"
+
+	"github.com/marblering/marblering/coordination/multicast"
+)
+
+// exchange is one request of a round under way to the members. It is used by the
+// round's goroutine; requests that it doesn't wait for run on.
+type exchange struct {
+	round   *round
+	request Request
+	// ctx is that of all requests. It ends with the request timeout.
+	ctx    context.Context
+	cancel context.CancelFunc
+	// expired is closed when the request timeout ends.
+	expired   chan struct{}
+	stopTimer func() bool
+	// order holds the indexes of the members in the order in which they are asked.
+	order   []int
+	members *multicast.Round
+	answers chan answer
+	// late is sent to when the members that were asked take long; nil where all
+	// members are asked at once.
+	late     chan struct{}
+	stopLate func() bool
+	// open counts the requests under way and the round that waits for them.
+	open atomic.Int32
+}
+
+// startExchange sends the request to all members, or to a majority with Settings.Thrift.
+// A fresh round needs the answers of all.
+func (r *round) startExchange(request Request) *exchange {
+	settings := r.client.settings
+	e := &exchange{
+		round: r, request: request, order: r.client.order(r.view, r.id.key),
+		expired: make(chan struct{}), answers: make(chan answer, len(r.view.Members)),
+	}
+	e.ctx, e.cancel = context.WithCancel(context.Background())
+	e.open.Store(1)
+	e.stopTimer = r.client.clock.AfterFunc(settings.RequestTimeout, func() {
+		close(e.expired)
+		e.cancel()
+	})
+	e.members = multicast.New(e.addresses(), settings.Thrift.hedging(), e.send)
+	if settings.Thrift == nil || r.isFresh {
+		e.members.Ask(len(e.order))
+		return e
+	}
+	e.late = make(chan struct{}, 1)
+	e.members.Begin(r.view.Quorum())
+	e.awaitLate()
+	return e
+}
+
+// addresses returns the addresses of the members in the order of asking.
+func (e *exchange) addresses() []string {
+	addresses := make([]string, len(e.order))
+	for place, member := range e.order {
+		addresses[place] = e.round.view.Members[member].Address
+	}
+	return addresses
+}
+
+// send starts the request to the member at the place in the order of asking.
+func (e *exchange) send(place int) {
+	e.open.Add(1)
+	go func() {
+		received := e.round.send(e.ctx, e.order[place], e.request)
+		received.place = place
+		e.answers <- received
+		e.release()
+	}()
+}
+
+// awaitLate starts the time that the members that were asked have to answer, where
+// others are left.
+func (e *exchange) awaitLate() {
+	if e.members.Left() == 0 {
+		return
+	}
+	e.stopLate = e.round.client.clock.AfterFunc(e.round.client.settings.Thrift.Delay, func() {
+		select {
+		case e.late <- struct{}{}:
+		default:
+		}
+	})
+}
+
+// hedge asks one member more, where the budget allows it. A hedge that is refused was
+// the exchange's last one.
+func (e *exchange) hedge() {
+	if e.members.Hedge() {
+		e.awaitLate()
+	}
+}
+
+// take notes that the member has answered, with a refusal perhaps, or failed.
+func (e *exchange) take(received answer) {
+	e.members.Answered(received.place)
+	thrift := e.round.client.settings.Thrift
+	if thrift == nil {
+		return
+	}
+	address := e.round.view.Members[received.member].Address
+	if received.err != nil {
+		thrift.Reach.Failed(address)
+		return
+	}
+	thrift.Reach.Heard(address)
+	e.members.AvoidLate()
+}
+
+// passOver has the members that didn't answer in time asked last for a while.
+func (e *exchange) passOver() {
+	if e.round.client.settings.Thrift != nil {
+		e.members.AvoidPending()
+	}
+}
+
+// finish ends the round's wait for answers. Requests under way go on, so that members
+// that are slower than the majority keep up.
+func (e *exchange) finish() {
+	if e.stopLate != nil {
+		e.stopLate()
+	}
+	e.release()
+}
+
+// release frees the timer and the context once nothing is under way any more.
+func (e *exchange) release() {
+	if e.open.Add(-1) == 0 {
+		e.stopTimer()
+		e.cancel()
+	}
+}
--- a/coordination/register/round.go
+++ b/coordination/register/round.go
@@ -9,7 +9,9 @@
 
 // answer is what came back from one member.
 type answer struct {
-	member  int
+	member int
+	// place is the member's place in the order in which members were asked.
+	place   int
 	phase   Phase
 	ballot  replica.Ballot
 	prepare PrepareReply
@@ -94,7 +96,7 @@
 // proposer until it knows how to go on. Requests to members that are slower than
 // the majority run on without anyone waiting, so that those replicas keep up.
 func (r *round) exchange(request Request) (Request, Status) {
-	sent := r.multicast(request)
+	sent := r.startExchange(request)
 	defer sent.finish()
 	expired := sent.expired
 	if r.isFresh {
@@ -104,7 +106,7 @@
 	}
 	r.answered = 0
 	r.unreachable = 0
-	for r.answered < sent.asked {
+	for r.answered < sent.members.Asked() {
 		select {
 		case received := <-sent.answers:
 			r.note(received)
@@ -114,10 +116,10 @@
 				return next, status
 			}
 			if received.callsForAnother() {
-				sent.ask(1)
+				sent.members.Ask(1)
 			}
-		case <-sent.hedge:
-			sent.askAnother()
+		case <-sent.late:
+			sent.hedge()
 		case <-expired:
 			if r.isFresh {
 				// The others may well be a majority.
@@ -125,9 +127,9 @@
 				return Request{}, StatusRetry
 			}
 			sent.passOver()
-			r.unreachable += sent.asked - r.answered
+			r.unreachable += sent.members.Asked() - r.answered
 			r.failure = merry.Errorf("%d of %d members didn't answer within %v",
-				sent.asked-r.answered, len(r.view.Members), r.client.settings.RequestTimeout)
+				sent.members.Asked()-r.answered, len(r.view.Members), r.client.settings.RequestTimeout)
 			return Request{}, StatusRetry
 		case <-r.abandoned:
 			return Request{}, StatusRetry
--- a/coordination/register/thrift.go
+++ b/coordination/register/thrift.go
@@ -8,6 +8,7 @@
 	"github.com/cespare/xxhash/v2"
 
 	"github.com/marblering/marblering/coordination/limit"
+	"github.com/marblering/marblering/coordination/multicast"
 	"github.com/marblering/marblering/coordination/reach"
 )
 
@@ -33,6 +34,15 @@
 	Now    func() time.Time
 }
 
+// hedging returns what the exchanges of a client share. The zero value suits those that
+// ask all members at once.
+func (t *Thrift) hedging() multicast.Hedging {
+	if t == nil {
+		return multicast.Hedging{}
+	}
+	return multicast.Hedging{Kind: hedged, Budget: t.Hedges, Reach: t.Reach, Now: t.Now}
+}
+
 // Rank orders the members for a key by rendezvous hashing; the highest goes
 // first. All nodes agree on it, so that whoever works on a key meets the members
 // that hold it.
--- a/coordination/turnstore/round.go
+++ b/coordination/turnstore/round.go
@@ -8,62 +8,62 @@
 	"github.com/ansel1/merry/v2"
 
 	"github.com/marblering/marblering/coordination/archive"
+	"github.com/marblering/marblering/coordination/multicast"
 	"github.com/marblering/marblering/coordination/register"
 )
 
 const (
-	// hedgeDelay is how long the members that were asked may take before another
-	// one is asked as well: some times what one takes that isn't overloaded.
+	// hedgeDelay is how long the members that were asked may take before another one
+	// is asked as well. It is several times as long as a member takes that isn't
+	// overloaded (chosen, not measured).
 	hedgeDelay = 150 * time.Millisecond
 	// hedged names the requests of this package in the budget of hedges.
 	hedged = "turns"
 )
 
+// action is one request to one member. It tells whether its answer suffices by
+// itself.
+type action func(ctx context.Context, member register.Member, fence register.Fence) (suffices bool, reply archive.Reply, err error)
+
 // answer is what one member answered.
 type answer struct {
-	member   int
+	// place is the member's place in the order in which members were asked.
+	place    int
 	suffices bool
 	err      error
 }
 
 // round is one action at the members of a view, those of this node's zone first.
 type round struct {
-	store   *Store
 	view    register.View
-	act     action
-	members []register.Member
+	members *multicast.Round
 	answers chan answer
-	// asked is how many of the members were asked, in their order. pending are
-	// those that haven't answered, late those of them that were hedged.
-	asked   int
-	pending map[int]bool
-	late    map[int]bool
 	granted int
 	failed  int
-	last    error
+	// last is the error of the member that failed last.
+	last error
 }
 
-// round asks as many members as the first fan-out says, and others once these
-// fail or are late: bytes between zones are dear, and so is work on members.
+// round asks as many members as first says, and others where these fail or are late:
+// bytes between zones are dear, and so is work on members. It returns nil once a
+// quorum granted the action or one answer sufficed.
 func (s *Store) round(ctx context.Context, view register.View, act action, first int) error {
-	members := s.preferred(view.Members)
-	r := &round{
-		store: s, view: view, act: act, members: members, answers: make(chan answer, len(members)),
-		pending: make(map[int]bool), late: make(map[int]bool),
-	}
-	s.hedges.Attempted(hedged, time.Now())
-	r.ask(ctx, first)
+	r := s.newRound(ctx, view, act)
+	r.members.Begin(first)
 	hedge := time.NewTicker(hedgeDelay)
 	defer hedge.Stop()
 	for r.granted < view.Quorum() {
 		select {
 		case answered := <-r.answers:
-			isOver, err := r.take(ctx, answered)
+			isOver, err := r.take(answered)
 			if isOver {
 				return err
 			}
 		case <-hedge.C:
-			r.hedge(ctx)
+			// Each tick tries again, also after the budget has refused a hedge.
+			if r.members.Left() > 0 {
+				r.members.Hedge()
+			}
 		case <-ctx.Done():
 			return errors.Join(ctx.Err(), r.last)
 		}
@@ -71,64 +71,45 @@
 	return nil
 }
 
-// ask asks so many members more.
-func (r *round) ask(ctx context.Context, count int) {
-	for ; r.asked < len(r.members) && count > 0; count-- {
-		index := r.asked
-		r.asked++
-		r.pending[index] = true
+func (s *Store) newRound(ctx context.Context, view register.View, act action) *round {
+	ordered := s.preferred(view.Members)
+	addresses := make([]string, len(ordered))
+	for place, member := range ordered {
+		addresses[place] = member.Address
+	}
+	answers := make(chan answer, len(ordered))
+	send := func(place int) {
 		go func() {
-			answered := r.store.perform(ctx, r.view, r.members[index], r.act)
-			answered.member = index
-			r.answers <- answered
+			answered := s.perform(ctx, view, ordered[place], act)
+			answered.place = place
+			answers <- answered
 		}()
 	}
-}
-
-// hedge asks another member where there is one left and the budget allows it.
-func (r *round) hedge(ctx context.Context) {
-	if r.asked == len(r.members) || !r.store.hedges.Retry(hedged, time.Now()) {
-		return
-	}
-	for index := range r.pending {
-		r.late[index] = true
-	}
-	r.ask(ctx, 1)
+	return &round{view: view, members: multicast.New(addresses, s.hedging, send), answers: answers}
 }
 
 // take counts an answer and says whether the round is over.
-func (r *round) take(ctx context.Context, answered answer) (isOver bool, err error) {
-	delete(r.pending, answered.member)
-	delete(r.late, answered.member)
+func (r *round) take(answered answer) (isOver bool, err error) {
+	r.members.Answered(answered.place)
 	if answered.err != nil {
 		r.failed++
 		r.last = answered.err
-		if r.failed > len(r.members)-r.view.Quorum() {
+		if r.failed > len(r.view.Members)-r.view.Quorum() {
 			return true, r.last
 		}
-		r.ask(ctx, 1)
+		r.members.Ask(1)
 		return false, nil
 	}
 	r.granted++
-	r.passOver()
+	r.members.AvoidLate()
 	if answered.suffices {
 		return true, nil
 	}
-	r.ask(ctx, r.view.Quorum()-r.asked)
+	r.members.Ask(r.view.Quorum() - r.members.Asked())
 	return false, nil
 }
 
-// passOver has the members asked last for a while that were late and haven't
-// answered before one that was asked after them. Otherwise each request would
-// wait for them.
-func (r *round) passOver() {
-	for index := range r.late {
-		r.store.reach.Failed(r.members[index].Address)
-	}
-	clear(r.late)
-}
-
-// perform asks one member. A refusal is an error; what it names is learned.
+// perform asks one member. A refusal is an error; the view that it names is learned.
 func (s *Store) perform(ctx context.Context, view register.View, member register.Member, act action) answer {
 	fence := register.Fence{Shard: view.Shard, Epoch: view.Epoch, Replica: member.Incarnation}
 	suffices, reply, err := act(ctx, member, fence)
@@ -142,17 +123,13 @@
 	return answer{suffices: suffices, err: err}
 }
 
-// note tells the tracker whether the member answered. A request that nobody
-// waits for any more says nothing.
+// note tells the tracker whether the member answered, also where the round is over by
+// then. A request that was given up says nothing about its member.
 func (s *Store) note(ctx context.Context, address string, err error) {
 	switch {
 	case err == nil:
-		s.reach.Heard(address)
+		s.hedging.Reach.Heard(address)
 	case !errors.Is(ctx.Err(), context.Canceled):
-		s.reach.Failed(address)
+		s.hedging.Reach.Failed(address)
 	}
 }
-
-// action is one request to one member. It tells whether its answer suffices by
-// itself.
-type action func(ctx context.Context, member register.Member, fence register.Fence) (suffices bool, reply archive.Reply, err error)
--- a/coordination/turnstore/store.go
+++ b/coordination/turnstore/store.go
@@ -17,6 +17,7 @@
 	statev1 "github.com/marblering/marblering/api/state/v1"
 	"github.com/marblering/marblering/coordination/archive"
 	"github.com/marblering/marblering/coordination/limit"
+	"github.com/marblering/marblering/coordination/multicast"
 	"github.com/marblering/marblering/coordination/reach"
 	"github.com/marblering/marblering/coordination/register"
 	"github.com/marblering/marblering/coordination/sleep"
@@ -60,10 +61,9 @@
 	zone     string
 	replicas Replicas
 	views    Views
-	reach    *reach.Tracker
+	hedging  multicast.Hedging
 	codec    *turn.Codec
 	cache    *cache
-	hedges   *limit.RetryBudget
 }
 
 // New makes a store for a node of the zone that remembers up to cacheBytes of
@@ -73,8 +73,10 @@
 	if err != nil {
 		return nil, err
 	}
-	return &Store{zone: zone, replicas: replicas, views: views, reach: tracker, codec: codec, cache: newCache(cacheBytes),
-		hedges: limit.NewRetryBudget(limit.HedgePolicy(), time.Now())}, nil
+	hedging := multicast.Hedging{
+		Kind: hedged, Budget: limit.NewRetryBudget(limit.HedgePolicy(), time.Now()), Reach: tracker, Now: time.Now,
+	}
+	return &Store{zone: zone, replicas: replicas, views: views, hedging: hedging, codec: codec, cache: newCache(cacheBytes)}, nil
 }
 
 // Put stores a turn of the program on a quorum, trying until the context ends.
@@ -239,7 +241,7 @@
 func (s *Store) preferred(members []register.Member) []register.Member {
 	ordered := slices.Clone(members)
 	slices.SortStableFunc(ordered, func(a, b register.Member) int {
-		return cmp.Or(s.reach.Compare(a.Address, b.Address), distance(a, s.zone)-distance(b, s.zone))
+		return cmp.Or(s.hedging.Reach.Compare(a.Address, b.Address), distance(a, s.zone)-distance(b, s.zone))
 	})
 	return ordered
 }
