--- a/node/operatorfleet.go
+++ b/node/operatorfleet.go
@@ -81,30 +81,36 @@
 	engines, err := b.Engines(ctx)
 	listing := operator.Listing[operator.PoolRow]{Incomplete: engines.Incomplete}
 	for _, pool := range b.node.holder.Current().Pools() {
-		row := operator.PoolRow{
-			Name:           pool.Name,
-			Zones:          pool.Zones,
-			Models:         pool.Models,
-			MinimumEngines: pool.MinimumEngines,
-			Version:        b.version(configuration.KindPool, pool.Name),
-		}
-		for _, role := range pool.Roles {
-			row.Roles = append(row.Roles, string(role))
-		}
-		for _, engine := range engines.Rows {
-			if engine.Pool != pool.Name {
-				continue
-			}
-			row.Engines++
-			if engine.State == operator.StateServing {
-				row.ServingEngines++
-			}
-		}
+		row := poolRow(pool, engines.Rows)
+		row.Version = b.version(configuration.KindPool, pool.Name)
 		listing.Rows = append(listing.Rows, row)
 	}
 	return listing, err
 }
 
+// poolRow counts the pool's engines among those given.
+func poolRow(pool *configuration.Pool, engines []operator.EngineRow) operator.PoolRow {
+	row := operator.PoolRow{
+		Name:           pool.Name,
+		Zones:          pool.Zones,
+		Models:         pool.Models,
+		MinimumEngines: pool.MinimumEngines,
+	}
+	for _, role := range pool.Roles {
+		row.Roles = append(row.Roles, string(role))
+	}
+	for _, engine := range engines {
+		if engine.Pool != pool.Name {
+			continue
+		}
+		row.Engines++
+		if engine.State == operator.StateServing {
+			row.ServingEngines++
+		}
+	}
+	return row
+}
+
 // Configuration implements operator.Tables.
 func (b *operatorBackend) Configuration(context.Context) (operator.Listing[operator.ConfigurationRow], error) {
 	var listing operator.Listing[operator.ConfigurationRow]
--- a/protocol/operator/interpreter_test.go
+++ b/protocol/operator/interpreter_test.go
@@ -14,7 +14,6 @@
 	"gotest.tools/v3/assert/cmp"
 
 	"github.com/marblering/marblering/coordination/configuration"
-	"github.com/marblering/marblering/coordination/routing"
 	"github.com/marblering/marblering/protocol/operator"
 	"github.com/marblering/marblering/state/result"
 )
@@ -289,36 +288,6 @@
 	assert.Equal(t, codeOf(err), result.NoQuorum, "it may exist where nobody could look")
 }
 
-func TestRowsOfTheConfiguration(t *testing.T) {
-	b := newBackend()
-	_, err := run(newInterpreter(b), "drain engine e1 expect version 13 command id c-1")
-	assert.NilError(t, err)
-	var objects []configuration.Object
-	for _, object := range b.objects {
-		if object.Name != "e2" {
-			objects = append(objects, object)
-		}
-	}
-	snapshot, err := (*configuration.Snapshot)(nil).Apply(b.version, objects)
-	assert.NilError(t, err)
-	rows := operator.ConfigurationRows(snapshot)
-	assert.Equal(t, len(rows), 4)
-	assert.Equal(t, rows[0].Name+" "+rows[0].Operator+" "+rows[0].Command, "e1 ada c-1")
-	engines := []operator.EngineRow{{Pool: "old", State: "serving"}, {Pool: "old", State: "drained"}, {Pool: "new"}}
-	assert.DeepEqual(t, operator.PoolRows(snapshot, engines), []operator.PoolRow{{
-		Name: "old", Zones: []string{"hall-a"}, Models: []string{"small"}, Roles: []string{"mixed"},
-		Engines: 2, ServingEngines: 1, Version: 11,
-	}})
-}
-
-func TestDecisionOf(t *testing.T) {
-	decision := routing.Decision{Engine: "e2", Reason: "why", Candidates: []routing.Candidate{{Engine: "e2", Cost: 2}, {Engine: "e1", Rejected: routing.FilterModel}}}
-	row := operator.DecisionOf(operator.Choice{Node: "n1", Sequence: 3, Attempt: 1}, decision)
-	assert.Equal(t, row.Candidates[0].Cost, 2.0)
-	assert.Equal(t, row.Candidates[1].Rejected, "model not loaded")
-	assert.Equal(t, row.Sequence, uint64(3))
-}
-
 func TestCommandsAreLogged(t *testing.T) {
 	core, logs := observer.New(zap.InfoLevel)
 	interpreter := operator.NewInterpreter(operator.Options{
