--- /dev/null
+++ b/node/gateway/configuration.go
@@ -0,0 +1,33 @@
+package gateway
+
+import (
+	"go.uber.org/zap"
+
+	"github.com/marblering/marblering/coordination/follow"
+	"github.com/marblering/marblering/coordination/routetable"
+)
+
+// applyConfiguration puts a newer configuration in force. One that can't be
+// used changes nothing.
+func (g *Gateway) applyConfiguration(snapshot follow.Snapshot) {
+	decoded, found, err := g.parts.DecodeConfiguration(snapshot)
+	if !found && err == nil {
+		return
+	}
+	var table *routetable.Table
+	if err == nil {
+		table, err = routetable.NewTable(decoded)
+	}
+	if err != nil {
+		g.unusable.Store(true)
+		g.logger.Error("configuration refused", zap.Int64("revision", snapshot.At), zap.Error(err))
+		return
+	}
+	g.unusable.Store(false)
+	if !g.tables.Install(table) {
+		return
+	}
+	g.callers.limit(table.Limits())
+	g.logger.Info("configuration in force", zap.Int64("version", table.Version()),
+		zap.Int64("revision", snapshot.At), zap.Int("routes", table.Routes()))
+}
--- a/node/gateway/drain.go
+++ b/node/gateway/drain.go
@@ -8,10 +8,11 @@
 )
 
 const (
-	// noticePart of the drain's time is left for balancers to notice that this
-	// node isn't ready; new connections still come meanwhile and are served.
+	// noticePart of the drain's time is left for balancers to notice that this node
+	// isn't ready (chosen, not measured). New connections still come meanwhile and are
+	// served.
 	noticePart = 0.4
-	// reservedPart is left at the end for the process to exit.
+	// reservedPart is left at the end for the process to exit (chosen, not measured).
 	reservedPart = 0.08
 )
 
--- a/node/gateway/listen.go
+++ b/node/gateway/listen.go
@@ -15,7 +15,7 @@
 	"github.com/marblering/marblering/coordination/routetable"
 )
 
-// Bounds of callers' connections before the first configuration.
+// Bounds of callers' connections before the first configuration (chosen, not measured).
 const (
 	firstHeaderTimeout = 10 * time.Second
 	firstIdleTimeout   = time.Minute
@@ -99,7 +99,8 @@
 	}
 }
 
-// acceptPause follows a failed accept, such as one without free descriptors.
+// acceptPause follows a failed accept, such as one without free descriptors (chosen, not
+// measured).
 const acceptPause = 20 * time.Millisecond
 
 func (s *callerServer) newest() *feed {
--- a/node/gateway/prober.go
+++ b/node/gateway/prober.go
@@ -14,14 +14,16 @@
 )
 
 const (
-	// probePause lies between two looks, and between two probes of storage nodes.
+	// probePause lies between two looks, and between two probes of storage nodes
+	// (chosen, not measured).
 	probePause = 200 * time.Millisecond
-	// probeTimeout bounds one probe.
+	// probeTimeout bounds one probe; a node that is well answers within a few
+	// milliseconds (chosen, not measured).
 	probeTimeout = 300 * time.Millisecond
 )
 
-// prober asks storage nodes whether they can be reached while none of them can:
-// turns are refused then, so that nothing else would notice. It is a suture
+// prober asks storage nodes whether they can be reached while none of them can be.
+// Turns are refused then, so that nothing else would notice their return. It is a suture
 // service.
 type prober struct {
 	reach   *reach.Tracker
--- a/node/gateway/proof.go
+++ b/node/gateway/proof.go
@@ -1,20 +1,16 @@
 package gateway
 
 import (
-	"context"
-	"errors"
 	"time"
 
-	"github.com/marblering/marblering/coordination/mirror"
 	"github.com/marblering/marblering/transport/relay"
 )
 
 // rateSlack is the part of the revoke limit that is left for steady clocks of storage
-// nodes and gateways that run at different rates. Quartz is off by 0.01% at most.
+// nodes and gateways that run at different rates. Quartz is off by 0.01% at most; the
+// rest of this 1% is margin (chosen, not measured).
 const rateSlack = 0.01
 
-var errStale = errors.New("the configuration isn't proved to be new enough for keys")
-
 // proof implements relay.Proof: it is that of the follower of the configuration.
 type proof struct{ gateway *Gateway }
 
@@ -23,7 +19,7 @@
 // Staleness implements relay.Proof. Where the newest configuration can't be used,
 // nothing is known of the one in force.
 func (p proof) Staleness() (staleness time.Duration, ok bool) {
-	staleness, ok = p.gateway.configuration.Staleness()
+	staleness, ok = p.gateway.followers.configuration.Staleness()
 	// This comes after: what was proved was applied before, or found unusable.
 	if p.gateway.unusable.Load() || p.gateway.tables.Table() == nil {
 		return 0, false
@@ -37,7 +33,7 @@
 }
 
 // Source implements relay.Proof.
-func (p proof) Source() string { return p.gateway.configurationSource.Through() }
+func (p proof) Source() string { return p.gateway.followers.configurationSource.Through() }
 
 // isStale tells that requests with keys are refused since nothing proves the keys
 // valid.
@@ -48,29 +44,3 @@
 	staleness, known := proof{g}.Staleness()
 	return !known || staleness > proof{g}.Limit()
 }
-
-func (g *Gateway) checkProof(context.Context) error {
-	if g.isStale() {
-		return errStale
-	}
-	return nil
-}
-
-func (g *Gateway) stalenessSeconds() float64 {
-	staleness, known := proof{g}.Staleness()
-	if !known {
-		return -1
-	}
-	return staleness.Seconds()
-}
-
-// provenSettings are those of following the configuration where each answer has to
-// prove how new it is: a holder is asked as often as the store is, and one that isn't
-// as new as others can be is left while there is time for another.
-func provenSettings(revokeLimit time.Duration, usual mirror.SourceSettings) mirror.SourceSettings {
-	usual.Wait = min(usual.Wait, mirror.ProofInterval(revokeLimit))
-	usual.MaxAge = min(usual.MaxAge, revokeLimit/3)
-	// The store is polled, which paces its calls already.
-	usual.StorePause = 0
-	return usual
-}
--- a/node/gateway/revoke_model_test.go
+++ b/node/gateway/revoke_model_test.go
@@ -210,7 +210,7 @@
 	started.follower = follow.New(follow.Options{
 		Name: mirror.KindConfiguration, Settings: followBounds(limits), Logger: zap.NewNop(), Now: time.Now,
 		Source: mirror.NewSource(mirror.KindConfiguration, w.source(node), holders, modelNetwork{w, node},
-			provenSettings(revokeLimit, holderBounds(limits)), zap.NewNop()),
+			provenBounds(revokeLimit, holderBounds(limits)), zap.NewNop()),
 		Apply: func(snapshot follow.Snapshot) {
 			started.mutex.Lock()
 			defer started.mutex.Unlock()
--- a/node/gateway/state.go
+++ b/node/gateway/state.go
@@ -18,9 +18,10 @@
 )
 
 const (
-	// peerTimeout bounds one request to a replica.
+	// peerTimeout bounds one request to a replica (chosen, not measured).
 	peerTimeout = time.Second
-	// cachePart of the memory limit holds turns that were used lately.
+	// cachePart of the memory limit holds turns that were used lately (chosen, not
+	// measured).
 	cachePart = 0.15
 )
 
