--- a/lab/experiment/marblering.go
+++ b/lab/experiment/marblering.go
@@ -23,8 +23,7 @@
 	// waited.
 	batches []int
 	// usual is a moving average of the time that calls of a program take.
-	usual    time.Duration
-	retainer retainer
+	usual time.Duration
 }
 
 func batchLimit(state *routing.EngineState) int {
@@ -39,23 +38,18 @@
 		p := &marblering{weights: weights}
 		for range s.nodes {
 			p.nodes = append(p.nodes, marbleringNode{
-				shedder:  limit.NewShedder(limit.DefaultShedPolicy()),
-				ejector:  limit.NewEjector(limit.DefaultEjectionPolicy()),
-				engines:  make([]routing.EngineState, len(s.engines)),
-				batches:  make([]int, len(s.engines)),
-				retainer: retainer{returns: routing.NewReturns()},
+				shedder: limit.NewShedder(limit.DefaultShedPolicy()),
+				ejector: limit.NewEjector(limit.DefaultEjectionPolicy()),
+				engines: make([]routing.EngineState, len(s.engines)),
+				batches: make([]int, len(s.engines)),
 			})
 		}
-		for _, node := range s.nodes {
-			p.startRetention(s, node)
-		}
 		return p
 	}
 }
 
 func (p *marblering) choose(s *simulation, n *simNode, c *call) choice {
 	now := s.wall(s.schedule.now)
-	p.nodes[n.index].retainer.returned(c)
 	snapshot := p.snapshot(n, now)
 	request := newRequest(n, c)
 	decision := routing.Choose(snapshot, request, n.random)
@@ -164,15 +158,9 @@
 	ejector.Observe(a.engine.spec.Name, outcome, s.wall(s.schedule.now))
 }
 
-func (p *marblering) paused(s *simulation, paused *program) {
-	own := &p.nodes[s.home(paused.tree).index].retainer
-	own.pausing = append(own.pausing, paused)
-}
-
 func (p *marblering) ended(s *simulation, ended *program) {
 	node := s.home(ended.tree)
 	node.locality.Forget(ended.id)
-	p.nodes[node.index].retainer.returns.Left(returnClass(ended), s.schedule.now-ended.lastActive)
 	if ended.id == ended.tree.id && !ended.tree.failed && ended.script.counted() {
 		p.nodes[node.index].learnUsual(ended.tree.busy.union())
 	}
--- a/lab/experiment/policy.go
+++ b/lab/experiment/policy.go
@@ -40,8 +40,6 @@
 	// finished tells of an answer, failed of an attempt that got lost.
 	finished(s *simulation, a *attempt, usage engine.Usage)
 	failed(s *simulation, a *attempt)
-	// paused tells that a program waits for tools, users or sub-agents.
-	paused(s *simulation, p *program)
 	ended(s *simulation, p *program)
 }
 
@@ -50,7 +48,6 @@
 
 func (passive) finished(*simulation, *attempt, engine.Usage) {}
 func (passive) failed(*simulation, *attempt)                 {}
-func (passive) paused(*simulation, *program)                 {}
 func (passive) ended(*simulation, *program)                  {}
 
 // usable says whether a node may send a call to an engine.
--- a/lab/experiment/program.go
+++ b/lab/experiment/program.go
@@ -41,8 +41,6 @@
 	lastActive time.Duration
 	running    *call
 	ended      bool
-	// returnSeen is set once the end of the newest pause was learned from.
-	returnSeen bool
 	// holders are the engines that were asked to hold the context.
 	holders map[int]*hold
 	onEnd   func()
@@ -88,7 +86,6 @@
 	p.step++
 	p.turns++
 	p.lastActive = s.schedule.now
-	p.returnSeen = false
 	if reason := s.limits.Check(s.activity(p), s.wall(s.schedule.now)); reason != limit.KeepProgram {
 		s.endProgram(p)
 		return
@@ -97,7 +94,6 @@
 		s.lastAnswered(p)
 		return
 	}
-	s.policy.paused(s, p)
 	s.runChildren(p, current)
 }
 
@@ -116,7 +112,6 @@
 		s.endProgram(p)
 		return
 	}
-	s.policy.paused(s, p)
 	s.schedule.after(s.limits.Idle, func() {
 		if !p.ended && s.limits.Check(s.activity(p), s.wall(s.schedule.now)) != limit.KeepProgram {
 			s.endProgram(p)
--- a/lab/experiment/recorder.go
+++ b/lab/experiment/recorder.go
@@ -28,7 +28,6 @@
 	transfers         int
 	transferredTokens int
 	failedTransfers   int
-	parked            int
 	limited           int
 }
 
@@ -127,7 +126,6 @@
 		Transfers:              r.transfers,
 		TransferredTokens:      r.transferredTokens,
 		FailedTransfers:        r.failedTransfers,
-		Parked:                 r.parked,
 	}
 	for _, measured := range r.trees {
 		if !measured.failed {
--- a/lab/experiment/result.go
+++ b/lab/experiment/result.go
@@ -45,8 +45,6 @@
 	Transfers         int `json:"transfers"`
 	TransferredTokens int `json:"transferred_tokens"`
 	FailedTransfers   int `json:"failed_transfers"`
-	// Parked contexts were moved while their programs paused.
-	Parked int `json:"parked_contexts"`
 }
 
 // Percentiles of a distribution, in seconds.
--- a/lab/experiment/simulation.go
+++ b/lab/experiment/simulation.go
@@ -27,8 +27,6 @@
 	failedOver  bool
 	lastAttempt uint64
 	transfers   map[uint64]*attempt
-	// moves are what to do when an import has arrived that no call waits for.
-	moves map[uint64]func(tokens int)
 }
 
 // epoch is the wall time of the simulation's start. Decision packages want
@@ -60,7 +58,6 @@
 		workload:   t.workload,
 		limits:     limit.ProgramLimits{Idle: t.workload.idle, Turns: turnLimit},
 		transfers:  make(map[uint64]*attempt),
-		moves:      make(map[uint64]func(int)),
 	}
 	s.report = newRecorder(t)
 	for i, spec := range t.deployment.Engines {
--- a/lab/experiment/transfer.go
+++ b/lab/experiment/transfer.go
@@ -93,11 +93,6 @@
 
 // imported sends the call for which context was moved.
 func (s *simulation) imported(e *simEngine, event engine.Event) {
-	if arrived := s.moves[event.ID]; arrived != nil {
-		delete(s.moves, event.ID)
-		arrived(event.Usage.PromptTokens)
-		return
-	}
 	a := s.transfers[event.ID]
 	if a == nil {
 		return
