--- a/coordination/routing/example_test.go
+++ b/coordination/routing/example_test.go
@@ -22,7 +22,7 @@
 			{Name: "engine-b", Zone: "hall-b", Models: []string{"small"}, PrefillSpeed: 4000, DecodeSpeed: 40, ReportedAt: now},
 			{Name: "engine-c", Zone: "hall-c", Models: []string{"large"}, PrefillSpeed: 4000, DecodeSpeed: 40, ReportedAt: now},
 		},
-		Weights: routing.CacheWeights(),
+		Weights: routing.LatencyWeights(),
 		Pending: ledger,
 	}
 	request := &routing.Request{
@@ -46,5 +46,5 @@
 	fmt.Println(decision.Reason)
 	// Output:
 	// engine-b 200
-	// least cost 1.302s: queue 0.000s, prefill 0.050s with 6000 tokens cached
+	// least cost 0.651s: queue 0.000s, prefill 0.050s with 6000 tokens cached
 }
--- a/coordination/routing/snapshot.go
+++ b/coordination/routing/snapshot.go
@@ -124,7 +124,8 @@
 	Tolerance float64
 }
 
-// LatencyWeights suit a deployment that values short programs most.
+// LatencyWeights are the defaults: they suit a deployment that values short
+// programs most.
 func LatencyWeights() Weights {
 	return Weights{
 		Latency:       1,
@@ -138,14 +139,6 @@
 	}
 }
 
-// CacheWeights suit a deployment that values saved computation most.
-func CacheWeights() Weights {
-	weights := LatencyWeights()
-	weights.Eviction = 1
-	weights.UrgencyTokens = 0
-	return weights
-}
-
 // Snapshot is the input of a decision. It is only read, so one snapshot may
 // serve many concurrent decisions.
 type Snapshot struct {
--- a/lab/experiment/config.go
+++ b/lab/experiment/config.go
@@ -140,6 +140,15 @@
 	return nil
 }
 
+// cacheWeights suit a deployment that values saved computation most: what a
+// call pushes out of a cache counts in full, and all programs count alike.
+func cacheWeights() routing.Weights {
+	weights := routing.LatencyWeights()
+	weights.Eviction = 1
+	weights.UrgencyTokens = 0
+	return weights
+}
+
 // site is a deployment with its workload, ready to be run.
 type site struct {
 	deployment Deployment
@@ -162,7 +171,7 @@
 	case LatencyWeights, "":
 		built.weights = routing.LatencyWeights()
 	case CacheWeights:
-		built.weights = routing.CacheWeights()
+		built.weights = cacheWeights()
 	default:
 		return site{}, merry.Errorf("weights %q are unknown: known are %s and %s", d.Weights, LatencyWeights, CacheWeights)
 	}
