--- a/coordination/archive/archive.go
+++ b/coordination/archive/archive.go
@@ -98,8 +98,7 @@
 // Turn returns one turn of the program by its digest.
 func (a *Archive) Turn(ctx context.Context, id string, sequence uint64, digest []byte) (*statev1.Turn, error) {
 	if chain, found := a.cache.Lookup(id, digest); found && chain != nil {
-		turns := chain.Turns()
-		return turns[len(turns)-1], nil
+		return chain.Newest(), nil
 	}
 	wanted, err := history.ParseDigest(digest)
 	if err != nil {
--- a/state/history/cache.go
+++ b/state/history/cache.go
@@ -67,13 +67,6 @@
 	}
 }
 
-// Drop forgets the program, for instance when it has ended.
-func (c *Cache) Drop(program string) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.remove(program)
-}
-
 // Bytes returns about how much memory the kept chains occupy.
 func (c *Cache) Bytes() int {
 	c.mu.Lock()
--- a/state/history/example_test.go
+++ b/state/history/example_test.go
@@ -28,11 +28,11 @@
 	turns, missing, err := history.Assemble("program-1", digest.Bytes(), slices.Values([]replica.Turn{stored}))
 	fmt.Println(len(turns), len(missing), err)
 
-	messages, err := history.Messages(turns)
-	for _, message := range messages {
+	chain, err := history.NewChain("program-1", digest.Bytes(), turns)
+	for _, message := range chain.Messages() {
 		fmt.Println(string(message))
 	}
-	fmt.Println(history.EstimateTokens(messages), err)
+	fmt.Println(chain.Tokens(), err)
 	// Output:
 	// 1 0 <nil>
 	// {"role":"user","content":"Which grind?"}
--- a/state/history/history_test.go
+++ b/state/history/history_test.go
@@ -54,6 +54,17 @@
 	return history.Digest(c.stored[len(c.stored)-1].Digest).Bytes()
 }
 
+// messagesOf returns what the caller and the model said in the turns.
+func messagesOf(t rapid.TB, turns []*statev1.Turn) []json.RawMessage {
+	messages := []json.RawMessage{}
+	for _, turn := range turns {
+		var added []json.RawMessage
+		assert.NilError(t, json.Unmarshal(turn.GetMessages(), &added))
+		messages = append(append(messages, added...), turn.GetAnswer())
+	}
+	return messages
+}
+
 func drawConversation(t *rapid.T, program string, least int) *conversation {
 	c := &conversation{program: program}
 	for range rapid.IntRange(least, 6).Draw(t, "turns of "+program) {
@@ -89,9 +100,8 @@
 		assert.NilError(t, err)
 		assert.DeepEqual(t, chain.Head(), own.head())
 		checkTurns(t, chain.Turns(), own.turns)
-		messages, err := history.Messages(turns)
-		assert.NilError(t, err)
-		assert.DeepEqual(t, chain.Messages(), append([]json.RawMessage{}, messages...))
+		messages := messagesOf(t, turns)
+		assert.DeepEqual(t, chain.Messages(), messages)
 		assert.Equal(t, len(messages), 3*len(turns))
 		assert.Equal(t, chain.Tokens(), history.EstimateTokens(messages))
 	})
@@ -194,7 +204,8 @@
 
 func TestMessagesThatAreNoArray(t *testing.T) {
 	for _, broken := range []string{`{}`, `[{}`, `[{},]`, `7`, `[{}]x`} {
-		_, err := history.Messages([]*statev1.Turn{{Program: "own", Sequence: 3, Messages: []byte(broken)}})
+		turns := []*statev1.Turn{{Program: "own", Sequence: 3, Messages: []byte(broken)}}
+		_, err := history.NewChain("own", make([]byte, 32), turns)
 		assert.ErrorContains(t, err, `turn 3 of program "own"`, broken)
 	}
 }
@@ -233,8 +244,6 @@
 	empty, found := cache.Lookup("unknown", nil)
 	assert.Assert(t, found && empty.Len() == 0 && empty.Newest() == nil)
 
-	cache.Drop("a")
-	assert.Assert(t, !holds("a"))
 	small := history.NewCache(size - 1)
 	small.Store("a", chains["a"])
 	assert.Equal(t, small.Bytes(), 0)
--- a/state/history/messages.go
+++ b/state/history/messages.go
@@ -31,21 +31,8 @@
 	return total
 }
 
-// Messages returns the whole conversation of the turns: the messages that the
-// caller added in each, followed by the answer. The result shares the turns'
-// memory and must not be changed.
-func Messages(turns []*statev1.Turn) ([]json.RawMessage, error) {
-	var messages []json.RawMessage
-	for _, turn := range turns {
-		ofTurn, err := turnMessages(turn)
-		if err != nil {
-			return nil, err
-		}
-		messages = append(messages, ofTurn...)
-	}
-	return messages, nil
-}
-
+// turnMessages returns the messages that the caller added in the turn, followed by the
+// answer. They share the turn's memory.
 func turnMessages(turn *statev1.Turn) ([]json.RawMessage, error) {
 	messages, err := splitArray(turn.GetMessages())
 	if err != nil {
--- a/state/replica/disk.go
+++ b/state/replica/disk.go
@@ -40,25 +40,14 @@
 
 var _ Store = (*Disk)(nil)
 
-// DiskOption changes how OpenDisk works.
-type DiskOption func(*diskOptions)
-
-type diskOptions struct{ random io.Reader }
-
-// WithRandom sets the source of new incarnations; crypto/rand by default.
-func WithRandom(random io.Reader) DiskOption {
-	return func(options *diskOptions) { options.random = random }
-}
-
 // OpenDisk opens the store in the folder, which is created where there is
 // none. It returns ErrLocked where another process has the folder and ErrFormat
 // where another version wrote the file. A damaged file isn't an error: see
 // Damage.
-func OpenDisk(folder string, options ...DiskOption) (*Disk, error) {
-	settings := diskOptions{random: rand.Reader}
-	for _, option := range options {
-		option(&settings)
-	}
+func OpenDisk(folder string) (*Disk, error) { return openDisk(folder, rand.Reader) }
+
+// openDisk is OpenDisk with the random source of new incarnations.
+func openDisk(folder string, random io.Reader) (*Disk, error) {
 	if err := os.MkdirAll(folder, folderMode); err != nil {
 		return nil, merry.Prepend(err, "create data folder")
 	}
@@ -67,21 +56,21 @@
 		return nil, err
 	}
 	disk := &Disk{lock: lock, mirror: NewMemory()}
-	if err := disk.open(folder, settings); err != nil {
+	if err := disk.open(folder, random); err != nil {
 		_ = lock.Close()
 		return nil, merry.Prependf(err, "open replica store in %s", folder)
 	}
 	return disk, nil
 }
 
-func (d *Disk) open(folder string, settings diskOptions) error {
+func (d *Disk) open(folder string, random io.Reader) error {
 	path := filepath.Join(folder, dataFileName)
 	stored, err := verifyDataFile(path, d.mirrorEntry)
 	switch {
 	case errors.Is(err, fs.ErrNotExist):
-		stored, err = createDataFile(folder, settings.random)
+		stored, err = createDataFile(folder, random)
 	case errors.Is(err, ErrCorrupt):
-		stored, err = d.replace(folder, settings.random, err)
+		stored, err = d.replace(folder, random, err)
 	}
 	if err != nil {
 		return err
--- /dev/null
+++ b/state/replica/export_test.go
@@ -0,0 +1,4 @@
+package replica
+
+// OpenDiskWithRandom is OpenDisk with a random source of the test's own.
+var OpenDiskWithRandom = openDisk
--- a/state/replica/stored_test.go
+++ b/state/replica/stored_test.go
@@ -166,7 +166,7 @@
 func TestWrittenBytes(t *testing.T) {
 	golden.Assert(t, fileEntries(t, copyFolder(t, keptFolder)), "format1.entries.golden")
 	folder := t.TempDir()
-	disk, err := replica.OpenDisk(folder, replica.WithRandom(fixedRandom()))
+	disk, err := replica.OpenDiskWithRandom(folder, fixedRandom())
 	assert.NilError(t, err)
 	writeSample(t, disk)
 	assert.NilError(t, disk.Close())
