--- a/coordination/turnstore/cache.go
+++ b/coordination/turnstore/cache.go
@@ -7,15 +7,18 @@
 	statev1 "github.com/marblering/marblering/api/state/v1"
 )
 
-// entryBytes is about what an entry costs beside its texts.
+// entryBytes is about how many bytes of memory an entry takes beside its texts
+// (estimated, not measured).
 const entryBytes = 256
 
-// cache remembers the turns that were used last. It is safe for concurrent use.
+// cache keeps the turns that were used last. It is safe for concurrent use.
 type cache struct {
+	// limit and size are in bytes of memory, by sizeOf.
 	limit int
 
-	mutex   sync.Mutex
-	size    int
+	mutex sync.Mutex
+	size  int
+	// order holds turns, the one used last first.
 	order   *list.List
 	entries map[string]*list.Element
 }
@@ -35,6 +38,8 @@
 	return element.Value.(*statev1.RetainedTurn), true
 }
 
+// put adds the turn and drops the oldest ones beyond the limit. The newest turn stays,
+// also where it alone exceeds the limit.
 func (c *cache) put(whole *statev1.RetainedTurn) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/coordination/turnstore/round.go
+++ b/coordination/turnstore/round.go
@@ -21,8 +21,8 @@
 	hedged = "turns"
 )
 
-// action is one request to one member. It tells whether its answer suffices by
-// itself.
+// action is one request to one member. Suffices tells that no other member's answer is
+// needed.
 type action func(ctx context.Context, member register.Member, fence register.Fence) (suffices bool, reply archive.Reply, err error)
 
 // answer is what one member answered.
@@ -44,9 +44,9 @@
 	last error
 }
 
-// round asks as many members as first says, and others where these fail or are late:
-// bytes between zones are dear, and so is work on members. It returns nil once a
-// quorum granted the action or one answer sufficed.
+// round asks the first members, and others where these fail or are late: each request
+// is work for a member and perhaps traffic between zones. It returns nil once a quorum
+// has granted the action or one answer suffices.
 func (s *Store) round(ctx context.Context, view register.View, act action, first int) error {
 	r := s.newRound(ctx, view, act)
 	r.members.Begin(first)
@@ -88,7 +88,7 @@
 	return &round{view: view, members: multicast.New(addresses, s.hedging, send), answers: answers}
 }
 
-// take counts an answer and says whether the round is over.
+// take counts an answer and tells whether the round is over, with its error.
 func (r *round) take(answered answer) (isOver bool, err error) {
 	r.members.Answered(answered.place)
 	if answered.err != nil {
@@ -123,8 +123,8 @@
 	return answer{suffices: suffices, err: err}
 }
 
-// note tells the tracker whether the member answered, also where the round is over by
-// then. A request that was given up says nothing about its member.
+// note tells the tracker whether the member answered, also when the round is over by
+// then. A request that its caller canceled says nothing about the member.
 func (s *Store) note(ctx context.Context, address string, err error) {
 	switch {
 	case err == nil:
