--- a/node/node.go
+++ b/node/node.go
@@ -44,9 +44,7 @@
 	pollInterval      = 1500 * time.Millisecond
 	sweepInterval     = 2 * time.Second
 	// maxQueue is the longest expected queueing before a call is shed.
-	maxQueue         = 2 * time.Minute
-	shutdownTimeout  = 5 * time.Second
-	departureTimeout = 2 * time.Second
+	maxQueue = 2 * time.Minute
 )
 
 // Node is one running daemon.
--- a/protocol/callerapi/answer_test.go
+++ b/protocol/callerapi/answer_test.go
@@ -88,18 +88,11 @@
 	}
 }
 
-func TestAbortCancelsCalls(t *testing.T) {
-	started := make(chan struct{})
-	service := &fakeService{answer: func(ctx context.Context, _ execution.CallRequest, _ execution.Sink) (execution.Answer, error) {
-		close(started)
-		<-ctx.Done()
-		return execution.Answer{}, ctx.Err()
+func TestCancelledCallMayBeAskedAfter(t *testing.T) {
+	service := &fakeService{answer: func(context.Context, execution.CallRequest, execution.Sink) (execution.Answer, error) {
+		return execution.Answer{}, context.Canceled
 	}}
-	handler, server := startServer(t, service, nil)
-	go func() {
-		<-started
-		handler.Abort()
-	}()
+	_, server := startServer(t, service, nil)
 	response, content := send(t, http.MethodPost, server.URL+callPath, goodBody, "Idempotency-Key: k")
 	checkError(t, response, content, result.OutcomeUnresolved, "stopped waiting")
 	assert.Equal(t, response.Header.Get("X-Should-Retry"), "true")
--- a/protocol/callerapi/chat.go
+++ b/protocol/callerapi/chat.go
@@ -59,10 +59,9 @@
 	}, nil
 }
 
-// callWhole answers with one JSON body once the call is over. The call's
-// context doesn't end with the caller's connection.
+// callWhole answers with one JSON body once the call is over.
 func (h *Handler) callWhole(e *exchange, request execution.CallRequest) error {
-	answer, err := h.options.Service.Call(h.running, request, &wholeSink{exchange: e})
+	answer, err := h.options.Service.Call(e.detached(), request, &wholeSink{exchange: e})
 	if err != nil {
 		return err
 	}
@@ -82,7 +81,7 @@
 func (h *Handler) callStreamed(e *exchange, request execution.CallRequest, includeUsage bool) error {
 	e.stream = newStream(e, includeUsage)
 	defer e.stream.close()
-	answer, err := h.options.Service.Call(h.running, request, e.stream)
+	answer, err := h.options.Service.Call(e.detached(), request, e.stream)
 	if err != nil {
 		return err
 	}
--- a/protocol/callerapi/exchange.go
+++ b/protocol/callerapi/exchange.go
@@ -1,6 +1,7 @@
 package callerapi
 
 import (
+	"context"
 	"errors"
 	"io"
 	"net/http"
@@ -53,6 +54,13 @@
 	}
 }
 
+// detached returns a context that doesn't end with the caller's connection: what
+// was begun for a caller runs to its end, and a repeat with the same idempotency
+// key finds the outcome.
+func (e *exchange) detached() context.Context {
+	return context.WithoutCancel(e.request.Context())
+}
+
 func (e *exchange) authenticate(tenants Tenants) error {
 	scheme, key, _ := strings.Cut(e.request.Header.Get("Authorization"), " ")
 	if !strings.EqualFold(scheme, "Bearer") || key == "" {
--- a/protocol/callerapi/handler.go
+++ b/protocol/callerapi/handler.go
@@ -102,9 +102,6 @@
 	options  Options
 	routes   *http.ServeMux
 	inFlight *inFlight
-	// running is the context of every call; see Abort.
-	running context.Context
-	abort   context.CancelFunc
 }
 
 var _ http.Handler = (*Handler)(nil)
@@ -112,13 +109,10 @@
 // New makes a handler.
 func New(options Options) *Handler {
 	options.setDefaults()
-	running, abort := context.WithCancel(context.Background())
 	h := &Handler{
 		options:  options,
 		routes:   http.NewServeMux(),
 		inFlight: newInFlight(options.InFlightLimit),
-		running:  running,
-		abort:    abort,
 	}
 	h.handle("POST /v1/programs", "create_program", h.createProgram)
 	h.handle("GET /v1/programs/{id}", "read_program", h.readProgram)
@@ -145,11 +139,6 @@
 // InFlight returns the number of requests being served.
 func (h *Handler) InFlight() int { return h.inFlight.current() }
 
-// Abort cancels the context of the calls in flight. It is for a process that
-// must stop before Wait succeeds: the callers are told that the outcome isn't
-// known yet.
-func (h *Handler) Abort() { h.abort() }
-
 // operation serves one kind of request. A returned error is sent to the caller
 // unless the operation has begun to answer.
 type operation func(*exchange) error
--- a/protocol/callerapi/programs.go
+++ b/protocol/callerapi/programs.go
@@ -77,7 +77,7 @@
 	}
 	request.Tenant = e.tenant
 	request.Key = key
-	view, err := h.options.Service.CreateProgram(h.running, request)
+	view, err := h.options.Service.CreateProgram(e.detached(), request)
 	return e.answerProgram(http.StatusCreated, view, err)
 }
 
@@ -123,7 +123,7 @@
 	if err := parseChildRequest(body); err != nil {
 		return err
 	}
-	view, err := h.options.Service.CreateChild(h.running, execution.ChildRequest{Tenant: e.tenant, Parent: e.program, Key: key})
+	view, err := h.options.Service.CreateChild(e.detached(), execution.ChildRequest{Tenant: e.tenant, Parent: e.program, Key: key})
 	return e.answerProgram(http.StatusCreated, view, err)
 }
 
@@ -154,7 +154,7 @@
 	if reason == "" {
 		reason = defaultEndReason
 	}
-	view, err := h.options.Service.EndProgram(h.running, e.tenant, e.program, reason)
+	view, err := h.options.Service.EndProgram(e.detached(), e.tenant, e.program, reason)
 	return e.answerProgram(http.StatusOK, view, err)
 }
 
--- a/protocol/operator/grammar.go
+++ b/protocol/operator/grammar.go
@@ -9,7 +9,6 @@
 
 // Statement is one parsed line; exactly one field is set.
 type Statement struct {
-	Pos     lexer.Position
 	Explain *Explain `parser:"(  @@"`
 	Command *Command `parser:" | @@"`
 	Query   *Query   `parser:" | @@ ) ';'?"`
@@ -17,7 +16,6 @@
 
 // Query asks for rows of a table.
 type Query struct {
-	Pos   lexer.Position
 	Table *Word      `parser:"(?! 'explain' | 'add' | 'set' | 'drain' | 'undrain' | 'reshape' | 'stop' | 'start' | 'remove' ) @@"`
 	Where *Condition `parser:"( 'where' @@ )?"`
 	Order []*Order   `parser:"( 'order' 'by' @@ ( ',' @@ )* )?"`
@@ -56,14 +54,12 @@
 
 // Explain asks why something runs where it does.
 type Explain struct {
-	Pos     lexer.Position
 	Program *Word `parser:"'explain' ( 'program' @@"`
 	Call    *Word `parser:"          | 'call' @@ )"`
 }
 
 // Command changes something.
 type Command struct {
-	Pos     lexer.Position
 	Verb    string   `parser:"@( 'add' | 'set' | 'drain' | 'undrain' | 'reshape' | 'stop' | 'start' | 'remove' )"`
 	Subject *Subject `parser:"@@"`
 	Fields  []*Field `parser:"@@*"`
@@ -87,7 +83,6 @@
 // Guard makes a command safe: the version the object must have, and the id by
 // which a repeat is recognised.
 type Guard struct {
-	Pos     lexer.Position
 	Version *Word `parser:"  'expect' 'version' @@"`
 	ID      *Word `parser:"| 'command' 'id' @@"`
 }
