--- a/protocol/engineapi/completion.go
+++ b/protocol/engineapi/completion.go
@@ -15,25 +15,29 @@
 )
 
 const (
-	// maxEventSize limits one event of a stream, in bytes.
+	// maxEventSize bounds one event of a stream, in bytes. Chosen, not measured:
+	// an event carries the text of a few tokens.
 	maxEventSize = 1 << 20
-	// streamEnd is the data of the event that terminates a stream.
+	// streamEnd is the data of the event that ends a whole stream.
 	streamEnd = "[DONE]"
 )
 
-// Request is one completion. Messages are passed on unchanged, but for white
-// space between the tokens of their JSON.
+// Request asks for one completion.
 type Request struct {
 	// RequestID names the request at the engine; every chunk must carry it.
 	RequestID string
 	Model     string
-	Adapter   string
-	Messages  []json.RawMessage
+	// Adapter is empty for the model without one.
+	Adapter string
+	// Messages are passed on unchanged, but for white space between the tokens
+	// of their JSON.
+	Messages []json.RawMessage
+	// MaxTokens bounds the answer; zero leaves the bound to the engine.
 	MaxTokens uint64
 	// Hold is the program whose context the engine keeps afterwards; empty for
 	// none.
 	Hold string
-	// Priority is served in ascending order.
+	// Priority orders waiting requests: the lowest is served first.
 	Priority uint32
 }
 
@@ -41,12 +45,13 @@
 type Usage struct {
 	PromptTokens uint64
 	OutputTokens uint64
-	// CachedTokens is the part of the prompt that wasn't computed again.
+	// CachedTokens is the part of the prompt that the engine had in its cache
+	// and didn't compute again.
 	CachedTokens uint64
 }
 
-// Completion is an answer. It is whole where it comes without an error; with an
-// error it holds what had arrived.
+// Completion is an answer. Without an error it is whole; with an error it holds
+// what had arrived.
 type Completion struct {
 	ID           string
 	Model        string
@@ -54,18 +59,17 @@
 	FinishReason string
 	Usage        Usage
 	Created      time.Time
-	// Chunks counts the chunks received, the last one included, and those that
-	// a Resume left out. A Resume from this number continues where the stream
-	// broke off.
+	// Chunks counts the chunks of the answer so far, those before a Resume
+	// included. A Resume from this number continues where the stream broke off.
 	Chunks uint64
 }
 
-// Complete runs a request and passes on the text as it arrives. onText may be
-// nil; an error of it ends the call, though not the run at the engine: Cancel
-// does that.
+// Complete runs a request and passes on the text as it arrives; onText may be
+// nil. An error of onText ends Complete but not the run at the engine, which
+// Cancel ends.
 func (c *Client) Complete(ctx context.Context, address string, request Request, onText func(text string) error) (Completion, error) {
-	exchange := &call{address: address, method: http.MethodPost, path: "/v1/chat/completions"}
-	response, err := c.send(ctx, exchange, ChatRequest{
+	ex := &exchange{address: address, method: http.MethodPost, path: "/v1/chat/completions"}
+	response, err := c.send(ctx, ex, ChatRequest{
 		RequestID: request.RequestID,
 		Model:     request.Model,
 		Adapter:   request.Adapter,
@@ -79,21 +83,22 @@
 		return Completion{}, err
 	}
 	defer response.Body.Close()
-	return readStream(ctx, response.Body, &stream{exchange: exchange, requestID: request.RequestID, onText: onText})
+	return readStream(ctx, response.Body, &stream{exchange: ex, requestID: request.RequestID, onText: onText})
 }
 
-// Resume reads the stream of a running or recent request from the chunk with
-// the number from, counted from zero. Content holds the text from there on.
+// Resume reads the stream of a running or recent request again, beginning with
+// the chunk numbered from, where the first chunk is zero. Content holds the text
+// of the chunks read here.
 func (c *Client) Resume(ctx context.Context, address, requestID string, from uint64, onText func(text string) error) (Completion, error) {
 	path := "/v1/requests/" + url.PathEscape(requestID) + "?from=" + strconv.FormatUint(from, 10)
-	exchange := &call{address: address, method: http.MethodGet, path: path}
-	response, err := c.send(ctx, exchange, nil)
+	ex := &exchange{address: address, method: http.MethodGet, path: path}
+	response, err := c.send(ctx, ex, nil)
 	if err != nil {
 		return Completion{}, err
 	}
 	defer response.Body.Close()
 	return readStream(ctx, response.Body, &stream{
-		exchange:   exchange,
+		exchange:   ex,
 		requestID:  requestID,
 		onText:     onText,
 		completion: Completion{Chunks: from},
@@ -102,7 +107,7 @@
 
 // stream collects the chunks of one answer.
 type stream struct {
-	exchange   *call
+	exchange   *exchange
 	requestID  string
 	onText     func(string) error
 	text       strings.Builder
@@ -135,7 +140,7 @@
 	return s.broken(ctx, nil)
 }
 
-// broken makes the error of a stream that ended before its terminator.
+// broken makes the error of a stream that ended before streamEnd.
 func (s *stream) broken(ctx context.Context, cause error) error {
 	if ctx.Err() != nil {
 		return s.exchange.fail(Abandoned, context.Cause(ctx), "the stream wasn't read to its end")
@@ -143,8 +148,8 @@
 	return s.exchange.fail(Truncated, cause, "the stream ended after "+strconv.FormatUint(s.completion.Chunks, 10)+" chunks")
 }
 
-// checkPlace requires that an event which has a number has the next one, so
-// that a chunk that came twice, or never, is noticed.
+// checkPlace refuses an event whose number isn't the next one, so that a chunk
+// that came twice, or never, is noticed. An event without a number passes.
 func (s *stream) checkPlace(eventID string) error {
 	want := strconv.FormatUint(s.completion.Chunks, 10)
 	if eventID == "" || eventID == want {
@@ -204,7 +209,8 @@
 	return nil
 }
 
-// finish checks a stream that was terminated.
+// finish checks that a stream which reached streamEnd has all that a whole
+// answer needs.
 func (s *stream) finish() error {
 	switch s.completion.FinishReason {
 	case FinishStop, FinishLength:
--- a/protocol/engineapi/error.go
+++ b/protocol/engineapi/error.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// Kind classifies what went wrong at an engine.
+// Kind says what went wrong at an engine.
 type Kind string
 
 // Kinds of errors.
 const (
 	// Unreachable: no connection, or it broke before any answer.
 	Unreachable Kind = "unreachable"
-	// Refused: the engine explicitly declined the request.
+	// Refused: the engine declined the request for good, such as a malformed one.
 	Refused Kind = "refused"
 	// Leaving: the engine is draining and takes no new work.
 	Leaving Kind = "leaving"
@@ -21,7 +21,7 @@
 	// NotLoaded: the engine hasn't loaded the model or the adapter, or knows no
 	// such request or context.
 	NotLoaded Kind = "not loaded"
-	// Duplicate: a request with this id is running or was run lately.
+	// Duplicate: a request with this id is running or has run recently.
 	Duplicate Kind = "duplicate"
 	// Truncated: the answer ended before it was whole.
 	Truncated Kind = "truncated"
@@ -43,10 +43,11 @@
 	Address string
 	// Operation is the method and path that were tried.
 	Operation string
-	// Dispatched is false only where the engine certainly didn't take the
-	// request: no connection was made, or the engine explicitly refused it.
+	// Dispatched is false only where the engine certainly didn't run the
+	// request: no connection was made, or the engine refused it.
 	Dispatched bool
-	// RetryAfter is the engine's advice; zero where it gave none.
+	// RetryAfter is the pause that the engine asked for; zero where it named
+	// none.
 	RetryAfter time.Duration
 	// Fence is the engine's fence where Kind is Stale.
 	Fence   uint64
@@ -54,6 +55,7 @@
 	Cause   error
 }
 
+// Error names the engine, what was tried and what went wrong.
 func (e *Error) Error() string {
 	text := fmt.Sprintf("engine %s: %s: %s", e.Address, e.Operation, e.Kind)
 	if e.Message != "" {
--- a/protocol/engineapi/load.go
+++ b/protocol/engineapi/load.go
@@ -8,25 +8,29 @@
 	"github.com/prometheus/common/model"
 )
 
-// Load is what an engine reports about itself. It lags.
+// Load is what an engine reports about itself. The figures lag behind what it
+// does.
 type Load struct {
 	RunningRequests float64
 	WaitingRequests float64
 	// OutstandingTokens is what is left to prefill and to decode.
 	OutstandingTokens float64
-	// CacheUsedTokens is the memory of running requests and held contexts.
-	CacheUsedTokens  float64
+	// CacheUsedTokens is the context memory of running requests and holds, in
+	// tokens.
+	CacheUsedTokens float64
+	// CacheLimitTokens is all the context memory that the engine has, in tokens.
 	CacheLimitTokens float64
-	// PrefillTokensPerSecond is the engine's measured prefill speed,
-	// DecodeTokensPerSecond that of each decoding sequence.
+	// PrefillTokensPerSecond is the measured speed of computing prompts.
 	PrefillTokensPerSecond float64
-	DecodeTokensPerSecond  float64
+	// DecodeTokensPerSecond is the measured speed of one answer.
+	DecodeTokensPerSecond float64
 }
 
-// Load reads the engine's metrics. One that the engine doesn't report is zero.
+// Load reads the engine's metrics. A metric that the engine doesn't report is
+// zero.
 func (c *Client) Load(ctx context.Context, address string) (Load, error) {
-	exchange := &call{address: address, method: http.MethodGet, path: "/metrics"}
-	response, err := c.send(ctx, exchange, nil)
+	ex := &exchange{address: address, method: http.MethodGet, path: "/metrics"}
+	response, err := c.send(ctx, ex, nil)
 	if err != nil {
 		return Load{}, err
 	}
@@ -34,7 +38,7 @@
 	parser := expfmt.NewTextParser(model.UTF8Validation)
 	families, err := parser.TextToMetricFamilies(response.Body)
 	if err != nil {
-		return Load{}, exchange.fail(Failed, err, "the metrics can't be read")
+		return Load{}, ex.fail(Failed, err, "the metrics can't be read")
 	}
 	value := func(name string) float64 {
 		metrics := families[name].GetMetric()
--- a/protocol/engineapi/wire.go
+++ b/protocol/engineapi/wire.go
@@ -2,7 +2,8 @@
 
 import "encoding/json"
 
-// ChatRequest is the body of POST /v1/chat/completions.
+// ChatRequest is the body of POST /v1/chat/completions; [Request] says what its
+// fields mean.
 type ChatRequest struct {
 	RequestID string            `json:"request_id"`
 	Model     string            `json:"model"`
@@ -16,8 +17,11 @@
 
 // ChatChunk is one event of a streamed answer, or a whole answer.
 type ChatChunk struct {
-	ID      string       `json:"id"`
-	Object  string       `json:"object"`
+	// ID is the RequestID of the request.
+	ID string `json:"id"`
+	// Object is the type in the OpenAI dialect.
+	Object string `json:"object"`
+	// Created is in seconds since 1970.
 	Created int64        `json:"created"`
 	Model   string       `json:"model"`
 	Choices []ChatChoice `json:"choices"`
@@ -28,10 +32,11 @@
 // ChatChoice is the only choice of a chunk: Delta in a stream, Message in a
 // whole answer.
 type ChatChoice struct {
-	Index        int          `json:"index"`
-	Delta        *ChatMessage `json:"delta,omitempty"`
-	Message      *ChatMessage `json:"message,omitempty"`
-	FinishReason *string      `json:"finish_reason"`
+	Index   int          `json:"index"`
+	Delta   *ChatMessage `json:"delta,omitempty"`
+	Message *ChatMessage `json:"message,omitempty"`
+	// FinishReason is null in all chunks but the last.
+	FinishReason *string `json:"finish_reason"`
 }
 
 // ChatMessage is text of the assistant.
@@ -53,7 +58,7 @@
 	CachedTokens uint64 `json:"cached_tokens"`
 }
 
-// Types of errors that a status alone doesn't tell apart.
+// Types of errors that have the same HTTP status.
 const (
 	ErrorTypeStale     = "stale_fence"
 	ErrorTypeDuplicate = "duplicate_request"
@@ -99,14 +104,15 @@
 	CacheEvicted CacheEventKind = "evicted"
 )
 
-// CacheEvent is one line of GET /v1/cache/events. Numbers rise, with gaps where
-// the engine lost events. Tokens is the length of the program's context that is
-// cached after the event, so that a lost event does no lasting harm.
+// CacheEvent is one line of GET /v1/cache/events.
 type CacheEvent struct {
+	// Number rises from event to event, with gaps where the engine lost some.
 	Number  uint64         `json:"number"`
 	Kind    CacheEventKind `json:"kind"`
 	Program string         `json:"program"`
-	Tokens  uint64         `json:"tokens"`
+	// Tokens is the length of the program's context that is cached after the
+	// event. Since it isn't a difference, a lost event does no lasting harm.
+	Tokens uint64 `json:"tokens"`
 }
 
 // ExportRequest is the body of POST /v1/kv/export.
@@ -114,11 +120,14 @@
 	Program string `json:"program"`
 }
 
-// Context is exported KV cache. Blob is opaque to everyone but engines.
+// Context is a program's context as one engine exports it and another imports
+// it.
 type Context struct {
 	Program string `json:"program,omitempty"`
-	Blob    []byte `json:"blob"`
-	Tokens  uint64 `json:"tokens"`
+	// Blob is the KV cache, which only engines can read.
+	Blob []byte `json:"blob"`
+	// Tokens is the length of the context.
+	Tokens uint64 `json:"tokens"`
 }
 
 // Version names a version of a model or adapter.
@@ -137,10 +146,12 @@
 	Adapters   []string `json:"adapters"`
 	// Versions has the version of each model and adapter that is loaded.
 	Versions []Version `json:"versions"`
-	// Loading is what is on its way.
+	// Loading has the models and adapters that the engine is loading.
 	Loading []Version `json:"loading"`
-	Fence   uint64    `json:"fence"`
-	Leaving bool      `json:"leaving"`
+	// Fence is the newest that the engine has seen in an order.
+	Fence uint64 `json:"fence"`
+	// Leaving is set while the engine takes no new work.
+	Leaving bool `json:"leaving"`
 }
 
 // Action is what an order asks of an engine.
@@ -157,12 +168,13 @@
 	Undrain       Action = "undrain"
 )
 
-// Order is the body of POST /v1/orders. An engine refuses an order whose fence
-// is older than the newest it has seen. For SetRole, Name is "mixed", "prefill"
-// or "decode".
+// Order is the body of POST /v1/orders.
 type Order struct {
-	Fence   uint64 `json:"fence"`
-	Action  Action `json:"action"`
+	// Fence orders the orders: an engine refuses one whose fence is lower than
+	// the newest it has seen.
+	Fence  uint64 `json:"fence"`
+	Action Action `json:"action"`
+	// Name is the model or adapter; for SetRole "mixed", "prefill" or "decode".
 	Name    string `json:"name,omitempty"`
 	Version string `json:"version,omitempty"`
 }
--- a/state/result/code.go
+++ b/state/result/code.go
@@ -1,5 +1,9 @@
 // Package result defines the numbered result codes that callers and operators
-// receive. docs/RESULT-CODES.md holds the same table; a test compares the two.
+// receive, and the HTTP answer that tells them of an error.
+//
+// It owns the codes with their names, HTTP statuses and advice (a test holds
+// docs/RESULT-CODES.md to the same table) and the JSON form of an error. It
+// relies on the standard library alone, so that every layer may import it.
 package result
 
 import (
@@ -8,18 +12,25 @@
 	"time"
 )
 
-// Code is a numbered result. The thousands digit gives the class: 1 the
-// request is at fault, 2 the system can't serve it now, 3 it was or may have
-// been run without an answer, 4 operator commands, 5 a fault of this program.
+// Code is a numbered result. The thousands digit gives the class:
+//
+//   - 1: the request is at fault;
+//   - 2: the system can't serve the request now;
+//   - 3: the request was run, or may have been, and there is no whole answer;
+//   - 4: a command of an operator;
+//   - 5: a fault of this program.
 type Code uint32
 
 // Execution says whether the request was run.
 type Execution string
 
-// The three things a caller can be told about its request.
+// What a caller can be told about its request.
 const (
-	Run     Execution = "run"
-	NotRun  Execution = "not run"
+	// Run means that the request was run.
+	Run Execution = "run"
+	// NotRun means that the request certainly wasn't run.
+	NotRun Execution = "not run"
+	// Unknown means that the request may have been run.
 	Unknown Execution = "unknown"
 )
 
@@ -28,12 +39,14 @@
 
 // Advice on asking again.
 const (
-	// RepeatNever means that the same request will get the same answer.
+	// RepeatNever means that asking again doesn't help: the same request will
+	// get the same answer.
 	RepeatNever Repeat = "never"
 	// RepeatLater means that the request may be sent again after Retry-After,
 	// under a new idempotency key: the old one stands for the refusal.
 	RepeatLater Repeat = "new key, after Retry-After"
-	// RepeatSameKey means that asking with the same idempotency key finds out.
+	// RepeatSameKey means that the same request, with the same idempotency key,
+	// finds out what became of it.
 	RepeatSameKey Repeat = "same key, after Retry-After"
 )
 
@@ -95,12 +108,15 @@
 
 // Info describes one code.
 type Info struct {
-	Code      Code
-	Name      string
+	Code Code
+	// Name is the code's name on the wire, in logs and in metrics.
+	Name string
+	// HTTP is the status of an answer with the code.
 	HTTP      int
 	Execution Execution
 	Repeat    Repeat
-	Meaning   string
+	// Meaning is a sentence for docs/RESULT-CODES.md.
+	Meaning string
 }
 
 // Table lists every code in ascending order.
@@ -164,7 +180,8 @@
 	return index
 }
 
-// Info returns the description of the code; an unregistered one is Internal.
+// Info returns the description of the code; that of Internal where Table doesn't
+// list the code.
 func (c Code) Info() Info {
 	info, found := byCode[c]
 	if !found {
@@ -176,11 +193,13 @@
 // String returns the code's name.
 func (c Code) String() string { return c.Info().Name }
 
-// Error is a failure that a caller or operator is told.
+// Error is a failure that a caller or operator is told of.
 type Error struct {
-	Code    Code
+	Code Code
+	// Message is shown to whoever sent the request.
 	Message string
-	// RetryAfter is when another try makes sense; zero where none does.
+	// RetryAfter is the pause before another try; zero where the error names
+	// none.
 	RetryAfter time.Duration
 }
 
@@ -191,9 +210,9 @@
 
 // After returns a copy of the error that asks for a pause before another try.
 func (e *Error) After(pause time.Duration) *Error {
-	result := *e
-	result.RetryAfter = pause
-	return &result
+	delayed := *e
+	delayed.RetryAfter = pause
+	return &delayed
 }
 
 // Error gives code, name and message.
