--- a/protocol/objectapi/client.go
+++ b/protocol/objectapi/client.go
@@ -19,19 +19,23 @@
 // readers.
 const readerHeader = "Marblering-Node"
 
-// maxErrorBytes bounds how much of an error answer is kept.
+// maxErrorBytes bounds how much of an error answer is kept, and how much of any
+// answer is read for the sake of its connection. Chosen, not measured.
 const maxErrorBytes = 1 << 10
 
 // Client talks to one object API. It is safe for concurrent use.
+//
+// A read fails with *Unavailable, *Refused or, where it names one object,
+// *NotFound. A write can fail with *Conflict and *Unresolved as well.
 type Client struct {
 	base string
 	node string
 	http *http.Client
 }
 
-// NewClient makes a client of the object API at the base URL. Reads and writes
-// are bounded by the caller's context; the http.Client must have no timeout of
-// its own, since it would end watches.
+// NewClient makes a client of the object API at the base URL. Contexts bound
+// reads and writes. The http.Client must have no timeout of its own, since it
+// would end watches.
 func NewClient(base string, client *http.Client) *Client {
 	return &Client{base: strings.TrimRight(base, "/"), http: client}
 }
@@ -58,14 +62,14 @@
 	return list, err
 }
 
-// Get returns one object, or *NotFound.
+// Get returns one object.
 func (c *Client) Get(ctx context.Context, kind, name string) (Object, error) {
 	var object Object
 	err := c.read(ctx, objectPath(kind, name), &object)
 	return object, nameMissing(err, kind, name)
 }
 
-// Machines returns the platform's list of machines, which lags.
+// Machines returns the platform's list of machines, which may be out of date.
 func (c *Client) Machines(ctx context.Context) ([]Machine, error) {
 	var answer struct {
 		Machines []Machine `json:"machines"`
@@ -74,7 +78,7 @@
 	return answer.Machines, err
 }
 
-// Put writes the body where the condition holds and returns the new object.
+// Put writes the body where the condition holds, and returns the new object.
 func (c *Client) Put(ctx context.Context, kind, name string, condition Condition, body json.RawMessage) (Object, error) {
 	return c.write(ctx, http.MethodPut, kind, name, condition, body)
 }
@@ -85,7 +89,7 @@
 	return c.write(ctx, http.MethodDelete, kind, name, IfVersion(version), nil)
 }
 
-// read gets JSON. A lost answer of a read is Unavailable: reads have no effect.
+// read gets JSON. A lost answer is Unavailable, since a read changes nothing.
 func (c *Client) read(ctx context.Context, path string, into any) error {
 	action := "read " + path
 	response, err := c.send(ctx, http.MethodGet, path, Condition{}, nil)
@@ -146,7 +150,8 @@
 	return c.http.Do(request)
 }
 
-// lostWrite tells a write that never left from one whose answer was lost.
+// lostWrite tells a write that found no connection from one whose answer was
+// lost.
 func lostWrite(action string, err error) error {
 	var operation *net.OpError
 	if errors.As(err, &operation) && operation.Op == "dial" {
@@ -155,9 +160,9 @@
 	return &Unresolved{Action: action, Cause: err}
 }
 
-// statusError maps a status that is neither success nor conflict. Status 503
-// says in this dialect that nothing was done; any other server error leaves a
-// write's outcome open.
+// statusError makes the error for a status that is neither success nor conflict.
+// In this dialect status 503 says that nothing was done. After any other server
+// error a write may have been done.
 func statusError(action string, response *http.Response, write bool) error {
 	text, _ := io.ReadAll(io.LimitReader(response.Body, maxErrorBytes))
 	refused := &Refused{Action: action, Status: response.StatusCode, Message: strings.TrimSpace(string(text))}
@@ -185,7 +190,7 @@
 	return "/api/" + url.PathEscape(kind) + "/" + url.PathEscape(name)
 }
 
-// discard reads the rest of an answer, so that its connection can be reused.
+// discard reads the rest of a short answer, so that its connection can be reused.
 func discard(response *http.Response) {
 	_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, maxErrorBytes))
 	_ = response.Body.Close()
--- a/protocol/objectapi/object.go
+++ b/protocol/objectapi/object.go
@@ -2,37 +2,41 @@
 
 import "encoding/json"
 
-// Object is one stored object. Version and Revision are the store-wide
-// revision of its last write.
+// Object is one stored object.
 type Object struct {
-	Kind     string          `json:"kind"`
-	Name     string          `json:"name"`
-	Version  uint64          `json:"version"`
+	Kind string `json:"kind"`
+	Name string `json:"name"`
+	// Version is the revision of the store at which the object was last written.
+	Version uint64 `json:"version"`
+	// Revision is the same, or that of the removal of a removed object.
 	Revision uint64          `json:"revision"`
 	Body     json.RawMessage `json:"body"`
 }
 
-// List is a set of objects at one revision.
+// List has objects as they were at one revision of the store.
 type List struct {
 	Revision uint64   `json:"revision"`
 	Items    []Object `json:"items"`
 }
 
-// Event is one change. An event without an object is a bookmark: everything up
-// to the revision has been sent.
+// Event is one change of the store, or a bookmark.
 type Event struct {
-	Revision uint64  `json:"revision"`
-	Object   *Object `json:"object"`
-	Deleted  bool    `json:"deleted"`
+	Revision uint64 `json:"revision"`
+	// Object is nil in a bookmark, which says that every change up to the
+	// revision has been sent.
+	Object *Object `json:"object"`
+	// Deleted is set where the object was removed.
+	Deleted bool `json:"deleted"`
 }
 
-// Machine states.
+// States of machines.
 const (
-	MachineLive    = "live"
+	MachineLive = "live"
+	// MachineLeaving: the platform is about to take the machine away.
 	MachineLeaving = "leaving"
 )
 
-// Machine is one entry of the platform's lagging list of machines.
+// Machine is one entry of the platform's list of machines.
 type Machine struct {
 	Name    string `json:"name"`
 	Address string `json:"address"`
--- a/protocol/objectapi/platform.go
+++ b/protocol/objectapi/platform.go
@@ -12,10 +12,11 @@
 )
 
 // DefaultSilence is how long a watch may bring nothing, not even a bookmark,
-// before its connection is taken for dead.
+// before its connection counts as dead. Chosen, not measured.
 const DefaultSilence = 15 * time.Second
 
-// Platform serves configuration from a Client.
+// Platform implements configuration.Platform with a Client. Its errors are those
+// of package configuration.
 type Platform struct {
 	client  *Client
 	silence time.Duration
@@ -23,8 +24,8 @@
 
 var _ configuration.Platform = (*Platform)(nil)
 
-// NewPlatform makes a Platform; silence bounds a watch that brings nothing, 0
-// means DefaultSilence.
+// NewPlatform makes a Platform. A watch that brings nothing for the duration of
+// silence ends; 0 means DefaultSilence.
 func NewPlatform(client *Client, silence time.Duration) *Platform {
 	if silence == 0 {
 		silence = DefaultSilence
@@ -32,7 +33,7 @@
 	return &Platform{client: client, silence: silence}
 }
 
-// Get returns one object; an absent one as Deleted with version 0.
+// Get returns one object. One that doesn't exist is Deleted with version 0.
 func (p *Platform) Get(ctx context.Context, key configuration.Key) (configuration.Object, error) {
 	object, err := p.client.Get(ctx, string(key.Kind), key.Name)
 	var missing *NotFound
@@ -66,7 +67,8 @@
 	return translate(err)
 }
 
-// Put writes the body where the object is at the expected version.
+// Put writes the body where the object is at the expected version, 0 for one that
+// doesn't exist.
 func (p *Platform) Put(ctx context.Context, key configuration.Key, expected uint64, body json.RawMessage) (configuration.Object, error) {
 	object, err := p.client.PutResolved(ctx, string(key.Kind), key.Name, ConditionFor(expected), body)
 	var missing *NotFound
@@ -102,7 +104,7 @@
 	return converted
 }
 
-// translate maps this package's errors to those of configuration.
+// translate turns this package's errors into those of package configuration.
 func translate(err error) error {
 	var conflict *Conflict
 	var old *TooOld
--- a/protocol/objectapi/resolve.go
+++ b/protocol/objectapi/resolve.go
@@ -10,48 +10,52 @@
 	"github.com/marblering/marblering/coordination/sleep"
 )
 
-// WrittenBy marks a body with the command that wrote it, so that a command
-// whose answer was lost can tell its own write from another's.
+// WrittenBy says in a body which command wrote it, so that a command whose
+// answer was lost can tell its own write from another's.
 type WrittenBy struct {
 	CommandID string `json:"command_id"`
-	Operator  string `json:"operator"`
+	// Operator is who gave the command.
+	Operator string `json:"operator"`
 	// Previous are the ids of the commands that wrote the versions before,
 	// newest first.
 	Previous []string `json:"previous,omitempty"`
 }
 
-// Includes tells whether the command wrote this version or one of those before.
+// Includes tells whether the command wrote this version or one of those before
+// it. The empty id wrote none.
 func (w WrittenBy) Includes(commandID string) bool {
 	return commandID != "" && (w.CommandID == commandID || slices.Contains(w.Previous, commandID))
 }
 
-// Writer returns the mark in a body; the zero value where it has none.
+// Writer returns which command wrote the body; the zero value where the body
+// doesn't say.
 func Writer(body json.RawMessage) WrittenBy {
 	var marked struct {
 		WrittenBy WrittenBy `json:"written_by"`
 	}
-	// A body that isn't an object has no mark.
+	// A body that isn't an object doesn't say who wrote it.
 	_ = json.Unmarshal(body, &marked)
 	return marked.WrittenBy
 }
 
-// Pause between the tries of PutResolved.
+// Pauses between the tries of PutResolved; each is twice the one before. Chosen,
+// not measured.
 const (
-	firstPause = 50 * time.Millisecond
-	lastPause  = time.Second
+	firstPause   = 50 * time.Millisecond
+	longestPause = time.Second
 )
 
 // PutResolved is Put for a body that carries its command id in "written_by".
-// Where the answer is lost it reads back and tries again until it knows, or
-// until the context ends. A repeat of a command that was done before returns
-// the object as it stands, which a later command may have written.
+// Where the answer is lost it sends the write again, until it knows whether the
+// command was done or the context ends. A repeat of a command that was done
+// before returns the object as it stands, which a later command may have written.
 //
-// Errors: *Conflict, *NotFound, *Refused and *Unavailable mean that the command
-// wasn't done. *Unresolved means that it couldn't be found out.
+// *Conflict, *NotFound, *Refused and *Unavailable say that the command wasn't
+// done, *Unresolved that PutResolved couldn't find out.
 func (c *Client) PutResolved(ctx context.Context, kind, name string, condition Condition, body json.RawMessage) (Object, error) {
 	commandID := Writer(body).CommandID
 	var lost *Unresolved
-	for pause := firstPause; ; pause = min(2*pause, lastPause) {
+	for pause := firstPause; ; pause = min(2*pause, longestPause) {
 		object, err := c.Put(ctx, kind, name, condition, body)
 		if err == nil {
 			return object, nil
@@ -65,7 +69,7 @@
 			return Object{}, err
 		}
 		if errors.As(err, &missing) {
-			// Whoever removed the object removed the mark with it.
+			// The object was removed, and with it the word on who wrote it.
 			return Object{}, lost
 		}
 		if sleep.For(ctx, pause) != nil {
@@ -74,15 +78,15 @@
 	}
 }
 
-// settleConflict decides what a conflict means for the command, where an
-// earlier try may have been done.
+// settleConflict decides what a conflict says of the command: it was done, it
+// wasn't, or, where the answer of an earlier try was lost, nobody knows.
 func settleConflict(conflict *Conflict, commandID string, lost *Unresolved) (Object, error) {
 	writer := Writer(conflict.Current.Body)
 	if writer.Includes(commandID) {
 		return conflict.Current, nil
 	}
 	if lost != nil && writer.CommandID == "" {
-		// The present writer left no list of the commands before it.
+		// Whoever wrote this version left no list of the commands before it.
 		return Object{}, lost
 	}
 	return Object{}, conflict
--- a/protocol/objectapi/watch.go
+++ b/protocol/objectapi/watch.go
@@ -10,14 +10,14 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// ErrSilent ends a watch that got neither an event nor a bookmark for too long:
-// its connection is taken for dead.
+// ErrSilent ends a watch that got neither an event nor a bookmark for too long,
+// so that its connection counts as dead.
 var ErrSilent = merry.Sentinel("the watch was silent for too long")
 
 // Watch calls visit for every event after the revision, in order, until visit
-// or the connection fails or the context ends. It always returns an error:
-// *TooOld where the store's log doesn't reach back to the revision, ErrSilent
-// where nothing came for the duration of silence (0 for no limit).
+// fails, the connection fails or the context ends. It always returns an error:
+// *TooOld where the object API no longer has the events after the revision, and
+// ErrSilent where nothing came for the duration of silence (0 for no limit).
 func (c *Client) Watch(ctx context.Context, from uint64, silence time.Duration, visit func(Event) error) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -58,9 +58,10 @@
 	}
 }
 
-// silenceGuard ends a context when nothing was heard for a while.
+// silenceGuard cancels a context when nothing was heard for the limit.
 type silenceGuard struct {
 	limit time.Duration
+	// timer is nil where there is no limit.
 	timer *time.Timer
 }
 
