--- a/coordination/mirror/gate.go
+++ b/coordination/mirror/gate.go
@@ -6,12 +6,11 @@
 	"time"
 )
 
-// Patience is how long a source goes without an answer before it asks the store
-// itself. The store serves a few nodes; were it asked by every node that misses a
-// holder for a moment, its load would grow with their number just when it is
-// disturbed or when all nodes start: 3,500 of the 3,670 calls of a quiet day with
-// 295 nodes were made by gateways whose first holder hadn't started yet. The zero
-// value asks at once.
+// Patience is how long a source waits for holders before it asks the store itself. The
+// store serves a few nodes; were it asked by every node that misses a holder for a
+// moment, its load would grow with their number just when it is disturbed or when all
+// nodes start: of the 3,670 calls of a quiet run with 295 nodes 3,500 were made by
+// gateways whose first holder hadn't started yet. The zero value asks at once.
 type Patience struct {
 	// Unreached is for holders that can't be reached or answer what is too old,
 	// counted from the last answer of any.
@@ -21,15 +20,25 @@
 	Lost time.Duration
 }
 
-// storeRetries is how many calls in a row may fail at a store that answered before,
-// until it counts as lost to this node as well: held calls are cut now and then.
+// storeRetries is how many calls in a row may fail at a store that answered before, until
+// it counts as lost to this node as well: held calls are cut now and then (chosen, not
+// measured).
 const storeRetries = 2
 
-// gate tells when a source may ask the store itself: once no holder has answered for the
-// patience, and from then on until one answers again. Were the patience waited for before
-// each call, changes would be late by as much for as long as all holders are gone: up to
-// 3.3 s lay between two answers where changes are due within 2 s, seen with three holders
-// that had lost their power. Only the goroutine of the source's follower uses it.
+// gate decides when a source may ask the store itself. It has no I/O: it is told how
+// calls ended, and when.
+//
+//   - Holders are waited for until none of them has told what the store has for the
+//     patience. While holders answer that they have lost the store the patience is
+//     longer, unless these have gone as well since.
+//   - From then on the store is followed until a holder tells again what it has. Were the
+//     patience waited for before each call, changes would be late by as much for as long
+//     as all holders are gone: up to 3.3 s lay between two answers where changes are due
+//     within 2 s, seen with three holders that had lost their power.
+//   - Where calls at the store fail storeRetries times in a row, holders are waited for
+//     again.
+//
+// Only the goroutine of the source's follower uses it.
 type gate struct {
 	patience Patience
 	// stretch, from 1 to 2, differs between sources, so that those that lost their
@@ -63,6 +72,7 @@
 	return g.isOver(now, g.since, g.patience.Unreached)
 }
 
+// isOver tells that the patience since the moment is over.
 func (g *gate) isOver(now, since time.Time, patience time.Duration) bool {
 	return now.Sub(since) >= time.Duration(g.stretch*float64(patience))
 }
@@ -70,24 +80,24 @@
 // followsStore tells that the store answered last, and no holder has since.
 func (g *gate) followsStore() bool { return g.retries > 0 }
 
-// holderFailed takes in why a holder was left.
+// holderFailed takes in why a holder's answer isn't used.
 func (g *gate) holderFailed(now time.Time, err error) {
 	if errors.Is(err, errHolderLost) {
 		g.reached = now
 	}
 }
 
-// holderAnswered notes that a holder told what the store has.
+// holderAnswered takes in that a holder told what the store has.
 func (g *gate) holderAnswered(now time.Time) { g.answered(now, 0) }
 
-// storeAnswered notes that the store itself did.
+// storeAnswered takes in that the store itself answered.
 func (g *gate) storeAnswered(now time.Time) { g.answered(now, storeRetries) }
 
 func (g *gate) answered(now time.Time, retries int) {
 	g.since, g.reached, g.retries = now, time.Time{}, retries
 }
 
-// storeFailed notes that the store itself was asked in vain.
+// storeFailed takes in that the store itself was asked in vain.
 func (g *gate) storeFailed(now time.Time) {
 	g.retries = max(g.retries-1, 0)
 	if !g.followsStore() {
--- a/coordination/mirror/source.go
+++ b/coordination/mirror/source.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"errors"
-	"fmt"
 	"net/netip"
 	"sync/atomic"
 	"time"
@@ -15,27 +14,21 @@
 )
 
 const (
-	// holderSlack is how much longer than its wait a holder's answer may take: one
-	// that went silent is noticed after both.
+	// holderSlack is how much longer than its wait a holder's answer may take: one that
+	// went silent is noticed after both (chosen, not measured).
 	holderSlack = 400 * time.Millisecond
-	// probeTimeout bounds one listing by a holder, and one call that isn't to be held.
-	// A holder that is well answers within a few milliseconds.
+	// probeTimeout bounds a call at a holder that isn't to be held. A holder that is well
+	// answers within a few milliseconds (chosen, not measured).
 	probeTimeout = 200 * time.Millisecond
-	// hopTime is how long a call may have taken for another holder to be asked
-	// within it where the store itself may be asked instead.
-	hopTime = 200 * time.Millisecond
-	// maxHops is how many holders one call asks at most, and maxLost how many that
-	// have lost the store, so that nodes that lose all of them at once don't ask
-	// every one as fast as it refuses.
-	maxHops = 4
-	maxLost = 2
-	// insteadWait is how long the store itself may hold a call in place of holders.
+	// insteadWait is how long the store itself may hold a call in place of holders: a
+	// store that says nothing is then noticed about as soon as by a listing, which has
+	// 1.5 s (chosen, not measured).
 	insteadWait = time.Second
-	// leastWait is the shortest wait of a call at the store itself that comes
-	// after holders were asked in vain.
+	// leastWait is the shortest wait of a call at the store itself that comes after
+	// holders were asked in vain (chosen, not measured).
 	leastWait = 100 * time.Millisecond
-	// unseen is a revision that no holder has been at, so that it tells all that
-	// there is.
+	// unseen is a revision that no holder has been at, so that a holder that is asked for
+	// what came after it tells all that there is.
 	unseen int64 = -1
 )
 
@@ -50,18 +43,18 @@
 	Wait time.Duration
 	// MaxAge is how long ago the store may have confirmed what a holder says.
 	MaxAge time.Duration
-	// Patience says when the store itself is asked. It isn't waited for where
-	// there are no holders at all.
+	// Patience is how long holders are waited for before the store itself is asked. Where
+	// there are no holders at all the store is asked at once.
 	Patience Patience
-	// StorePause lies at least between two calls at the store itself while it is followed
-	// in place of holders: changes that come meanwhile cost one call.
+	// StorePause is the least time between two calls at the store itself while it is
+	// followed in place of holders: changes that come meanwhile cost one call.
 	StorePause time.Duration
 }
 
-// Source follows one kind of the store through holders, so that a change costs the
-// store one call a holder rather than one a node. The store itself is asked where
-// no holder could be relied on for a while. It implements follow.Source; calls are
-// made one at a time.
+// Source follows one kind of objects through holders, so that a change costs the store
+// one call a holder rather than one a node. The store itself is asked where no holder
+// could be relied on for a while. It implements follow.Source; calls have to be made one
+// at a time.
 type Source struct {
 	kind     string
 	direct   follow.Source
@@ -105,38 +98,37 @@
 	return snapshot, err
 }
 
-// askHolders asks one holder after the other until one answers, and tells whether
-// one did. ask is also given how many were asked before in this call.
+// askHolders asks one holder after the other until one answers, and tells whether one
+// did. ask is also given how many were asked before in this call.
 func (s *Source) askHolders(ctx context.Context, from int64, ask func(holder netip.AddrPort, before int) error) bool {
 	began := s.holders.now()
-	lost := 0
-	for hops := 0; hops < maxHops && lost < maxLost; hops++ {
-		now := s.holders.now()
-		if ctx.Err() != nil || now.Sub(began) >= hopTime && s.mayAskStore(now) {
+	asked := round{mayAskStore: func() bool { return s.mayAskStore(s.holders.now()) }}
+	for ctx.Err() == nil {
+		asked.took = s.holders.now().Sub(began)
+		if !asked.goesOn() {
 			return false
 		}
 		holder, found := s.holders.pick()
 		if !found {
 			return false
 		}
-		err := ask(holder, hops)
+		err := ask(holder, asked.holders)
 		if err == nil {
 			return true
 		}
-		if errors.Is(err, errHolderLost) {
-			lost++
-		}
+		asked.add(err)
 		s.leave(ctx, holder, from, err)
 	}
 	return false
 }
 
+// mayAskStore tells whether the store itself may be asked.
 func (s *Source) mayAskStore(now time.Time) bool {
 	return s.gate.isOpen(now) || s.holders.isEmpty()
 }
 
-// passGate lets a call to the store itself through, or says why it may not be
-// made.
+// passGate returns nil where the store itself may be asked now, and why it may not
+// otherwise: errNoHolder, or that the caller gave up.
 func (s *Source) passGate(ctx context.Context) error {
 	if err := ctx.Err(); err != nil {
 		return err
@@ -151,8 +143,8 @@
 	return nil
 }
 
-// listBy has the holder tell all that there is. One that is behind what was handed
-// out already is no use: revisions never go back.
+// listBy has the holder tell all that there is. One that is behind what was handed out
+// already is of no use: revisions never go back.
 func (s *Source) listBy(ctx context.Context, holder netip.AddrPort) (follow.Snapshot, error) {
 	changes, err := s.probe(ctx, holder, unseen)
 	if err != nil {
@@ -169,10 +161,10 @@
 	return snapshot, nil
 }
 
-// Watch implements follow.Source. A holder that can't be relied on may have kept
-// changes back; whoever is asked next tells them all, since they are asked for
-// from the same revision on. Only the first holder holds the call, and none does while
-// the store itself is followed: one that went dark must not keep changes back for long.
+// Watch implements follow.Source. A holder that can't be relied on may have kept changes
+// back; whoever is asked next tells them all, since they are asked for from the same
+// revision on. Only the first holder may hold the call, and none may while the store
+// itself is followed: one that went dark must not keep changes back for long.
 func (s *Source) Watch(ctx context.Context, from int64, wait time.Duration) (follow.Changes, error) {
 	began := s.holders.now()
 	if err := s.pauseAtStore(ctx); err != nil {
@@ -208,9 +200,9 @@
 	return sleep.For(ctx, s.settings.StorePause-s.holders.now().Sub(s.storeAnswered))
 }
 
-// watchStore asks the store itself, in place of holders only for as long as a listing
-// would take: holders are to be tried again, and a store that says nothing must be
-// noticed as soon as it would be by a listing.
+// watchStore asks the store itself. In place of holders the call is held for insteadWait
+// at most: holders are to be tried again, and a store that says nothing has to be noticed
+// as soon as it would be by a listing.
 func (s *Source) watchStore(ctx context.Context, from int64, wait time.Duration) (follow.Changes, error) {
 	if !s.holders.isEmpty() {
 		wait = min(wait, insteadWait)
@@ -223,14 +215,6 @@
 	return changes, err
 }
 
-var (
-	errHolderLost   = errors.New("the holder has lost the store")
-	errHolderMissed = errors.New("the holder doesn't follow the kind")
-	errHolderOld    = errors.New("the store hasn't confirmed to the holder for too long")
-	errHolderBehind = errors.New("the holder is behind what is known")
-	errNoHolder     = fmt.Errorf("no holder answers: %w", follow.ErrNobodyAsked)
-)
-
 // probe asks a holder for what it can tell at once.
 func (s *Source) probe(ctx context.Context, holder netip.AddrPort, from int64) (follow.Changes, error) {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
@@ -238,6 +222,8 @@
 	return s.ask(ctx, holder, from, 0)
 }
 
+// ask has the holder tell what changed after the revision, and held for the wait where
+// nothing did.
 func (s *Source) ask(ctx context.Context, holder netip.AddrPort, from int64, wait time.Duration) (follow.Changes, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+holderSlack)
 	defer cancel()
@@ -245,19 +231,10 @@
 	if err != nil {
 		return follow.Changes{}, err
 	}
-	switch answer := said.(type) {
-	case Current:
-		if answer.Changes.Age > s.settings.MaxAge {
-			return follow.Changes{}, errHolderOld
-		}
-		return answer.Changes, nil
-	case Lost:
-		return follow.Changes{}, errHolderLost
-	}
-	return follow.Changes{}, errHolderMissed
+	return trusted(said, s.settings.MaxAge)
 }
 
-// trust notes that the holder answered.
+// trust notes that the holder's answer is handed out.
 func (s *Source) trust(holder netip.AddrPort, at int64) {
 	s.handOut(at)
 	s.gate.holderAnswered(s.holders.now())
@@ -283,17 +260,7 @@
 		zap.Int64("revision", from), zap.Error(err))
 }
 
-// isUseless tells the failures of holders that did answer.
-func isUseless(err error) bool {
-	for _, useless := range []error{errHolderLost, errHolderMissed, errHolderOld, errHolderBehind} {
-		if errors.Is(err, useless) {
-			return true
-		}
-	}
-	return false
-}
-
-// Through names whom this source heard from last.
+// Through names for logs whom this source heard from last.
 func (s *Source) Through() string {
 	if holder := s.through.Load(); holder != nil {
 		return "storage node " + holder.String()
@@ -301,8 +268,8 @@
 	return "the store itself"
 }
 
-// storeAsked notes how a call at the store itself ended. That it has forgotten changes is
-// an answer.
+// storeAsked notes how a call at the store itself ended. Where the store says that it has
+// forgotten the changes, it has answered.
 func (s *Source) storeAsked(at int64, err error) {
 	now := s.holders.now()
 	switch {
