--- a/lab/experiment/baseline.go
+++ b/lab/experiment/baseline.go
@@ -6,45 +6,6 @@
 	"github.com/marblering/marblering/lab/engine"
 )
 
-// roundRobin goes around the engines, each as often as its capacity is of the
-// fleet's (smooth weighted round robin, as in nginx). Unreachable engines and
-// those that refused the call are left out.
-type roundRobin struct {
-	passive
-	weights []float64
-	// credit of each engine, by node.
-	credit [][]float64
-}
-
-func newRoundRobin(s *simulation) policy {
-	p := &roundRobin{weights: capacityWeights(s)}
-	for range s.nodes {
-		p.credit = append(p.credit, make([]float64, len(s.engines)))
-	}
-	return p
-}
-
-func (p *roundRobin) choose(_ *simulation, n *simNode, c *call) choice {
-	credit := p.credit[n.index]
-	best := noEngine
-	total := 0.0
-	for i, weight := range p.weights {
-		if !n.usable(c, i) {
-			continue
-		}
-		credit[i] += weight
-		total += weight
-		if best == noEngine || credit[i] > credit[best] {
-			best = i
-		}
-	}
-	if best == noEngine {
-		return refuse(retryPause)
-	}
-	credit[best] -= total
-	return choice{engine: best, source: noEngine, work: fullWork(c)}
-}
-
 // capacityWeights are the engines' rates of serving the workload.
 func capacityWeights(s *simulation) []float64 {
 	mean := s.workload.meanDemand(0)
@@ -113,27 +74,20 @@
 // that one's work ahead.
 type sessionAffinity struct {
 	passive
-	weights     []float64
-	engines     map[string]int
-	spillFactor float64
+	weights []float64
+	engines map[string]int
 }
 
 const (
 	// minSpill is the number of requests up to which an engine never spills.
 	minSpill = 4
-	// tunedSpill gave the best latency of the factors tried, from 1.2 to 5, and
+	// spillFactor gave the best latency of the factors tried, from 1.2 to 5, and
 	// without a bound; see docs/design/experiment.md.
-	tunedSpill = 5
+	spillFactor = 5
 )
 
 func newSessionAffinity(s *simulation) policy {
-	return &sessionAffinity{weights: capacityWeights(s), engines: make(map[string]int), spillFactor: tunedSpill}
-}
-
-// newStrictAffinity makes an affinity that moves no program whose engine can be
-// used.
-func newStrictAffinity(s *simulation) policy {
-	return &sessionAffinity{weights: capacityWeights(s), engines: make(map[string]int), spillFactor: math.Inf(1)}
+	return &sessionAffinity{weights: capacityWeights(s), engines: make(map[string]int)}
 }
 
 func (p *sessionAffinity) choose(_ *simulation, n *simNode, c *call) choice {
@@ -156,7 +110,7 @@
 	}
 	ownLoad := float64(requests+1) / p.weights[own]
 	leastLoad := float64(n.outstanding(least)+1) / p.weights[least]
-	return ownLoad > p.spillFactor*leastLoad
+	return ownLoad > spillFactor*leastLoad
 }
 
 // finished gives back what other engines still hold of a program that moved.
--- a/lab/experiment/experiment_test.go
+++ b/lab/experiment/experiment_test.go
@@ -60,7 +60,7 @@
 func TestBooksBalance(t *testing.T) {
 	report, err := experiment.Run(smallConfig())
 	assert.NilError(t, err)
-	assert.Equal(t, len(report.Results), 2*4*5)
+	assert.Equal(t, len(report.Results), 2*4*3)
 	programs := make(map[string]int)
 	for _, result := range report.Results {
 		scenario := result.Deployment + string(result.Fault)
--- a/lab/experiment/policies.go
+++ b/lab/experiment/policies.go
@@ -11,17 +11,15 @@
 // Names of the policies.
 const (
 	Marblering       = "marblering"
-	RoundRobin       = "round-robin"
 	LeastOutstanding = "least-outstanding"
 	SessionAffinity  = "session-affinity"
-	StrictAffinity   = "strict-affinity"
 )
 
 // PolicyNames lists the policies, baselines first.
 func PolicyNames() []string { return append(baselineNames(), Marblering) }
 
 func baselineNames() []string {
-	return []string{SessionAffinity, StrictAffinity, LeastOutstanding, RoundRobin}
+	return []string{SessionAffinity, LeastOutstanding}
 }
 
 // namedPolicy makes a policy for a simulation.
@@ -34,14 +32,10 @@
 	switch name {
 	case Marblering:
 		return namedPolicy{name, newMarblering(weights)}, nil
-	case RoundRobin:
-		return namedPolicy{name, newRoundRobin}, nil
 	case LeastOutstanding:
 		return namedPolicy{name, newLeastOutstanding}, nil
 	case SessionAffinity:
 		return namedPolicy{name, newSessionAffinity}, nil
-	case StrictAffinity:
-		return namedPolicy{name, newStrictAffinity}, nil
 	}
 	return namedPolicy{}, merry.Errorf("policy %q is unknown: known are %s", name, strings.Join(PolicyNames(), ", "))
 }
--- a/lab/experiment/program.go
+++ b/lab/experiment/program.go
@@ -7,7 +7,6 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"github.com/marblering/marblering/coordination/limit"
 	"github.com/marblering/marblering/lab/engine"
 )
 
@@ -37,10 +36,9 @@
 	// step is the index of the script's next step.
 	step int
 	// turns are the calls that were answered.
-	turns      uint32
-	lastActive time.Duration
-	running    *call
-	ended      bool
+	turns   int
+	running *call
+	ended   bool
 	// holders are the engines that were asked to hold the context.
 	holders map[int]*hold
 	onEnd   func()
@@ -85,8 +83,7 @@
 	current := p.nextStep()
 	p.step++
 	p.turns++
-	p.lastActive = s.schedule.now
-	if reason := s.limits.Check(s.activity(p), s.wall(s.schedule.now)); reason != limit.KeepProgram {
+	if p.turns >= turnLimit {
 		s.endProgram(p)
 		return
 	}
@@ -97,26 +94,13 @@
 	s.runChildren(p, current)
 }
 
-func (s *simulation) activity(p *program) limit.ProgramActivity {
-	return limit.ProgramActivity{
-		Created:    s.wall(p.tree.started),
-		LastActive: s.wall(p.lastActive),
-		Running:    p.running != nil,
-		Turns:      p.turns,
-	}
-}
-
 // lastAnswered ends a program, or leaves it silent until the idle limit.
 func (s *simulation) lastAnswered(p *program) {
 	if !p.script.abandoned {
 		s.endProgram(p)
 		return
 	}
-	s.schedule.after(s.limits.Idle, func() {
-		if !p.ended && s.limits.Check(s.activity(p), s.wall(s.schedule.now)) != limit.KeepProgram {
-			s.endProgram(p)
-		}
-	})
+	s.schedule.after(s.workload.idle, func() { s.endProgram(p) })
 }
 
 func (s *simulation) runChildren(p *program, done *step) {
--- a/lab/experiment/simulation.go
+++ b/lab/experiment/simulation.go
@@ -4,8 +4,6 @@
 	"time"
 
 	"github.com/cespare/xxhash/v2"
-
-	"github.com/marblering/marblering/coordination/limit"
 )
 
 // simulation is one run of one policy.
@@ -14,7 +12,6 @@
 	deployment Deployment
 	workload   workload
 	policy     policy
-	limits     limit.ProgramLimits
 	engines    []*simEngine
 	nodes      []*simNode
 	trees      []*tree
@@ -56,7 +53,6 @@
 	s := &simulation{
 		deployment: t.deployment,
 		workload:   t.workload,
-		limits:     limit.ProgramLimits{Idle: t.workload.idle, Turns: turnLimit},
 		transfers:  make(map[uint64]*attempt),
 	}
 	s.report = newRecorder(t)
@@ -79,7 +75,8 @@
 	return s.report.result(s)
 }
 
-// turnLimit bounds programs that loop.
+// turnLimit is the number of calls after which a program is ended, so that
+// loops end.
 const turnLimit = 40
 
 // drainTime is how long a run goes on after the last arrival, so that programs
