--- a/coordination/directory/directory.go
+++ b/coordination/directory/directory.go
@@ -1,7 +1,13 @@
-// Package directory keeps, in a store that all nodes reach, which storage nodes
-// there are and which replica sets they form. The store decides nothing but who
-// founds the first sets; later ones are decided by their members, and what is
-// kept here of them lets nodes find them.
+// Package directory keeps, in the platform's store, which storage nodes there are and
+// which replica sets they form, so that nodes find them.
+//
+// The store decides only who founds the first sets, by a conditional write. Later sets
+// are decided by their members (package shard); what the store has of them may be old.
+// Plan decides without I/O what a storage node writes; Keeper does it. Lookup is every
+// node's map of the sets.
+//
+// The package owns the objects of KindNodes and KindSets. It relies on followers
+// (package follow) for what the store has.
 package directory
 
 import (
@@ -29,8 +35,8 @@
 	ErrConflict = errors.New("the object has another revision")
 )
 
-// Objects reads and writes objects. An error other than the two above says nothing about
-// whether the write was done, or will be.
+// Objects reads and writes objects of the store. After an error other than ErrExists and
+// ErrConflict a write may have been done, or may be done later.
 type Objects interface {
 	// Create makes an object, or returns ErrExists.
 	Create(ctx context.Context, kind, name string, spec []byte) error
@@ -40,14 +46,14 @@
 	List(ctx context.Context, kind string) (follow.Snapshot, error)
 }
 
-// Node is what a storage node says of itself.
+// Node is what a storage node announces of itself.
 type Node struct {
 	Member register.Member `json:"member"`
 }
 
 // Sets are the replica sets of all shards.
 type Sets struct {
-	// Shards is how many there are; it never changes.
+	// Shards is the number of shards, which never changes.
 	Shards uint32          `json:"shards"`
 	Views  []register.View `json:"views"`
 }
@@ -58,8 +64,9 @@
 	Revision int64
 }
 
-// DecodeNodes reads the storage nodes, and their objects' revisions by name.
-// Objects that can't be read are left out.
+// DecodeNodes reads the announced storage nodes, and the revisions of all objects by
+// name. An object that can't be read names no node; its revision is returned, so that
+// the node of that name can replace it.
 func DecodeNodes(snapshot follow.Snapshot) (nodes []register.Member, revisions map[string]int64) {
 	revisions = make(map[string]int64, len(snapshot.Objects))
 	for _, object := range snapshot.Objects {
--- a/coordination/directory/keeper.go
+++ b/coordination/directory/keeper.go
@@ -19,23 +19,27 @@
 )
 
 const (
-	// lookInterval is the longest pause between two looks at the situation.
-	lookInterval = 250 * time.Millisecond
-	// writeTimeout bounds one write to the store.
+	// planInterval is the longest pause between two plans: the time since the nodes
+	// last changed matters to them. Chosen, not measured.
+	planInterval = 250 * time.Millisecond
+	// writeTimeout bounds one write to the store. Chosen, not measured.
 	writeTimeout = 1500 * time.Millisecond
-	// writePause follows a write, so that its effect comes back first.
+	// writePause is the mean pause after a write, so that its effect comes back through
+	// the followers before the next plan. Chosen, not measured.
 	writePause = 600 * time.Millisecond
-	// announcePause is how long a node takes what it announced for known, though it
-	// hasn't heard of itself: when 40 start together that takes up to 3 s, and they
-	// wrote 104 times what they had said.
+	// announcePause is the time from one announcement to the next while this node isn't
+	// among the listed nodes. When 40 nodes start together, a node's announcement takes
+	// up to 3 s to come back to it; without the pause they wrote 104 announcements too
+	// many (one simulated start).
 	announcePause = 4 * time.Second
-	// publishSpread is the longest that a node leaves the founding and publishing of
-	// sets to others that have learned the same.
+	// publishSpread is the longest random delay of founding and publishing. All nodes
+	// learn of a new set at once, and the write of one is enough. Chosen, not measured.
 	publishSpread = 800 * time.Millisecond
 )
 
-// Keeper does one storage node's share of the directory. It is a suture service;
-// followers feed it.
+// Keeper writes one storage node's part of the directory: it announces the node, founds
+// the sets, and publishes sets that the store doesn't have. It is a suture service;
+// followers call ApplyNodes and ApplySets.
 type Keeper struct {
 	self     register.Member
 	objects  Objects
@@ -47,21 +51,22 @@
 	mutex     sync.Mutex
 	situation Situation
 	revisions map[string]int64
-	// nodesAt is the store's revision that the nodes are of.
+	// nodesAt is the store's revision of the listing that the nodes come from.
 	nodesAt int64
+	// changed is sent to when the situation has changed.
 	changed chan struct{}
-	// publishAt is when this node writes the sets, unless another does before; zero
+	// publishAt is when this node writes the sets unless another node does before; zero
 	// while the store has the newest. Only Serve uses it.
 	publishAt time.Time
 	// announced is when this node last announced itself; zero for never. Only Serve uses
 	// it.
 	announced time.Time
-	// random draws from the time given; tests set it.
+	// random draws a duration below the given one; tests replace it.
 	random func(time.Duration) time.Duration
 }
 
-// NewKeeper makes a keeper. Views returns the node's map, nil before the sets
-// are known.
+// NewKeeper makes a keeper for the node self. Views returns the node's map of the sets;
+// nil before the sets are known.
 func NewKeeper(self register.Member, objects Objects, views func() *shard.Map, settings Settings, now func() time.Time, logger *zap.Logger) *Keeper {
 	return &Keeper{
 		self: self, objects: objects, views: views, settings: settings, now: now, logger: logger,
@@ -72,7 +77,8 @@
 // String names the service in the supervisor's messages.
 func (k *Keeper) String() string { return "keeper of the directory" }
 
-// ApplyNodes takes in the announced storage nodes. An older snapshot changes nothing.
+// ApplyNodes records the announced storage nodes. A snapshot older than the last one
+// changes nothing.
 func (k *Keeper) ApplyNodes(snapshot follow.Snapshot) {
 	nodes, revisions := DecodeNodes(snapshot)
 	k.mutex.Lock()
@@ -86,7 +92,7 @@
 	k.wake()
 }
 
-// ApplySets takes in the published sets.
+// ApplySets records the published sets. Sets that can't be read change nothing.
 func (k *Keeper) ApplySets(snapshot follow.Snapshot) {
 	published, found, err := DecodeSets(snapshot)
 	if err != nil {
@@ -110,7 +116,7 @@
 	}
 }
 
-// Serve acts until the context ends.
+// Serve plans and writes until the context ends.
 func (k *Keeper) Serve(ctx context.Context) error {
 	for ctx.Err() == nil {
 		wrote := k.act(ctx)
@@ -131,15 +137,15 @@
 	return ctx.Err()
 }
 
-// pause is how long nothing is to be done unless something changes.
+// pause is the time until the next plan unless the situation changes before.
 func (k *Keeper) pause() time.Duration {
 	if k.publishAt.IsZero() {
-		return lookInterval
+		return planInterval
 	}
-	return min(lookInterval, max(k.publishAt.Sub(k.now()), 0))
+	return min(planInterval, max(k.publishAt.Sub(k.now()), 0))
 }
 
-// act does what the plan says and tells whether it wrote.
+// act carries the plan out if its action is due, and tells whether it has written.
 func (k *Keeper) act(ctx context.Context) bool {
 	situation, revision := k.snapshot()
 	action, sets := Plan(situation, k.settings)
@@ -164,9 +170,8 @@
 	return true
 }
 
-// isDue tells whether the action is to be done now. Writing the sets waits for a
-// moment that differs between nodes, since all of them learn of the same nodes and
-// sets at once and one write is enough.
+// isDue tells whether the action is to be carried out now. Founding and publishing wait
+// for a random delay, during which another node may do it.
 func (k *Keeper) isDue(action Action) bool {
 	switch action {
 	case None:
@@ -182,6 +187,8 @@
 	return !k.now().Before(k.publishAt)
 }
 
+// snapshot returns the situation as it is now, and the revision of this node's object;
+// zero without one.
 func (k *Keeper) snapshot() (Situation, int64) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
@@ -193,7 +200,8 @@
 	return situation, k.revisions[k.self.Node]
 }
 
-// announce replaces what an earlier life of this node announced.
+// announce writes this node's object. It replaces the one of an earlier process of this
+// node.
 func (k *Keeper) announce(ctx context.Context, revision int64) error {
 	spec, err := json.Marshal(Node{Member: k.self})
 	if err != nil {
@@ -204,7 +212,7 @@
 	}
 	err = k.objects.Create(ctx, KindNodes, k.self.Node, spec)
 	if errors.Is(err, ErrExists) {
-		// It may be of an earlier life, and is replaced once its revision is known.
+		// An earlier process wrote it. It is replaced once its revision is known.
 		return nil
 	}
 	if err == nil {
@@ -213,11 +221,12 @@
 	return err
 }
 
+// errNodesMissed means that sets were planned with nodes other than the store's.
 var errNodesMissed = errors.New("the store has other storage nodes than were known")
 
-// found creates the sets, unless the store has other storage nodes than those that they
-// were planned with: these are then waited for like any news. A node that heard late of
-// most others founded the sets with the few that it knew, for good.
+// found creates the sets unless the store has other storage nodes than the planned ones:
+// these are then taken as a change of the situation. A node that learns late of most
+// others would otherwise found the sets for good with the few that it knows.
 func (k *Keeper) found(ctx context.Context, planned []register.Member, sets Sets) error {
 	snapshot, err := k.objects.List(ctx, KindNodes)
 	if err != nil {
@@ -230,7 +239,7 @@
 	return k.write(sets, func(spec []byte) error { return k.objects.Create(ctx, KindSets, SetsName, spec) })
 }
 
-// sameMembers compares them in whichever order they are.
+// sameMembers tells whether both lists have the same members in any order.
 func sameMembers(a, b []register.Member) bool {
 	byNode := func(members []register.Member) []register.Member {
 		return slices.SortedFunc(slices.Values(members), func(a, b register.Member) int {
@@ -240,6 +249,7 @@
 	return slices.Equal(byNode(a), byNode(b))
 }
 
+// write encodes the sets and passes them on.
 func (k *Keeper) write(sets Sets, write func(spec []byte) error) error {
 	spec, err := json.Marshal(sets)
 	if err != nil {
--- a/coordination/directory/lookup.go
+++ b/coordination/directory/lookup.go
@@ -11,17 +11,17 @@
 	"github.com/marblering/marblering/coordination/shard"
 )
 
-// Lookup is a node's map of the replica sets, filled from the store and by what
-// replicas say. It implements register.Views. Reading takes no lock.
+// Lookup is a node's map of the replica sets, filled from the store and by the views that
+// replicas return. It implements register.Views and is read without a lock.
 type Lookup struct {
 	views  atomic.Pointer[shard.Map]
 	logger *zap.Logger
-	// founded is told of the number of shards before the map is; nil for nobody.
+	// founded is told the number of shards before the map has it; nil for nobody.
 	founded func(shards uint32) error
 }
 
-// NewLookup makes a lookup around a map, or around none: then the map is made
-// when the sets are first read.
+// NewLookup makes a lookup around a map. Where the map is nil, one is made when the sets
+// are first read.
 func NewLookup(views *shard.Map, logger *zap.Logger) *Lookup {
 	l := &Lookup{logger: logger}
 	if views != nil {
@@ -30,14 +30,15 @@
 	return l
 }
 
-// OnFounded sets what is told how many shards there are before this node's map is,
-// which stays without them where that fails. It is to be called before Apply.
+// OnFounded sets a function that is told the number of shards before this node's map has
+// it, for example to keep it on a disk. If the function fails, the map stays without
+// shards. It must be called before Apply.
 func (l *Lookup) OnFounded(tell func(shards uint32) error) { l.founded = tell }
 
 // Map returns the map; nil before the sets were founded.
 func (l *Lookup) Map() *shard.Map { return l.views.Load() }
 
-// Apply takes in the published sets. It is called from one goroutine.
+// Apply learns the published sets. It is called from one goroutine.
 func (l *Lookup) Apply(snapshot follow.Snapshot) {
 	published, found, err := DecodeSets(snapshot)
 	if err != nil {
@@ -69,7 +70,7 @@
 	}
 }
 
-// found makes the number of shards known to the map, and tells whether it did.
+// found gives the map the number of shards, and tells whether that succeeded.
 func (l *Lookup) found(views *shard.Map, shards uint32) bool {
 	if l.founded != nil {
 		if err := l.founded(shards); err != nil {
@@ -97,7 +98,7 @@
 	}
 }
 
-// Locate returns the shard that an id is kept in.
+// Locate returns the shard that keeps the id; 0 before the sets were founded.
 func (l *Lookup) Locate(id string) uint32 {
 	if views := l.views.Load(); views != nil {
 		return views.Locate(id)
@@ -105,7 +106,7 @@
 	return 0
 }
 
-// Shards is the number of shards; zero before the sets were founded.
+// Shards returns the number of shards; 0 before the sets were founded.
 func (l *Lookup) Shards() uint32 {
 	if views := l.views.Load(); views != nil {
 		return views.Count()
@@ -113,8 +114,8 @@
 	return 0
 }
 
-// ConfigurationVersion implements register.Views. What is kept here doesn't
-// depend on the configuration.
+// ConfigurationVersion implements register.Views. Sets of the directory don't depend on
+// the configuration, so that there is no version.
 func (l *Lookup) ConfigurationVersion() uint64 { return 0 }
 
 // LearnConfiguration implements register.Views.
--- a/coordination/directory/plan.go
+++ b/coordination/directory/plan.go
@@ -8,12 +8,12 @@
 	"github.com/marblering/marblering/coordination/shard"
 )
 
-// Situation is what one storage node knows.
+// Situation is what a storage node knows when it plans.
 type Situation struct {
 	Now  time.Time
 	Self register.Member
-	// Nodes are the announced storage nodes; NodesKnown is set once they were
-	// listed, NodesChanged is when they last changed.
+	// Nodes are the announced storage nodes. NodesKnown is set once they were listed;
+	// NodesChanged is when they last changed.
 	Nodes        []register.Member
 	NodesKnown   bool
 	NodesChanged time.Time
@@ -27,18 +27,19 @@
 
 // Settings say how sets are founded.
 type Settings struct {
-	// Shards is how many shards there are at least.
+	// Shards is the least number of shards.
 	Shards uint32
-	// Factor is how many members a set has.
+	// Factor is the number of members of a set.
 	Factor int
-	// Settle is how long the announced nodes must have stood before the sets are
+	// Settle is how long the announced nodes must be unchanged before the sets are
 	// founded.
 	Settle time.Duration
-	// Patience is how long it is waited for Factor nodes before fewer do.
+	// Patience is how long the announced nodes must be unchanged before the sets are
+	// founded with fewer than Factor nodes.
 	Patience time.Duration
 }
 
-// Action is what the node should do.
+// Action is what a storage node is to write.
 type Action int
 
 // Actions.
@@ -53,8 +54,16 @@
 	Publish
 )
 
-// Plan decides what to do next and, for Found and Publish, the sets to write.
-// It is a pure function.
+// Plan decides what a storage node writes next and, for Found and Publish, the sets:
+//
+//   - Announce, while the listed nodes lack this one: it is new, or was replaced.
+//   - Found, where the store has no sets, once the announced nodes are enough for a set
+//     and have been unchanged for Settle, or are fewer and unchanged for Patience. Sets
+//     that are founded too early leave later nodes without work.
+//   - Publish, where this node knows a newer view of a shard than the store has.
+//   - None otherwise, and before both nodes and sets were listed.
+//
+// It has no I/O and no clock of its own.
 func Plan(situation Situation, settings Settings) (Action, Sets) {
 	if situation.NodesKnown && !slices.Contains(situation.Nodes, situation.Self) {
 		return Announce, Sets{}
@@ -73,18 +82,20 @@
 	return None, Sets{}
 }
 
-// setsPerNode is in how many sets a node is at least, on average. With fewer, some
-// nodes have nothing to do while others have too much: of 36 nodes 20 were in the 4
-// sets of 5 members that there were, and these had no room for programs that began
-// in a burst, at 0.2 of 0.27 cores.
+// setsPerNode is the least number of sets that a node is a member of, on average. With
+// fewer, some nodes have no work while others have too much: with 4 sets of 5 members on
+// 36 nodes, 730 requests were refused without a quorum, 553 of them for want of room at
+// the 20 nodes in the sets; with 15 sets it was 18 (simulated day of high load, one run
+// each).
 const setsPerNode = 2
 
-// shardsFor returns how many shards so many nodes share.
+// shardsFor returns the number of shards for a number of storage nodes.
 func shardsFor(nodes int, settings Settings) uint32 {
 	wanted := (setsPerNode*nodes + settings.Factor - 1) / settings.Factor
 	return max(settings.Shards, uint32(wanted))
 }
 
+// firstSets spreads the shards over the nodes.
 func firstSets(nodes []register.Member, settings Settings) Sets {
 	candidates := make([]shard.Candidate, 0, len(nodes))
 	for _, node := range nodes {
@@ -97,8 +108,8 @@
 	return sets
 }
 
-// planPublish writes the newest view of each shard where the store has an older
-// one.
+// planPublish merges the views that this node knows into those of the store, and
+// publishes them where one is newer.
 func planPublish(situation Situation) (Action, Sets) {
 	merged := Sets{Shards: situation.Published.Sets.Shards, Views: slices.Clone(situation.Published.Sets.Views)}
 	newer := false
