--- a/transport/relay/answer.go
+++ b/transport/relay/answer.go
@@ -29,8 +29,8 @@
 // fail gives this node's own answer. It never carries a back end's header.
 func (c *call) fail(failure *result.Error) {
 	info := failure.Code.Info()
-	c.code = failure.Code
-	c.reason = failure.Message
+	c.reply.code = failure.Code
+	c.reply.reason = failure.Message
 	header := c.writer.Header()
 	clear(header)
 	header.Set("Content-Type", "application/json")
@@ -59,50 +59,43 @@
 
 // abort breaks the caller's connection: what was written must not look whole.
 func (c *call) abort(code result.Code, cause error) {
-	c.code = code
-	c.reason = cause.Error()
+	c.reply.code = code
+	c.reply.reason = cause.Error()
 	panic(http.ErrAbortHandler)
 }
 
 // report writes the line and the figures of the request.
 func (c *call) report() {
-	took := c.handler.options.Now().Sub(c.arrived)
+	took := c.handler.options.Now().Sub(c.times.arrived)
 	c.handler.options.Metrics.observe(c, took)
 	fields := []zap.Field{
-		zap.String("request", c.facts.ID), zap.String("key", c.facts.Key),
-		zap.String("route", c.routeName()), zap.Int64("configuration", c.version), c.ageField(),
+		zap.String("request", c.asked.facts.ID), zap.String("key", c.asked.facts.Key),
+		zap.String("route", c.routeName()), zap.Int64("configuration", c.basis.version), c.ageField(),
 		zap.String("tenant", c.tenantName()),
-		zap.Int("status", c.status), zap.Uint32("code", uint32(c.code)),
-		zap.Strings("instances", c.tried), zap.Int("sends", c.sends),
-		zap.Duration("permitted", c.permitted), zap.Duration("prepared", c.prepared), zap.Duration("first_byte", c.firstByte), zap.Duration("stored", c.stored),
-		zap.Duration("took", took), zap.Duration("allowed", c.allowed()),
+		zap.Int("status", c.reply.status), zap.Uint32("code", uint32(c.reply.code)),
+		zap.Strings("instances", c.tried.instances), zap.Int("sends", c.tried.sends),
+		zap.Duration("permitted", c.times.permitted), zap.Duration("prepared", c.times.prepared),
+		zap.Duration("first_byte", c.times.firstByte), zap.Duration("stored", c.times.stored),
+		zap.Duration("took", took), zap.Duration("allowed", c.times.allowed()),
 	}
-	if c.code == result.OK {
+	if c.reply.code == result.OK {
 		c.handler.options.Answered.Info("answered", fields...)
 		return
 	}
-	c.handler.options.Logger.Info("not answered", append(fields, zap.String("reason", c.reason))...)
+	c.handler.options.Logger.Info("not answered", append(fields, zap.String("reason", c.reply.reason))...)
 }
 
 // ageField tells how old the configuration was that the request was decided by.
 func (c *call) ageField() zap.Field {
-	if !c.tableAgeKnown {
+	if !c.basis.ageKnown {
 		return zap.String("configuration_age", "unknown")
 	}
-	return zap.Duration("configuration_age", c.tableAge)
-}
-
-// allowed is the time that the request had.
-func (c *call) allowed() time.Duration {
-	if c.deadline.IsZero() {
-		return 0
-	}
-	return c.deadline.Sub(c.arrived)
+	return zap.Duration("configuration_age", c.basis.age)
 }
 
 func (c *call) routeName() string {
-	if c.route == nil {
+	if c.basis.route == nil {
 		return ""
 	}
-	return c.route.Name
+	return c.basis.route.Name
 }
--- a/transport/relay/authorize.go
+++ b/transport/relay/authorize.go
@@ -25,7 +25,7 @@
 // leave for a back end: it may have waited, the process may have stood still, and the
 // key may have been taken away meanwhile.
 func (c *call) authorize() *result.Error {
-	if !c.needsKey {
+	if !c.basis.needsKey {
 		return nil
 	}
 	if failure := c.checkProof(); failure != nil {
@@ -34,11 +34,11 @@
 	// The table comes after the proof: it is at least as new, however long the process
 	// stands still in between.
 	table := c.handler.options.Tables.Table()
-	owner, known := table.Tenant(c.apiKey)
+	owner, known := table.Tenant(c.asked.key)
 	if !known {
 		return c.unknownKey(table)
 	}
-	c.tenant = owner
+	c.granted.tenant = owner
 	return nil
 }
 
@@ -71,21 +71,21 @@
 // reauthorize is authorize for a request that is about to leave. What is already
 // being answered goes on: the caller was let in while its key was valid.
 func (c *call) reauthorize() *result.Error {
-	if c.began {
+	if c.reply.began {
 		return nil
 	}
 	return c.authorize()
 }
 
 func (c *call) tenantName() string {
-	if c.tenant == nil {
+	if c.granted.tenant == nil {
 		return ""
 	}
-	return c.tenant.Name
+	return c.granted.tenant.Name
 }
 
 // takeKey keeps the key's digest in place of the key.
 func (c *call) takeKey() {
-	c.apiKey = tenant.DigestOf(c.facts.APIKey)
-	c.facts.APIKey = ""
+	c.asked.key = tenant.DigestOf(c.asked.facts.APIKey)
+	c.asked.facts.APIKey = ""
 }
--- a/transport/relay/body.go
+++ b/transport/relay/body.go
@@ -24,10 +24,10 @@
 // the rest of the body first, which a slow client may hold back for as long as it
 // likes, unless the answer ends the connection.
 func (c *call) leaveBody(answer http.Header) {
-	if c.bodyTaken || c.request.Body == nil || c.request.Body == http.NoBody {
+	if c.asked.bodyTaken || c.request.Body == nil || c.request.Body == http.NoBody {
 		return
 	}
-	c.bodyTaken = true
+	c.asked.bodyTaken = true
 	controller := http.NewResponseController(c.writer)
 	// A writer without deadlines is one of a test, whose bodies are there at once.
 	_ = controller.SetReadDeadline(c.handler.options.Now().Add(leftBodyTime))
@@ -47,16 +47,16 @@
 	if limits.BodyBytes > 0 && c.request.ContentLength > limits.BodyBytes {
 		return result.Errorf(result.TooLarge, "the limit is %d bytes", limits.BodyBytes)
 	}
-	c.bodyTaken = true
+	c.asked.bodyTaken = true
 	controller := http.NewResponseController(c.writer)
-	_ = controller.SetReadDeadline(c.deadline)
+	_ = controller.SetReadDeadline(c.times.deadline)
 	reader := c.request.Body
 	if limits.BodyBytes > 0 {
 		reader = http.MaxBytesReader(c.writer, reader, limits.BodyBytes)
 	}
 	body, err := io.ReadAll(reader)
 	_ = controller.SetReadDeadline(time.Time{})
-	c.body = body
+	c.asked.body = body
 	return bodyFailure(err, limits)
 }
 
--- a/transport/relay/deliver.go
+++ b/transport/relay/deliver.go
@@ -23,15 +23,15 @@
 )
 
 // deliver passes a proper answer on.
-func (c *call) deliver(ctx context.Context, answer *upstream.Answer, tried *trial) (outcome, error) {
+func (c *call) deliver(ctx context.Context, answer *upstream.Answer, attempt *trial) (outcome, error) {
 	defer answer.CloseBody()
 	if isEventStream(answer) {
-		return c.deliverEvents(ctx, answer, tried)
+		return c.deliverEvents(ctx, answer, attempt)
 	}
-	if c.began {
+	if c.reply.began {
 		return lost, errNotResumed
 	}
-	return c.deliverWhole(answer, tried)
+	return c.deliverWhole(answer, attempt)
 }
 
 var (
@@ -45,13 +45,13 @@
 }
 
 // deliverWhole passes a plain answer on once all of it has arrived.
-func (c *call) deliverWhole(answer *upstream.Answer, tried *trial) (outcome, error) {
+func (c *call) deliverWhole(answer *upstream.Answer, attempt *trial) (outcome, error) {
 	body, err := io.ReadAll(io.LimitReader(answer, bufferedAnswer+1))
 	if err != nil {
 		return lost, err
 	}
-	tried.status = answer.Status
-	tried.heard(c.handler.options.Now())
+	attempt.status = answer.Status
+	attempt.heard(c.handler.options.Now())
 	if len(body) > bufferedAnswer {
 		return c.deliverLarge(answer, body)
 	}
@@ -88,7 +88,7 @@
 
 // deliverEvents passes whole events on as they come. The head follows with the
 // first of them, so that a stream that breaks before can still be replaced.
-func (c *call) deliverEvents(ctx context.Context, answer *upstream.Answer, tried *trial) (outcome, error) {
+func (c *call) deliverEvents(ctx context.Context, answer *upstream.Answer, attempt *trial) (outcome, error) {
 	events := newEventReader(answer)
 	controller := http.NewResponseController(c.writer)
 	for {
@@ -99,8 +99,8 @@
 		if err != nil {
 			return lost, err
 		}
-		tried.heard(c.handler.options.Now())
-		if event.isOld(c.lastEvent) {
+		attempt.heard(c.handler.options.Now())
+		if event.isOld(c.reply.lastEvent) {
 			continue
 		}
 		c.beginStream(answer)
@@ -112,7 +112,7 @@
 			return abandoned, err
 		}
 		if event.id != "" {
-			c.lastEvent = event.id
+			c.reply.lastEvent = event.id
 		}
 	}
 }
@@ -122,7 +122,7 @@
 func (c *call) endStream(ctx context.Context, answer *upstream.Answer) (outcome, error) {
 	began := c.handler.options.Now()
 	err := c.completeTurn(ctx)
-	c.stored = c.handler.options.Now().Sub(began)
+	c.times.stored = c.handler.options.Now().Sub(began)
 	if err != nil {
 		return unstored, err
 	}
@@ -133,7 +133,7 @@
 // beginStream writes the head once: a resumed stream keeps that of its first
 // back end.
 func (c *call) beginStream(answer *upstream.Answer) {
-	if c.began {
+	if c.reply.began {
 		return
 	}
 	setAnswerHeader(c.writer.Header(), answer.Header)
@@ -141,9 +141,9 @@
 }
 
 func (c *call) begin(status int) {
-	c.began = true
-	c.status = status
-	c.firstByte = c.handler.options.Now().Sub(c.arrived)
+	c.reply.began = true
+	c.reply.status = status
+	c.times.firstByte = c.handler.options.Now().Sub(c.times.arrived)
 	if c.handler.options.Unready() {
 		c.writer.Header().Set("Connection", "close")
 	}
--- a/transport/relay/handler.go
+++ b/transport/relay/handler.go
@@ -66,7 +66,7 @@
 	arrived := h.options.Now()
 	underWay := h.inFlight.Add(1)
 	defer h.inFlight.Add(-1)
-	current := &call{handler: h, writer: writer, request: request, arrived: arrived}
+	current := &call{handler: h, writer: writer, request: request, times: times{arrived: arrived}}
 	defer current.report()
 	if underWay > h.options.MaxInFlight {
 		current.fail(result.Errorf(result.Overloaded, "%d requests are under way", underWay).After(retryPause))
@@ -76,7 +76,7 @@
 		current.fail(failure)
 		return
 	}
-	ctx, cancel := context.WithDeadline(request.Context(), current.deadline)
+	ctx, cancel := context.WithDeadline(request.Context(), current.times.deadline)
 	defer cancel()
 	if failure := current.takePermit(ctx); failure != nil {
 		current.fail(failure)
@@ -84,7 +84,7 @@
 	}
 	defer current.settlePermit()
 	failure := current.beginTurn(ctx, h.options.Tables.Table())
-	current.prepared = h.options.Now().Sub(arrived)
+	current.times.prepared = h.options.Now().Sub(arrived)
 	if failure != nil {
 		current.fail(failure)
 		return
@@ -100,9 +100,9 @@
 	if table == nil {
 		return result.Errorf(result.NotReady, "no configuration yet").After(startPause)
 	}
-	c.version = table.Version()
+	c.basis.version = table.Version()
 	if options.TableAge != nil {
-		c.tableAge, c.tableAgeKnown = options.TableAge()
+		c.basis.age, c.basis.ageKnown = options.TableAge()
 	}
 	limits := table.Limits()
 	if limits.HeaderBytes > 0 && headerBytes(c.request) > limits.HeaderBytes {
@@ -112,16 +112,16 @@
 	if failure != nil {
 		return failure
 	}
-	c.facts = facts
+	c.asked.facts = facts
 	c.takeKey()
-	c.target = originForm(c.request.RequestURI)
-	path, _, _ := strings.Cut(c.target, "?")
+	c.asked.target = originForm(c.request.RequestURI)
+	path, _, _ := strings.Cut(c.asked.target, "?")
 	route, found := table.Match(c.request.Host, path)
 	if !found {
 		return c.noRoute()
 	}
 	c.setRoute(route)
-	c.needsKey = table.NeedsKey(route)
+	c.basis.needsKey = table.NeedsKey(route)
 	if failure := c.authorize(); failure != nil {
 		return failure
 	}
@@ -131,16 +131,16 @@
 // noRoute refuses for good only where no newer configuration can be in force.
 func (c *call) noRoute() *result.Error {
 	if c.handler.options.Certain() {
-		return result.Errorf(result.UnknownRoute, "version %d has no route for this host and path", c.version)
+		return result.Errorf(result.UnknownRoute, "version %d has no route for this host and path", c.basis.version)
 	}
 	return result.Errorf(result.NotReady, "the configuration may be out of date").After(retryPause)
 }
 
 func (c *call) setRoute(route *routetable.Route) {
-	c.route = route
+	c.basis.route = route
 	total := route.Timeout
-	if c.facts.Remaining > 0 {
-		total = min(total, c.facts.Remaining)
+	if c.asked.facts.Remaining > 0 {
+		total = min(total, c.asked.facts.Remaining)
 	}
-	c.deadline = c.arrived.Add(total)
+	c.times.deadline = c.times.arrived.Add(total)
 }
--- a/transport/relay/metrics.go
+++ b/transport/relay/metrics.go
@@ -42,12 +42,12 @@
 
 func (m *Metrics) observe(c *call, took time.Duration) {
 	kind := "none"
-	if c.route != nil {
-		kind = c.route.Kind.String()
+	if c.basis.route != nil {
+		kind = c.basis.route.Kind.String()
 	}
-	m.requests.WithLabelValues(kind, strconv.Itoa(int(c.code))).Inc()
+	m.requests.WithLabelValues(kind, strconv.Itoa(int(c.reply.code))).Inc()
 	m.duration.WithLabelValues(kind).Observe(took.Seconds())
-	if c.firstByte > 0 {
-		m.firstByte.WithLabelValues(kind).Observe(c.firstByte.Seconds())
+	if c.times.firstByte > 0 {
+		m.firstByte.WithLabelValues(kind).Observe(c.times.firstByte.Seconds())
 	}
 }
--- a/transport/relay/quota.go
+++ b/transport/relay/quota.go
@@ -10,23 +10,23 @@
 // takePermit has the request let in by its tenant's quota. It is asked before anything
 // else that costs other nodes work.
 func (c *call) takePermit(ctx context.Context) *result.Error {
-	if c.tenant == nil {
+	if c.granted.tenant == nil {
 		return nil
 	}
 	began := c.handler.options.Now()
 	permit, failure := c.handler.options.Quotas.Take(ctx, quota.Request{
-		Tenant: c.tenant.Name, Rate: c.tenant.Rate, Version: c.version,
-		Program: c.facts.Program, Kind: c.route.Name,
+		Tenant: c.granted.tenant.Name, Rate: c.granted.tenant.Rate, Version: c.basis.version,
+		Program: c.asked.facts.Program, Kind: c.basis.route.Name,
 	})
-	c.permitted = c.handler.options.Now().Sub(began)
-	c.permit = permit
+	c.times.permitted = c.handler.options.Now().Sub(began)
+	c.granted.permit = permit
 	return failure
 }
 
 // settlePermit gives the permit of a request back that no back end ran, so that it
 // counts for nothing.
 func (c *call) settlePermit() {
-	if !c.reached {
-		c.permit.Return()
+	if !c.tried.reached {
+		c.granted.permit.Return()
 	}
 }
--- a/transport/relay/turn.go
+++ b/transport/relay/turn.go
@@ -13,49 +13,49 @@
 // beginTurn prepares a request that is a turn of a program: what came before is
 // put in front of its body, and what it may generate is reserved.
 func (c *call) beginTurn(ctx context.Context, table *routetable.Table) *result.Error {
-	if c.route.Kind != routetable.Stream || c.facts.Budget == 0 && !c.route.Retained {
+	if c.basis.route.Kind != routetable.Stream || c.asked.facts.Budget == 0 && !c.basis.route.Retained {
 		return nil
 	}
-	if c.route.Retained && c.facts.LastEvent != "" {
+	if c.basis.route.Retained && c.asked.facts.LastEvent != "" {
 		// The part of the answer that the client has isn't known here, so that
 		// the turn could not be kept whole.
 		return result.Errorf(result.HistoryUnavailable, "a retained turn begins at its start").After(retryPause)
 	}
-	service := table.Service(c.route.Pick(backend.Draw(c.facts.Key)))
+	service := table.Service(c.basis.route.Pick(backend.Draw(c.asked.facts.Key)))
 	turn, failure := c.handler.options.Turns.Begin(ctx, conversation.Request{
-		ID: c.facts.ID, Program: c.facts.Program, Tenant: c.tenantName(), Previous: c.facts.Previous,
-		Budget: c.facts.Budget, Most: c.facts.MostTokens, TokensPerEvent: service.TokensPerEvent,
-		Retained: c.route.Retained, Retention: c.route.Retention, Timeout: c.deadline.Sub(c.arrived), Input: c.body,
+		ID: c.asked.facts.ID, Program: c.asked.facts.Program, Tenant: c.tenantName(), Previous: c.asked.facts.Previous,
+		Budget: c.asked.facts.Budget, Most: c.asked.facts.MostTokens, TokensPerEvent: service.TokensPerEvent,
+		Retained: c.basis.route.Retained, Retention: c.basis.route.Retention, Timeout: c.times.allowed(), Input: c.asked.body,
 	})
 	if failure != nil {
 		return failure
 	}
-	c.turn = turn
-	c.body = turn.Body()
+	c.granted.turn = turn
+	c.asked.body = turn.Body()
 	return nil
 }
 
 // countEvent tells the turn of an event before it is handed out.
 func (c *call) countEvent(passed event) {
-	if c.turn == nil {
+	if c.granted.turn == nil {
 		return
 	}
 	if data, found := passed.data(); found {
-		c.turn.Event(data)
+		c.granted.turn.Event(data)
 	}
 }
 
 // completeTurn stores the turn. The answer ends as a whole one only afterwards.
 func (c *call) completeTurn(ctx context.Context) error {
-	if c.turn == nil {
+	if c.granted.turn == nil {
 		return nil
 	}
-	return c.turn.Complete(ctx)
+	return c.granted.turn.Complete(ctx)
 }
 
 func (c *call) endTurn() {
-	if c.turn != nil {
-		c.turn.End()
+	if c.granted.turn != nil {
+		c.granted.turn.End()
 	}
 }
 
