--- a/transport/upstream/client.go
+++ b/transport/upstream/client.go
@@ -7,16 +7,16 @@
 	"time"
 )
 
-// Client makes exchanges and keeps their connections. It is safe for
+// Client sends requests and keeps connections for later ones. It is safe for
 // concurrent use.
 type Client struct {
 	settings Settings
 	now      func() time.Time
 	dials    atomic.Uint64
-	// heardAt is when bytes last came from any back end, in nanoseconds of the
+	// heardAt is when bytes last came from any back end, in nanoseconds since the
 	// Unix epoch.
 	heardAt atomic.Int64
-	// reachable knows which back ends' machines can be reached.
+	// reachable probes the machines of silent back ends.
 	reachable *reachability
 
 	mutex sync.Mutex
@@ -27,7 +27,8 @@
 type endpoint struct {
 	address  string
 	instance string
-	// started is in nanoseconds of the Unix epoch; zero where it isn't known.
+	// started is when the process started, in nanoseconds since the Unix epoch; zero
+	// where that isn't known.
 	started int64
 }
 
@@ -49,7 +50,7 @@
 // Dials is how many connections were made.
 func (c *Client) Dials() uint64 { return c.dials.Load() }
 
-// Probes is how often a silent back end's machine was looked for.
+// Probes is how often the machine of a silent back end was probed.
 func (c *Client) Probes() uint64 { return c.reachable.dials.Load() }
 
 // heard notes that bytes came on the connection.
@@ -59,10 +60,10 @@
 	c.heardAt.Store(now)
 }
 
-// heardSince tells whether any back end said something since then.
+// heardSince tells whether bytes came from any back end since then.
 func (c *Client) heardSince(then time.Time) bool { return c.heardAt.Load() >= then.UnixNano() }
 
-// connect returns a kept connection that is still usable, or a new one.
+// connect returns an idle connection that is still usable, or a new one.
 func (c *Client) connect(ctx context.Context, to endpoint) (*connection, error) {
 	for {
 		kept := c.take(to)
@@ -78,54 +79,54 @@
 	return dial(ctx, to.address, c.settings, c.heard)
 }
 
-// take removes the connection that rested last, so that few are kept busy and
-// the others end.
+// take removes the connection that became idle last, so that a few stay in use and the
+// others time out. It returns nil where none is idle.
 func (c *Client) take(to endpoint) *connection {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	resting := c.idle[to]
-	if len(resting) == 0 {
+	idle := c.idle[to]
+	if len(idle) == 0 {
 		return nil
 	}
-	last := resting[len(resting)-1]
-	c.idle[to] = resting[:len(resting)-1]
-	return last
+	newest := idle[len(idle)-1]
+	c.idle[to] = idle[:len(idle)-1]
+	return newest
 }
 
-// keep lets the connection rest.
+// keep makes the connection available to later requests.
 func (c *Client) keep(to endpoint, kept *connection) {
-	kept.restedAt = c.now()
+	kept.idleSince = c.now()
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if len(c.idle[to]) >= c.settings.MaxIdle || kept.restLimit <= 0 {
+	if len(c.idle[to]) >= c.settings.MaxIdle || kept.idleLimit <= 0 {
 		kept.close()
 		return
 	}
 	c.idle[to] = append(c.idle[to], kept)
 }
 
-// Forget closes the resting connections of an instance that is gone or was started again,
+// Forget closes the idle connections of an instance that is gone or was started again,
 // those of all its lives.
 func (c *Client) Forget(instance string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	for to, resting := range c.idle {
+	for to, idle := range c.idle {
 		if to.instance == instance {
-			closeAll(resting)
+			closeAll(idle)
 			delete(c.idle, to)
 		}
 	}
 }
 
-// CloseIdle closes the connections that have rested for too long.
+// CloseIdle closes the connections that have been idle for too long.
 func (c *Client) CloseIdle() {
 	now := c.now()
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	for to, resting := range c.idle {
-		kept := resting[:0]
-		for _, candidate := range resting {
-			if now.Sub(candidate.restedAt) >= candidate.restLimit {
+	for to, idle := range c.idle {
+		kept := idle[:0]
+		for _, candidate := range idle {
+			if now.Sub(candidate.idleSince) >= candidate.idleLimit {
 				candidate.close()
 				continue
 			}
--- a/transport/upstream/connection.go
+++ b/transport/upstream/connection.go
@@ -14,22 +14,29 @@
 	"github.com/marblering/marblering/transport/socket"
 )
 
+// Buffers of a connection, in bytes. Chosen, not measured: most heads fit.
 const (
 	writeBufferBytes = 8 << 10
 	readBufferBytes  = 8 << 10
 )
 
+// usableIdle is the part of the idle time that a back end announces after which its
+// connection isn't used any more: the back end may close it while a request is on its
+// way. Chosen, not measured.
+const usableIdle = 0.6
+
 // connection is one connection to an instance. One exchange uses it at a time.
 type connection struct {
-	socket   *net.TCPConn
-	reader   *bufio.Reader
-	writer   *bufio.Writer
-	restedAt time.Time
+	socket *net.TCPConn
+	reader *bufio.Reader
+	writer *bufio.Writer
+	// idleSince is when the last exchange ended, idleLimit how long after it the
+	// connection may still be used.
+	idleSince time.Time
+	idleLimit time.Duration
 	// heard is when bytes last came, or the last exchange began, in nanoseconds
-	// of the Unix epoch.
+	// since the Unix epoch.
 	heard atomic.Int64
-	// restLimit is how long the back end lets the connection rest.
-	restLimit time.Duration
 }
 
 func dial(ctx context.Context, address string, settings Settings, heard func(*connection)) (*connection, error) {
@@ -41,31 +48,31 @@
 	made := &connection{
 		socket:    opened.(*net.TCPConn),
 		writer:    bufio.NewWriterSize(opened, writeBufferBytes),
-		restLimit: settings.IdleTimeout,
+		idleLimit: settings.IdleTimeout,
 	}
-	made.reader = bufio.NewReaderSize(hearing{made, heard}, readBufferBytes)
+	made.reader = bufio.NewReaderSize(watchedReader{made, heard}, readBufferBytes)
 	return made, nil
 }
 
-// hearing reads from a connection and tells when anything came.
-type hearing struct {
+// watchedReader reads from a connection and calls heard when any bytes came.
+type watchedReader struct {
 	connection *connection
 	heard      func(*connection)
 }
 
 // Read implements io.Reader.
-func (h hearing) Read(buffer []byte) (int, error) {
-	count, err := h.connection.socket.Read(buffer)
+func (r watchedReader) Read(buffer []byte) (int, error) {
+	count, err := r.connection.socket.Read(buffer)
 	if count > 0 {
-		h.heard(h.connection)
+		r.heard(r.connection)
 	}
 	return count, err
 }
 
-// isFresh tells whether a connection that rested can take another request: the
-// back end has neither closed it nor sent bytes that nobody asked for.
+// isFresh tells whether an idle connection can take another request: the back end has
+// neither closed it nor sent bytes that nobody asked for.
 func (c *connection) isFresh(now time.Time) bool {
-	if now.Sub(c.restedAt) >= c.restLimit || c.reader.Buffered() > 0 {
+	if now.Sub(c.idleSince) >= c.idleLimit || c.reader.Buffered() > 0 {
 		return false
 	}
 	raw, err := c.socket.SyscallConn()
@@ -82,18 +89,17 @@
 	return err == nil && fresh
 }
 
-// noteKeepAlive takes over the time after which the back end closes a resting
-// connection. A part of it is left for the way.
+// noteKeepAlive notes the time after which the back end closes an idle connection, where
+// its Keep-Alive header names one in seconds.
 func (c *connection) noteKeepAlive(header http.Header, settings Settings) {
-	const usablePart = 0.6
 	for _, item := range strings.Split(header.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(item), "=")
 		seconds, err := strconv.Atoi(value)
 		if name != "timeout" || err != nil {
 			continue
 		}
-		told := time.Duration(usablePart * float64(seconds) * float64(time.Second))
-		c.restLimit = min(settings.IdleTimeout, told)
+		usable := time.Duration(usableIdle * float64(seconds) * float64(time.Second))
+		c.idleLimit = min(settings.IdleTimeout, usable)
 	}
 }
 
--- a/transport/upstream/error.go
+++ b/transport/upstream/error.go
@@ -5,20 +5,22 @@
 	"fmt"
 )
 
-// Error is a failed exchange.
+// Error is why an exchange failed.
 type Error struct {
-	// Sent tells that bytes of the request may have reached the back end, which
-	// may then have run it.
+	// Sent tells that bytes of the request may have reached the back end, which may
+	// have run it.
 	Sent bool
-	// Stage names what failed.
+	// Stage is the part of the exchange that failed.
 	Stage Stage
+	// Cause is the error of the connection, or ErrUnreachable.
 	Cause error
 }
 
 // Stage is a part of an exchange.
 type Stage string
 
-// Stages of an exchange.
+// Stages of an exchange: connecting, sending the request, and reading the head and the
+// body of the answer.
 const (
 	StageDial  Stage = "dial"
 	StageWrite Stage = "write"
@@ -26,7 +28,7 @@
 	StageBody  Stage = "body"
 )
 
-// Error names stage and cause.
+// Error implements error.
 func (e *Error) Error() string { return fmt.Sprintf("%s: %v", e.Stage, e.Cause) }
 
 // Unwrap returns the cause.
--- a/transport/upstream/exchange.go
+++ b/transport/upstream/exchange.go
@@ -8,27 +8,29 @@
 	"time"
 )
 
+// Chosen, not measured.
 const (
-	// maxForeignAnswers is how many answers to earlier requests are skipped on
-	// a connection before it is given up.
+	// maxForeignAnswers is how many answers to other requests are skipped on a
+	// connection before it is given up.
 	maxForeignAnswers = 2
-	// maxForeignBytes bounds the body of a skipped answer.
+	// maxForeignBytes bounds the body of a skipped answer, in bytes.
 	maxForeignBytes = 1 << 20
-	// inlineBody is the largest body that is written before the answer is
-	// read. A longer one is written beside the reading: the back end may answer
-	// before it has read all.
+	// inlineBody is the largest body, in bytes, that is written before the answer is
+	// read. A longer one is written while the answer is read: the back end may answer
+	// before it has read all of it.
 	inlineBody = 4 << 10
 )
 
 // Answer is a back end's answer. Its body must be read to its end or closed.
 type Answer struct {
+	// Status is the code of HTTP.
 	Status int
 	Header http.Header
-	// Named tells that the answer repeats the request's id. One that names no
-	// request may belong to another one.
+	// Named tells that the answer repeats the request's id. One without an id may belong
+	// to another request.
 	Named bool
 
-	// closing tells that the back end ends the connection after this answer.
+	// closing tells that the back end closes the connection after this answer.
 	closing bool
 
 	exchange *exchange
@@ -40,16 +42,18 @@
 	client     *Client
 	endpoint   endpoint
 	connection *connection
-	// written is closed once the request was sent or sending it failed.
+	// written is closed once the request was sent, or sending it failed with writeErr.
 	written  chan struct{}
 	writeErr error
 	// stop ends the watch of the request's context.
 	stop func() bool
-	// suspicion watches for a back end that went dark; nil where none is watched for.
+	// suspicion gives up on a back end whose machine went dark; nil where the request
+	// can't be repeated.
 	suspicion *suspicion
 	// skipped tells that answers to other requests came first.
 	skipped bool
-	once    sync.Once
+	// once ends the exchange.
+	once sync.Once
 }
 
 // Do sends the request and returns the head of its answer. The context bounds
@@ -103,8 +107,8 @@
 	close(e.written)
 }
 
-// receive reads the head of the next answer. One that belongs to another
-// request is read to its end and dropped.
+// receive reads the head of the next answer. An answer to another request is read to
+// its end and dropped; matches is then false.
 func (e *exchange) receive(request *Request) (answer *Answer, matches bool, err error) {
 	response, err := e.readHead(request)
 	if err != nil {
@@ -126,7 +130,7 @@
 	}, true, nil
 }
 
-// readHead reads past the interim answers (1xx).
+// readHead reads the head of the next final answer and skips interim ones (1xx).
 func (e *exchange) readHead(request *Request) (*http.Response, error) {
 	for {
 		response, err := http.ReadResponse(e.connection.reader, &http.Request{Method: request.Method})
@@ -139,12 +143,12 @@
 	}
 }
 
-// hasCloseDelimitedBody tells that only the connection's end ends the body.
+// hasCloseDelimitedBody tells that the body ends where the connection does.
 func hasCloseDelimitedBody(response *http.Response) bool {
 	return response.ContentLength < 0 && len(response.TransferEncoding) == 0
 }
 
-// abandon closes the connection; the back end sees its client gone.
+// abandon closes the connection, by which the back end learns that its client is gone.
 func (e *exchange) abandon() {
 	e.once.Do(func() {
 		e.suspicion.stop()
@@ -153,7 +157,7 @@
 	})
 }
 
-// finish keeps the connection for another request if nothing speaks against it.
+// finish keeps the connection for another request where it is in a known state.
 func (e *exchange) finish(closing bool) {
 	e.once.Do(func() {
 		e.suspicion.stop()
@@ -186,6 +190,6 @@
 	return count, a.exchange.suspicion.cause(err)
 }
 
-// CloseBody gives up what is left of the answer. The back end sees its client gone
-// unless the body was read to its end.
+// CloseBody gives up what is left of the answer. Unless the body was read to its end, the
+// back end learns that its client is gone.
 func (a *Answer) CloseBody() { a.exchange.abandon() }
--- a/transport/upstream/suspicion.go
+++ b/transport/upstream/suspicion.go
@@ -1,9 +1,6 @@
 package upstream
 
 import (
-	"errors"
-	"net"
-	"sync"
 	"sync/atomic"
 	"time"
 
@@ -14,97 +11,17 @@
 // end's machine couldn't be reached any more.
 var ErrUnreachable = merry.Sentinel("the back end's machine can't be reached any more")
 
-// knownReachable is how long a back end that was found reachable isn't looked for
-// again.
-const knownReachable = time.Second
-
-// reachability looks for the machines of silent back ends, once for all requests
-// that wait there together. It is safe for concurrent use.
-type reachability struct {
-	now func() time.Time
-	// dial tells whether the machine answers an attempt to connect in any way.
-	dial func(address string) bool
-	// dials counts them.
-	dials atomic.Uint64
-
-	mutex sync.Mutex
-	looks map[endpoint]*look
-}
-
-// look is one search for a back end's machine.
-type look struct {
-	done  chan struct{}
-	ended time.Time
-	found bool
-}
-
-func newReachability(settings Settings, now func() time.Time) *reachability {
-	return &reachability{now: now, looks: make(map[endpoint]*look), dial: func(address string) bool {
-		return answersDial(address, settings.ProbeTimeout)
-	}}
-}
-
-// answersDial tells whether the machine at the address says anything: a
-// connection, or a refusal. One that is dark or cut off says nothing.
-func answersDial(address string, timeout time.Duration) bool {
-	opened, err := net.DialTimeout("tcp", address, timeout)
-	if err == nil {
-		_ = opened.Close()
-		return true
-	}
-	var failure net.Error
-	return !errors.As(err, &failure) || !failure.Timeout()
-}
-
-// find tells whether the back end's machine can be reached. Those who ask
-// together share one search, and its answer for a while if it was found.
-func (r *reachability) find(to endpoint) bool {
-	current, isNew := r.join(to)
-	if !isNew {
-		<-current.done
-		return current.found
-	}
-	r.dials.Add(1)
-	found := r.dial(to.address)
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	current.found, current.ended = found, r.now()
-	close(current.done)
-	if !found {
-		delete(r.looks, to)
-	}
-	return found
-}
-
-func (r *reachability) join(to endpoint) (current *look, isNew bool) {
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	now := r.now()
-	for other, old := range r.looks {
-		if !old.ended.IsZero() && now.Sub(old.ended) >= knownReachable {
-			delete(r.looks, other)
-		}
-	}
-	if known := r.looks[to]; known != nil {
-		return known, false
-	}
-	current = &look{done: make(chan struct{})}
-	r.looks[to] = current
-	return current, true
-}
-
-// suspicion gives an exchange up whose back end has said nothing for a while and
-// can't be reached any more. A machine that went dark in the middle of an answer
-// is otherwise noticed at the request's deadline only, when it is too late to ask
-// another one: of the programs of three days in which a fifth of the instances went
-// dark for 4.5 s three times, 1.2 % failed and 0.0 % do now. A back end that only
-// takes its time answers the attempt to connect. While nothing comes from other
-// back ends either, it may be this node's own link that is at fault, and the answer
-// is waited for.
+// suspicion gives an exchange up once its back end has sent nothing for a while and its
+// machine can't be reached any more. A machine that goes dark in the middle of an
+// answer would otherwise be noticed at the request's deadline, too late for another try:
+// of the programs of three days in which a fifth of the back ends went dark for 4.5 s three
+// times, 1.2% failed without this and 0.03% do with it. A back end that is only slow
+// answers the probe. As long as nothing comes from other back ends either, this node's own
+// link may be at fault, and the answer is waited for.
 type suspicion struct {
 	exchange *exchange
 	timer    *time.Timer
-	// confirmed is set where the exchange was given up for it.
+	// confirmed tells that the exchange was given up.
 	confirmed atomic.Bool
 	stopped   atomic.Bool
 }
@@ -112,13 +29,13 @@
 // suspect begins to watch the exchange.
 func suspect(watched *exchange) *suspicion {
 	s := &suspicion{exchange: watched}
-	// The timer may fire only once it is known to its own function.
-	s.timer = time.AfterFunc(time.Hour, s.look)
+	// The timer must not fire before s.timer is set.
+	s.timer = time.AfterFunc(time.Hour, s.check)
 	s.timer.Reset(watched.client.settings.Suspicion)
 	return s
 }
 
-// stop ends the watch. It may be called on none.
+// stop ends the watch. It may be called on nil.
 func (s *suspicion) stop() {
 	if s == nil {
 		return
@@ -127,7 +44,9 @@
 	s.timer.Stop()
 }
 
-func (s *suspicion) look() {
+// check probes the back end's machine if nothing has come for long enough, and sets the
+// timer for the next check otherwise.
+func (s *suspicion) check() {
 	if s.stopped.Load() {
 		return
 	}
@@ -148,12 +67,13 @@
 	s.exchange.connection.close()
 }
 
-// silence is how long nothing has come on the connection.
+// silence is how long ago bytes last came on the connection.
 func (s *suspicion) silence() time.Duration {
 	return s.exchange.client.now().Sub(time.Unix(0, s.exchange.connection.heard.Load()))
 }
 
-// cause replaces the error of a connection that was closed for suspicion.
+// cause replaces the error of a connection that was closed by check. It may be called on
+// nil.
 func (s *suspicion) cause(err error) error {
 	if s == nil || !s.confirmed.Load() {
 		return err
