--- a/transport/relay/answer.go
+++ b/transport/relay/answer.go
@@ -5,7 +5,6 @@
 	"math/rand/v2"
 	"net/http"
 	"strconv"
-	"time"
 
 	"go.uber.org/zap"
 
@@ -35,7 +34,7 @@
 	clear(header)
 	header.Set("Content-Type", "application/json")
 	if failure.RetryAfter > 0 {
-		header.Set("Retry-After", retryAfter(failure.RetryAfter))
+		header.Set("Retry-After", retryAfter(failure.RetryAfter, rand.N(failure.RetryAfter)))
 	}
 	body, err := json.Marshal(failureBody{Error: failureDetail{
 		Code: failure.Code, Type: info.Name, Message: failure.Message,
@@ -50,13 +49,6 @@
 	_, _ = c.writer.Write(body)
 }
 
-// retryAfter spreads the return of clients that were refused together. Seconds
-// may have fractions.
-func retryAfter(pause time.Duration) string {
-	spread := pause/2 + rand.N(pause)
-	return strconv.FormatFloat(spread.Seconds(), 'f', 3, 64)
-}
-
 // abort breaks the caller's connection: what was written must not look whole.
 func (c *call) abort(code result.Code, cause error) {
 	c.reply.code = code
--- a/transport/relay/handler.go
+++ b/transport/relay/handler.go
@@ -69,7 +69,7 @@
 	current := &call{handler: h, writer: writer, request: request, times: times{arrived: arrived}}
 	defer current.report()
 	if underWay > h.options.MaxInFlight {
-		current.fail(result.Errorf(result.Overloaded, "%d requests are under way", underWay).After(retryPause))
+		current.fail(overload.refusal("%d requests are under way", underWay))
 		return
 	}
 	if failure := current.prepare(); failure != nil {
@@ -98,7 +98,7 @@
 	options := &c.handler.options
 	table := options.Tables.Table()
 	if table == nil {
-		return result.Errorf(result.NotReady, "no configuration yet").After(startPause)
+		return noConfiguration.refusal("no configuration yet")
 	}
 	c.basis.version = table.Version()
 	if options.TableAge != nil {
@@ -118,7 +118,7 @@
 	path, _, _ := strings.Cut(c.asked.target, "?")
 	route, found := table.Match(c.request.Host, path)
 	if !found {
-		return c.noRoute()
+		return missingRoute.refusal(c.basis.version, options.Certain())
 	}
 	c.setRoute(route)
 	c.basis.needsKey = table.NeedsKey(route)
@@ -128,14 +128,6 @@
 	return c.readBody(limits)
 }
 
-// noRoute refuses for good only where no newer configuration can be in force.
-func (c *call) noRoute() *result.Error {
-	if c.handler.options.Certain() {
-		return result.Errorf(result.UnknownRoute, "version %d has no route for this host and path", c.basis.version)
-	}
-	return result.Errorf(result.NotReady, "the configuration may be out of date").After(retryPause)
-}
-
 func (c *call) setRoute(route *routetable.Route) {
 	c.basis.route = route
 	total := route.Timeout
--- a/transport/relay/run.go
+++ b/transport/relay/run.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"errors"
-	"time"
 
 	"go.uber.org/zap"
 
@@ -14,11 +13,6 @@
 )
 
 const (
-	// retryPause is what a refused client is asked to wait, give or take half.
-	retryPause = 150 * time.Millisecond
-	// startPause is what it is asked to wait for a node that is starting, or that waits
-	// for the store: its few tries then outlast a second of that.
-	startPause = 400 * time.Millisecond
 	// maxDetours bounds the instances that were tried without being sent the
 	// request: unreachable ones and those whose address another has.
 	maxDetours = 4
@@ -167,11 +161,11 @@
 	case c.tried.mayHaveRun:
 		c.fail(result.Errorf(result.BackendFailed, "%v", cause))
 	case ended == refused:
-		c.fail(result.Errorf(result.BackendBusy, "%v", cause).After(retryPause))
+		c.fail(busyBackEnd.refusal("%v", cause))
 	default:
 		// Also where the time of the request is over: a caller that knows that it
 		// hasn't run may ask again for what must not run twice.
-		c.fail(result.Errorf(result.NoBackend, "%v", cause).After(retryPause))
+		c.fail(noBackEnd.refusal("%v", cause))
 	}
 }
 
--- a/transport/relay/turn.go
+++ b/transport/relay/turn.go
@@ -19,7 +19,7 @@
 	if c.basis.route.Retained && c.asked.facts.LastEvent != "" {
 		// The part of the answer that the client has isn't known here, so that
 		// the turn could not be kept whole.
-		return result.Errorf(result.HistoryUnavailable, "a retained turn begins at its start").After(retryPause)
+		return resumedTurn.refusal("a retained turn begins at its start")
 	}
 	service := table.Service(c.basis.route.Pick(backend.Draw(c.asked.facts.Key)))
 	turn, failure := c.handler.options.Turns.Begin(ctx, conversation.Request{
