--- a/coordination/record/record.go
+++ b/coordination/record/record.go
@@ -1,5 +1,9 @@
-// Package record keeps program trees in quorum registers: one register a tree,
-// in the shard that the root program's id hashes to.
+// Package record keeps program trees in quorum registers: one register for each tree,
+// under the root program's id, in the shard that this id hashes to.
+//
+// It owns the encoding of a tree in its register and a small memory of trees seen
+// lately. It relies on coordination/register for agreement and on state/program for the
+// rules by which a tree changes.
 package record
 
 import (
@@ -22,21 +26,22 @@
 // Locator says which shard a root program's record is in.
 type Locator func(root string) uint32
 
-// Store reads and changes program trees.
+// Store reads and changes program trees. It is safe for concurrent use.
 type Store struct {
 	registers Register
 	locate    Locator
 	recent    *recentTrees
 }
 
-// NewStore makes a store that remembers up to recentLimit trees as hints.
+// NewStore makes a store that remembers up to recentLimit trees for Recent.
 func NewStore(registers Register, locate Locator, recentLimit int) *Store {
 	return &Store{registers: registers, locate: locate, recent: newRecentTrees(recentLimit)}
 }
 
-// Apply replaces the root's tree by the result of the change and returns it.
-// The change gets a copy of its own, nil where no tree exists, and may be called
-// several times.
+// Apply replaces the root's tree by the result of the change and returns it. The change
+// gets a copy of its own, nil where no tree exists, and may be called several times. If
+// it returns nil, the tree stays as it is. Errors are the change's own and those of
+// register.Client.
 func (s *Store) Apply(ctx context.Context, root string, change func(*statev1.ProgramTree) (*statev1.ProgramTree, error)) (*statev1.ProgramTree, error) {
 	value, err := s.registers.Apply(ctx, s.locate(root), root, func(current []byte) ([]byte, error) {
 		return changeEncoded(root, current, change)
@@ -52,8 +57,8 @@
 	return tree, nil
 }
 
-// Recent returns the tree as this store last saw it, or nil. It may be out of
-// date and must not be changed.
+// Recent returns the tree as this store saw it last, or nil. It may be out of date and
+// must not be modified.
 func (s *Store) Recent(root string) *statev1.ProgramTree { return s.recent.get(root) }
 
 func changeEncoded(root string, current []byte, change func(*statev1.ProgramTree) (*statev1.ProgramTree, error)) ([]byte, error) {
@@ -71,8 +76,8 @@
 	return encode(next)
 }
 
-// Decode reads the value of a root's register; nil for one that was never
-// written.
+// Decode reads the value of the root's register. It returns nil for a register that was
+// never written, and an error for the record of another root.
 func Decode(root string, value []byte) (*statev1.ProgramTree, error) {
 	if len(value) == 0 {
 		return nil, nil
@@ -87,7 +92,7 @@
 	return tree, nil
 }
 
-// encode is deterministic, so that an unchanged tree is recognised as a read.
+// encode is deterministic, so that the register recognises an unchanged tree as a read.
 func encode(tree *statev1.ProgramTree) ([]byte, error) {
 	value, err := proto.MarshalOptions{Deterministic: true}.Marshal(tree)
 	if err != nil {
@@ -96,7 +101,7 @@
 	return value, nil
 }
 
-// recentTrees is a bounded map; when it is full an arbitrary entry makes room.
+// recentTrees is a bounded map. When it is full, an arbitrary entry makes room.
 type recentTrees struct {
 	mutex sync.RWMutex
 	limit int
