--- a/coordination/register/batch.go
+++ b/coordination/register/batch.go
@@ -28,7 +28,8 @@
 	return &call{change: change, done: make(chan struct{})}
 }
 
-// abandon gives the call up and says whether its change may still be applied.
+// abandon gives the call up. Its error says whether the change may still be applied;
+// where the call has finished already, abandon returns its result.
 func (c *call) abandon(cause error) ([]byte, error) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -42,7 +43,8 @@
 	return nil, c.unresolved(cause)
 }
 
-// unresolved returns the error of a call that ends without a decision.
+// unresolved returns the error of a call that ends without a decision. The caller holds
+// the mutex.
 func (c *call) unresolved(cause error) error {
 	if c.included {
 		return merry.Wrap(ErrUnknownOutcome, merry.WithCause(cause), merry.AppendMessagef("%v", cause))
@@ -50,7 +52,8 @@
 	return merry.Wrap(ErrNoQuorum, merry.WithCause(cause), merry.AppendMessagef("%v", cause))
 }
 
-// join makes the call part of a batch unless it was abandoned.
+// join makes the call part of a batch, and returns false where it was abandoned. Leave
+// is called when the call is abandoned later.
 func (c *call) join(leave func()) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -58,8 +61,9 @@
 	return !c.abandoned
 }
 
-// evaluate runs the change, and false where the call was abandoned. A change of
-// the value counts as included from then on, since the value is sent next.
+// evaluate runs the change. Present is false where the call was abandoned, whose change
+// isn't run then. A change of the value counts as included from then on, since the value
+// is sent next.
 func (c *call) evaluate(current []byte) (next []byte, refusal error, present bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -76,6 +80,7 @@
 	return next, nil, true
 }
 
+// finish sets the call's result, unless it has one or was abandoned.
 func (c *call) finish(value []byte, err error) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -110,7 +115,8 @@
 	// that an earlier one was chosen.
 	evaluations [][]callResult
 
-	mutex   sync.Mutex
+	mutex sync.Mutex
+	// present counts the calls that weren't abandoned.
 	present int
 	// empty is closed when every call has been abandoned.
 	empty chan struct{}
@@ -128,6 +134,7 @@
 	return b
 }
 
+// leave notes that one call was abandoned.
 func (b *batch) leave() {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -137,8 +144,8 @@
 	}
 }
 
-// change is the Change of the whole batch: each call works on the value that the
-// one before it left. A refusal of one call doesn't stop the others.
+// change is the Change of the whole batch. Each call works on the value that the one
+// before it left; a call that refuses leaves the value as it was.
 func (b *batch) change(current []byte) ([]byte, error) {
 	results := make([]callResult, 0, len(b.calls))
 	value := current
@@ -154,8 +161,8 @@
 	return value, nil
 }
 
-// finish gives each call the result of the evaluation that was chosen. A call
-// that had left the batch by that evaluation has its answer already.
+// finish gives each call its result of the evaluation that was chosen, counted from one.
+// A call that had left the batch by that evaluation has its result already.
 func (b *batch) finish(evaluation int) {
 	for _, result := range b.evaluations[evaluation-1] {
 		if result.err != nil {
@@ -166,6 +173,7 @@
 	}
 }
 
+// fail ends all calls without a decision.
 func (b *batch) fail(cause error) {
 	for _, member := range b.calls {
 		member.fail(cause)
--- a/coordination/register/cache.go
+++ b/coordination/register/cache.go
@@ -14,12 +14,14 @@
 	promise Promise
 }
 
-// promiseCache keeps the entries of the registers used last. Forgetting one is
-// safe: a new proposer that starts below gets refused and learns the counter.
+// promiseCache keeps the entries of the registers used last. Forgetting one is safe: a
+// proposer that starts with a lower counter is refused and learns the higher one. It is
+// safe for concurrent use.
 type promiseCache struct {
 	limit int
 
-	mutex   sync.Mutex
+	mutex sync.Mutex
+	// order holds cacheItem values, the one used last first.
 	order   *list.List
 	entries map[registerID]*list.Element
 }
--- a/coordination/register/client.go
+++ b/coordination/register/client.go
@@ -69,7 +69,8 @@
 	Thrift *Thrift
 }
 
-// DefaultSettings returns settings for members a few milliseconds apart.
+// DefaultSettings returns settings for members a few milliseconds apart. The values were
+// chosen, not measured.
 func DefaultSettings() Settings {
 	return Settings{
 		RequestTimeout:  time.Second,
@@ -94,7 +95,9 @@
 	randomMutex sync.Mutex
 	random      *rand.Rand
 
-	mutex  sync.Mutex
+	mutex sync.Mutex
+	// queues holds the calls that wait for a round. A register with an entry has a
+	// worker.
 	queues map[registerID][]*call
 	cache  *promiseCache
 	fresh  *freshGate
@@ -135,8 +138,8 @@
 //   - no error: the change is applied, and every later Apply or Read sees it;
 //   - the change's own error: the register was not changed, and the value on
 //     which the change decided is the register's, never an uncommitted one;
-//   - ErrNoQuorum: certainly not applied;
-//   - ErrUnknownOutcome: see there.
+//   - ErrNoQuorum: the change is certainly not applied and never will be;
+//   - ErrUnknownOutcome: the change may have been applied, or may be later.
 //
 // Where an accept was sent without an answer, Apply goes on at higher ballots to
 // find out, until ctx ends or Settings.Attempts rounds found no majority. See the
--- a/coordination/register/doc.go
+++ b/coordination/register/doc.go
@@ -16,6 +16,10 @@
 //   - Client: drives proposers over a Transport, with retries, a queue for each
 //     register and a cache of promises.
 //
+// The package owns the protocol. It relies on a replica that stores register states
+// (coordination/shard on state/replica), a Transport that carries the requests
+// (transport/peer) and Views that know the replica sets (coordination/shard).
+//
 // # What a caller must know
 //
 // A Change may be called several times, and after an accept whose outcome is
--- a/coordination/register/fresh.go
+++ b/coordination/register/fresh.go
@@ -5,17 +5,19 @@
 	"time"
 )
 
-// freshPause is how long a shard's registers begin with a prepare after a member
-// didn't accept a fresh change in time.
+// freshPause is how long a shard's registers begin with a prepare after a member didn't
+// accept a fresh change in time (chosen, not measured).
 const freshPause = 2 * time.Second
 
-// freshGate says where changes may skip the prepare. That needs an answer of
-// every member: while one is slow or away, each try would cost its patience.
+// freshGate says in which shards changes may skip the prepare. A fresh change needs an
+// answer of every member, so that while one is slow or away, each would wait for the
+// whole patience in vain. It is safe for concurrent use.
 type freshGate struct {
 	patience time.Duration
 	clock    Clock
 
-	mutex  sync.Mutex
+	mutex sync.Mutex
+	// closed are the shards in which no change may skip the prepare for now.
 	closed map[uint32]bool
 }
 
@@ -23,7 +25,7 @@
 	return &freshGate{patience: settings.FreshPatience, clock: clock, closed: make(map[uint32]bool)}
 }
 
-// isOpen tells whether the shard's members answered in time lately.
+// isOpen reports whether changes of the shard's registers may skip the prepare.
 func (g *freshGate) isOpen(shard uint32) bool {
 	if g.patience == 0 {
 		return false
@@ -33,7 +35,7 @@
 	return !g.closed[shard]
 }
 
-// close keeps the shard's changes from skipping the prepare for a while.
+// close keeps the shard's changes from skipping the prepare for freshPause.
 func (g *freshGate) close(shard uint32) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
--- a/coordination/register/proposer.go
+++ b/coordination/register/proposer.go
@@ -6,10 +6,10 @@
 	"github.com/marblering/marblering/state/replica"
 )
 
-// Change computes the next value of a register from the current one, which is
-// nil before the first change. An error leaves the register unchanged and is
-// returned to the caller; next equal to current is a read. The package comment
-// says what a change must and must not do.
+// Change computes the next value of a register from the current one, which is nil
+// before the first change. An error leaves the register as it is and is returned to the
+// caller. A next value that equals the current one makes the change a read. The package
+// comment says what a change must and must not do.
 type Change func(current []byte) (next []byte, err error)
 
 // Phase is the kind of a proposer's request.
@@ -89,12 +89,14 @@
 	Promise Promise
 }
 
-// proposal is a value under way to being chosen.
+// proposal is a value that the proposer wants to be chosen.
 type proposal struct {
-	value      []byte
+	value []byte
+	// evaluation is the number of the change's call that gave the value, from one.
 	evaluation int
-	refusal    error
-	// changed tells a new value from one that was read and is confirmed.
+	// refusal is the error of that call. The value is then the one that was read.
+	refusal error
+	// changed is false for a value that was read and is only to be confirmed.
 	changed bool
 }
 
@@ -104,19 +106,27 @@
 type Proposer struct {
 	incarnation string
 	change      Change
-	counter     uint64
-
-	phase    Phase
-	ballot   replica.Ballot
-	next     replica.Ballot
+	// counter is the highest ballot counter seen or used.
+	counter uint64
+
+	phase  Phase
+	ballot replica.Ballot
+	// next is the ballot that the members promise along with the accept.
+	next replica.Ballot
+	// answered says which members have answered the request of the phase.
 	answered []bool
-	// needed is how many members have to grant the request.
-	needed      int
-	granted     int
-	failed      int
-	accepted    replica.Ballot
-	value       []byte
-	uniform     bool
+	// needed is how many members have to grant the request; granted and failed count
+	// those that have, and those that refused it or can't be reached.
+	needed  int
+	granted int
+	failed  int
+	// accepted and value are the highest ballot and its value that members reported
+	// in the prepare; uniform is whether all reported the same ballot.
+	accepted replica.Ballot
+	value    []byte
+	uniform  bool
+	// current is the proposal of the accept under way, sent holds all proposals with a
+	// new value that were ever sent, by their ballots.
 	current     proposal
 	sent        map[replica.Ballot]proposal
 	evaluations int
@@ -141,10 +151,10 @@
 	return Request{Phase: PhasePrepare, Ballot: p.ballot}
 }
 
-// BeginPromised starts the first round with a promise left by an earlier
-// change, which saves the prepare. The promise must not be used again. Where
-// the change would leave the value as it is, the round prepares after all,
-// since only a majority's answers can tell that the value still stands.
+// BeginPromised starts the first round with the promise that an earlier change left,
+// which saves the prepare. The promise must not be used again. Where the change leaves
+// the value as it is, the round prepares after all, since only the answers of a majority
+// show that the value still stands.
 func (p *Proposer) BeginPromised(members int, promise Promise) Request {
 	p.observe(promise.Ballot)
 	if promise.Ballot.IsZero() {
@@ -225,8 +235,8 @@
 	return p.fail()
 }
 
-// Result returns the result so far: final after StatusDone, otherwise what is
-// true when the proposer is given up now.
+// Result returns the result. It is final after StatusDone; before, it is what holds if
+// the proposer is given up now.
 func (p *Proposer) Result() Result {
 	if p.result.Outcome == OutcomeNotApplied && len(p.sent) > 0 {
 		return Result{Outcome: OutcomeUnknown}
@@ -237,6 +247,7 @@
 // Counter returns the highest ballot counter seen or used.
 func (p *Proposer) Counter() uint64 { return p.counter }
 
+// startPhase forgets the answers of the phase before and waits for those of a majority.
 func (p *Proposer) startPhase(phase Phase, members int) {
 	p.phase = phase
 	p.answered = make([]bool, members)
@@ -245,10 +256,12 @@
 	p.failed = 0
 }
 
+// expects reports whether this is the member's first answer to the request under way.
 func (p *Proposer) expects(phase Phase, ballot replica.Ballot, member int) bool {
 	return p.phase == phase && p.ballot == ballot && member < len(p.answered) && !p.answered[member]
 }
 
+// observe keeps the counter at or above that of the ballot.
 func (p *Proposer) observe(ballot replica.Ballot) {
 	p.counter = max(p.counter, ballot.Counter)
 }
@@ -264,6 +277,8 @@
 	}
 }
 
+// fail counts a member that won't grant the request. The round fails once too few are
+// left.
 func (p *Proposer) fail() Status {
 	p.failed++
 	if len(p.answered)-p.failed >= p.needed {
@@ -273,7 +288,7 @@
 	return StatusRetry
 }
 
-// decide runs once a majority has promised the ballot.
+// decide chooses the value to propose once a majority has promised the ballot.
 func (p *Proposer) decide() (Request, Status) {
 	own, found := p.sent[p.accepted]
 	if found && bytes.Equal(own.value, p.value) {
@@ -289,15 +304,16 @@
 	return p.proposeNext(candidate)
 }
 
-// isSettled tells whether the candidate needs no accept round: the value stays
-// as it is, it is chosen because a majority holds it at one ballot, and no value
-// of the proposer's own is left that a later round of another could pick up. A
-// majority at the lowest ballots doesn't tell that a value is chosen.
+// isSettled reports whether the candidate needs no accept: the change leaves the value as
+// it is, the value is chosen because a majority holds it at one ballot, and the proposer
+// has sent no value of its own that another proposer could still pick up. A majority at
+// the lowest ballots doesn't show that a value is chosen.
 func (p *Proposer) isSettled(candidate proposal) bool {
 	isFresh := p.accepted.Counter == freshCounter && !p.accepted.IsZero()
 	return !candidate.changed && p.uniform && !isFresh && len(p.sent) == 0
 }
 
+// evaluate runs the change on the current value.
 func (p *Proposer) evaluate(current []byte) proposal {
 	p.evaluations++
 	next, refusal := p.change(current)
@@ -307,11 +323,13 @@
 	return proposal{value: next, evaluation: p.evaluations, changed: true}
 }
 
+// proposeNext goes on from the prepare to the accept of the candidate.
 func (p *Proposer) proposeNext(candidate proposal) (Request, Status) {
 	p.startPhase(PhaseAccept, len(p.answered))
 	return p.propose(candidate), StatusSend
 }
 
+// propose returns the accept of the candidate at the round's ballot.
 func (p *Proposer) propose(candidate proposal) Request {
 	p.current = candidate
 	if candidate.changed {
@@ -325,6 +343,7 @@
 	return Request{Phase: PhaseAccept, Ballot: p.ballot, Value: candidate.value, Next: p.next}
 }
 
+// finish ends the proposer's work with the proposal that was chosen.
 func (p *Proposer) finish(chosen proposal, promise Promise) Status {
 	p.phase = PhaseIdle
 	p.result = Result{
--- a/coordination/register/round.go
+++ b/coordination/register/round.go
@@ -7,7 +7,8 @@
 	"github.com/marblering/marblering/state/replica"
 )
 
-// answer is what came back from one member.
+// answer is what came back from one member: a reply to the request of the phase, or an
+// error.
 type answer struct {
 	member int
 	// place is the member's place in the order in which members were asked.
@@ -40,14 +41,15 @@
 	return a.accept.ConfigurationVersion
 }
 
-// callsForAnother tells whether another member may do better. One that has promised a
-// higher ballot is no reason to ask others: the next round is above that one.
+// callsForAnother reports whether another member is to be asked in this one's place. A
+// member that has promised a higher ballot is no reason to: the next round uses a
+// ballot above that one.
 func (a answer) callsForAnother() bool {
 	return a.err != nil || a.refusal() != RefusalNone && a.refusal() != RefusalBallot
 }
 
-// isUnreachable tells whether the member can't take part at all, as against one
-// that is overtaken or between two epochs.
+// isUnreachable reports whether the member can't take part at all, unlike one that has
+// promised a higher ballot or is between two epochs.
 func (a answer) isUnreachable() bool {
 	switch a.refusal() {
 	case RefusalIncarnation, RefusalStorage:
@@ -57,7 +59,8 @@
 	}
 }
 
-// round is one attempt of a batch against one view and one configuration.
+// round is one attempt to carry out a batch, against one view and one configuration
+// version. It is used by one goroutine.
 type round struct {
 	client   *Client
 	id       registerID
@@ -67,21 +70,25 @@
 	// abandoned is closed when nobody waits for the result any more.
 	abandoned <-chan struct{}
 
-	// fromPromise is set where the round began with a kept promise. When it
-	// fails, another node has most likely made the change before this one and
-	// is not at work any more, so that there is no duel to wait out.
+	// fromPromise is set where the round began with the promise of an earlier change.
+	// If it fails, another node has most likely changed the register in between and has
+	// finished, so that the next round needn't wait.
 	fromPromise bool
-	// isFresh is set where the round began without a prepare and without a
-	// promise; all members must answer then.
-	isFresh     bool
+	// isFresh is set where the round began without a prepare and without a promise.
+	// All members must grant its request.
+	isFresh bool
+	// answered and unreachable count members that were sent the current request.
 	answered    int
 	unreachable int
-	newestView  View
-	newest      uint64
-	failure     error
+	// newestView and newestVersion are the newest view and configuration version that
+	// members have named.
+	newestView    View
+	newestVersion uint64
+	// failure is what went wrong last at a member.
+	failure error
 }
 
-// run drives the proposer from the request until it is done or the round fails.
+// run drives the proposer from its first request until it is done or the round fails.
 func (r *round) run(request Request) Status {
 	for {
 		next, status := r.exchange(request)
@@ -92,44 +99,31 @@
 	}
 }
 
-// exchange sends one request to the members and feeds the answers to the
-// proposer until it knows how to go on. Requests to members that are slower than
-// the majority run on without anyone waiting, so that those replicas keep up.
+// exchange sends one request to the members and feeds the answers to the proposer until
+// it says how to go on. It returns StatusRetry where time is over, no member is left to
+// answer or nobody waits for the result any more.
 func (r *round) exchange(request Request) (Request, Status) {
 	sent := r.startExchange(request)
 	defer sent.finish()
 	expired := sent.expired
 	if r.isFresh {
-		late := make(chan struct{})
-		defer r.client.clock.AfterFunc(r.client.fresh.patience, func() { close(late) })()
-		expired = late
+		impatient := make(chan struct{})
+		defer r.client.clock.AfterFunc(r.client.fresh.patience, func() { close(impatient) })()
+		expired = impatient
 	}
 	r.answered = 0
 	r.unreachable = 0
 	for r.answered < sent.members.Asked() {
 		select {
 		case received := <-sent.answers:
-			r.note(received)
-			sent.take(received)
-			next, status := r.feed(received)
+			next, status := r.take(sent, received)
 			if status != StatusWaiting {
 				return next, status
 			}
-			if received.callsForAnother() {
-				sent.members.Ask(1)
-			}
 		case <-sent.late:
 			sent.hedge()
 		case <-expired:
-			if r.isFresh {
-				// The others may well be a majority.
-				r.client.fresh.close(r.id.shard)
-				return Request{}, StatusRetry
-			}
-			sent.passOver()
-			r.unreachable += sent.members.Asked() - r.answered
-			r.failure = merry.Errorf("%d of %d members didn't answer within %v",
-				sent.members.Asked()-r.answered, len(r.view.Members), r.client.settings.RequestTimeout)
+			r.expire(sent)
 			return Request{}, StatusRetry
 		case <-r.abandoned:
 			return Request{}, StatusRetry
@@ -138,6 +132,34 @@
 	return Request{}, StatusRetry
 }
 
+// take feeds an answer to the proposer and asks another member where this one can't
+// grant the request.
+func (r *round) take(sent *exchange, received answer) (Request, Status) {
+	r.note(received)
+	sent.take(received)
+	next, status := r.feed(received)
+	if status == StatusWaiting && received.callsForAnother() {
+		sent.members.Ask(1)
+	}
+	return next, status
+}
+
+// expire ends the wait for the members that haven't answered.
+func (r *round) expire(sent *exchange) {
+	if r.isFresh {
+		// Patience is short: the members aren't counted as unreachable, since an
+		// ordinary round may well find a majority.
+		r.client.fresh.close(r.id.shard)
+		return
+	}
+	silent := sent.members.Asked() - r.answered
+	sent.passOver()
+	r.unreachable += silent
+	r.failure = merry.Errorf("%d of %d members didn't answer within %v",
+		silent, len(r.view.Members), r.client.settings.RequestTimeout)
+}
+
+// send sends the request to the member with the index and returns its answer.
 func (r *round) send(ctx context.Context, index int, request Request) answer {
 	member := r.view.Members[index]
 	fence := Fence{
@@ -159,6 +181,7 @@
 	return result
 }
 
+// feed hands the answer to the proposer.
 func (r *round) feed(received answer) (Request, Status) {
 	switch {
 	case received.err != nil:
@@ -170,7 +193,7 @@
 	}
 }
 
-// note keeps what the answer tells beyond the register itself.
+// note keeps what the answer says beyond the register itself.
 func (r *round) note(received answer) {
 	r.answered++
 	if received.isUnreachable() {
@@ -187,24 +210,25 @@
 	if view := received.view(); view != nil && view.Epoch > r.newestView.Epoch {
 		r.newestView = *view
 	}
-	r.newest = max(r.newest, received.configurationVersion())
+	r.newestVersion = max(r.newestVersion, received.configurationVersion())
 }
 
-// hasLostMajority tells whether too few members can take part at all.
+// hasLostMajority reports whether too few members can take part at all.
 func (r *round) hasLostMajority() bool {
 	return len(r.view.Members)-r.unreachable < r.view.Quorum()
 }
 
-// learn passes on newer views and configurations and tells whether this node
-// knows more than the round did, so that another round makes sense at once.
+// learn passes on the newer view and configuration that members have named. It returns
+// true where this node now knows newer ones than the round used, so that another round
+// makes sense at once.
 func (r *round) learn() bool {
 	views := r.client.views
 	if r.newestView.Epoch > r.view.Epoch {
 		views.Learn(r.newestView)
 	}
-	if r.newest > r.version {
+	if r.newestVersion > r.version {
 		ctx, cancel := r.client.limit(r.abandoned)
-		views.LearnConfiguration(ctx, r.newest)
+		views.LearnConfiguration(ctx, r.newestVersion)
 		cancel()
 	}
 	view, known := views.View(r.id.shard)
--- a/coordination/register/run.go
+++ b/coordination/register/run.go
@@ -6,7 +6,7 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// runBatch carries the calls to their results.
+// runBatch carries out the calls as one change and gives each its result.
 func (c *Client) runBatch(id registerID, calls []*call) {
 	work := newBatch(calls)
 	known := c.cache.take(id)
@@ -25,9 +25,10 @@
 	work.finish(result.Evaluation)
 }
 
-// runRounds tries rounds until one succeeds, a majority is lost for too long or
-// nobody waits any more. It returns the epoch of the round that succeeded.
+// runRounds repeats rounds until one succeeds, Settings.Attempts rounds found no majority
+// or nobody waits any more. It returns the epoch of the round that succeeded.
 func (c *Client) runRounds(id registerID, work *batch, proposer *Proposer, known cacheEntry) (uint64, error) {
+	// lost counts the rounds that found no majority, failures all that failed.
 	lost := 0
 	for failures := 0; ; {
 		attempt, err := c.newRound(id, work, proposer)
@@ -56,8 +57,9 @@
 	}
 }
 
-// newRound reads the configuration version before the round calls the change,
-// so that the fence never claims a newer configuration than the change saw.
+// newRound makes a round of the newest view. It reads the configuration version before
+// the round calls the change, so that the fence never names a newer configuration than
+// the change has seen.
 func (c *Client) newRound(id registerID, work *batch, proposer *Proposer) (*round, error) {
 	version := c.views.ConfigurationVersion()
 	view, found := c.views.View(id.shard)
@@ -74,8 +76,9 @@
 	}, nil
 }
 
-// begin starts the proposer's round, with the promise of an earlier change where
-// it is of the same epoch: another epoch has other members.
+// begin starts the proposer's round and returns its first request. The first round of a
+// batch uses the promise of an earlier change, unless that is of another epoch, which
+// has other members, or skips the prepare where the register is most likely new.
 func (r *round) begin(known cacheEntry, failures int) Request {
 	if failures == 0 && known.epoch == r.view.Epoch {
 		r.fromPromise = !known.promise.Ballot.IsZero()
@@ -89,15 +92,16 @@
 	return r.proposer.Begin(len(r.view.Members))
 }
 
-// judgeFresh closes the way without a prepare where a member can't be reached.
-// One that holds the register already says nothing of other registers.
+// judgeFresh makes the shard's registers begin with a prepare for a while, where the
+// fresh round found a member that can't be reached. A member that refused because it
+// holds the register already says nothing about other registers.
 func (r *round) judgeFresh() {
 	if r.unreachable > 0 {
 		r.client.fresh.close(r.id.shard)
 	}
 }
 
-// pause waits for the backoff, or until nobody waits any more.
+// pause waits for the backoff after so many failures, or until nobody waits any more.
 func (c *Client) pause(failures int, abandoned <-chan struct{}) {
 	elapsed := make(chan struct{})
 	stop := c.clock.AfterFunc(c.backoff(failures), func() { close(elapsed) })
--- a/coordination/register/thrift.go
+++ b/coordination/register/thrift.go
@@ -15,21 +15,21 @@
 // hedged names the requests of this package in the budget of hedges.
 const hedged = "registers"
 
-// Thrift has a round ask a majority of the members first, and others where these
-// fail or are late (thrifty quorums: I. Moraru, "There Is More Consensus in
-// Egalitarian Parliaments", 2013). It takes about half of the requests, bytes and
-// writes of asking all. A value is chosen by the same majority either way; what
-// is lost is copies beyond it.
+// Thrift has a round ask a majority of the members first, and others where these fail
+// or are late (thrifty quorums: I. Moraru, "There Is More Consensus in Egalitarian
+// Parliaments", 2013). It takes about half of the requests, bytes and writes of asking
+// all; docs/design/platform.md has the measurement. A value is chosen by a majority
+// either way; copies beyond the majority are given up.
 type Thrift struct {
-	// Local is the incarnation of the member that is asked without a network. It
-	// goes first.
+	// Local is the incarnation of the member in this process, which is asked first;
+	// empty for none.
 	Local string
 	// Delay is how long members may take before another one is asked as well.
 	Delay time.Duration
 	// Reach is told which members answer, and says which to ask last.
 	Reach *reach.Tracker
-	// Hedges bounds the requests beyond a majority to members that are late only.
-	// Members that are late together are overloaded.
+	// Hedges bounds the requests that are sent because members are late. Members that
+	// are late together are overloaded, and more requests would make that worse.
 	Hedges *limit.RetryBudget
 	Now    func() time.Time
 }
@@ -43,12 +43,14 @@
 	return multicast.Hedging{Kind: hedged, Budget: t.Hedges, Reach: t.Reach, Now: t.Now}
 }
 
-// Rank orders the members for a key by rendezvous hashing; the highest goes
-// first. All nodes agree on it, so that whoever works on a key meets the members
-// that hold it.
+// Rank orders the members for a key by rendezvous hashing (D. G. Thaler, C. V.
+// Ravishankar, 1998); the member with the highest rank is asked first. All nodes compute
+// the same ranks, so that they ask the members that hold the key's newest value.
 func Rank(node, key string) uint64 { return xxhash.Sum64String(node + "/" + key) }
 
-// order returns the indexes of the members in the order in which they are asked.
+// order returns the indexes of the members in the order in which they are asked: the
+// local member first, then the others by rank, those that failed lately last. Without
+// Settings.Thrift all are asked at once, in the order of the view.
 func (c *Client) order(view View, key string) []int {
 	indexes := make([]int, len(view.Members))
 	for i := range indexes {
