--- a/state/replica/boltfile.go
+++ b/state/replica/boltfile.go
@@ -40,28 +40,20 @@
 	pageBytes uint64
 	root      uint64
 	// pages is the number of pages in use; a larger page number is wrong.
-	pages   uint64
+	pages uint64
+	// reached holds the pages that the walk has come to. Each may be reached once.
 	reached map[uint64]bool
 }
 
+// boltMeta is what the walk needs of a meta page. Numbers are those of pages.
 type boltMeta struct {
 	pageBytes, root, freelist, pages, transaction uint64
 }
 
-type boltPage struct {
-	flags, count uint16
-	body         []byte
-}
-
-type boltElement struct {
-	flags      uint32
-	child      uint64
-	key, value []byte
-}
-
+// openBoltFile reads the meta pages of the file; size is in bytes.
 func openBoltFile(source io.ReaderAt, size int64) (*boltFile, error) {
 	if size < boltMetaPages*boltMinPageBytes {
-		return nil, damaged("the file has only %d bytes", size)
+		return nil, corruptf("the file has only %d bytes", size)
 	}
 	file := &boltFile{source: source, size: uint64(size), reached: make(map[uint64]bool)}
 	first, err := file.readMeta(0)
@@ -75,27 +67,28 @@
 	return file, file.useNewest(first, second)
 }
 
-// useNewest demands that both meta pages are whole and stem from successive
-// transactions. A torn write of a meta page can't be told from damage to a
-// newer one, so it counts as damage too.
+// useNewest takes root and size of the newer meta page. It demands that the two are of
+// successive transactions: a torn write of a meta page can't be told from damage to a
+// newer one, so that it counts as damage too.
 func (f *boltFile) useNewest(first, second boltMeta) error {
 	newest, older := first, second
 	if second.transaction > first.transaction {
 		newest, older = second, first
 	}
 	if newest.transaction != older.transaction+1 || first.pageBytes != second.pageBytes {
-		return damaged("the meta pages are of transactions %d and %d", first.transaction, second.transaction)
+		return corruptf("the meta pages are of transactions %d and %d", first.transaction, second.transaction)
 	}
 	if newest.freelist != boltNoFreelistPage {
-		return damaged("the file has a list of free pages")
+		return corruptf("the file has a list of free pages")
 	}
 	if newest.pages > f.size/newest.pageBytes {
-		return damaged("the file has %d bytes, %d pages are in use", f.size, newest.pages)
+		return corruptf("the file has %d bytes, %d pages are in use", f.size, newest.pages)
 	}
 	f.pageBytes, f.root, f.pages = newest.pageBytes, newest.root, newest.pages
 	return nil
 }
 
+// readMeta reads the meta page at the offset in bytes and checks that it is whole.
 func (f *boltFile) readMeta(offset uint64) (boltMeta, error) {
 	raw, err := f.read(offset, boltPageHeader+boltMetaBytes)
 	if err != nil {
@@ -116,7 +109,7 @@
 		transaction: binary.NativeEndian.Uint64(fields[48:]),
 	}
 	if !whole || meta.pageBytes < boltMinPageBytes || meta.pageBytes > boltMaxPageBytes {
-		return boltMeta{}, damaged("the meta page at byte %d", offset)
+		return boltMeta{}, corruptf("the meta page at byte %d", offset)
 	}
 	return meta, nil
 }
@@ -127,7 +120,7 @@
 	found := 0
 	err := f.eachInPage(f.root, keyRange{}, func(element boltElement) error {
 		if element.flags != boltBucketEntry || !bytes.Equal(element.key, bucket) {
-			return damaged("unexpected bucket %q", element.key)
+			return corruptf("unexpected bucket %q", element.key)
 		}
 		found++
 		return f.eachInBucket(element.value, visit)
@@ -136,18 +129,20 @@
 		return err
 	}
 	if found != 1 {
-		return damaged("%d buckets %q", found, bucket)
+		return corruptf("%d buckets %q", found, bucket)
 	}
 	return nil
 }
 
+// eachInBucket visits the entries of the bucket whose value is given: the number of its
+// root page, or zero and the page itself.
 func (f *boltFile) eachInBucket(value []byte, visit func(key, value []byte) error) error {
 	if len(value) < boltBucketHeader {
-		return damaged("a bucket of %d bytes", len(value))
+		return corruptf("a bucket of %d bytes", len(value))
 	}
 	onEntry := func(element boltElement) error {
 		if element.flags != 0 {
-			return damaged("a bucket inside the bucket")
+			return corruptf("a bucket inside the bucket")
 		}
 		return visit(element.key, element.value)
 	}
@@ -160,11 +155,13 @@
 		return err
 	}
 	if page.flags != boltLeafPage {
-		return damaged("an inline bucket without a leaf page")
+		return corruptf("an inline bucket without a leaf page")
 	}
 	return eachElement(page, keyRange{}, onEntry)
 }
 
+// eachInPage visits the elements of the leaves below the page. All keys must lie within
+// the limits, which are those of the branch above.
 func (f *boltFile) eachInPage(number uint64, limits keyRange, visit func(boltElement) error) error {
 	page, err := f.readPage(number)
 	if err != nil {
@@ -189,20 +186,11 @@
 	return nil
 }
 
-func (p boltPage) children(limits keyRange) ([]boltElement, error) {
-	var children []boltElement
-	err := eachElement(p, limits, func(element boltElement) error {
-		children = append(children, element)
-		return nil
-	})
-	return children, err
-}
-
 // readPage reads a tree page with its overflow pages. Each page may be reached
 // once, so the walk ends on every file.
 func (f *boltFile) readPage(number uint64) (boltPage, error) {
 	if number < boltMetaPages || number >= f.pages || f.reached[number] {
-		return boltPage{}, damaged("page %d of %d is out of range or used twice", number, f.pages)
+		return boltPage{}, corruptf("page %d of %d is out of range or used twice", number, f.pages)
 	}
 	raw, err := f.read(number*f.pageBytes, boltPageHeader)
 	if err != nil {
@@ -210,11 +198,11 @@
 	}
 	overflow := uint64(binary.NativeEndian.Uint32(raw[12:]))
 	if binary.NativeEndian.Uint64(raw) != number || overflow >= f.pages-number {
-		return boltPage{}, damaged("the head of page %d", number)
+		return boltPage{}, corruptf("the head of page %d", number)
 	}
 	for part := number; part <= number+overflow; part++ {
 		if f.reached[part] {
-			return boltPage{}, damaged("page %d is used twice", part)
+			return boltPage{}, corruptf("page %d is used twice", part)
 		}
 		f.reached[part] = true
 	}
@@ -225,80 +213,10 @@
 	return parseBoltPage(raw)
 }
 
-func parseBoltPage(raw []byte) (boltPage, error) {
-	if len(raw) < boltPageHeader {
-		return boltPage{}, damaged("a page of %d bytes", len(raw))
-	}
-	page := boltPage{
-		flags: binary.NativeEndian.Uint16(raw[8:]),
-		count: binary.NativeEndian.Uint16(raw[10:]),
-		body:  raw[boltPageHeader:],
-	}
-	if page.flags != boltLeafPage && page.flags != boltBranchPage {
-		return boltPage{}, damaged("a page of type %#x", page.flags)
-	}
-	if int(page.count)*boltElementBytes > len(page.body) {
-		return boltPage{}, damaged("a page with %d elements", page.count)
-	}
-	return page, nil
-}
-
-// keyRange holds the keys from the first up to but not including the last;
-// nil is no limit.
-type keyRange struct{ from, to []byte }
-
-func (r keyRange) holds(key []byte) bool {
-	return bytes.Compare(key, r.from) >= 0 && (r.to == nil || bytes.Compare(key, r.to) < 0)
-}
-
-// eachElement visits the elements of one page and demands ascending keys
-// within the limits, as a lookup could otherwise miss one.
-func eachElement(page boltPage, limits keyRange, visit func(boltElement) error) error {
-	var previous []byte
-	for index := 0; index < int(page.count); index++ {
-		element, err := page.element(index)
-		if err != nil {
-			return err
-		}
-		ascending := index == 0 || bytes.Compare(previous, element.key) < 0
-		if !ascending || !limits.holds(element.key) {
-			return damaged("key %q is out of order", element.key)
-		}
-		previous = element.key
-		if err := visit(element); err != nil {
-			return err
-		}
-	}
-	return nil
-}
-
-func (p boltPage) element(index int) (boltElement, error) {
-	start := index * boltElementBytes
-	raw := p.body[start : start+boltElementBytes]
-	var element boltElement
-	var position, keyBytes, valueBytes uint64
-	if p.flags == boltLeafPage {
-		element.flags = binary.NativeEndian.Uint32(raw)
-		position = uint64(binary.NativeEndian.Uint32(raw[4:]))
-		keyBytes = uint64(binary.NativeEndian.Uint32(raw[8:]))
-		valueBytes = uint64(binary.NativeEndian.Uint32(raw[12:]))
-	} else {
-		position = uint64(binary.NativeEndian.Uint32(raw))
-		keyBytes = uint64(binary.NativeEndian.Uint32(raw[4:]))
-		element.child = binary.NativeEndian.Uint64(raw[8:])
-	}
-	from := uint64(start) + position
-	if from+keyBytes+valueBytes > uint64(len(p.body)) {
-		return boltElement{}, damaged("element %d points out of its page", index)
-	}
-	element.key = p.body[from : from+keyBytes]
-	element.value = p.body[from+keyBytes : from+keyBytes+valueBytes]
-	return element, nil
-}
-
+// read returns so many bytes at the offset.
 func (f *boltFile) read(offset, length uint64) ([]byte, error) {
 	if offset+length > f.size {
-		return nil, damaged("the file ends at byte %d, %d are needed", f.size, offset+length)
+		return nil, corruptf("the file ends at byte %d, %d are needed", f.size, offset+length)
 	}
 	buffer := make([]byte, length)
 	if _, err := f.source.ReadAt(buffer, int64(offset)); err != nil {
@@ -307,6 +225,7 @@
 	return buffer, nil
 }
 
-func damaged(format string, arguments ...any) error {
+// corruptf returns ErrCorrupt with the message.
+func corruptf(format string, arguments ...any) error {
 	return merry.Errorf("%w: %s", ErrCorrupt, fmt.Sprintf(format, arguments...))
 }
--- a/state/replica/memory.go
+++ b/state/replica/memory.go
@@ -3,26 +3,11 @@
 import (
 	"bytes"
 	"slices"
-	"strings"
 	"sync"
-
-	"github.com/ansel1/merry/v2"
-)
-
-// MaxNameBytes limits register keys, program ids and names of meta values.
-const MaxNameBytes = 1024
-
-// Errors of every Store of this package.
-var (
-	// ErrName is returned for a key, program id or meta name that is empty,
-	// longer than MaxNameBytes or holds a zero byte.
-	ErrName = merry.Sentinel("name can't be stored")
-	// ErrClosed is returned by every method after Close.
-	ErrClosed = merry.Sentinel("replica store is closed")
 )
 
-// Memory is a Store that keeps everything in memory. Whoever uses it must take
-// part under a new incarnation after every start.
+// Memory is a Store that keeps everything in memory. A node that uses it must take a new
+// incarnation at every start, since it has forgotten its promises.
 type Memory struct {
 	mutex  sync.RWMutex
 	shards map[uint32]*memoryShard
@@ -174,6 +159,21 @@
 	return all, nil
 }
 
+// EachTurnName implements TurnLister.
+func (m *Memory) EachTurnName(shard uint32, visit func(Turn) error) error {
+	turns, err := m.snapshotTurns(shard)
+	if err != nil {
+		return err
+	}
+	for _, turn := range turns {
+		turn.Object = nil
+		if err := visit(turn); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
 // DropProgram forgets the turns of the program; its register stays.
 func (m *Memory) DropProgram(shard uint32, program string) error {
 	if err := checkName(program); err != nil {
@@ -239,7 +239,7 @@
 	return nil
 }
 
-// read returns the shard, or an empty one that isn't kept.
+// read returns the shard, or an empty one that isn't kept. The caller holds the mutex.
 func (m *Memory) read(shard uint32) *memoryShard {
 	if existing, found := m.shards[shard]; found {
 		return existing
@@ -247,7 +247,8 @@
 	return &memoryShard{}
 }
 
-// write returns the shard and creates it where there is none.
+// write returns the shard and creates it where there is none. The caller holds the mutex
+// for writing.
 func (m *Memory) write(shard uint32) *memoryShard {
 	if existing, found := m.shards[shard]; found {
 		return existing
@@ -261,41 +262,6 @@
 	return created
 }
 
-func checkName(name string) error {
-	if name == "" || len(name) > MaxNameBytes || strings.IndexByte(name, 0) >= 0 {
-		return merry.Errorf("%w: %.64q, want 1 to %d bytes without a zero byte", ErrName, name, MaxNameBytes)
-	}
-	return nil
-}
-
-func copyRegister(state Register) Register {
-	if len(state.Value) == 0 {
-		state.Value = nil
-		return state
-	}
-	state.Value = bytes.Clone(state.Value)
-	return state
-}
-
-func copyTurn(turn Turn) Turn {
-	if len(turn.Object) == 0 {
-		turn.Object = nil
-		return turn
-	}
-	turn.Object = bytes.Clone(turn.Object)
-	return turn
-}
-
-func compareTurns(a, b Turn) int {
-	if a.Sequence != b.Sequence {
-		if a.Sequence < b.Sequence {
-			return -1
-		}
-		return 1
-	}
-	return bytes.Compare(a.Digest[:], b.Digest[:])
-}
-
 func sortedKeys[V any](entries map[string]V) []string {
 	keys := make([]string, 0, len(entries))
 	for key := range entries {
--- a/state/replica/recovery.go
+++ b/state/replica/recovery.go
@@ -44,9 +44,9 @@
 	return file, nil
 }
 
-// verifyDataFile reads the whole file without trusting any of it and returns
-// its header. The entries go to visit on the way. The error is ErrCorrupt where
-// the content is damaged and ErrFormat where it is of another version.
+// verifyDataFile reads the whole file without trusting any of it and returns its header.
+// It calls visit for each other entry. It returns ErrCorrupt where the content is damaged
+// and ErrFormat where another version of the program wrote it.
 func verifyDataFile(path string, visit func(key, payload []byte) error) (header, error) {
 	source, err := os.Open(path)
 	if err != nil {
@@ -60,6 +60,7 @@
 	return verifyData(source, info.Size(), visit)
 }
 
+// verifyData is verifyDataFile for content of any source; size is in bytes.
 func verifyData(source io.ReaderAt, size int64, visit func(key, payload []byte) error) (header, error) {
 	file, err := openBoltFile(source, size)
 	if err != nil {
@@ -84,10 +85,10 @@
 		return header{}, err
 	}
 	if !found {
-		return header{}, damaged("the header is missing")
+		return header{}, corruptf("the header is missing")
 	}
 	if stored.entries != counted.entries || stored.digest != counted.digest {
-		return header{}, damaged("%d entries with digest %016x, the header says %d with %016x",
+		return header{}, corruptf("%d entries with digest %016x, the header says %d with %016x",
 			counted.entries, counted.digest, stored.entries, stored.digest)
 	}
 	return stored, nil
--- a/state/replica/turns.go
+++ b/state/replica/turns.go
@@ -8,11 +8,12 @@
 	"go.etcd.io/bbolt"
 )
 
-// maxReadBytes limits what one read transaction copies.
+// maxReadBytes limits what one read transaction copies. While a read transaction is open,
+// bbolt can't reuse the pages that writes have replaced (chosen, not measured).
 const maxReadBytes = 1 << 20
 
-// ReadTurns visits the turns in order of sequence; turns that are stored while
-// it runs may be among them.
+// ReadTurns visits the program's turns from the sequence number on, in order of sequence
+// and digest. Turns that are stored while it runs may be among them.
 func (d *Disk) ReadTurns(shard uint32, program string, from uint64, visit func(Turn) error) error {
 	if err := checkName(program); err != nil {
 		return err
@@ -20,8 +21,8 @@
 	return d.eachTurn(programPrefix(shard, program), turnStart(shard, program, from), openTurn, visit)
 }
 
-// EachTurn visits every turn of the shard, ordered by program, sequence and
-// digest; turns that are stored while it runs may be among them.
+// EachTurn visits every turn of the shard, in order of program, sequence and digest.
+// Turns that are stored while it runs may be among them.
 func (d *Disk) EachTurn(shard uint32, visit func(Turn) error) error {
 	prefix := kindPrefix(kindTurn, shard)
 	return d.eachTurn(prefix, prefix, openTurn, visit)
@@ -30,8 +31,8 @@
 // decodeEntry makes a turn of an entry of the data file.
 type decodeEntry func(key, sealed []byte) (Turn, error)
 
-// eachTurn visits outside of the read transactions, so that a visitor may
-// write to the store.
+// eachTurn visits the turns whose keys have the prefix, from the start on. It calls visit
+// outside of read transactions, so that a visitor may write to the store.
 func (d *Disk) eachTurn(prefix, start []byte, decode decodeEntry, visit func(Turn) error) error {
 	for start != nil {
 		turns, next, err := d.readChunk(prefix, start, decode)
@@ -48,8 +49,8 @@
 	return nil
 }
 
-// readChunk returns turns from the start on and the key at which to go on, nil
-// at the end.
+// readChunk returns the turns from the start on that one read transaction may copy, and
+// the key at which to go on, nil at the end.
 func (d *Disk) readChunk(prefix, start []byte, decode decodeEntry) (turns []Turn, next []byte, err error) {
 	read := func(transaction *bbolt.Tx) error {
 		size := 0
@@ -72,6 +73,7 @@
 	return turns, next, err
 }
 
+// view runs a read transaction unless the store is closed.
 func (d *Disk) view(read func(*bbolt.Tx) error) error {
 	d.writer.mutex.RLock()
 	stopped := d.writer.stopped
@@ -82,6 +84,7 @@
 	return d.database.View(read)
 }
 
+// openTurn decodes a turn with its object, whose checksum it verifies.
 func openTurn(key, sealed []byte) (Turn, error) {
 	object, err := unseal(key, sealed)
 	if err != nil {
@@ -90,8 +93,8 @@
 	return decodeTurn(key, object)
 }
 
-// guard turns the panics of bbolt on damaged pages, and faults of the mapped
-// file, into ErrCorrupt.
+// guard calls access and returns ErrCorrupt where bbolt panics on a damaged page or the
+// mapped file can't be read.
 func guard(access func() error) (err error) {
 	previous := debug.SetPanicOnFault(true)
 	defer debug.SetPanicOnFault(previous)
--- a/state/replica/types.go
+++ b/state/replica/types.go
@@ -1,7 +1,16 @@
-// Package replica keeps what one replica of a shard must not forget: the
-// register states (promises and accepted values) and the history turns.
+// Package replica keeps what one replica of a shard must not forget: the states of its
+// registers (promises and accepted values), its turns, and small values such as the
+// epochs of its shards.
+//
+// The package owns the data folder and the format of its file, which Disk verifies as a
+// whole before it serves any of it; Memory is for nodes without a disk. It relies on
+// bbolt for transactions and on the file system's sync. It doesn't look into the values
+// and objects that it keeps: those are of coordination/register, state/turn and
+// state/history. docs/design/replica-storage.md has the reasons.
 package replica
 
+import "bytes"
+
 // Ballot orders the proposals for one register. The zero ballot is smaller
 // than every proposed one.
 type Ballot struct {
@@ -38,30 +47,30 @@
 	Object   []byte
 }
 
-// Store keeps the state of the shards that one node replicates. A write has
-// reached its medium when the method returns: a replica answers only then.
-// Implementations are safe for concurrent use. A failed read or write returns
-// an error and must never be answered as an empty register.
-type Store interface {
-	LoadRegister(shard uint32, key string) (Register, error)
-	SaveRegister(shard uint32, key string, state Register) error
-	// EachRegister calls visit in key order until it returns an error.
-	EachRegister(shard uint32, visit func(key string, state Register) error) error
+func copyRegister(state Register) Register {
+	if len(state.Value) == 0 {
+		state.Value = nil
+		return state
+	}
+	state.Value = bytes.Clone(state.Value)
+	return state
+}
 
-	PutTurn(shard uint32, turn Turn) error
-	// ReadTurns calls visit in order of sequence for the turns of the program
-	// from the given sequence on. Several turns may stand at one sequence; only
-	// the chain tells which is the program's.
-	ReadTurns(shard uint32, program string, from uint64, visit func(Turn) error) error
-	EachTurn(shard uint32, visit func(Turn) error) error
-	// DropProgram forgets the turns of an ended program.
-	DropProgram(shard uint32, program string) error
+func copyTurn(turn Turn) Turn {
+	if len(turn.Object) == 0 {
+		turn.Object = nil
+		return turn
+	}
+	turn.Object = bytes.Clone(turn.Object)
+	return turn
+}
 
-	// LoadMeta and SaveMeta keep small named values of a shard, such as its
-	// epoch and its seal; an absent one is nil.
-	LoadMeta(shard uint32, name string) ([]byte, error)
-	SaveMeta(shard uint32, name string, value []byte) error
-	// DropShard forgets everything of the shard.
-	DropShard(shard uint32) error
-	Close() error
+func compareTurns(a, b Turn) int {
+	if a.Sequence != b.Sequence {
+		if a.Sequence < b.Sequence {
+			return -1
+		}
+		return 1
+	}
+	return bytes.Compare(a.Digest[:], b.Digest[:])
 }
--- a/state/replica/writer.go
+++ b/state/replica/writer.go
@@ -9,45 +9,55 @@
 	"go.etcd.io/bbolt"
 )
 
-// ErrFailed is returned for every write after one that couldn't be synced:
-// what is on the disk isn't known any more. A restart verifies it.
+// ErrFailed is returned for a write that couldn't be synced and for every later one:
+// what is on the disk isn't known any more. Opening the folder again verifies it.
 var ErrFailed = merry.Sentinel("replica store has failed to write")
 
-// maxBatchChanges limits the changes of one transaction.
+// maxBatchChanges limits the changes of one transaction and is the length of the queue
+// (chosen, not measured).
 const maxBatchChanges = 256
 
-// change is one write. Its apply may run only once, within a transaction.
+// change is one write to the store.
 type change struct {
+	// apply makes the change within a transaction. It runs once.
 	apply func(*batch) error
-	// mirror repeats the change in memory after the sync; nil for none.
-	mirror func(*Memory) error
-	done   chan error
+	// inMemory makes the change in memory once it is synced; nil for none.
+	inMemory func(*Memory) error
+	// done receives the result.
+	done chan error
 }
 
-// writer makes one transaction of the changes that wait while the one before
-// is synced (group commit): alone, a change waits for nothing.
+// writer writes the changes one transaction after another. All changes that arrive while
+// a transaction is synced share the next one (group commit), so that a change that
+// arrives alone waits for nothing.
 type writer struct {
 	database *bbolt.DB
-	header   header
-	mirror   *Memory
-	changes  chan change
-	failure  error
-	// failed is the failure for other goroutines.
-	failed   atomic.Pointer[error]
+	// header is that of the last transaction.
+	header  header
+	memory  *Memory
+	changes chan change
+	// failure is the error that ended writing. Only run uses it; failed is the same for
+	// other goroutines.
+	failure error
+	failed  atomic.Pointer[error]
+	// finished is closed when run has ended.
 	finished chan struct{}
 	// commits and written count transactions and the changes in them.
 	commits atomic.Uint64
 	written atomic.Uint64
 
+	// mutex is held for reading while a change is queued, so that none is queued once
+	// stopped is set.
 	mutex   sync.RWMutex
 	stopped bool
 }
 
-func startWriter(database *bbolt.DB, stored header, mirror *Memory) *writer {
+// startWriter starts a writer of the database with the header that it has.
+func startWriter(database *bbolt.DB, stored header, memory *Memory) *writer {
 	w := &writer{
 		database: database,
 		header:   stored,
-		mirror:   mirror,
+		memory:   memory,
 		changes:  make(chan change, maxBatchChanges),
 		finished: make(chan struct{}),
 	}
@@ -68,7 +78,8 @@
 	return <-wanted.done
 }
 
-// stop finishes the changes that were accepted; false where it has been done.
+// stop finishes the changes that were queued. It returns false where stop was called
+// before.
 func (w *writer) stop() bool {
 	w.mutex.Lock()
 	if w.stopped {
@@ -93,7 +104,8 @@
 	}
 }
 
-// collect adds what already waits.
+// collect returns the first change and those that already wait, as far as one
+// transaction takes them.
 func (w *writer) collect(first change) []change {
 	pending := []change{first}
 	for len(pending) < maxBatchChanges {
@@ -110,6 +122,8 @@
 	return pending
 }
 
+// commit writes the changes in one transaction and then makes them in memory. After a
+// failure nothing is written any more, since what the disk holds isn't known.
 func (w *writer) commit(pending []change) error {
 	if w.failure != nil {
 		return w.failure
@@ -127,10 +141,10 @@
 	w.commits.Add(1)
 	w.written.Add(uint64(len(pending)))
 	for _, applied := range pending {
-		if applied.mirror == nil {
+		if applied.inMemory == nil {
 			continue
 		}
-		if err := applied.mirror(w.mirror); err != nil {
+		if err := applied.inMemory(w.memory); err != nil {
 			return w.fail(merry.Errorf("%w: in memory: %w", ErrFailed, err))
 		}
 	}
@@ -153,12 +167,13 @@
 	return b.bucket.Put(headerKey(), seal(headerKey(), updated.encode()))
 }
 
-// batch is one transaction; it keeps the header's count and digest up to date.
+// batch is one transaction. It keeps the header's count and digest up to date.
 type batch struct {
 	bucket *bbolt.Bucket
 	header *header
 }
 
+// put writes the entry in place of an earlier one.
 func (b *batch) put(key, payload []byte) error {
 	if err := b.forget(key); err != nil {
 		return err
@@ -175,7 +190,7 @@
 	return b.bucket.Delete(key)
 }
 
-// forget takes the entry, where there is one, out of count and digest.
+// forget takes the entry, where there is one, out of the header's count and digest.
 func (b *batch) forget(key []byte) error {
 	sealed := b.bucket.Get(key)
 	if sealed == nil {
@@ -188,6 +203,7 @@
 	return nil
 }
 
+// removePrefix removes all entries whose keys begin with the prefix.
 func (b *batch) removePrefix(prefix []byte) error {
 	var keys [][]byte
 	cursor := b.bucket.Cursor()
