--- a/state/history/assemble.go
+++ b/state/history/assemble.go
@@ -10,18 +10,16 @@
 	"github.com/marblering/marblering/state/replica"
 )
 
-// ErrBrokenChain says that a turn can't stand where the chain names it: it is
-// another program's, or its sequence number is out of order.
+// ErrBrokenChain means that a turn can't stand where the chain names it: it is another
+// program's, or its sequence number is out of order.
 var ErrBrokenChain = merry.Sentinel("history chain is broken")
 
-// Assemble walks the chain of the program back from the head through the
-// stored turns and returns the turns in order of sequence. Turns that aren't on
-// the chain (left by attempts that lost) are ignored, and so are corrupt copies
-// as long as another copy of the turn is whole.
+// Assemble walks the chain of the program from the head back through the stored turns and
+// returns the turns in order of sequence. It ignores turns that aren't on the chain, which
+// attempts leave that lost, and corrupt copies of a turn of which another copy is whole.
 //
-// Where a turn is absent or has no whole copy, missing names it and the result
-// is the part of the chain after it: what lies before is only known once the
-// missing turn is fetched from another replica.
+// Where a turn is absent or has no whole copy, missing names it and the result is the part
+// of the chain after it: only the missing turn says which turns come before.
 func Assemble(program string, head []byte, stored iter.Seq[replica.Turn]) (turns []*statev1.Turn, missing []Digest, err error) {
 	copies := indexByDigest(stored)
 	next := head
@@ -50,7 +48,7 @@
 	return turns, missing, nil
 }
 
-// indexByDigest groups the objects by the digest they are stored under. Several
+// indexByDigest groups the objects by the digest under which they are stored. Several
 // replicas may each have given a copy.
 func indexByDigest(stored iter.Seq[replica.Turn]) map[Digest][][]byte {
 	copies := make(map[Digest][][]byte)
@@ -60,6 +58,7 @@
 	return copies
 }
 
+// firstWhole returns the turn of the first object that isn't corrupt, or nil.
 func firstWhole(objects [][]byte, digest Digest) *statev1.Turn {
 	for _, object := range objects {
 		if turn, err := Decode(object, digest); err == nil {
@@ -69,6 +68,7 @@
 	return nil
 }
 
+// checkProgram returns ErrBrokenChain for a turn that can't be the program's.
 func checkProgram(program string, turn *statev1.Turn) error {
 	if turn.GetProgram() != program {
 		return merry.Prependf(ErrBrokenChain, "the chain of program %q leads to turn %d of program %q",
@@ -80,8 +80,8 @@
 	return nil
 }
 
-// checkOrder allows gaps: a call that failed takes a sequence number and
-// leaves no turn.
+// checkOrder returns ErrBrokenChain unless the earlier turn has the lower sequence number.
+// It allows gaps: a call that failed takes a sequence number and leaves no turn.
 func checkOrder(earlier, later *statev1.Turn) error {
 	if earlier.GetSequence() >= later.GetSequence() {
 		return merry.Prependf(ErrBrokenChain, "turn %d of program %q follows turn %d",
--- a/state/history/cache.go
+++ b/state/history/cache.go
@@ -5,13 +5,14 @@
 	"sync"
 )
 
-// Cache keeps the chains of the programs that were used last, within a bound
-// of memory. It is safe for concurrent use.
+// Cache keeps the chains of the programs that were used last, within a bound of memory. It
+// is safe for concurrent use.
 //
-// The cache is only a shortcut: a lookup names the head that the program's
+// A cache can't return an outdated history: a lookup names the head that the program's
 // record holds, and a chain that doesn't contain this head isn't returned.
 type Cache struct {
-	mu       sync.Mutex
+	mu sync.Mutex
+	// limit and used are in bytes of memory, as Chain.Bytes counts them.
 	limit    int
 	used     int
 	entries  map[string]*list.Element
@@ -23,7 +24,7 @@
 	chain   *Chain
 }
 
-// NewCache makes a cache whose chains occupy at most about limit bytes.
+// NewCache makes a cache whose chains occupy at most about limit bytes of memory.
 func NewCache(limit int) *Cache {
 	return &Cache{
 		limit:    limit,
@@ -32,8 +33,8 @@
 	}
 }
 
-// Lookup returns the program's chain up to the head. An empty head is always
-// found: it is the empty history.
+// Lookup returns the program's chain up to the head. An empty head names the empty
+// history, which is always found.
 func (c *Cache) Lookup(program string, head []byte) (chain *Chain, found bool) {
 	if len(head) == 0 {
 		return nil, true
@@ -51,8 +52,8 @@
 	return chain, found
 }
 
-// Store keeps the chain as the program's newest, in place of an earlier one. A
-// chain that alone exceeds the limit isn't kept.
+// Store keeps the chain as the program's newest, in place of an earlier one. It doesn't
+// keep a chain that exceeds the limit by itself.
 func (c *Cache) Store(program string, chain *Chain) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -67,7 +68,7 @@
 	}
 }
 
-// Bytes returns about how much memory the kept chains occupy.
+// Bytes returns about how many bytes of memory the kept chains occupy.
 func (c *Cache) Bytes() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/state/history/chain.go
+++ b/state/history/chain.go
@@ -8,8 +8,8 @@
 	statev1 "github.com/marblering/marblering/api/state/v1"
 )
 
-// turnOverheadBytes is what a turn of a chain is taken to occupy beyond its
-// messages and answer.
+// turnOverheadBytes is how much memory a turn of a chain is taken to need beyond its
+// messages and answer (chosen, not measured).
 const turnOverheadBytes = 512
 
 // Chain is the verified history of one program up to one turn. It is immutable:
@@ -22,15 +22,16 @@
 	digest   Digest
 	// messages are those of this turn alone.
 	messages []json.RawMessage
-	// The totals cover this turn and all the earlier ones.
+	// The totals cover this turn and all earlier ones. The bytes are of memory, the
+	// tokens by EstimateTokens.
 	turns        int
 	messageCount int
 	bytes        int
 	tokens       uint64
 }
 
-// NewChain makes a chain of the turns that [Assemble] returned for the head,
-// with nothing missing.
+// NewChain makes a chain of the turns that [Assemble] returned for the head with nothing
+// missing. It returns [ErrBrokenChain] where the turns don't follow one another.
 func NewChain(program string, head []byte, turns []*statev1.Turn) (*Chain, error) {
 	var chain *Chain
 	for i, turn := range turns {
@@ -50,9 +51,9 @@
 	return chain, nil
 }
 
-// Extend returns the chain with one more turn, which [Encode] gave the digest.
-// It returns [ErrBrokenChain] where the turn doesn't follow the chain. The turn
-// must not be changed afterwards.
+// Extend returns the chain with one more turn, whose digest is that of [Encode]. It
+// returns [ErrBrokenChain] where the turn doesn't follow the chain. The turn must not be
+// modified afterwards.
 func (c *Chain) Extend(program string, turn *statev1.Turn, digest Digest) (*Chain, error) {
 	if err := c.checkNext(program, turn); err != nil {
 		return nil, err
@@ -73,6 +74,7 @@
 	}, nil
 }
 
+// checkNext returns ErrBrokenChain unless the turn follows the chain's newest.
 func (c *Chain) checkNext(program string, turn *statev1.Turn) error {
 	if err := checkProgram(program, turn); err != nil {
 		return err
@@ -96,8 +98,7 @@
 	return c.digest.Bytes()
 }
 
-// Newest returns the last turn; nil for the empty history. It must not be
-// changed.
+// Newest returns the last turn, nil for the empty history. It must not be modified.
 func (c *Chain) Newest() *statev1.Turn {
 	if c == nil {
 		return nil
@@ -113,7 +114,7 @@
 	return c.turns
 }
 
-// Bytes returns about how much memory the chain occupies.
+// Bytes returns about how many bytes of memory the chain occupies.
 func (c *Chain) Bytes() int {
 	if c == nil {
 		return 0
@@ -137,8 +138,9 @@
 	return c.messageCount
 }
 
-// Messages returns the whole conversation in order. The messages share the
-// chain's memory and must not be changed; the slice is the caller's own.
+// Messages returns the whole conversation in order: the messages that the caller added
+// in each turn, followed by the answer. They share the chain's memory and must not be
+// modified; the slice is the caller's own.
 func (c *Chain) Messages() []json.RawMessage {
 	messages := make([]json.RawMessage, c.countMessages())
 	end := len(messages)
@@ -149,7 +151,7 @@
 	return messages
 }
 
-// Turns returns the turns in order. They must not be changed.
+// Turns returns the turns in order. They must not be modified.
 func (c *Chain) Turns() []*statev1.Turn {
 	turns := make([]*statev1.Turn, c.Len())
 	for link := c; link != nil; link = link.previous {
@@ -158,8 +160,8 @@
 	return turns
 }
 
-// upTo returns the part of the chain that ends at the head; found is false
-// where the head is no turn of the chain.
+// upTo returns the part of the chain that ends at the head. Found is false where no turn
+// of the chain has this digest.
 func (c *Chain) upTo(head []byte) (part *Chain, found bool) {
 	if len(head) == 0 {
 		return nil, true
--- a/state/history/encode.go
+++ b/state/history/encode.go
@@ -7,7 +7,9 @@
 // has the head can check every turn of the chain, so that a corrupted turn, or
 // one of another program, is never taken for the program's own.
 //
-// The package does no I/O. Where the turns are kept is up to state/replica.
+// The package owns the stored form of turns, the check of a chain and a cache of chains.
+// It does no I/O: coordination/archive stores and reads turns, state/replica keeps them.
+// It relies on api/state for the fields of a turn. docs/design/history.md has the reasons.
 package history
 
 import (
@@ -22,28 +24,33 @@
 	statev1 "github.com/marblering/marblering/api/state/v1"
 )
 
-// MaxTurnBytes is the greatest size of one encoded turn before compression. It
-// also bounds what decoding one object may allocate.
+// MaxTurnBytes is the greatest size of one encoded turn before compression. It also bounds
+// what decoding one object may allocate. A request's body has at most half as many bytes
+// by default, a usual turn 14 kB.
 const MaxTurnBytes = 16 << 20
 
-// codecConcurrency bounds how many turns are compressed or decompressed at one
-// time, and thereby the memory of the codec's work buffers.
+// codecConcurrency bounds how many turns are compressed or decompressed at one time, and
+// thereby the memory of the codec's work buffers (chosen, not measured).
 const codecConcurrency = 4
 
-// codecWindowBytes is how far back the compressor looks for repetitions. Turns
-// are some tens of kilobytes, so a wider window only costs memory.
+// codecWindowBytes is how far back the compressor looks for repetitions. Turns are some
+// tens of kilobytes, so that a wider window would only take memory (chosen, not measured).
 const codecWindowBytes = 256 << 10
 
-// Formats of an object: its first byte.
+// Formats of an object. Its first byte names the format.
 const (
+	// formatPlain is the encoding as it is.
 	formatPlain byte = 0
-	formatZstd  byte = 1
+	// formatZstd is the encoding compressed with zstd.
+	formatZstd byte = 1
 )
 
 // Errors of encoding and decoding; test for them with errors.Is.
 var (
+	// ErrTooLarge means that a turn's encoding exceeds MaxTurnBytes.
 	ErrTooLarge = merry.Sentinel("turn exceeds the size limit")
-	ErrCorrupt  = merry.Sentinel("turn object is corrupt")
+	// ErrCorrupt means that an object isn't the one that its digest names.
+	ErrCorrupt = merry.Sentinel("turn object is corrupt")
 )
 
 // Digest is the SHA-256 digest of a turn's encoding. It names the turn.
@@ -71,8 +78,8 @@
 	decoder *zstd.Decoder
 }
 
-// sharedCodec makes the codec at its first use. It is stateless from one
-// object to the next.
+// sharedCodec makes the codec at its first use. The codec keeps nothing from one object to
+// the next.
 var sharedCodec = sync.OnceValues(newCodec)
 
 func newCodec() (codec, error) {
@@ -112,6 +119,7 @@
 	return object, sha256.Sum256(encoding), nil
 }
 
+// compress returns the object of an encoding, plain where compression doesn't shorten it.
 func compress(encoding []byte) ([]byte, error) {
 	codec, err := sharedCodec()
 	if err != nil {
@@ -141,6 +149,7 @@
 	return turn, nil
 }
 
+// decompress returns the encoding that the object holds.
 func decompress(object []byte) ([]byte, error) {
 	if len(object) == 0 {
 		return nil, merry.Prepend(ErrCorrupt, "the object is empty")
--- a/state/history/messages.go
+++ b/state/history/messages.go
@@ -11,17 +11,17 @@
 	statev1 "github.com/marblering/marblering/api/state/v1"
 )
 
-// bytesPerToken and tokensPerMessage are the estimate's parameters: English
-// text has about four bytes a token in the usual byte-pair vocabularies, and a
-// chat template adds a few tokens around each message.
+// Parameters of EstimateTokens: English text has about four bytes for each token in the
+// usual byte-pair vocabularies, and a chat template adds a few tokens around each message
+// (chosen, not compared with a tokenizer).
 const (
 	bytesPerToken    = 4
 	tokensPerMessage = 4
 )
 
-// EstimateTokens returns the number of tokens that the messages are taken to
-// have before an engine has counted them: a quarter of the bytes of each,
-// rounded up, and four a message. Budgets are reserved by it.
+// EstimateTokens returns the number of tokens that the messages are taken to have before
+// an engine has counted them: a quarter of the bytes of each, rounded up, and four for
+// each message. Budgets are reserved by it. It is no upper bound.
 func EstimateTokens(messages []json.RawMessage) uint64 {
 	var total uint64
 	for _, message := range messages {
@@ -44,7 +44,7 @@
 	return messages, nil
 }
 
-// splitArray returns the elements of a JSON array as parts of its memory.
+// splitArray returns the elements of a JSON array. They share the array's memory.
 func splitArray(array []byte) ([]json.RawMessage, error) {
 	if len(array) == 0 {
 		return nil, nil
--- a/state/program/admit.go
+++ b/state/program/admit.go
@@ -7,11 +7,11 @@
 	"github.com/marblering/marblering/state/result"
 )
 
-// AdmitRequest asks for a call to be admitted and marked as dispatched in one
-// change.
+// AdmitRequest asks for a call to be admitted and marked as dispatched in one change.
 type AdmitRequest struct {
-	Program       string
-	Tenant        string
+	Program string
+	Tenant  string
+	// Key is the caller's idempotency key, RequestDigest the digest of what it asks.
 	Key           string
 	RequestDigest []byte
 	// Sequence is the number the caller gave; zero takes the next one.
@@ -20,14 +20,17 @@
 	// NewTokens bounds the tokens of the new messages from above.
 	NewTokens uint64
 	// OutputTokens is the most the engine may generate.
-	OutputTokens    uint64
-	ContextTokens   uint64
+	OutputTokens uint64
+	// ContextTokens is the length of the model's context; zero for no limit.
+	ContextTokens uint64
+	// Executor is the incarnation of the node that runs the call.
 	Executor        string
 	ExecutorAddress string
 	Engine          string
 	EngineAddress   string
-	DeadlineUnixMS  int64
-	NowUnixMS       int64
+	// DeadlineUnixMS is zero for none.
+	DeadlineUnixMS int64
+	NowUnixMS      int64
 }
 
 // AdmitKind says what the record holds for the call.
@@ -45,13 +48,15 @@
 	InProgress
 	// Behind means that an earlier call of the program hasn't ended.
 	Behind
-	// Dropped means that the key is an old one; its call stands in the history.
+	// Dropped means that the key is of a call that the record no longer keeps; the call
+	// stands in the history.
 	Dropped
 )
 
 // AdmitOutcome is what Admit found or did.
 type AdmitOutcome struct {
 	Kind AdmitKind
+	// Call is the call of the key, that before it for Behind, or nil.
 	Call *statev1.Call
 	// Refusal is set for Final.
 	Refusal *result.Error
@@ -59,10 +64,11 @@
 	Changed bool
 }
 
-// Admit finds the call with the key, or admits it: it takes the next sequence
-// number, reserves prompt and output in the budget, and names the executor, the
-// engine and the engine's hold. A refusal is recorded under the key before
-// anyone is told of it, so that a late duplicate of the request can't run.
+// Admit finds the call with the key, or admits it: the call takes the next sequence
+// number, reserves prompt and output in the budget, and names the executor, the engine and
+// the engine's hold. A refusal is recorded under the key before anyone is told of it, so
+// that a late duplicate of the request can't run. The error is a result.Error of Access or
+// KeyConflict.
 func Admit(tree *statev1.ProgramTree, request AdmitRequest) (AdmitOutcome, error) {
 	target, err := Access(tree, request.Tenant, request.Program)
 	if err != nil {
@@ -86,8 +92,8 @@
 	return admit(tree, target, request), nil
 }
 
-// Refuse records a refusal that was decided outside the record, unless the key
-// is already known; then it returns what the record holds.
+// Refuse records a refusal that was decided outside the record. Where the key is known
+// already, it returns what the record holds, as Admit does.
 func Refuse(tree *statev1.ProgramTree, request AdmitRequest, refusal *result.Error) (AdmitOutcome, error) {
 	target, err := Access(tree, request.Tenant, request.Program)
 	if err != nil {
@@ -102,7 +108,7 @@
 	return refuse(tree, target, request, refusal), nil
 }
 
-// dropped answers for a key whose call has left the window.
+// dropped returns the outcome for a key whose call the record no longer keeps.
 func dropped(request AdmitRequest, refused bool) AdmitOutcome {
 	if !refused {
 		return AdmitOutcome{Kind: Dropped}
@@ -111,6 +117,7 @@
 	return AdmitOutcome{Kind: Final, Refusal: refusal}
 }
 
+// known returns the outcome for a key whose call the record keeps.
 func known(call *statev1.Call, request AdmitRequest) (AdmitOutcome, error) {
 	if !bytes.Equal(call.GetRequestDigest(), request.RequestDigest) {
 		return AdmitOutcome{}, result.Errorf(result.KeyConflict, "key %q was used for another request", request.Key)
@@ -128,12 +135,14 @@
 	}
 }
 
+// finalError returns the error of a call that ended without an answer.
 func finalError(call *statev1.Call) *result.Error {
 	code := result.Code(call.GetResultCode())
 	return result.Errorf(code, "call %d (key %q): %s", call.GetSequence(), call.GetKey(), code.Info().Meaning)
 }
 
-// refusalFor checks what no wait can mend.
+// refusalFor returns the refusal of a call that can't be admitted however long it waits,
+// or nil.
 func refusalFor(tree *statev1.ProgramTree, target *statev1.Program, request AdmitRequest) *result.Error {
 	switch {
 	case target.GetEnded():
@@ -149,6 +158,8 @@
 	return nil
 }
 
+// budgetRefusal returns the refusal of a call that needs more tokens than the model's
+// context or the budget has, or nil.
 func budgetRefusal(tree *statev1.ProgramTree, target *statev1.Program, request AdmitRequest) *result.Error {
 	needed := reservation(target, request)
 	if request.ContextTokens != 0 && needed > request.ContextTokens {
@@ -161,12 +172,13 @@
 	return nil
 }
 
-// reservation bounds what the call can spend: the history as the engine last
-// counted it, the new messages and the longest answer.
+// reservation returns the most tokens that the call can spend: the history as the engine
+// counted it last, the new messages and the longest answer.
 func reservation(target *statev1.Program, request AdmitRequest) uint64 {
 	return target.GetHistoryTokens() + request.NewTokens + request.OutputTokens
 }
 
+// refuse records the refusal under the request's key.
 func refuse(tree *statev1.ProgramTree, target *statev1.Program, request AdmitRequest, refusal *result.Error) AdmitOutcome {
 	call := &statev1.Call{
 		Key:           request.Key,
@@ -179,6 +191,7 @@
 	return AdmitOutcome{Kind: Final, Call: call, Refusal: refusal, Changed: true}
 }
 
+// admit records the call as dispatched.
 func admit(tree *statev1.ProgramTree, target *statev1.Program, request AdmitRequest) AdmitOutcome {
 	call := &statev1.Call{
 		Key:             request.Key,
--- a/state/program/attempt.go
+++ b/state/program/attempt.go
@@ -14,21 +14,22 @@
 
 // Replacement describes the next attempt of a call.
 type Replacement struct {
+	// Executor is the incarnation of the node that runs the attempt.
 	Executor        string
 	ExecutorAddress string
 	Engine          string
 	EngineAddress   string
-	// Lost charges the replaced attempt in full: its tokens may have been spent.
-	Lost        bool
+	// Lost charges the replaced attempt in full, since its tokens may have been spent.
+	Lost bool
+	// MaxAttempts is how many attempts the call may have where one was lost.
 	MaxAttempts uint32
 	NowUnixMS   int64
 }
 
-// Replace begins a new attempt in place of the referenced one. A lost attempt
-// of a call that must not be repeated is never replaced: the call ends with
-// OutcomeUnknown. The call also ends where attempts or budget run out. The
-// returned call is the state after the change; changed is false where the
-// reference is no longer current.
+// Replace begins a new attempt in place of the referenced one. A lost attempt of a call
+// that must not be repeated is never replaced: the call ends with OutcomeUnknown. The call
+// ends with EngineFailed where no attempt or no budget is left. Replace returns the call
+// as it is afterwards; changed is false where the reference isn't the current attempt.
 func Replace(tree *statev1.ProgramTree, reference AttemptReference, replacement Replacement) (call *statev1.Call, changed bool) {
 	call = current(tree, reference)
 	if call == nil {
@@ -64,18 +65,18 @@
 	return call, true
 }
 
-// Completion is the answer of one attempt, already stored as a turn.
+// Completion describes the answer of one attempt, which is stored as a turn already.
 type Completion struct {
+	// TurnDigest names the stored turn.
 	TurnDigest   []byte
 	PromptTokens uint64
 	OutputTokens uint64
 	NowUnixMS    int64
 }
 
-// Finish appends the attempt's turn to the history and settles the budget.
-// changed is false where the reference is no longer current, as for an answer
-// that arrives after its attempt was replaced; call then says what the record
-// holds, or nil.
+// Finish appends the attempt's turn to the history and settles the budget. Changed is
+// false where the reference isn't the current attempt, for instance for an answer that
+// arrives after its attempt was replaced. Call is then what the record holds, or nil.
 func Finish(tree *statev1.ProgramTree, reference AttemptReference, completion Completion) (call *statev1.Call, changed bool) {
 	call = current(tree, reference)
 	if call == nil {
@@ -98,8 +99,9 @@
 	return call, true
 }
 
-// Fail ends the referenced attempt's call without an answer. The reservation is
-// charged in full where spent is set, else returned.
+// Fail ends the referenced attempt's call without an answer and with the code. The
+// reservation is charged in full where spent is set and given back otherwise. Changed and
+// call are as in Finish.
 func Fail(tree *statev1.ProgramTree, reference AttemptReference, code result.Code, spent bool) (call *statev1.Call, changed bool) {
 	call = current(tree, reference)
 	if call == nil {
@@ -114,9 +116,10 @@
 	return call, true
 }
 
-// FinalError is the answer to the caller of a call that ended without one.
+// FinalError returns the error for the caller of a call that ended without an answer.
 func FinalError(call *statev1.Call) *result.Error { return finalError(call) }
 
+// fail ends the call with the code and charges so many tokens of its reservation.
 func fail(tree *statev1.ProgramTree, call *statev1.Call, code result.Code, charged uint64) {
 	settle(tree.Budget, call.GetReserved(), charged)
 	call.Reserved = 0
@@ -124,6 +127,7 @@
 	call.ResultCode = uint32(code)
 }
 
+// lookup returns the referenced call, whatever its attempt, or nil.
 func lookup(tree *statev1.ProgramTree, reference AttemptReference) *statev1.Call {
 	target := Find(tree, reference.Program)
 	if target == nil {
@@ -132,7 +136,7 @@
 	return FindCall(target, reference.Sequence)
 }
 
-// current returns the call if the reference names its running attempt.
+// current returns the call if the reference names its running attempt, and nil otherwise.
 func current(tree *statev1.ProgramTree, reference AttemptReference) *statev1.Call {
 	call := lookup(tree, reference)
 	if call == nil || call.GetState() != statev1.CallState_CALL_STATE_DISPATCHED {
--- a/state/program/lifecycle.go
+++ b/state/program/lifecycle.go
@@ -8,8 +8,8 @@
 	"github.com/marblering/marblering/state/result"
 )
 
-// Child adds a sub-program below the parent. A repeat of the creation key
-// returns the sub-program that the key made.
+// Child adds a sub-program below the parent. For a creation key that was used before, it
+// returns the sub-program of that time. The error is a result.Error.
 func Child(tree *statev1.ProgramTree, tenant, parent, key string, nowUnixMS int64) (child *statev1.Program, changed bool, err error) {
 	target, err := Access(tree, tenant, parent)
 	if err != nil {
@@ -36,6 +36,7 @@
 	return child, true, nil
 }
 
+// findChild returns the sub-program that was made with the creation key, or nil.
 func findChild(tree *statev1.ProgramTree, parent, key string) *statev1.Program {
 	if key == "" {
 		return nil
@@ -48,8 +49,9 @@
 	return nil
 }
 
-// End ends the program and its sub-programs. Their running calls end as stopped
-// and are charged in full, since the engine may have spent it.
+// End ends the program and its sub-programs. Their running calls end with ProgramStopped
+// and are charged in full, since the engine may have spent the tokens. Changed is false
+// where all had ended before.
 func End(tree *statev1.ProgramTree, id, reason string, nowUnixMS int64) (changed bool) {
 	for _, candidate := range tree.GetPrograms() {
 		if candidate.GetEnded() || !descends(tree, candidate, id) {
@@ -72,6 +74,7 @@
 	}
 }
 
+// descends reports whether the candidate is the ancestor or one of its sub-programs.
 func descends(tree *statev1.ProgramTree, candidate *statev1.Program, ancestor string) bool {
 	for candidate != nil {
 		if candidate.GetId() == ancestor {
@@ -82,8 +85,8 @@
 	return false
 }
 
-// Ended reports whether the program with the id has ended. A program that the
-// tree doesn't have counts as ended: nothing may be held for it.
+// Ended reports whether the program with the id has ended. A program that the tree doesn't
+// have counts as ended, since no engine needs to hold anything for it.
 func Ended(tree *statev1.ProgramTree, id string) bool {
 	target := Find(tree, id)
 	return target == nil || target.GetEnded()
@@ -103,8 +106,8 @@
 	return changed
 }
 
-// ReleasableHolds lists the holds of ended programs, and of running ones those
-// at engines other than the one that served the newest call.
+// ReleasableHolds returns the holds of programs that have ended, and of other programs
+// those at engines other than that of the newest call.
 func ReleasableHolds(tree *statev1.ProgramTree) []*statev1.Hold {
 	var releasable []*statev1.Hold
 	for _, hold := range tree.GetHolds() {
@@ -127,6 +130,8 @@
 	return false
 }
 
+// addHold records that the engine may hold memory for the program; an empty engine is
+// none.
 func addHold(tree *statev1.ProgramTree, id, engine, address string) {
 	if engine == "" {
 		return
@@ -140,8 +145,8 @@
 	tree.Holds = append(tree.Holds, &statev1.Hold{Program: id, Engine: engine, EngineAddress: address})
 }
 
-// Idle reports whether the tree has been silent past its idle limit. A call
-// that still runs keeps it awake.
+// Idle reports whether the tree has been silent for longer than its idle limit. A tree
+// with a running call isn't idle.
 func Idle(tree *statev1.ProgramTree, nowUnixMS int64) bool {
 	if tree.GetIdleLimitMs() <= 0 || nowUnixMS-tree.GetLastActiveUnixMs() <= tree.GetIdleLimitMs() {
 		return false
@@ -154,9 +159,8 @@
 	return true
 }
 
-// Due reports whether the tree needs something that no caller will ask for: it
-// is past its idle limit, a call has outlived its deadline, or a hold can be
-// released.
+// Due reports whether the tree needs something that no caller asks for: it is past its
+// idle limit, a running call is past its deadline, or a hold can be released.
 func Due(tree *statev1.ProgramTree, nowUnixMS int64) bool {
 	if len(ReleasableHolds(tree)) > 0 || idleAndOpen(tree, nowUnixMS) {
 		return true
@@ -173,8 +177,8 @@
 	return Idle(tree, nowUnixMS) && !Ended(tree, tree.GetRoot())
 }
 
-// ValidID reports whether the id can name a program: letters, digits, dashes
-// and dots, at most maxIDLength bytes.
+// ValidID reports whether the id can name a program. It has ASCII letters, digits, dashes
+// and dots and at most maxIDLength bytes.
 func ValidID(id string) bool {
 	if id == "" || len(id) > maxIDLength {
 		return false
@@ -182,6 +186,7 @@
 	return strings.IndexFunc(id, forbiddenInID) < 0
 }
 
+// maxIDLength is in bytes (chosen, not measured).
 const maxIDLength = 128
 
 func forbiddenInID(character rune) bool {
@@ -194,8 +199,8 @@
 	return true
 }
 
-// Holds reports whether the record names the engine as a holder of the
-// program's context.
+// Holds reports whether the record names the engine as one that may hold memory for the
+// program.
 func Holds(tree *statev1.ProgramTree, id, engine string) bool {
 	for _, hold := range tree.GetHolds() {
 		if hold.GetProgram() == id && hold.GetEngine() == engine {
--- a/state/program/program.go
+++ b/state/program/program.go
@@ -1,9 +1,12 @@
-// Package program is the state machine of a program tree's record: a root
-// program and the sub-programs that share its budget. Every function takes the
-// tree as it stands and changes it in place or leaves it as it was; none does
-// I/O, reads a clock or draws a random number. The caller stores the tree with
-// a compare-and-swap, so that a function may run several times before one of
-// its results is chosen.
+// Package program is the state machine of a program tree's record: a root program and the
+// sub-programs that share its budget. Every function takes the tree as it stands and
+// changes it in place or leaves it as it was. None does I/O, reads a clock or draws a
+// random number.
+//
+// The package owns the rules by which calls are admitted, replaced and finished, and how
+// they use the budget. It relies on its caller to store the tree with a compare-and-swap
+// (coordination/record), so that a function may run several times before one of its
+// results is chosen. Moments are in milliseconds of Unix time, amounts in tokens.
 package program
 
 import (
@@ -17,26 +20,32 @@
 
 // Bounds of the record, so that its size doesn't grow with a program's life.
 const (
-	// callWindow is how many final calls a program keeps in full. Older ones
-	// stand in the history and leave an eight-byte hash of their key.
+	// callWindow is how many calls a program keeps in full. Older ones stand in the
+	// history and leave an eight-byte hash of their key (chosen, not measured).
 	callWindow = 4
-	// maxDroppedRefusals bounds the hashes of refused calls a program keeps.
+	// maxDroppedRefusals bounds the hashes of keys that a program keeps beyond its turn
+	// limit: refused calls take no turn (chosen, not measured).
 	maxDroppedRefusals = 256
-	// maxChildren bounds the sub-programs of a tree.
+	// maxChildren bounds the sub-programs of a tree (chosen, not measured).
 	maxChildren = 256
-	// DefaultTurnLimit applies where a program names none.
+	// DefaultTurnLimit is the turn limit of a program that names none (chosen, not
+	// measured).
 	DefaultTurnLimit = 1000
 )
 
 // Specification describes a new tree.
 type Specification struct {
-	Root          string
-	Tenant        string
-	Model         string
-	Adapter       string
-	BudgetTokens  uint64
-	Priority      uint32
-	IdleLimitMS   int64
+	// Root is the id of the root program.
+	Root         string
+	Tenant       string
+	Model        string
+	Adapter      string
+	BudgetTokens uint64
+	Priority     uint32
+	// IdleLimitMS is how long the tree may be silent, in milliseconds; zero for ever.
+	IdleLimitMS int64
+	// TurnLimit is the most turns of one program of the tree; zero takes
+	// DefaultTurnLimit.
 	TurnLimit     uint32
 	CreatedUnixMS int64
 }
@@ -62,8 +71,8 @@
 	}
 }
 
-// RootOf returns the root's id of any program's id: the part up to the first
-// dot.
+// RootOf returns the id of the root of the program's tree: the part of the program's id
+// before the first dot.
 func RootOf(id string) string {
 	root, _, _ := strings.Cut(id, ".")
 	return root
@@ -79,8 +88,8 @@
 	return nil
 }
 
-// FindCall returns the program's call with the sequence number, or nil where
-// it isn't in the window.
+// FindCall returns the program's call with the sequence number, or nil where the record
+// doesn't keep it.
 func FindCall(target *statev1.Program, sequence uint64) *statev1.Call {
 	for _, call := range target.GetCalls() {
 		if call.GetSequence() == sequence {
@@ -101,7 +110,8 @@
 	return nil
 }
 
-// Access returns the program with the id if the tenant owns it.
+// Access returns the program with the id if the tenant owns it, and a result.Error with
+// UnknownProgram or ForeignProgram otherwise.
 func Access(tree *statev1.ProgramTree, tenant, id string) (*statev1.Program, error) {
 	target := Find(tree, id)
 	if target == nil {
@@ -122,10 +132,11 @@
 	return nil
 }
 
-// refusedBit of a dropped key's hash says that the call was refused: it was not
-// run, and whoever asks again must be told so.
+// refusedBit is the bit of a dropped key's hash that says that the call was refused: it
+// was not run, and whoever asks again must be told so.
 const refusedBit uint64 = 1
 
+// droppedKey returns the hash that the call leaves in the record.
 func droppedKey(call *statev1.Call) uint64 {
 	hash := xxhash.Sum64String(call.GetKey()) &^ refusedBit
 	if call.GetState() == statev1.CallState_CALL_STATE_REFUSED {
@@ -134,7 +145,7 @@
 	return hash
 }
 
-// findDropped looks for the key among those of calls that left the window.
+// findDropped looks for the key among those of calls that the record no longer keeps.
 func findDropped(target *statev1.Program, key string) (refused, found bool) {
 	hash := xxhash.Sum64String(key) &^ refusedBit
 	for _, dropped := range target.GetDroppedKeys() {
@@ -145,7 +156,8 @@
 	return false, false
 }
 
-// trimCalls moves final calls beyond the window to the dropped keys.
+// trimCalls replaces final calls beyond callWindow by the hashes of their keys, the oldest
+// first.
 func trimCalls(tree *statev1.ProgramTree, target *statev1.Program) {
 	limit := int(tree.GetTurnLimit()) + maxDroppedRefusals
 	for len(target.Calls) > callWindow {
@@ -161,6 +173,7 @@
 	}
 }
 
+// firstFinal returns the index of the oldest call that has ended, or -1.
 func firstFinal(target *statev1.Program) int {
 	for index, call := range target.Calls {
 		if call.GetState() != statev1.CallState_CALL_STATE_DISPATCHED {
@@ -170,7 +183,7 @@
 	return -1
 }
 
-// available is what of the budget is neither reserved nor spent.
+// available returns the tokens of the budget that are neither reserved nor spent.
 func available(budget *statev1.Budget) uint64 {
 	used := budget.GetReserved() + budget.GetSpent()
 	if used >= budget.GetLimit() {
@@ -179,12 +192,12 @@
 	return budget.GetLimit() - used
 }
 
-// settle ends a reservation and charges what was spent of it.
+// settle gives the reserved tokens back and charges those that were spent.
 func settle(budget *statev1.Budget, reserved, charged uint64) {
 	budget.Reserved -= reserved
 	budget.Spent += charged
 }
 
-// Affinity scores a node for a key by rendezvous hashing (Thaler, Ravishankar,
-// 1998): the live node with the highest score is the one to look after it.
+// Affinity scores a node for a key by rendezvous hashing (D. G. Thaler, C. V. Ravishankar,
+// 1998): the live node with the highest score looks after the key.
 func Affinity(node, key string) uint64 { return xxhash.Sum64String(node + "\x00" + key) }
