--- a/coordination/multicast/round.go
+++ b/coordination/multicast/round.go
@@ -25,7 +25,8 @@
 	Budget *limit.RetryBudget
 	// Reach is told which members to ask last for a while.
 	Reach *reach.Tracker
-	Now   func() time.Time
+	// Now is the clock of the budget.
+	Now func() time.Time
 }
 
 // standing is where a member stands in a round; zero for members that weren't asked.
@@ -36,6 +37,7 @@
 	pending standing = iota + 1
 	// late members are pending ones that hadn't answered when a hedge was sent.
 	late
+	// answered members have answered, or their requests have failed.
 	answered
 )
 
--- a/coordination/register/message.go
+++ b/coordination/register/message.go
@@ -29,6 +29,7 @@
 	RefusalStorage Refusal = 7
 )
 
+// refusalNames are the names by number.
 var refusalNames = [...]string{
 	"none", "ballot", "epoch", "sealed", "configuration", "incarnation", "not ready", "storage",
 }
@@ -43,6 +44,7 @@
 
 // Member is one replica of a shard: one life of one node.
 type Member struct {
+	// Node is the node's name, Incarnation the id of its life.
 	Node        string
 	Incarnation string
 	// Address is host:port of the node's internal protocol.
@@ -52,7 +54,8 @@
 
 // View is one epoch of a shard's replica set.
 type View struct {
-	Shard   uint32
+	Shard uint32
+	// Epoch counts the replica sets of the shard, from one.
 	Epoch   uint64
 	Members []Member
 }
--- a/coordination/register/proposer.go
+++ b/coordination/register/proposer.go
@@ -17,8 +17,11 @@
 
 // Phases of a round.
 const (
+	// PhaseIdle: no request is under way.
 	PhaseIdle Phase = iota
+	// PhasePrepare asks for promises and for the newest accepted values.
 	PhasePrepare
+	// PhaseAccept asks to accept a value.
 	PhaseAccept
 )
 
@@ -30,7 +33,8 @@
 type Request struct {
 	Phase  Phase
 	Ballot replica.Ballot
-	// Value and Next are set in PhaseAccept.
+	// Value and Next are set in PhaseAccept: the value to accept, and the ballot to
+	// promise along with it.
 	Value []byte
 	Next  replica.Ballot
 }
--- a/coordination/register/thrift.go
+++ b/coordination/register/thrift.go
@@ -31,7 +31,8 @@
 	// Hedges bounds the requests that are sent because members are late. Members that
 	// are late together are overloaded, and more requests would make that worse.
 	Hedges *limit.RetryBudget
-	Now    func() time.Time
+	// Now is the clock of the budget.
+	Now func() time.Time
 }
 
 // hedging returns what the exchanges of a client share. The zero value suits those that
--- a/state/program/admit.go
+++ b/state/program/admit.go
@@ -15,7 +15,8 @@
 	Key           string
 	RequestDigest []byte
 	// Sequence is the number the caller gave; zero takes the next one.
-	Sequence   uint64
+	Sequence uint64
+	// Repeatable is false for a call that may have one attempt only.
 	Repeatable bool
 	// NewTokens bounds the tokens of the new messages from above.
 	NewTokens uint64
@@ -56,7 +57,7 @@
 // AdmitOutcome is what Admit found or did.
 type AdmitOutcome struct {
 	Kind AdmitKind
-	// Call is the call of the key, that before it for Behind, or nil.
+	// Call is the call of the key, for Behind the running call, or nil.
 	Call *statev1.Call
 	// Refusal is set for Final.
 	Refusal *result.Error
--- a/state/program/attempt.go
+++ b/state/program/attempt.go
@@ -5,7 +5,7 @@
 	"github.com/marblering/marblering/state/result"
 )
 
-// AttemptReference names one attempt of one call.
+// AttemptReference names one attempt of one call. Attempts are counted from one.
 type AttemptReference struct {
 	Program  string
 	Sequence uint64
@@ -68,7 +68,8 @@
 // Completion describes the answer of one attempt, which is stored as a turn already.
 type Completion struct {
 	// TurnDigest names the stored turn.
-	TurnDigest   []byte
+	TurnDigest []byte
+	// PromptTokens and OutputTokens are as the engine counted them.
 	PromptTokens uint64
 	OutputTokens uint64
 	NowUnixMS    int64
--- a/state/replica/boltfile.go
+++ b/state/replica/boltfile.go
@@ -17,19 +17,27 @@
 // an old state. Source: the types Page, Meta and InBucket of go.etcd.io/bbolt
 // version 1.5, format version 2.
 const (
-	boltMagic          = 0xED0CDAED
-	boltVersion        = 2
-	boltPageHeader     = 16
-	boltMetaBytes      = 64
-	boltElementBytes   = 16
-	boltBucketHeader   = 16
-	boltBranchPage     = 0x01
-	boltLeafPage       = 0x02
-	boltMetaPage       = 0x04
-	boltBucketEntry    = 0x01
-	boltMinPageBytes   = 512
-	boltMaxPageBytes   = 1 << 16
-	boltMetaPages      = 2
+	// Every meta page has these.
+	boltMagic   = 0xED0CDAED
+	boltVersion = 2
+	// Sizes in bytes: of the head of a page, of the content of a meta page, of the entry
+	// of a page's table of elements, and of the head of a bucket.
+	boltPageHeader   = 16
+	boltMetaBytes    = 64
+	boltElementBytes = 16
+	boltBucketHeader = 16
+	// Types of pages.
+	boltBranchPage = 0x01
+	boltLeafPage   = 0x02
+	boltMetaPage   = 0x04
+	// boltBucketEntry is the flag of an element whose value is a bucket.
+	boltBucketEntry = 0x01
+	// Page sizes in bytes that are accepted; bbolt uses that of the operating system.
+	boltMinPageBytes = 512
+	boltMaxPageBytes = 1 << 16
+	// boltMetaPages is how many pages at the beginning of the file are meta pages.
+	boltMetaPages = 2
+	// boltNoFreelistPage stands in a meta page for a list of free pages that isn't stored.
 	boltNoFreelistPage = ^uint64(0)
 )
 
--- a/state/replica/header.go
+++ b/state/replica/header.go
@@ -24,6 +24,7 @@
 	digest  uint64
 }
 
+// headerFixedBytes is the size of the header's numbers: format, entries and digest.
 const headerFixedBytes = 4 + 8 + 8
 
 func headerKey() []byte { return []byte{kindHeader} }
--- a/state/replica/record.go
+++ b/state/replica/record.go
@@ -28,9 +28,12 @@
 )
 
 const (
-	prefixBytes     = 1 + 4
+	// prefixBytes is the size of kind and shard at the beginning of a key.
+	prefixBytes = 1 + 4
+	// turnSuffixBytes is the size of what follows the program in the key of a turn.
 	turnSuffixBytes = 1 + 8 + 32
-	checksumBytes   = 8
+	// checksumBytes is the size of the checksum before a payload.
+	checksumBytes = 8
 )
 
 func kindPrefix(kind byte, shard uint32) []byte {
--- a/state/replica/recovery.go
+++ b/state/replica/recovery.go
@@ -16,12 +16,15 @@
 // Names inside the data folder.
 const (
 	dataFileName = "replica.db"
-	newFileName  = "replica.db.new"
+	// newFileName is the name of a data file until it is whole.
+	newFileName = "replica.db.new"
+	// lockFileName is the file that a process locks while it uses the folder.
 	lockFileName = "replica.lock"
 	// corruptFileFormat names a damaged data file that was set aside.
 	corruptFileFormat = "replica.db.corrupt-%d"
 )
 
+// Permissions of what the store creates: its data is for this user alone.
 const (
 	folderMode = 0o750
 	fileMode   = 0o600
--- a/state/replica/types.go
+++ b/state/replica/types.go
@@ -11,8 +11,8 @@
 
 import "bytes"
 
-// Ballot orders the proposals for one register. The zero ballot is smaller
-// than every proposed one.
+// Ballot orders the proposals for one register. The zero ballot is smaller than every
+// proposed one.
 type Ballot struct {
 	Counter uint64
 	// Proposer is the incarnation of the proposing node; it breaks ties.
@@ -32,15 +32,18 @@
 
 // Register is the state of one register at one replica.
 type Register struct {
+	// Promised is the ballot below which the replica accepts nothing more.
 	Promised Ballot
+	// Accepted is the ballot at which the replica accepted Value; zero and nil before
+	// it has accepted any.
 	Accepted Ballot
-	// Value was accepted at Accepted; nil before the first.
-	Value []byte
+	Value    []byte
 }
 
-// Turn is one stored turn of a program's history. The object is opaque here;
-// the digest names it.
+// Turn is one stored turn of a program's history. The store doesn't look into the object,
+// nor check that the digest is that of its content.
 type Turn struct {
+	// Program is the id under which the turn is read; a retained turn has its own.
 	Program  string
 	Sequence uint64
 	Digest   [32]byte
