--- a/coordination/reach/reach_test.go
+++ b/coordination/reach/reach_test.go
@@ -19,7 +19,8 @@
 	return c, reach.New(func() time.Time { return c.now })
 }
 
-// TestPeerThatFailedIsAvoided for a while, or until it answers.
+// TestPeerThatFailedIsAvoided: a peer is asked last for a while after it failed, or until
+// it answers.
 func TestPeerThatFailedIsAvoided(t *testing.T) {
 	c, tracker := newTracker()
 	assert.Assert(t, !tracker.IsAvoided("a"))
--- a/coordination/register/client_test.go
+++ b/coordination/register/client_test.go
@@ -29,8 +29,8 @@
 }
 
 // TestClientsUnderFaults lets concurrent clients append tags while every request
-// may fail before or after its effect. What is told applied must stand exactly
-// once, and what is told not applied must not stand.
+// may fail before or after its effect. A change that is reported as applied must be
+// in the value exactly once, one that is reported as not applied must not be in it.
 func TestClientsUnderFaults(t *testing.T) {
 	makers := map[string]func(incarnation string, cluster *memoryCluster) *register.Client{
 		"all at once": newTestClient,
@@ -249,7 +249,8 @@
 	return register.NewClient(incarnation, cluster, cluster, register.SystemClock{}, rand.New(rand.NewPCG(1, 1)), settings)
 }
 
-// TestFreshChangeTakesOneRoundTrip, and the one after it as well.
+// TestFreshChangeTakesOneRoundTrip: the first change of a register skips the prepare, and
+// so does the next one.
 func TestFreshChangeTakesOneRoundTrip(t *testing.T) {
 	cluster := newMemoryCluster("a", "b", "c")
 	client := newFreshClient("client", cluster)
@@ -265,8 +266,8 @@
 	assert.Equal(t, string(value), "3")
 }
 
-// TestFreshChangeOfAKnownRegister is made on the value that stands, and other
-// registers still skip the prepare.
+// TestFreshChangeOfAKnownRegister: where the register has a value already, the change is
+// made on that value, and changes of other registers still skip the prepare.
 func TestFreshChangeOfAKnownRegister(t *testing.T) {
 	cluster := newMemoryCluster("a", "b", "c")
 	_, err := newFreshClient("first", cluster).Apply(context.Background(), 0, "key", increment)
@@ -301,8 +302,8 @@
 	}
 }
 
-// TestSilentMemberCostsOnePatience: the way without a prepare is closed by the
-// first change that waited for it.
+// TestSilentMemberCostsOnePatience: once one change has waited for a silent member, later
+// ones begin with a prepare.
 func TestSilentMemberCostsOnePatience(t *testing.T) {
 	cluster := newMemoryCluster("a", "b", "c")
 	transport := &silentMember{memoryCluster: cluster, silent: "c"}
--- a/coordination/register/thrift_test.go
+++ b/coordination/register/thrift_test.go
@@ -19,7 +19,7 @@
 // delay is how long members may take in these tests before another is asked.
 const delay = 50 * time.Millisecond
 
-// slowCluster is a memoryCluster whose members take their time.
+// slowCluster is a memoryCluster whose members are slow.
 type slowCluster struct {
 	*memoryCluster
 	takes time.Duration
@@ -68,8 +68,8 @@
 	return register.NewClient(incarnation, transport, views, register.SystemClock{}, rand.New(rand.NewPCG(1, 1)), settings)
 }
 
-// TestThriftyRoundAsksAMajority, and keeps the members of a key for its next
-// change, also by another client.
+// TestThriftyRoundAsksAMajority: a change asks three of five members, and the next change
+// of the key asks the same ones, also through another client.
 func TestThriftyRoundAsksAMajority(t *testing.T) {
 	cluster := newSlowCluster()
 	client := newThriftyClient("client", cluster, cluster)
@@ -112,7 +112,8 @@
 	}
 }
 
-// TestSlowMembersAreHedgedWithinTheBudget: where all are slow, that is load.
+// TestSlowMembersAreHedgedWithinTheBudget: where all members are slow, they are
+// overloaded, and few more requests are sent.
 func TestSlowMembersAreHedgedWithinTheBudget(t *testing.T) {
 	const changes = 300
 	synctest.Test(t, func(t *testing.T) {
--- a/coordination/turnstore/store_test.go
+++ b/coordination/turnstore/store_test.go
@@ -25,7 +25,7 @@
 
 var errDown = errors.New("no answer")
 
-// members are replicas in memory, one a zone.
+// members are replicas in memory, each in a zone of its own.
 type members struct {
 	mutex  sync.Mutex
 	turns  map[string]map[string]replica.Turn
@@ -171,7 +171,8 @@
 	assert.ErrorIs(t, err, turnstore.ErrUnavailable)
 }
 
-// TestPutNeedsAQuorum and asks the others where the preferred ones fail.
+// TestPutNeedsAQuorum: Put asks other members where the preferred ones fail, and fails
+// itself where no quorum is left.
 func TestPutNeedsAQuorum(t *testing.T) {
 	m, v := newMembers(1)
 	store := newStore(t, "z0", m, v)
@@ -183,7 +184,7 @@
 	assert.ErrorIs(t, store.Put(ctx, "p", &statev1.RetainedTurn{Id: "b"}), turnstore.ErrUnavailable)
 }
 
-// TestNearestIsAskedFirst, and alone where it has the turn.
+// TestNearestIsAskedFirst: no other member is asked where the nearest has the turn.
 func TestNearestIsAskedFirst(t *testing.T) {
 	m, v := newMembers(1)
 	assert.NilError(t, newStore(t, "z2", m, v).Put(context.Background(), "p", &statev1.RetainedTurn{Id: "a"}))
@@ -204,8 +205,8 @@
 	assert.Equal(t, string(line[0].GetInput()), "right")
 }
 
-// lateViews knows the sets only once it was asked for one, as a gateway does that
-// starts while requests come.
+// lateViews knows the replica sets only once it was asked for one, like a gateway that
+// starts while requests arrive.
 type lateViews struct {
 	views
 	known *atomic.Bool
@@ -232,8 +233,8 @@
 	return v.views.View(number)
 }
 
-// TestSetsThatBecomeKnownLate: where a turn is kept is found out only once the
-// sets are known.
+// TestSetsThatBecomeKnownLate: the shard of a turn is looked up only once the replica sets
+// are known.
 func TestSetsThatBecomeKnownLate(t *testing.T) {
 	for index := range 16 {
 		program := fmt.Sprint("program", index)
@@ -249,8 +250,8 @@
 	}
 }
 
-// TestSlowMembersGetNoMoreRequests: where all members are slow, that is load, and
-// asking others as well would add to it.
+// TestSlowMembersGetNoMoreRequests: where all members are slow, they are overloaded, and
+// asking more of them would add to that.
 func TestSlowMembersGetNoMoreRequests(t *testing.T) {
 	const turns = 200
 	synctest.Test(t, func(t *testing.T) {
@@ -269,8 +270,8 @@
 	})
 }
 
-// allAtOnce calls f so often at the same moment, and returns once all that this
-// began has ended.
+// allAtOnce makes so many calls of f at the same moment and returns once all that they
+// started has ended.
 func allAtOnce(times int, f func(i int)) {
 	var calls sync.WaitGroup
 	for i := range times {
@@ -281,8 +282,8 @@
 	synctest.Wait()
 }
 
-// TestSilentMemberIsPassedOver: a member that says nothing is waited for once,
-// and asked last from then on.
+// TestSilentMemberIsPassedOver: one request waits for a member that doesn't answer; later
+// ones ask it last.
 func TestSilentMemberIsPassedOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m, v := newMembers(1)
@@ -301,8 +302,8 @@
 	})
 }
 
-// TestSealedSetIsAskedLessAndLess: while a set changes its members refuse, and
-// each round is work for them.
+// TestSealedSetIsAskedLessAndLess: while a replica set changes, its members refuse
+// requests, and each round is work for them.
 func TestSealedSetIsAskedLessAndLess(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m, v := newMembers(1)
--- a/state/budget/budget_test.go
+++ b/state/budget/budget_test.go
@@ -95,8 +95,7 @@
 	g.underWay += most
 }
 
-// TestReservesNeverKeepFromATurn: what is reserved ahead is given only while much
-// is left.
+// TestReservesNeverKeepFromATurn: tokens are reserved ahead only while much is left.
 func TestReservesNeverKeepFromATurn(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := rapid.Uint64Range(1, 10_000).Draw(t, "limit")
--- a/state/history/bench_test.go
+++ b/state/history/bench_test.go
@@ -16,7 +16,7 @@
 // turnTextBytes makes 88 turns come to about 310,000 tokens of four bytes.
 const turnTextBytes = 310_000 * 4 / 88
 
-// prose is drawn from with a fixed seed: text that compresses about as prose.
+// prose returns text that compresses about as well as prose.
 func prose(random *rand.Rand, size int) string {
 	const letters = "etaoinshrdlucmfwypvbgkjqxz"
 	vocabulary := make([]string, 4000)
--- a/state/program/stored_test.go
+++ b/state/program/stored_test.go
@@ -16,7 +16,7 @@
 )
 
 // livedTree is a record after a life in which every field was set: calls that
-// finished, failed and were refused, some of which have left the window, a
+// finished, failed and were refused, some of which the record no longer keeps, a
 // sub-program that has ended, and a call under way.
 func livedTree(t *testing.T) *statev1.ProgramTree {
 	t.Helper()
@@ -75,7 +75,7 @@
 }
 
 // TestStoredHashes pins what nodes compute of names and have to agree on: the keys of
-// calls that left the window, and the node that looks after a program.
+// calls that the record no longer keeps, and the node that looks after a program.
 func TestStoredHashes(t *testing.T) {
 	var text strings.Builder
 	for _, dropped := range program.Find(livedTree(t), "p-1").GetDroppedKeys() {
--- a/state/replica/store_test.go
+++ b/state/replica/store_test.go
@@ -17,7 +17,7 @@
 var testNames = []string{"a", "a.1", "b", "bb"}
 
 // readAll lists everything that a store holds for the shards and names of the
-// tests, one line an item; bytes are shown by their hash.
+// tests, one line for each item, with the hash in place of the bytes.
 func readAll(store Store) ([]string, error) {
 	var lines []string
 	list := func(parts ...any) { lines = append(lines, fmt.Sprint(parts...)) }
@@ -158,7 +158,7 @@
 	assert.Equal(t, count, writers)
 }
 
-// TestFailedWriteStopsLaterOnes takes the file away from under the store.
+// TestFailedWriteStopsLaterOnes closes the file while the store uses it.
 func TestFailedWriteStopsLaterOnes(t *testing.T) {
 	disk := openTestDisk(t, t.TempDir())
 	before := Register{Promised: Ballot{Counter: 1, Proposer: "p"}}
--- a/state/replica/stored_test.go
+++ b/state/replica/stored_test.go
@@ -49,9 +49,9 @@
 	countShard:  {"shard-count": string(binary.BigEndian.AppendUint32(nil, 3))},
 }
 
-// writeSample writes one value of every kind that a replica keeps, each in a
+// writeKept writes one value of every kind that a replica keeps, each in a
 // transaction of its own.
-func writeSample(t *testing.T, store replica.Store) {
+func writeKept(t *testing.T, store replica.Store) {
 	t.Helper()
 	promised := replica.Ballot{Counter: 300, Proposer: "g-1/b"}
 	accepted := replica.Ballot{Counter: 299, Proposer: "g-2/a"}
@@ -168,7 +168,7 @@
 	folder := t.TempDir()
 	disk, err := replica.OpenDiskWithRandom(folder, fixedRandom())
 	assert.NilError(t, err)
-	writeSample(t, disk)
+	writeKept(t, disk)
 	assert.NilError(t, disk.Close())
 	golden.Assert(t, fileEntries(t, folder), "format1.entries.golden")
 }
@@ -181,10 +181,10 @@
 	defer disk.Close()
 	assert.NilError(t, disk.Damage())
 	assert.Equal(t, disk.Incarnation(), "30313233343536373839616263646566")
-	golden.Assert(t, readSample(t, disk), "format1.contents.golden")
+	golden.Assert(t, readKept(t, disk), "format1.contents.golden")
 	memory := replica.NewMemory()
-	writeSample(t, memory)
-	golden.Assert(t, readSample(t, memory), "format1.contents.golden")
+	writeKept(t, memory)
+	golden.Assert(t, readKept(t, memory), "format1.contents.golden")
 }
 
 // TestKeptTurnsDecode reads the objects of the kept folder's turns.
@@ -236,8 +236,8 @@
 	return text.String()
 }
 
-// readSample reads everything of the sample's shards.
-func readSample(t *testing.T, store replica.Store) string {
+// readKept reads everything of the sample's shards.
+func readKept(t *testing.T, store replica.Store) string {
 	t.Helper()
 	var text strings.Builder
 	addTurn := func(way string) func(replica.Turn) error {
