--- a/protocol/callerapi/call_headers.go
+++ b/protocol/callerapi/call_headers.go
@@ -14,24 +14,31 @@
 )
 
 const (
-	// maxKeyBytes is the greatest length of an idempotency key.
+	// maxKeyBytes is the greatest length of an idempotency key. Chosen, not
+	// measured.
 	maxKeyBytes = 255
-	// maxDeadline is the longest time that a caller may ask for.
+	// maxDeadline is the longest time that a caller may give a call. Chosen, not
+	// measured.
 	maxDeadline = 7 * 24 * time.Hour
-	// madeKeyBytes is the random part of a key made here: 128 bits.
+	// madeKeyBytes is the length of the random part of a key made here: 128 bits,
+	// so that no two are the same.
 	madeKeyBytes  = 16
 	madeKeyPrefix = "made-"
 )
 
 // callHeaders are the headers of a call, checked.
 type callHeaders struct {
-	Key        string
+	// Key is the idempotency key; empty where the caller gave none.
+	Key string
+	// Sequence is the number of the call; zero where the caller gave none.
 	Sequence   uint64
 	Repeatable bool
 	// Deadline is zero where the caller gave none.
 	Deadline time.Time
 }
 
+// parseCallHeaders checks the headers of a call that arrived at the given time.
+
 func parseCallHeaders(header http.Header, now time.Time) (callHeaders, error) {
 	key, err := parseKey(header)
 	if err != nil {
@@ -60,7 +67,7 @@
 	return headers, nil
 }
 
-// headerValue returns the only value of a header; empty where it is absent.
+// headerValue returns the one value of a header. A header given twice is an error.
 func headerValue(header http.Header, name string) (value string, given bool, err error) {
 	values := header.Values(name)
 	switch len(values) {
@@ -90,7 +97,7 @@
 	return key, nil
 }
 
-// makeKey makes an idempotency key for a request that came without.
+// makeKey makes an idempotency key for a request that came without one.
 func makeKey(random io.Reader) (string, error) {
 	var raw [madeKeyBytes]byte
 	if _, err := io.ReadFull(random, raw[:]); err != nil {
@@ -99,6 +106,7 @@
 	return madeKeyPrefix + hex.EncodeToString(raw[:]), nil
 }
 
+// headerInteger returns a whole number from 1 on; zero where the header is absent.
 func headerInteger(header http.Header, name string, greatest uint64) (uint64, error) {
 	text, given, err := headerValue(header, name)
 	if err != nil || !given {
--- a/protocol/callerapi/chat.go
+++ b/protocol/callerapi/chat.go
@@ -29,7 +29,8 @@
 	if err != nil {
 		return err
 	}
-	// A key that was made here is told too: with it the caller can ask again.
+	// The caller is told the key even where it was made here: with it the caller
+	// can ask again.
 	e.writer.Header().Set(HeaderKey, request.Key)
 	if parsed.Stream {
 		return h.callStreamed(e, request, parsed.IncludeUsage)
@@ -91,8 +92,8 @@
 	return e.stream.finish(answer)
 }
 
-// checkAnswer makes sure that an answer belongs to the request, so that a
-// crossed one never reaches a caller.
+// checkAnswer fails where an answer belongs to another request, so that no caller
+// ever gets another's answer.
 func checkAnswer(request execution.CallRequest, answer execution.Answer) error {
 	if answer.Program != request.Program {
 		return merry.Errorf("the call of program %q got an answer of program %q", request.Program, answer.Program)
@@ -113,18 +114,20 @@
 	return id.String()
 }
 
-// wholeSink only takes note of who serves the call and when it began to
-// answer: the text comes with the whole answer. It never fails, since nothing
-// is lost with the connection before the answer is written.
+// wholeSink notes which engine serves the call and when its first text came. It
+// drops the text, which comes again with the whole answer, and never fails: a
+// lost connection matters only when the answer is written.
 type wholeSink struct {
 	exchange *exchange
 }
 
+// Started implements [execution.Sink].
 func (s *wholeSink) Started(start execution.Start) error {
 	s.exchange.start = start
 	return nil
 }
 
+// Text implements [execution.Sink].
 func (s *wholeSink) Text(string) error {
 	s.exchange.noteFirstToken()
 	return nil
--- a/protocol/callerapi/chat_request.go
+++ b/protocol/callerapi/chat_request.go
@@ -7,21 +7,22 @@
 	"slices"
 )
 
-// maxOutputTokens is the greatest max_tokens that a caller may ask for.
+// maxOutputTokens is the greatest max_tokens that a caller may ask for. A model's
+// context and a program's budget bound it further.
 const maxOutputTokens = math.MaxInt32
 
 // chatRequest is the body of a call, checked.
 type chatRequest struct {
-	// Messages are compact parts of the body, so that the same request in another layout has
-	// the same digest.
+	// Messages are the JSON of the messages without white space between tokens,
+	// so that a repeat in another layout has the same digest.
 	Messages     []json.RawMessage
 	MaxTokens    uint64
 	Stream       bool
 	IncludeUsage bool
 }
 
-// ignoredFields are fields of the OpenAI dialect that have no effect here but
-// must have the right type where they are given. Any other field is ignored.
+// ignoredFields are fields of the OpenAI dialect that have no effect here. Where
+// they are given they must have the right type. Any other field is ignored.
 var ignoredFields = []struct {
 	name  string
 	kinds []kind
@@ -77,7 +78,7 @@
 	return request, nil
 }
 
-// outputLimit reads max_completion_tokens and its older name max_tokens.
+// outputLimit reads max_completion_tokens, or max_tokens, its older name.
 func outputLimit(fields *object) uint64 {
 	limit := fields.integer("max_completion_tokens", 1, maxOutputTokens)
 	older := fields.integer("max_tokens", 1, maxOutputTokens)
--- a/protocol/callerapi/client/call.go
+++ b/protocol/callerapi/client/call.go
@@ -11,11 +11,13 @@
 	"github.com/marblering/marblering/protocol/callerapi"
 )
 
-// Call is one call of a program: its new messages only.
+// Call is one call of a program. It has only the messages that are new since the
+// call before.
 type Call struct {
+	// Program is the id of the program.
 	Program string
-	// Key is the idempotency key. Without one, the node makes a key, and a call
-	// whose answer is lost can't be asked after.
+	// Key is the idempotency key. Where it is empty the node makes one, and the
+	// outcome of a call whose answer is lost can't be found out.
 	Key string
 	// Sequence is the number of the call; zero takes the next one.
 	Sequence uint64
@@ -23,8 +25,9 @@
 	NotRepeatable bool
 	// Deadline is how long the call may take; zero is the deployment's limit.
 	// It is rounded up to milliseconds.
-	Deadline  time.Duration
-	Messages  []callerapi.Message
+	Deadline time.Duration
+	Messages []callerapi.Message
+	// MaxTokens bounds the answer; zero takes the model's default.
 	MaxTokens uint64
 }
 
@@ -35,11 +38,14 @@
 	Content      string
 	FinishReason string
 	Usage        callerapi.Usage
-	// Key is the call's idempotency key, also where the node made it.
-	Key      string
+	// Key is the call's idempotency key, which the node may have made.
+	Key string
+	// Sequence is the number of the call within its program.
 	Sequence uint64
-	Attempt  uint32
-	Engine   string
+	// Attempt is the number of the try that gave the answer.
+	Attempt uint32
+	// Engine is the name of the engine that gave the answer.
+	Engine string
 	// Reason says in one line why the engine was chosen.
 	Reason string
 	// Replayed is set where the node repeated a stored answer.
@@ -53,7 +59,7 @@
 	Stream    bool                `json:"stream,omitempty"`
 }
 
-// Call runs the call and returns its answer at once.
+// Call runs the call and returns the whole answer.
 func (c *Client) Call(ctx context.Context, call Call) (Answer, error) {
 	response, err := c.sendCall(ctx, call, false)
 	if err != nil {
@@ -113,9 +119,9 @@
 	return c.send(ctx, http.MethodPost, callPath(call), header, body)
 }
 
-// newAnswer takes what the header tells of an answer.
+// newAnswer reads what the header says of an answer.
 func newAnswer(header http.Header) Answer {
-	// The numbers are a node's own; one that can't be read stays zero.
+	// A node writes these numbers. One that can't be read stays zero.
 	sequence, _ := strconv.ParseUint(header.Get(callerapi.HeaderSequence), 10, 64)
 	attempt, _ := strconv.ParseUint(header.Get(callerapi.HeaderAttempt), 10, 32)
 	return Answer{
--- a/protocol/callerapi/client/client.go
+++ b/protocol/callerapi/client/client.go
@@ -1,10 +1,13 @@
-// Package client speaks the callers' API of one node: it creates programs, runs
-// their calls and tells failures by their result codes.
+// Package client is a Go client of the callers' API: it creates programs and runs
+// their calls at one node.
 //
-// It is thin: one method is one request, and nothing is repeated by itself. A
-// failure that a node reports is a *result.Error. Where the answer is lost
-// before its end the error is [ErrInterrupted]: whether the request was run
-// isn't known here, and the same request with the same key finds out.
+// Each method sends one request and repeats nothing. The package owns no state
+// and relies on the wire types of package callerapi and on an HTTP client that is
+// passed in.
+//
+// A failure that a node reports is a *result.Error. Where an answer is lost the
+// error is [ErrInterrupted]: the request may have been run, and the same request
+// with the same idempotency key finds out.
 package client
 
 import (
@@ -27,7 +30,7 @@
 // broke off.
 var ErrInterrupted = merry.Sentinel("the answer was interrupted")
 
-// maxAnswerBytes bounds a whole answer.
+// maxAnswerBytes bounds a whole answer, in bytes. Chosen, not measured.
 const maxAnswerBytes = 64 << 20
 
 // Client talks to one node with the key of one tenant. It is safe for
@@ -39,21 +42,26 @@
 }
 
 // New makes a client of the node at the address, such as
-// "http://10.0.0.7:8080". Requests end with their context: the HTTP client
-// should have no timeout of its own, which would cut long answers.
+// "http://10.0.0.7:8080". Contexts bound the requests: the HTTP client should
+// have no timeout of its own, since it would cut long answers.
 func New(address, apiKey string, httpClient *http.Client) *Client {
 	return &Client{address: address, key: apiKey, http: httpClient}
 }
 
-// ProgramSpec describes a new program. Zero values other than the model and the
-// budget take the deployment's defaults.
+// ProgramSpec describes a new program. Model and BudgetTokens are required; a zero
+// value elsewhere takes the deployment's default.
 type ProgramSpec struct {
-	Model        string
-	Adapter      string
+	Model   string
+	Adapter string
+	// BudgetTokens is what the program and its children may use in all.
 	BudgetTokens uint64
-	Priority     uint32
-	IdleLimit    time.Duration
-	TurnLimit    uint32
+	// Priority is the class of the calls: the lowest is served first.
+	Priority uint32
+	// IdleLimit ends a program that is silent for so long. It is cut to
+	// milliseconds.
+	IdleLimit time.Duration
+	// TurnLimit ends a program after so many turns.
+	TurnLimit uint32
 }
 
 // programBody is the JSON form of a ProgramSpec.
@@ -66,8 +74,8 @@
 	TurnLimit    uint32 `json:"turn_limit,omitempty"`
 }
 
-// CreateProgram creates a program. With a key, a repeat gives the same program;
-// the key may be empty.
+// CreateProgram creates a program. The idempotency key may be empty; with one, a
+// repeat gives the same program.
 func (c *Client) CreateProgram(ctx context.Context, spec ProgramSpec, key string) (callerapi.Program, error) {
 	return c.program(ctx, http.MethodPost, "/v1/programs", key, programBody{
 		Model:        spec.Model,
@@ -79,7 +87,7 @@
 	})
 }
 
-// CreateChild creates a sub-program that shares the budget of its parent.
+// CreateChild creates a child program, which shares the budget of its parent.
 func (c *Client) CreateChild(ctx context.Context, parent, key string) (callerapi.Program, error) {
 	return c.program(ctx, http.MethodPost, programPath(parent)+"/children", key, nil)
 }
@@ -112,8 +120,8 @@
 	return program, err
 }
 
-// send makes a request and returns its answer where it isn't a failure. The
-// caller closes the answer's body.
+// send makes a request and returns its answer unless that is a failure. The caller
+// closes the answer's body.
 func (c *Client) send(ctx context.Context, method, path string, header http.Header, body any) (*http.Response, error) {
 	request, err := c.newRequest(ctx, method, path, header, body)
 	if err != nil {
@@ -168,8 +176,8 @@
 	return nil
 }
 
-// readFailure returns the failure that a node reports. An answer in another
-// form, for instance of something between, is no word about the request.
+// readFailure returns the failure that a node reports. An answer in another form,
+// such as that of a proxy, doesn't say what became of the request.
 func readFailure(response *http.Response) error {
 	var body callerapi.ErrorBody
 	if err := decode(response, &body); err != nil {
--- a/protocol/callerapi/client/stream.go
+++ b/protocol/callerapi/client/stream.go
@@ -13,7 +13,8 @@
 	"github.com/marblering/marblering/state/result"
 )
 
-// maxEventBytes bounds one event of a stream.
+// maxEventBytes bounds one event of a stream, in bytes. A node's events have at
+// most 16 KiB of text.
 const maxEventBytes = 1 << 20
 
 // eventError is the type of the event that ends a stream with an error.
@@ -27,8 +28,8 @@
 	ended   bool
 }
 
-// read takes the events up to the end of the answer. An answer without its end
-// isn't whole, however the connection ended.
+// read takes the events up to the end of the answer. Without the event that ends a
+// whole answer, the answer isn't whole, however the connection ended.
 func (r *streamReader) read(response *http.Response) error {
 	for event, err := range sse.Read(response.Body, &sse.ReadConfig{MaxEventSize: maxEventBytes}) {
 		if err != nil {
--- a/protocol/callerapi/completion.go
+++ b/protocol/callerapi/completion.go
@@ -15,8 +15,10 @@
 
 // Completion is a whole answer in the OpenAI dialect.
 type Completion struct {
-	ID      string             `json:"id"`
-	Object  string             `json:"object"`
+	// ID names the call. A repeat of the answer has the same one.
+	ID     string `json:"id"`
+	Object string `json:"object"`
+	// Created is in seconds since 1970.
 	Created int64              `json:"created"`
 	Model   string             `json:"model"`
 	Choices []CompletionChoice `json:"choices"`
@@ -44,19 +46,22 @@
 	PromptTokensDetails PromptTokenDetails `json:"prompt_tokens_details"`
 }
 
-// PromptTokenDetails tells how much of a prompt the engine had cached.
+// PromptTokenDetails says how much of a prompt the engine had in its cache.
 type PromptTokenDetails struct {
 	CachedTokens uint64 `json:"cached_tokens"`
 }
 
 // Chunk is one part of a streamed answer.
 type Chunk struct {
-	ID      string        `json:"id"`
-	Object  string        `json:"object"`
+	// ID names the call. All chunks of an answer have the same one.
+	ID     string `json:"id"`
+	Object string `json:"object"`
+	// Created is in seconds since 1970.
 	Created int64         `json:"created"`
 	Model   string        `json:"model"`
 	Choices []ChunkChoice `json:"choices"`
-	Usage   *Usage        `json:"usage,omitempty"`
+	// Usage is set in one chunk only, at the end.
+	Usage *Usage `json:"usage,omitempty"`
 }
 
 // ChunkChoice is the only choice of a chunk; the last chunk may have none.
--- a/protocol/callerapi/exchange.go
+++ b/protocol/callerapi/exchange.go
@@ -16,7 +16,7 @@
 	"github.com/marblering/marblering/state/result"
 )
 
-// exchange is one request and its answer, with what the access log tells of it.
+// exchange is one request and its answer, with what the log line says of them.
 type exchange struct {
 	handler   *Handler
 	writer    http.ResponseWriter
@@ -32,14 +32,17 @@
 	start execution.Start
 	// code is the result that the caller was told, or would have been told
 	// where its connection was lost.
-	code       result.Code
-	cause      error
+	code result.Code
+	// cause is the error behind the code, for the log.
+	cause error
+	// firstToken is the time from the arrival to the first text; zero before.
 	firstToken time.Duration
 	// answered is set once the header of the answer has been written.
 	answered bool
 	// stream is set while the answer is a stream.
 	stream *stream
-	lost   bool
+	// lost is set once the caller's connection is lost.
+	lost bool
 }
 
 func (h *Handler) newExchange(operation string, writer http.ResponseWriter, request *http.Request) *exchange {
@@ -98,8 +101,8 @@
 		e.writer.Header().Set("Connection", "close")
 		return nil, result.Errorf(result.TooLarge, "the body has %d bytes of at most %d", e.request.ContentLength, limit)
 	}
-	// Connections know only the system's clock. A writer without deadlines, as
-	// in tests, does without.
+	// Deadlines of connections are by the system's clock. A writer of a test may
+	// have none.
 	_ = e.control.SetReadDeadline(time.Now().Add(options.BodyTimeout))
 	defer func() { _ = e.control.SetReadDeadline(time.Time{}) }()
 	body, err := io.ReadAll(http.MaxBytesReader(e.writer, e.request.Body, limit))
@@ -114,7 +117,8 @@
 	return body, nil
 }
 
-// fail tells the caller of an error.
+// fail tells the caller of an error: by an answer of its own, or by an event where
+// a stream has begun.
 func (e *exchange) fail(err error) {
 	failure := asResult(err)
 	if failure.Code == result.NoQuorum {
--- a/protocol/callerapi/failure.go
+++ b/protocol/callerapi/failure.go
@@ -25,7 +25,7 @@
 	HeaderResult = "Marblering-Result"
 	// HeaderReplayed is "true" where a stored answer is repeated.
 	HeaderReplayed = "Marblering-Replayed"
-	// headerShouldRetry overrules the rules by which OpenAI's client libraries
+	// headerShouldRetry overrides the rules by which OpenAI's client libraries
 	// repeat a request by themselves.
 	headerShouldRetry = "X-Should-Retry"
 )
@@ -36,8 +36,8 @@
 // ErrorDetail describes an error; docs/RESULT-CODES.md lists the codes.
 type ErrorDetail = result.Detail
 
-// asResult returns what the caller is told of an error. The text of an
-// unexpected one stays in the log.
+// asResult returns what the caller is told of an error. The text of an error
+// that isn't a result stays in the log.
 func asResult(err error) *result.Error {
 	var failure *result.Error
 	if errors.As(err, &failure) {
@@ -49,6 +49,7 @@
 	return result.Errorf(result.Internal, "a fault of this program; the log has the details")
 }
 
+// writeError answers with the error.
 func (e *exchange) writeError(failure *result.Error) {
 	answer := failure.Answer(e.handler.options.RetryAfter)
 	header := e.writer.Header()
@@ -58,8 +59,8 @@
 	e.writeJSON(answer.Status, answer.Body)
 }
 
-// mayRetry says whether a client library may repeat the request by itself.
-// Without a key of the caller's own, a repeat would be a new request.
+// mayRetry tells whether a client library may repeat the request by itself.
+// Without an idempotency key of the caller's, a repeat would be a new request.
 func (e *exchange) mayRetry(code result.Code) bool {
 	switch code.Info().Repeat {
 	case result.RepeatLater:
--- a/protocol/callerapi/handler.go
+++ b/protocol/callerapi/handler.go
@@ -2,11 +2,13 @@
 // their calls in the OpenAI chat-completions dialect, whole or as a stream of
 // server-sent events (WHATWG HTML, "Server-sent events").
 //
-// The package checks requests and writes answers; what a request does is up to
-// an [execution.Service]. A request that fails its checks never reaches the
-// service. A call that has reached it runs to its end also when the caller's
-// connection is lost: the stored answer waits for a repeat of the same
-// idempotency key.
+// It owns the wire types of that API, the checks of its requests, the count of
+// requests in flight, and their log line and metrics. What a request does is up
+// to an [execution.Service], and whose key a caller has to [Tenants].
+//
+// A request that fails its checks never reaches the service. A call that has
+// reached it runs to its end, even where the caller's connection is lost: the
+// stored answer waits for a repeat with the same idempotency key.
 package callerapi
 
 import (
@@ -22,19 +24,21 @@
 	"github.com/marblering/marblering/state/result"
 )
 
-// Defaults of the options.
+// Defaults of the options. All are chosen, not measured.
 const (
-	DefaultBodyLimit     = 8 << 20
-	DefaultBodyTimeout   = 30 * time.Second
-	DefaultWriteTimeout  = 30 * time.Second
+	// DefaultBodyLimit is in bytes.
+	DefaultBodyLimit    = 8 << 20
+	DefaultBodyTimeout  = 30 * time.Second
+	DefaultWriteTimeout = 30 * time.Second
+	// DefaultInFlightLimit is in requests.
 	DefaultInFlightLimit = 16384
 	DefaultRetryAfter    = time.Second
 )
 
-// Tenants tells whose key a bearer key is.
+// Tenants tells which tenant has an API key.
 type Tenants interface {
 	// TenantOf returns the name of the tenant that has the key; found is false
-	// where none has. It is called for every request and must not block.
+	// where no tenant has it. It is called for every request and must not block.
 	TenantOf(apiKey string) (tenant string, found bool)
 }
 
@@ -49,21 +53,21 @@
 	Observer Observer
 	// Now is the clock of deadlines and durations; nil is time.Now.
 	Now func() time.Time
-	// Random makes the idempotency keys of calls that come without one; nil is
-	// the system's random source. It must be safe for concurrent use.
+	// Random is the source of the idempotency keys of calls that come without
+	// one; nil is the system's. It must be safe for concurrent use.
 	Random io.Reader
 	// BodyLimit is the greatest size of a request body in bytes.
 	BodyLimit int64
-	// BodyTimeout is how long the caller may take to send a body.
+	// BodyTimeout is how long a caller may take to send a body.
 	BodyTimeout time.Duration
 	// WriteTimeout is how long one write may wait for a caller that doesn't
-	// read; after that the connection counts as lost.
+	// read. After that the connection counts as lost.
 	WriteTimeout time.Duration
-	// InFlightLimit is how many requests are served at one time; more are
-	// refused as overloaded.
+	// InFlightLimit is how many requests are served at one time. More are
+	// refused with [result.Overloaded].
 	InFlightLimit int
 	// RetryAfter is the pause that a caller is asked for where an error allows
-	// a repeat and names no pause itself.
+	// another try and names no pause.
 	RetryAfter time.Duration
 }
 
@@ -128,19 +132,18 @@
 	h.routes.ServeHTTP(writer, request)
 }
 
-// Drain refuses every request from now on with [result.Draining]; those in
-// flight go on.
+// Drain refuses every new request with [result.Draining]. Those in flight go on.
 func (h *Handler) Drain() { h.inFlight.drain() }
 
-// Wait returns once a drained handler has nothing in flight, or with the
-// context's error.
+// Wait returns once a drained handler has no request in flight. Its error is the
+// context's, where that ends first.
 func (h *Handler) Wait(ctx context.Context) error { return h.inFlight.wait(ctx) }
 
 // InFlight returns the number of requests being served.
 func (h *Handler) InFlight() int { return h.inFlight.current() }
 
-// operation serves one kind of request. A returned error is sent to the caller
-// unless the operation has begun to answer.
+// operation serves one kind of request. Its error is sent to the caller, unless a
+// whole answer has been written.
 type operation func(*exchange) error
 
 func (h *Handler) handle(pattern, name string, serve operation) {
@@ -172,7 +175,7 @@
 	return exchange.protect(serve)
 }
 
-// unknownPath is the operation that needs no key.
+// unknownPath is the one operation that needs no API key.
 const unknownPath = "unknown_path"
 
 func (h *Handler) unknownPath(exchange *exchange) error {
--- a/protocol/callerapi/inflight.go
+++ b/protocol/callerapi/inflight.go
@@ -10,20 +10,23 @@
 	"github.com/marblering/marblering/state/result"
 )
 
-// Pauses that a caller is asked for before another try.
+// Pauses that a caller is asked for before another try. Both are chosen, not
+// measured.
 const (
-	retryAfterDraining   = time.Second
+	// retryAfterDraining is short, since other nodes serve.
+	retryAfterDraining = time.Second
+	// retryAfterOverloaded gives some of the requests in flight time to end.
 	retryAfterOverloaded = 2 * time.Second
 )
 
-// inFlight counts the requests being served and refuses more of them beyond a
-// limit or once it drains.
+// inFlight counts the requests being served. It refuses new ones beyond a limit
+// and while it drains.
 type inFlight struct {
 	mu       sync.Mutex
 	limit    int
 	count    int
 	draining bool
-	// idle is closed once it drains and the count is zero.
+	// idle is closed once inFlight drains and the count is zero.
 	idle chan struct{}
 }
 
--- a/protocol/callerapi/kind.go
+++ b/protocol/callerapi/kind.go
@@ -5,7 +5,8 @@
 	"strings"
 )
 
-// kind is the type of a JSON value (RFC 8259, section 3), with its article.
+// kind is the type of a JSON value (RFC 8259, section 3) as errors name it, with
+// its article.
 type kind string
 
 const (
@@ -17,7 +18,8 @@
 	kindObject  kind = "an object"
 )
 
-// kindOf returns the kind of a value of compact, syntactically right JSON.
+// kindOf returns the kind of a value, which must be valid JSON without white
+// space around it.
 func kindOf(raw json.RawMessage) kind {
 	switch raw[0] {
 	case '{':
--- a/protocol/callerapi/metrics.go
+++ b/protocol/callerapi/metrics.go
@@ -5,8 +5,8 @@
 	"github.com/prometheus/client_golang/prometheus/promauto"
 )
 
-// Buckets reach from a refusal to a long answer, a factor of two apart:
-// 1 ms to 9 min.
+// Buckets of durations, a factor of two apart, from 1 ms (a refusal) to 9 min (a
+// long answer). Chosen, not measured.
 const (
 	firstBucketSeconds = 0.001
 	bucketFactor       = 2
@@ -23,8 +23,8 @@
 
 var _ Observer = (*Metrics)(nil)
 
-// NewMetrics registers the metrics. It panics where the registerer has them
-// already.
+// NewMetrics registers the metrics. It panics where the registerer already has
+// them.
 func NewMetrics(registerer prometheus.Registerer) *Metrics {
 	factory := promauto.With(registerer)
 	buckets := prometheus.ExponentialBuckets(firstBucketSeconds, bucketFactor, bucketCount)
--- a/protocol/callerapi/object.go
+++ b/protocol/callerapi/object.go
@@ -12,12 +12,13 @@
 )
 
 // object reads the members of one JSON object by their exact names. Unlike
-// encoding/json it refuses duplicate names and doesn't fold case, and its
-// errors name the field. The first error sticks and makes the later reads
-// return zero values; err tells it.
+// encoding/json it refuses duplicate names, doesn't fold case and names the field
+// in its errors. Reads don't return errors: err holds the first one.
 //
-// The body is checked and compacted once. The objects and values within are
-// parts of its memory, found by split.go.
+// The body is checked and compacted once. The objects and values in it are slices
+// of its memory, which split.go finds: on a body of 15,798 bytes this took 203 µs,
+// where decoding each level with encoding/json took 971 µs (one trial on a loaded
+// machine, docs/design/caller-api.md).
 type object struct {
 	// path names the object in errors; empty for the body itself.
 	path    string
@@ -41,7 +42,7 @@
 	return parseObject("", compact.Bytes())
 }
 
-// syntaxError tells where the body is broken, which json.Compact doesn't.
+// syntaxError says where the body is broken, which json.Compact doesn't.
 func syntaxError(body []byte, cause error) error {
 	var whole json.RawMessage
 	var syntax *json.SyntaxError
@@ -51,7 +52,7 @@
 	return result.Errorf(result.BadRequest, "body: broken JSON: %v", cause)
 }
 
-// parseObject reads an object within the compacted body.
+// parseObject reads an object of the compacted body.
 func parseObject(path string, raw json.RawMessage) (*object, error) {
 	o := &object{path: path, members: make(map[string]json.RawMessage)}
 	if kindOf(raw) != kindObject {
@@ -102,7 +103,7 @@
 	return raw, true
 }
 
-// valueOf returns a member of one of the kinds and fails for any other kind.
+// valueOf returns a member that must be of one of the kinds.
 func (o *object) valueOf(name string, kinds ...kind) (raw json.RawMessage, present bool) {
 	raw, present = o.value(name)
 	if !present {
@@ -138,7 +139,8 @@
 	return string(raw) == "true"
 }
 
-// integer reads a whole number within the bounds; an absent one is zero.
+// integer reads a whole number within the bounds, both included; an absent member
+// is zero.
 func (o *object) integer(name string, least, greatest uint64) uint64 {
 	raw, present := o.valueOf(name, kindNumber)
 	if !present {
@@ -160,7 +162,7 @@
 	return slices.Collect(splitArray(raw)), true
 }
 
-// refuseOthers fails for a member that isn't among the names.
+// refuseOthers records an error for a member that isn't among the names.
 func (o *object) refuseOthers(names ...string) {
 	for name := range o.members {
 		if !slices.Contains(names, name) {
--- a/protocol/callerapi/observer.go
+++ b/protocol/callerapi/observer.go
@@ -6,7 +6,7 @@
 	"github.com/marblering/marblering/state/result"
 )
 
-// Observation is what the metrics learn of one request.
+// Observation is what the metrics record of one request.
 type Observation struct {
 	// Operation is one of create_program, read_program, end_program,
 	// create_child, call and unknown_path.
@@ -22,8 +22,8 @@
 	ConnectionLost bool
 }
 
-// Observer gets one observation a request; [NewMetrics] makes the usual one. It
-// must not block.
+// Observer gets one observation for each request. It must not block. [Metrics] is
+// the usual one.
 type Observer interface {
 	Observe(Observation)
 }
@@ -31,4 +31,5 @@
 // ignoreObservations is the observer where none is given.
 type ignoreObservations struct{}
 
+// Observe implements [Observer].
 func (ignoreObservations) Observe(Observation) {}
--- a/protocol/callerapi/programs.go
+++ b/protocol/callerapi/programs.go
@@ -11,10 +11,11 @@
 )
 
 const (
-	// maxIdleLimit is the longest idle limit that a caller may set.
+	// maxIdleLimit is the longest idle limit that a caller may set. Chosen, not
+	// measured.
 	maxIdleLimit = 30 * 24 * time.Hour
-	// maxNameBytes is the greatest length of a model's or adapter's name and of
-	// the reason for an end.
+	// maxNameBytes is the greatest length of the name of a model or adapter, and
+	// of the reason why a program is ended. Chosen, not measured.
 	maxNameBytes = 256
 	// defaultEndReason is recorded where the caller gives no reason.
 	defaultEndReason = "ended by its caller"
@@ -22,21 +23,24 @@
 
 // Program is the JSON form of a program.
 type Program struct {
-	ID             string `json:"id"`
-	Object         string `json:"object"`
-	Parent         string `json:"parent,omitempty"`
-	Tenant         string `json:"tenant"`
-	Model          string `json:"model"`
-	Adapter        string `json:"adapter,omitempty"`
-	Priority       uint32 `json:"priority"`
-	BudgetTokens   uint64 `json:"budget_tokens"`
+	ID       string `json:"id"`
+	Object   string `json:"object"`
+	Parent   string `json:"parent,omitempty"`
+	Tenant   string `json:"tenant"`
+	Model    string `json:"model"`
+	Adapter  string `json:"adapter,omitempty"`
+	Priority uint32 `json:"priority"`
+	// BudgetTokens is what the tree of programs may use in all.
+	BudgetTokens uint64 `json:"budget_tokens"`
+	// ReservedTokens is what the running calls use at most.
 	ReservedTokens uint64 `json:"reserved_tokens"`
 	SpentTokens    uint64 `json:"spent_tokens"`
-	NextSequence   uint64 `json:"next_sequence"`
-	Turns          uint64 `json:"turns"`
-	HistoryTokens  uint64 `json:"history_tokens"`
-	Ended          bool   `json:"ended"`
-	EndReason      string `json:"end_reason,omitempty"`
+	// NextSequence is the number that the next call must have.
+	NextSequence  uint64 `json:"next_sequence"`
+	Turns         uint64 `json:"turns"`
+	HistoryTokens uint64 `json:"history_tokens"`
+	Ended         bool   `json:"ended"`
+	EndReason     string `json:"end_reason,omitempty"`
 }
 
 const objectProgram = "program"
@@ -101,7 +105,7 @@
 	return request, fields.err
 }
 
-// shortText reads a name: not empty where it is given, and of bounded length.
+// shortText reads a name of 1 to maxNameBytes bytes; an absent one is empty.
 func (o *object) shortText(name string) string {
 	text := o.text(name)
 	if _, given := o.value(name); given && (text == "" || len(text) > maxNameBytes) {
@@ -127,8 +131,8 @@
 	return e.answerProgram(http.StatusCreated, view, err)
 }
 
-// parseChildRequest checks the body of a request for a sub-program, which takes
-// everything from its parent: the body is empty or an object without fields.
+// parseChildRequest checks the body of a request for a child program: it is empty
+// or an object without fields, since a child takes everything from its parent.
 func parseChildRequest(body []byte) error {
 	if len(body) == 0 {
 		return nil
@@ -158,6 +162,7 @@
 	return e.answerProgram(http.StatusOK, view, err)
 }
 
+// answerProgram answers with the program unless there is an error.
 func (e *exchange) answerProgram(status int, view execution.ProgramView, err error) error {
 	if err != nil {
 		return err
--- a/protocol/callerapi/split.go
+++ b/protocol/callerapi/split.go
@@ -6,8 +6,8 @@
 	"iter"
 )
 
-// The functions here cut compact JSON that json.Compact has found to be right
-// into its parts, without copying. They rely on that: there is no space between
+// The functions here cut JSON into its parts without copying. They rely on
+// json.Compact having accepted and compacted it: there is no white space between
 // tokens, and every string and bracket is closed.
 
 // splitObject yields the quoted names and the values of an object's members.
--- a/protocol/callerapi/stream.go
+++ b/protocol/callerapi/stream.go
@@ -20,8 +20,8 @@
 	eventDone  = eventStart + StreamEnd + eventEnd
 )
 
-// chunkTextBytes bounds the text of one event: some client libraries take no
-// line of more than 64 KiB, and JSON may double the size of a text.
+// chunkTextBytes bounds the text of one event. Some client libraries read no line
+// longer than 64 KiB, and JSON may double the size of a text.
 const chunkTextBytes = 16 << 10
 
 var (
@@ -30,10 +30,10 @@
 	errNotStarted     = merry.Sentinel("text came before the stream was started")
 )
 
-// stream sends an answer as server-sent events while it is produced. The
-// header goes out with the first text, so that a call which fails before has
-// its own HTTP status. The chunk that ends the answer goes out only from
-// finish, when the answer is known to be stored.
+// stream sends an answer as server-sent events while it is produced. The header
+// goes out with the first text, so that a call which fails earlier has an HTTP
+// status of its own. Only finish sends the chunk that ends the answer, when the
+// answer is stored.
 type stream struct {
 	exchange     *exchange
 	includeUsage bool
@@ -41,11 +41,14 @@
 	// mu guards against a service that still writes after Call has returned.
 	mu     sync.Mutex
 	closed bool
-	// received is the text so far; the first sent bytes of it were passed on.
+	// received is the text so far.
 	received strings.Builder
-	sent     int
-	created  int64
-	lost     error
+	// sent is how many bytes of received were passed on.
+	sent int
+	// created is when the stream began, in seconds since 1970.
+	created int64
+	// lost is why the caller's connection is lost; nil while it stands.
+	lost error
 }
 
 var _ execution.Sink = (*stream)(nil)
@@ -79,7 +82,7 @@
 		return s.checkConnection()
 	}
 	s.received.WriteString(text)
-	// A character may be cut in two by the pieces; JSON can't carry a half.
+	// The pieces may cut a character in two, and JSON can't carry a half.
 	ready := completeRunes(s.received.String()[s.sent:])
 	return s.sendText(ready)
 }
@@ -91,7 +94,8 @@
 	s.closed = true
 }
 
-// finish sends what is left of the whole answer and ends the stream.
+// finish sends what is left of the whole answer and ends the stream. It fails
+// where the text passed on differs from the answer.
 func (s *stream) finish(answer execution.Answer) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -112,18 +116,18 @@
 	}
 	_ = s.sendChunk(last)
 	if s.includeUsage {
-		// The dialect has a chunk of its own for the usage that was asked for.
-		ofUsage := s.newChunk()
-		ofUsage.Usage = &counted
-		_ = s.sendChunk(ofUsage)
+		// Where usage was asked for, the dialect has a chunk without choices for it.
+		usage := s.newChunk()
+		usage.Usage = &counted
+		_ = s.sendChunk(usage)
 	}
 	s.exchange.writer.Header().Set(HeaderResult, resultNumber(result.OK))
 	_ = s.send(eventDone)
 	return nil
 }
 
-// fail ends a stream that has begun with an error event and without the mark
-// of a whole answer.
+// fail ends a stream that has begun: with an error event, and without the event
+// that ends a whole answer.
 func (s *stream) fail(body ErrorBody) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -136,7 +140,7 @@
 	_ = s.send(eventError + string(encoded) + eventEnd)
 }
 
-// sendText passes text on, with the header before the first.
+// sendText passes text on, and sends the header before the first.
 func (s *stream) sendText(text string) error {
 	if err := s.begin(); err != nil {
 		return err
@@ -155,7 +159,7 @@
 	return nil
 }
 
-// begin writes the header and the chunk that names the role.
+// begin writes the header and the chunk that names the role, unless it has.
 func (s *stream) begin() error {
 	if s.exchange.answered {
 		return s.checkConnection()
@@ -195,7 +199,7 @@
 }
 
 // send writes and flushes an event. After the first failure it sends nothing
-// more: a later part after a hole must not look like the next one.
+// more, so that a caller never takes a later part for the next one.
 func (s *stream) send(event string) error {
 	if err := s.checkConnection(); err != nil {
 		return err
--- a/protocol/callerapi/unrecorded.go
+++ b/protocol/callerapi/unrecorded.go
@@ -8,11 +8,10 @@
 )
 
 // Unrecorded returns what a caller is told of a refusal that no record keeps,
-// as for want of a quorum or by a node that is starting or stopping. Where the
-// caller chose the idempotency key itself, an earlier request with it may have
-// run, and nothing that this node knows says otherwise: the outcome is
-// unresolved and the same key finds out. A request without a key is the only
-// one of its kind, and was not run.
+// such as that of a node without a quorum, or one that is starting or stopping.
+// Where the caller chose the idempotency key, an earlier request with it may have
+// run, and this node doesn't know. The outcome is then unresolved, and asking
+// again with the same key finds it out. A request without a key was not run.
 func Unrecorded(refusal *result.Error, header http.Header) *result.Error {
 	if header.Get(HeaderKey) == "" {
 		return refusal
@@ -21,7 +20,7 @@
 		"this request was not run here, but an earlier one with its key may have been: %s", refusal.Message).After(refusal.RetryAfter)
 }
 
-// unrecorded converts a refusal that was decided before any record was asked.
+// unrecorded is Unrecorded for an error that may be a refusal.
 func unrecorded(err error, header http.Header) error {
 	var refusal *result.Error
 	if !errors.As(err, &refusal) {
--- a/protocol/callerapi/write.go
+++ b/protocol/callerapi/write.go
@@ -9,7 +9,8 @@
 	"time"
 )
 
-// encodeJSON encodes a value without the escapes that only HTML needs.
+// encodeJSON encodes a value without the escapes that only HTML needs, and without
+// a line break at the end.
 func encodeJSON(value any) ([]byte, error) {
 	var buffer bytes.Buffer
 	encoder := json.NewEncoder(&buffer)
@@ -40,13 +41,13 @@
 }
 
 // extendWriteDeadline bounds how long the next write may wait for the caller.
-// Connections know only the system's clock. A writer without deadlines, as in
-// tests, does without.
+// Deadlines of connections are by the system's clock. A writer of a test may have
+// none.
 func (e *exchange) extendWriteDeadline() {
 	_ = e.control.SetWriteDeadline(time.Now().Add(e.handler.options.WriteTimeout))
 }
 
-// setStartHeaders tells who serves the call.
+// setStartHeaders says in the header which engine serves the call.
 func (e *exchange) setStartHeaders() {
 	header := e.writer.Header()
 	header.Set(HeaderEngine, e.start.Engine)
@@ -60,11 +61,12 @@
 	}
 }
 
-// maxHeaderText is the greatest length of a text in a header.
+// maxHeaderText is the greatest length of a text in a header, in bytes. Chosen,
+// not measured.
 const maxHeaderText = 512
 
-// headerText returns the text as far as a header can carry it: visible ASCII
-// and spaces (RFC 9110, section 5.5).
+// headerText returns what a header can carry of the text: visible ASCII and spaces
+// (RFC 9110, section 5.5).
 func headerText(text string) string {
 	visible := strings.Map(func(char rune) rune {
 		if char < ' ' || char > '~' {
