--- a/protocol/operator/answer.go
+++ b/protocol/operator/answer.go
@@ -2,26 +2,26 @@
 
 import "encoding/json"
 
-// Request is one statement with who sent it.
+// Request is one statement and who sent it.
 type Request struct {
 	Text string `json:"text"`
 	// Operator is who is responsible; required for commands.
 	Operator string `json:"operator"`
 	// CommandID is the command's id where the text has none.
 	CommandID string `json:"command_id,omitempty"`
-	// Again says that the command may have been sent before with this id. It is
-	// assumed where an id is given and Again is absent.
+	// Again says that the command may have been sent before with this id. Where
+	// it is absent, that is assumed of a command with an id.
 	Again *bool `json:"again,omitempty"`
 }
 
-// Answer is what a statement yields; exactly one field is set.
+// Answer is the answer to a statement. Exactly one field is set.
 type Answer struct {
 	Table       *TableAnswer       `json:"table,omitempty"`
 	Explanation *ExplanationAnswer `json:"explanation,omitempty"`
 	Command     *CommandAnswer     `json:"command,omitempty"`
 }
 
-// TableAnswer is the rows of a query.
+// TableAnswer has the rows of a query.
 type TableAnswer struct {
 	Name    string   `json:"name"`
 	Columns []Column `json:"columns"`
@@ -72,8 +72,9 @@
 	// Calls are the program's recent calls.
 	Calls *TableAnswer `json:"calls,omitempty"`
 	// Decisions are the choices of engines that nodes remember, oldest first.
-	Decisions  []Decision `json:"decisions"`
-	Incomplete string     `json:"incomplete,omitempty"`
+	Decisions []Decision `json:"decisions"`
+	// Incomplete says what is missing; empty where nothing is.
+	Incomplete string `json:"incomplete,omitempty"`
 }
 
 // CommandAnswer says that a command is done and in force.
@@ -83,8 +84,10 @@
 	Verb      string `json:"verb"`
 	// Subject is what was changed, such as "engine/e1".
 	Subject string `json:"subject"`
-	// Version of the object; 0 for a program.
-	Version              uint64 `json:"version,omitempty"`
+	// Version of the object after the command; 0 for a program.
+	Version uint64 `json:"version,omitempty"`
+	// ConfigurationVersion is the version of the configuration that is in force
+	// with the command.
 	ConfigurationVersion uint64 `json:"configuration_version,omitempty"`
 	// Repeated is set where an earlier try had done it.
 	Repeated bool `json:"repeated,omitempty"`
--- a/protocol/operator/backend.go
+++ b/protocol/operator/backend.go
@@ -6,8 +6,8 @@
 	"github.com/marblering/marblering/coordination/configuration"
 )
 
-// Hint narrows what rows are asked for; rows beyond it may be left out and may
-// also be returned.
+// Hint narrows which rows are asked for. A table may leave out the other rows but
+// needn't.
 type Hint struct {
 	// Program is the id of the only program of interest; empty for all.
 	Program string
@@ -15,8 +15,8 @@
 	Tenant string
 }
 
-// Tables are what the node knows of the system. A row that can't be had, such
-// as that of a shard without a quorum, is left out and named in Incomplete.
+// Tables give what the node knows of the system. A row that can't be read, such as
+// that of a shard without a quorum, is left out; Incomplete then says so.
 type Tables interface {
 	Programs(ctx context.Context, hint Hint) (Listing[ProgramRow], error)
 	Calls(ctx context.Context, hint Hint) (Listing[CallRow], error)
@@ -32,14 +32,14 @@
 
 // Changes carries out commands.
 type Changes interface {
-	// Get returns an object as the object API holds it now; one that doesn't
-	// exist as Deleted. It is that of configuration.Platform.
+	// Get returns an object as the object API has it now. One that doesn't exist
+	// is Deleted. It is the Get of configuration.Platform.
 	Get(ctx context.Context, key configuration.Key) (configuration.Object, error)
 	// Accept checks a change, writes it where the object has the expected
-	// version and puts it in force. It is that of configuration.Acceptor.
+	// version, and puts it in force. It is the Accept of configuration.Acceptor.
 	Accept(ctx context.Context, change configuration.Change) (configuration.Accepted, error)
-	// EndProgram ends a program of any tenant; ending an ended one does
-	// nothing. A failure is of type *result.Error.
+	// EndProgram ends a program of any tenant. Ending a program that has ended
+	// does nothing. Errors are of type *result.Error.
 	EndProgram(ctx context.Context, program, reason string) error
 }
 
--- a/protocol/operator/client.go
+++ b/protocol/operator/client.go
@@ -16,26 +16,28 @@
 	"github.com/marblering/marblering/state/result"
 )
 
-// Client asks a node's operators' API.
+// Client sends statements to a node's operators' API. All fields but
+// Attempts are required.
 type Client struct {
 	// Address is host:port or a base URL.
 	Address string
 	HTTP    *http.Client
 	// NewCommandID makes the ids of commands that have none.
 	NewCommandID func() string
-	// Attempts bounds how often a statement is sent where its outcome is
-	// unknown; it is sent again with the same command id. Zero means once.
+	// Attempts bounds how often a command is sent while its outcome is unknown,
+	// each time with the same command id. Zero means once.
 	Attempts int
 	// Sleep pauses; it fails when the context ends first.
 	Sleep func(ctx context.Context, pause time.Duration) error
 }
 
-// RemoteError is an error that a node answered. It unwraps to a *result.Error.
+// RemoteError is an error that a node answered with. It unwraps to a
+// *result.Error.
 type RemoteError struct {
 	Detail ErrorDetail
 }
 
-// Error gives code, message and, for a syntax error, the place.
+// Error gives the code, the message and, for a syntax error, the place.
 func (e *RemoteError) Error() string {
 	message := fmt.Sprintf("%d %s (%s): %s", e.Detail.Code, e.Detail.Type, e.Detail.Execution, e.Detail.Message)
 	if e.Detail.Caret != "" {
@@ -44,11 +46,12 @@
 	return message
 }
 
-// Unwrap gives the result.
+// Unwrap returns the *result.Error that the node answered with.
 func (e *RemoteError) Unwrap() error { return e.Detail.Err() }
 
-// Run sends a statement. A command without an id is given one, which the
-// answer names, as does the error of an unknown outcome.
+// Run sends a statement. It gives a command without an id a new one; the answer
+// names it, and so does the error where the outcome stays unknown. An error that a
+// node answered with is a *RemoteError.
 func (c *Client) Run(ctx context.Context, request Request) (Answer, error) {
 	id, isCommand := commandOf(request)
 	if !isCommand {
@@ -61,7 +64,7 @@
 	}
 	for attempt := 1; ; attempt++ {
 		answer, err := c.send(ctx, request)
-		if err == nil || !isOpen(err) {
+		if err == nil || !outcomeUnknown(err) {
 			return answer, err
 		}
 		if attempt >= c.Attempts || c.pause(ctx, err) != nil {
@@ -72,8 +75,8 @@
 	}
 }
 
-// commandOf tells whether the request is a command, and its id if it has one. A
-// text that can't be parsed is left to the node to refuse.
+// commandOf tells whether the request is a command, and which id it has, if any.
+// A text that can't be parsed isn't: the node refuses it.
 func commandOf(request Request) (id string, isCommand bool) {
 	statement, err := NewParser().Parse(request.Text)
 	if err != nil || statement.Command == nil {
@@ -87,9 +90,10 @@
 	return request.CommandID, true
 }
 
-// isOpen reports whether the outcome is unknown, as where no answer came. A
-// request that found no connection wasn't sent.
-func isOpen(err error) bool {
+// outcomeUnknown tells whether the command may have been done: the node says that
+// the same id finds out, or its answer was lost. A request that found no
+// connection wasn't sent.
+func outcomeUnknown(err error) bool {
 	var failure *RemoteError
 	if errors.As(err, &failure) {
 		return failure.Detail.Repeat == result.RepeatSameKey
--- a/protocol/operator/command.go
+++ b/protocol/operator/command.go
@@ -9,21 +9,22 @@
 	"github.com/marblering/marblering/coordination/configuration"
 )
 
-// noEntries empties a list field.
+// noEntries is the value of an empty list.
 const noEntries = "none"
 
 // plannedCommand is a command whose words have been checked.
 type plannedCommand struct {
 	verb string
-	// program and reason are set for "stop program".
+	// program and reason are set for "stop program" only.
 	program string
 	reason  string
 	// rule, key and edits are set for all other commands.
 	rule  rule
 	key   configuration.Key
 	edits []edit
-	// expected is the version the object must have.
-	expected    uint64
+	// expected is the version that the object must have.
+	expected uint64
+	// hasExpected is set where the text has a version.
 	hasExpected bool
 	// commandID is empty where the text has none.
 	commandID string
@@ -35,6 +36,7 @@
 	value any
 }
 
+// commandPlanner checks the words of one command and fills its plan in.
 type commandPlanner struct {
 	source string
 	plan   *plannedCommand
@@ -151,7 +153,7 @@
 }
 
 func (p *commandPlanner) edit(name string, field *Field) (edit, error) {
-	all := bodyFields(p.plan.key.Kind)
+	all := bodyFields[p.plan.key.Kind]
 	found := all[slices.IndexFunc(all, func(f bodyField) bool { return f.name == name })]
 	if found.kind == KindList {
 		return edit{field: found, value: listOf(field.Values)}, nil
@@ -181,8 +183,9 @@
 	return texts
 }
 
-// version holds a command to the version that its operator looked at: without
-// one, of two racing operators the later would win unawares.
+// version requires the version of the object that the operator looked at.
+// Without it the later of two operators would overwrite the other's change
+// without knowing.
 func (p *commandPlanner) version(command *Command) error {
 	switch {
 	case p.plan.rule.mustCreate && p.plan.expected != 0:
@@ -195,7 +198,7 @@
 	return p.faultAtEnd("the expected version is missing; allowed: expect version N, the version that the table %s shows", tableOf(p.plan.key.Kind))
 }
 
-// tableOf is the table in which an operator finds the version of an object.
+// tableOf returns the table in which an operator finds the version of an object.
 func tableOf(kind configuration.Kind) string {
 	switch kind {
 	case configuration.KindEngine, configuration.KindPool, configuration.KindNode:
@@ -204,14 +207,15 @@
 	return "configuration"
 }
 
+// faultAtEnd reports what is missing at the end of the text.
 func (p *commandPlanner) faultAtEnd(format string, arguments ...any) error {
 	word := &Word{}
 	word.Pos.Offset = len(strings.TrimRight(oneLine(p.source), " "))
 	return faultAt(p.source, word, format, arguments...)
 }
 
-// body applies the command to the body of the object as it stands; nil for an
-// object that doesn't exist.
+// body returns the object's body after the command, given the current one, which
+// is nil for an object that doesn't exist.
 func (c *plannedCommand) body(current json.RawMessage) (json.RawMessage, error) {
 	fields := map[string]json.RawMessage{}
 	if len(current) > 0 {
--- a/protocol/operator/commandline.go
+++ b/protocol/operator/commandline.go
@@ -17,21 +17,25 @@
 	"github.com/marblering/marblering/coordination/sleep"
 )
 
-// Defaults of the command line.
 const (
-	defaultAddress  = "127.0.0.1:7300"
-	defaultTimeout  = 30 * time.Second
-	defaultAttempts = 5
-	promptText      = "marblering> "
+	defaultAddress = "127.0.0.1:7300"
+	// defaultTimeout bounds a statement with all its attempts. Chosen, not
+	// measured.
+	defaultTimeout = 30 * time.Second
+	// maxAttempts is how often a command is sent while its outcome is unknown.
+	// Chosen, not measured.
+	maxAttempts = 5
+	promptText  = "marblering> "
 )
 
-// commandLine is what both commands have in common.
+// commandLine has the flags of the commands query and prompt.
 type commandLine struct {
 	address  string
 	output   string
 	operator string
-	id       string
-	timeout  time.Duration
+	// id is the command's id; of query only.
+	id      string
+	timeout time.Duration
 }
 
 // Commands returns the operators' commands for the command line.
@@ -93,7 +97,7 @@
 		Address:      l.address,
 		HTTP:         &http.Client{},
 		NewCommandID: uuid.NewString,
-		Attempts:     defaultAttempts,
+		Attempts:     maxAttempts,
 		Sleep:        sleep.For,
 	}
 }
@@ -117,8 +121,8 @@
 	return client.Run(ctx, request)
 }
 
-// prompt runs one statement a line until the input ends or says quit. A failed
-// statement is reported and doesn't end it.
+// prompt runs one statement a line until the input ends or says quit. It reports a
+// statement that fails and goes on.
 func (l *commandLine) prompt(command *cobra.Command) error {
 	output, err := ParseOutput(l.output)
 	if err != nil {
@@ -127,7 +131,7 @@
 	client := l.client()
 	out, errors := command.OutOrStdout(), command.ErrOrStderr()
 	lines := bufio.NewScanner(command.InOrStdin())
-	for ask(errors, lines) {
+	for nextLine(errors, lines) {
 		statement := strings.TrimSpace(lines.Text())
 		if statement == "" {
 			continue
@@ -146,8 +150,9 @@
 	return merry.Prepend(lines.Err(), "can't read the statements")
 }
 
-// ask writes the prompt beside the answers, so that these can be piped.
-func ask(prompts io.Writer, lines *bufio.Scanner) bool {
+// nextLine writes the prompt and reads a line. Prompts don't go where answers go,
+// so that these can be piped.
+func nextLine(prompts io.Writer, lines *bufio.Scanner) bool {
 	fmt.Fprint(prompts, promptText)
 	return lines.Scan()
 }
--- a/protocol/operator/explain.go
+++ b/protocol/operator/explain.go
@@ -23,14 +23,14 @@
 }
 
 func (i *Interpreter) explainProgram(ctx context.Context, id string) (*ExplanationAnswer, error) {
-	programs, err := i.only(ctx, "programs", "id", id)
+	programs, err := i.rowsWhere(ctx, "programs", "id", id)
 	if err != nil {
 		return nil, err
 	}
 	if len(programs.Rows) == 0 {
 		return nil, notFound(programs, "no program %q is known", id)
 	}
-	calls, err := i.only(ctx, "calls", "program", id)
+	calls, err := i.rowsWhere(ctx, "calls", "program", id)
 	if err != nil {
 		return nil, err
 	}
@@ -43,7 +43,7 @@
 	if err != nil {
 		return nil, err
 	}
-	calls, err := i.only(ctx, "calls", "id", CallID(program, sequence))
+	calls, err := i.rowsWhere(ctx, "calls", "id", CallID(program, sequence))
 	if err != nil {
 		return nil, err
 	}
@@ -67,8 +67,8 @@
 	return answer, nil
 }
 
-// only returns the rows of a table whose column has the value.
-func (i *Interpreter) only(ctx context.Context, name, column, value string) (*TableAnswer, error) {
+// rowsWhere returns the rows of a table whose column has the value.
+func (i *Interpreter) rowsWhere(ctx context.Context, name, column, value string) (*TableAnswer, error) {
 	found := i.tables[slices.IndexFunc(i.tables, func(t *table) bool { return t.name == name })]
 	comparison := &Comparison{Column: &Word{Text: column}, Operator: "=", Value: &Word{Text: value}}
 	condition := &Condition{Alternatives: []*Conjunction{{Terms: []*Term{{Comparison: comparison}}}}}
@@ -80,7 +80,8 @@
 	return i.rows(ctx, plan)
 }
 
-// notFound tells an absent row from one that may only be out of reach.
+// notFound returns the error for a row that wasn't found. Where rows are missing
+// it may exist, which the error then says.
 func notFound(answer *TableAnswer, format string, arguments ...any) error {
 	failure := result.Errorf(result.UnknownObject, format, arguments...)
 	if answer.Incomplete != "" {
--- a/protocol/operator/fields.go
+++ b/protocol/operator/fields.go
@@ -14,74 +14,65 @@
 	parent string
 }
 
-// bodyFields returns the fields of a kind of object; the configuration's own
-// checks say which values they may have.
-func bodyFields(kind configuration.Kind) []bodyField {
-	switch kind {
-	case configuration.KindTenant:
-		return []bodyField{
-			{name: "api_key_sha256", kind: KindList},
-			{name: "weight", kind: KindNumber},
-			{name: "max_concurrent_programs", kind: KindInteger, parent: "limits"},
-			{name: "max_concurrent_calls", kind: KindInteger, parent: "limits"},
-			{name: "tokens_per_minute", kind: KindInteger, parent: "limits"},
-		}
-	case configuration.KindModel:
-		return []bodyField{
-			{name: "context_tokens", kind: KindInteger},
-			{name: "default_max_tokens", kind: KindInteger},
-		}
-	case configuration.KindAdapter:
-		return []bodyField{{name: "model", kind: KindText}}
-	case configuration.KindPool:
-		return []bodyField{
-			{name: "zones", kind: KindList},
-			{name: "models", kind: KindList},
-			{name: "roles", kind: KindList},
-			{name: "minimum_engines", kind: KindInteger},
-		}
-	case configuration.KindEngine:
-		return []bodyField{
-			{name: "address", kind: KindText},
-			{name: "zone", kind: KindText},
-			{name: "generation", kind: KindText},
-			{name: "pool", kind: KindText},
-			{name: "role", kind: KindText},
-			{name: "models", kind: KindList},
-			{name: "adapters", kind: KindList},
-		}
-	case configuration.KindWeights:
-		return []bodyField{
-			{name: "latency", kind: KindNumber},
-			{name: "wasted_cache", kind: KindNumber},
-		}
-	case configuration.KindLimits:
-		return []bodyField{
-			{name: "max_request_bytes", kind: KindInteger},
-			{name: "default_deadline", kind: KindDuration},
-			{name: "default_idle_limit", kind: KindDuration},
-			{name: "default_turn_limit", kind: KindInteger},
-			{name: "max_attempts", kind: KindInteger},
-		}
-	default:
-		return nil
-	}
+// bodyFields are the fields of each kind of object. The configuration checks their
+// values.
+var bodyFields = map[configuration.Kind][]bodyField{
+	configuration.KindTenant: {
+		{name: "api_key_sha256", kind: KindList},
+		{name: "weight", kind: KindNumber},
+		{name: "max_concurrent_programs", kind: KindInteger, parent: "limits"},
+		{name: "max_concurrent_calls", kind: KindInteger, parent: "limits"},
+		{name: "tokens_per_minute", kind: KindInteger, parent: "limits"},
+	},
+	configuration.KindModel: {
+		{name: "context_tokens", kind: KindInteger},
+		{name: "default_max_tokens", kind: KindInteger},
+	},
+	configuration.KindAdapter: {{name: "model", kind: KindText}},
+	configuration.KindPool: {
+		{name: "zones", kind: KindList},
+		{name: "models", kind: KindList},
+		{name: "roles", kind: KindList},
+		{name: "minimum_engines", kind: KindInteger},
+	},
+	configuration.KindEngine: {
+		{name: "address", kind: KindText},
+		{name: "zone", kind: KindText},
+		{name: "generation", kind: KindText},
+		{name: "pool", kind: KindText},
+		{name: "role", kind: KindText},
+		{name: "models", kind: KindList},
+		{name: "adapters", kind: KindList},
+	},
+	configuration.KindWeights: {
+		{name: "latency", kind: KindNumber},
+		{name: "wasted_cache", kind: KindNumber},
+	},
+	configuration.KindLimits: {
+		{name: "max_request_bytes", kind: KindInteger},
+		{name: "default_deadline", kind: KindDuration},
+		{name: "default_idle_limit", kind: KindDuration},
+		{name: "default_turn_limit", kind: KindInteger},
+		{name: "max_attempts", kind: KindInteger},
+	},
 }
 
 // rule says what a verb may do with a kind of object.
 type rule struct {
 	verb string
 	kind configuration.Kind
-	// fields are the names of the fields it takes; nil for none.
+	// fields are the names of the fields that the command takes; nil for none.
 	fields []string
-	// flag is a boolean field of the body that the verb sets to value.
+	// flag is a boolean field of the body that the command sets to value; empty
+	// for none.
 	flag  string
 	value bool
-	// create lets the object be absent, with expected version 0.
+	// create allows an object that doesn't exist, with expected version 0.
 	create bool
 	// mustCreate refuses an object that exists.
 	mustCreate bool
-	remove     bool
+	// remove is set where the command removes the object.
+	remove bool
 }
 
 // Verbs of the language.
@@ -109,7 +100,7 @@
 	stoppedField  = "stopped"
 )
 
-// rules returns all that commands may do to objects.
+// rules returns what commands may do to objects.
 func rules() []rule {
 	const (
 		engine = configuration.KindEngine
@@ -143,13 +134,13 @@
 
 func fieldNames(kind configuration.Kind) []string {
 	var names []string
-	for _, field := range bodyFields(kind) {
+	for _, field := range bodyFields[kind] {
 		names = append(names, field.name)
 	}
 	return names
 }
 
-// subjectsOf returns the kinds that a verb may be used with.
+// subjectsOf returns what a verb may be used with.
 func subjectsOf(verb string) []string {
 	var names []string
 	for _, rule := range rules() {
--- a/protocol/operator/grammar.go
+++ b/protocol/operator/grammar.go
@@ -80,7 +80,7 @@
 	Values []*Word `parser:"@@ ( ',' @@ )*"`
 }
 
-// Guard makes a command safe: the version the object must have, and the id by
+// Guard makes a command safe: the version that the object must have, or the id by
 // which a repeat is recognised.
 type Guard struct {
 	Version *Word `parser:"  'expect' 'version' @@"`
@@ -94,6 +94,7 @@
 	Text string `parser:"@( Word | Text )"`
 }
 
+// Tokens that the rest of the program names.
 const (
 	tokenWord = "Word"
 	tokenText = "Text"
@@ -117,8 +118,8 @@
 	)
 }
 
-// unquote takes the quotes off a text. In double quotes a backslash stands
-// before a quote or another backslash; single quotes know no escape.
+// unquote takes the quotes off a text. In double quotes a backslash escapes a quote
+// or another backslash; in single quotes nothing is escaped.
 func unquote(token lexer.Token) (lexer.Token, error) {
 	inner := token.Value[1 : len(token.Value)-1]
 	if token.Value[0] == '"' {
--- a/protocol/operator/handler.go
+++ b/protocol/operator/handler.go
@@ -15,10 +15,12 @@
 // Path is where the API takes statements.
 const Path = "/v1/operator"
 
-// maxBodyBytes bounds a request's body.
+// maxBodyBytes bounds a request's body: four times the longest statement, since
+// JSON makes it longer. Chosen, not measured.
 const maxBodyBytes = 64 << 10
 
-// defaultRetryAfter is advised where a result says "later" without a time.
+// defaultRetryAfter is the pause that an operator is asked for where an error
+// allows another try and names no pause. Chosen, not measured.
 const defaultRetryAfter = time.Second
 
 // ErrorBody is the JSON form of an error.
@@ -29,10 +31,11 @@
 // ErrorDetail describes an error; docs/RESULT-CODES.md lists the codes.
 type ErrorDetail struct {
 	result.Detail
-	// Column and Caret are set for a syntax error: the place in characters from
-	// 1, and the text with a mark below it.
-	Column int    `json:"column,omitempty"`
-	Caret  string `json:"caret,omitempty"`
+	// Column is the place of a syntax error in characters, from 1; zero for any
+	// other error.
+	Column int `json:"column,omitempty"`
+	// Caret shows the text of a syntax error with a mark below the place.
+	Caret string `json:"caret,omitempty"`
 }
 
 // Handler serves the operators' HTTP API.
@@ -41,7 +44,7 @@
 	logger      *zap.Logger
 }
 
-// NewHandler makes the handler; it is to be mounted at Path.
+// NewHandler makes the handler, which belongs at Path.
 func NewHandler(interpreter *Interpreter) *Handler {
 	return &Handler{interpreter: interpreter, logger: interpreter.options.Logger}
 }
--- a/protocol/operator/interpreter.go
+++ b/protocol/operator/interpreter.go
@@ -16,14 +16,17 @@
 // Options are what an Interpreter needs; all are required.
 type Options struct {
 	Backend Backend
-	Logger  *zap.Logger
+	// Logger gets a line for each command.
+	Logger *zap.Logger
 	// NewCommandID makes an id that no other command has.
 	NewCommandID func() string
-	Now          func() time.Time
+	// Now is the clock of the time that commands take.
+	Now func() time.Time
 }
 
-// retryAfter is advised where the object API can't be read.
-const retryAfter = 2 * time.Second
+// unreadableRetry is the pause that an operator is asked for where the object API
+// can't be read. Chosen, not measured.
+const unreadableRetry = 2 * time.Second
 
 // Interpreter runs statements. It is safe for concurrent use.
 type Interpreter struct {
@@ -78,58 +81,59 @@
 	}, nil
 }
 
-// command runs a command and records who gave it and what became of it.
+// command runs a command, and logs who gave it and what became of it.
 func (i *Interpreter) command(ctx context.Context, request Request, command *Command) (Answer, error) {
 	plan, err := planCommand(request.Text, command)
 	if err != nil {
 		return Answer{}, err
 	}
-	order, err := i.order(request, plan)
+	issued, err := i.issue(request, plan)
 	if err != nil {
 		return Answer{}, err
 	}
 	started := i.options.Now()
-	answer, err := i.carryOut(ctx, plan, order)
-	i.record(request, order, started, answer, err)
+	answer, err := i.carryOut(ctx, plan, issued)
+	i.log(request, issued, started, answer, err)
 	if err != nil {
 		return Answer{}, err
 	}
 	return Answer{Command: &answer}, nil
 }
 
-// order is who gives a command under which id.
-type order struct {
+// issue is who gives a command, and under which id.
+type issue struct {
 	operator  string
 	commandID string
-	again     bool
+	// again is set where the command may have been sent before.
+	again bool
 }
 
-func (i *Interpreter) order(request Request, plan *plannedCommand) (order, error) {
+func (i *Interpreter) issue(request Request, plan *plannedCommand) (issue, error) {
 	if request.Operator == "" {
-		return order{}, result.Errorf(result.BadRequest, "field operator: a command needs to say who gives it")
+		return issue{}, result.Errorf(result.BadRequest, "field operator: a command needs to say who gives it")
 	}
 	id := plan.commandID
 	if id != "" && request.CommandID != "" && id != request.CommandID {
-		return order{}, result.Errorf(result.BadRequest, "field command_id: %q isn't the command id of the text, %q", request.CommandID, id)
+		return issue{}, result.Errorf(result.BadRequest, "field command_id: %q isn't the command id of the text, %q", request.CommandID, id)
 	}
 	if id == "" {
 		id = request.CommandID
 	}
 	if id == "" {
-		return order{operator: request.Operator, commandID: i.options.NewCommandID()}, nil
+		return issue{operator: request.Operator, commandID: i.options.NewCommandID()}, nil
 	}
 	again := request.Again == nil || *request.Again
-	return order{operator: request.Operator, commandID: id, again: again}, nil
+	return issue{operator: request.Operator, commandID: id, again: again}, nil
 }
 
-func (i *Interpreter) carryOut(ctx context.Context, plan *plannedCommand, order order) (CommandAnswer, error) {
-	answer := CommandAnswer{CommandID: order.commandID, Operator: order.operator, Verb: plan.verb}
+func (i *Interpreter) carryOut(ctx context.Context, plan *plannedCommand, issued issue) (CommandAnswer, error) {
+	answer := CommandAnswer{CommandID: issued.commandID, Operator: issued.operator, Verb: plan.verb}
 	if plan.program != "" {
 		answer.Subject = programSubject + "/" + plan.program
-		return answer, i.options.Backend.EndProgram(ctx, plan.program, endReason(plan, order))
+		return answer, i.options.Backend.EndProgram(ctx, plan.program, endReason(plan, issued))
 	}
 	answer.Subject = plan.key.String()
-	change, err := i.change(ctx, plan, order)
+	change, err := i.change(ctx, plan, issued)
 	if err != nil {
 		return answer, err
 	}
@@ -140,8 +144,8 @@
 	return answer, err
 }
 
-func endReason(plan *plannedCommand, order order) string {
-	reason := "stopped by operator " + order.operator + ", command " + order.commandID
+func endReason(plan *plannedCommand, issued issue) string {
+	reason := "stopped by operator " + issued.operator + ", command " + issued.commandID
 	if plan.reason != "" {
 		reason += ": " + plan.reason
 	}
@@ -149,20 +153,20 @@
 }
 
 // change builds the object's new body from the one at the expected version.
-func (i *Interpreter) change(ctx context.Context, plan *plannedCommand, order order) (configuration.Change, error) {
+func (i *Interpreter) change(ctx context.Context, plan *plannedCommand, issued issue) (configuration.Change, error) {
 	change := configuration.Change{
 		Key:       plan.key,
 		Expected:  plan.expected,
 		Remove:    plan.rule.remove,
-		CommandID: order.commandID,
-		Operator:  order.operator,
-		Again:     order.again,
+		CommandID: issued.commandID,
+		Operator:  issued.operator,
+		Again:     issued.again,
 	}
 	object, err := i.options.Backend.Get(ctx, plan.key)
 	if err != nil {
-		return change, unreadable(plan, order, err)
+		return change, unreadable(plan, issued, err)
 	}
-	repeat := configuration.Writer(object.Body).Includes(order.commandID)
+	repeat := configuration.Writer(object.Body).Includes(issued.commandID)
 	if !repeat {
 		if err := i.compare(ctx, plan, object); err != nil {
 			return change, err
@@ -181,17 +185,18 @@
 	return change, nil
 }
 
-// unreadable says what a command came to whose object can't be read: a repeat
-// can't say "not done" of an earlier try.
-func unreadable(plan *plannedCommand, order order, err error) error {
-	if order.again {
+// unreadable returns the error of a command whose object can't be read. This try
+// did nothing, but of a repeat an earlier one may have.
+func unreadable(plan *plannedCommand, issued issue, err error) error {
+	if issued.again {
 		return result.Errorf(result.CommandUnresolved,
-			"an earlier try of command %s may have been done; this one can't read %s: %v", order.commandID, plan.key, err).After(retryAfter)
+			"an earlier try of command %s may have been done; this one can't read %s: %v", issued.commandID, plan.key, err).After(unreadableRetry)
 	}
-	return result.Errorf(result.PlatformUnavailable, "nothing was changed: can't read %s: %v", plan.key, err).After(retryAfter)
+	return result.Errorf(result.PlatformUnavailable, "nothing was changed: can't read %s: %v", plan.key, err).After(unreadableRetry)
 }
 
-// compare refuses a command whose operator looked at another version.
+// compare refuses a command whose operator looked at another version of the
+// object.
 func (i *Interpreter) compare(ctx context.Context, plan *plannedCommand, object configuration.Object) error {
 	version := object.Version
 	if object.Deleted {
@@ -214,8 +219,8 @@
 		plan.key, version, plan.expected, mark.CommandID, mark.Operator)
 }
 
-// checkNode refuses orders for a node that nobody knows: its object is made by
-// the first order.
+// checkNode refuses a command for a node that isn't known. Whether a node exists
+// can't be seen from its object, which the first command for it makes.
 func (i *Interpreter) checkNode(ctx context.Context, plan *plannedCommand) error {
 	if plan.key.Kind != configuration.KindNode {
 		return nil
@@ -232,7 +237,7 @@
 	return result.Errorf(result.UnknownObject, "%s: no such node is known", plan.key)
 }
 
-func (i *Interpreter) record(request Request, order order, started time.Time, answer CommandAnswer, err error) {
+func (i *Interpreter) log(request Request, issued issue, started time.Time, answer CommandAnswer, err error) {
 	code := result.OK
 	message := ""
 	if err != nil {
@@ -240,8 +245,8 @@
 		code, message = failure.Code, failure.Message
 	}
 	i.options.Logger.Info("operator command",
-		zap.String("operator", order.operator),
-		zap.String("command_id", order.commandID),
+		zap.String("operator", issued.operator),
+		zap.String("command_id", issued.commandID),
 		zap.String("text", oneLine(request.Text)),
 		zap.String("subject", answer.Subject),
 		zap.Uint64("version", answer.Version),
@@ -252,8 +257,8 @@
 		zap.Float64("took_seconds", i.options.Now().Sub(started).Seconds()))
 }
 
-// asResult returns what the operator is told of an error. The text of an
-// unexpected one stays in the log.
+// asResult returns what the operator is told of an error. The text of an error
+// that isn't a result stays in the log.
 func asResult(err error) *result.Error {
 	var failure *result.Error
 	if errors.As(err, &failure) {
--- a/protocol/operator/parse.go
+++ b/protocol/operator/parse.go
@@ -12,24 +12,29 @@
 	"github.com/marblering/marblering/state/result"
 )
 
-// maxTextBytes bounds a statement.
-const maxTextBytes = 16 << 10
+const (
+	// maxTextBytes bounds a statement. Chosen, not measured.
+	maxTextBytes = 16 << 10
+	// shownTextBytes is how much of a longer one an error shows.
+	shownTextBytes = 40
+)
 
 // SyntaxError is a statement that can't be understood. It unwraps to a
 // *result.Error.
 type SyntaxError struct {
 	// Text is the statement on one line.
 	Text string
-	// Column counts characters from 1; one past the end where something is
-	// missing there.
-	Column  int
+	// Column is the place in characters, from 1. It is one past the end where
+	// something is missing there.
+	Column int
+	// Problem says what is wrong and what is allowed.
 	Problem string
 }
 
 // Error names the column and the problem.
 func (e *SyntaxError) Error() string { return e.Unwrap().Error() }
 
-// Unwrap gives what the operator is told.
+// Unwrap returns the *result.Error that the operator is told.
 func (e *SyntaxError) Unwrap() error {
 	return result.Errorf(result.SyntaxError, "column %d: %s", e.Column, e.Problem)
 }
@@ -51,7 +56,7 @@
 func (p *Parser) Parse(text string) (*Statement, error) {
 	line := oneLine(text)
 	if len(line) > maxTextBytes {
-		return nil, &SyntaxError{Text: line[:40] + " …", Column: 1, Problem: fmt.Sprintf("the statement has %d bytes; allowed: %d", len(line), maxTextBytes)}
+		return nil, &SyntaxError{Text: line[:shownTextBytes] + " …", Column: 1, Problem: fmt.Sprintf("the statement has %d bytes; allowed: %d", len(line), maxTextBytes)}
 	}
 	if strings.TrimSpace(line) == "" {
 		return nil, &SyntaxError{Column: 1, Problem: "the statement is empty; allowed: a query, explain or a command"}
@@ -63,7 +68,7 @@
 	return statement, nil
 }
 
-// oneLine makes columns count over the whole text.
+// oneLine puts a text on one line, so that columns count over the whole of it.
 func oneLine(text string) string {
 	text = strings.ToValidUTF8(text, "\uFFFD")
 	return strings.NewReplacer("\r\n", " ", "\n", " ", "\r", " ", "\t", " ").Replace(text)
--- a/protocol/operator/query.go
+++ b/protocol/operator/query.go
@@ -17,8 +17,10 @@
 	hint  Hint
 }
 
+// predicate tells whether a row is wanted.
 type predicate func(Row) bool
 
+// sortKey is one column to sort by.
 type sortKey struct {
 	column     int
 	descending bool
@@ -59,6 +61,7 @@
 	return strings.Join(append(names, verbNames()...), ", ")
 }
 
+// queryPlanner checks the names and constants of one query.
 type queryPlanner struct {
 	source string
 	table  *table
@@ -124,7 +127,7 @@
 	if kind == KindList {
 		return p.membership(comparison, column)
 	}
-	accepts := acceptedOrder(comparison.Operator)
+	accepts := satisfies(comparison.Operator)
 	return func(row Row) bool { return accepts(row[column].compare(constant)) }, nil
 }
 
@@ -141,8 +144,8 @@
 	return nil, faultAt(p.source, comparison.Column, "%q is a list; allowed: =, != and like", comparison.Column.Text)
 }
 
-// acceptedOrder says which results of compare satisfy the operator.
-func acceptedOrder(operator string) func(int) bool {
+// satisfies returns which results of compare the operator accepts.
+func satisfies(operator string) func(int) bool {
 	switch operator {
 	case "=":
 		return func(order int) bool { return order == 0 }
@@ -187,7 +190,7 @@
 	return limit, nil
 }
 
-// hint finds equalities that hold for every wanted row.
+// hint returns the equalities that every wanted row must fulfil.
 func (p *queryPlanner) hint(condition *Condition) Hint {
 	var hint Hint
 	if len(condition.Alternatives) != 1 {
@@ -213,7 +216,7 @@
 	}
 }
 
-// evaluate picks, orders and cuts the rows.
+// evaluate returns the rows that the query asks for, in its order.
 func (q *plannedQuery) evaluate(rows []Row) []Row {
 	result := make([]Row, 0, len(rows))
 	for _, row := range rows {
--- a/protocol/operator/render.go
+++ b/protocol/operator/render.go
@@ -12,7 +12,7 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// Output is a form of an answer.
+// Output is a form in which an answer is printed.
 type Output string
 
 // Forms of answers.
@@ -73,7 +73,8 @@
 	return err
 }
 
-// cellTexts shows an absent text as a dash and keeps cells on one line.
+// cellTexts returns the cells as a table shows them, each on one line: an empty
+// text as a dash, a duration in whole milliseconds.
 func cellTexts(row Row) []string {
 	texts := make([]string, len(row))
 	for index, value := range row {
--- a/protocol/operator/rows.go
+++ b/protocol/operator/rows.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Listing is rows of one type.
+// Listing has rows of one type.
 type Listing[R any] struct {
 	Rows []R
 	// Incomplete says what is missing, such as a shard that didn't answer;
@@ -19,22 +19,26 @@
 
 // ProgramRow is one program.
 type ProgramRow struct {
-	ID             string
-	Parent         string
-	Tenant         string
-	Model          string
-	Adapter        string
-	State          string
-	EndReason      string
-	Priority       uint32
-	BudgetTokens   uint64
+	ID        string
+	Parent    string
+	Tenant    string
+	Model     string
+	Adapter   string
+	State     string
+	EndReason string
+	// Priority is the class of the program's calls: the lowest is served first.
+	Priority uint32
+	// BudgetTokens is what the tree of programs may use in all.
+	BudgetTokens uint64
+	// ReservedTokens is what the running calls use at most.
 	ReservedTokens uint64
 	SpentTokens    uint64
-	NextSequence   uint64
-	Turns          uint64
-	HistoryTokens  uint64
-	Shard          uint32
-	// Node is the one that serves the program's calls at present.
+	// NextSequence is the number that the next call must have.
+	NextSequence  uint64
+	Turns         uint64
+	HistoryTokens uint64
+	Shard         uint32
+	// Node runs the program's call; empty where none is running.
 	Node string
 	// Idle is the time since the tree of programs was last active.
 	Idle time.Duration
@@ -49,45 +53,58 @@
 	Tenant   string
 	Model    string
 	// State is dispatched, finished, failed or refused.
-	State        string
-	Attempt      uint32
-	Repeatable   bool
-	Engine       string
-	Node         string
+	State   string
+	Attempt uint32
+	// Repeatable tells whether the call may have a second attempt.
+	Repeatable bool
+	Engine     string
+	// Node runs the call, or ran it.
+	Node string
+	// Result is the name of the result code; empty for ok and for a call that
+	// runs.
 	Result       string
 	PromptTokens uint64
 	OutputTokens uint64
 }
 
-// States of engines and nodes; Alive, suspect and gone are of nodes only.
+// States of engines and nodes.
 const (
-	StateServing  = "serving"
-	StateLeaving  = "leaving"
+	StateServing = "serving"
+	// StateLeaving: the engine or node takes no new work, without an order.
+	StateLeaving = "leaving"
+	// StateDraining: an operator ordered it to finish what it has.
 	StateDraining = "draining"
 	// StateDrained: the drain is complete, nothing is left there.
 	StateDrained = "drained"
+	// StateStopped: an operator took the engine out of use.
 	StateStopped = "stopped"
+	// StateEjected: the engine failed too often and gets no work for a while.
 	StateEjected = "ejected"
+	// StateSuspect: the node may have failed.
 	StateSuspect = "suspect"
-	StateGone    = "gone"
+	// StateGone: the node has failed or has left.
+	StateGone = "gone"
 )
 
 // EngineRow is one engine.
 type EngineRow struct {
-	Name              string
-	Pool              string
-	Zone              string
-	Generation        string
-	Role              string
-	State             string
-	Models            []string
-	Adapters          []string
-	Running           int
-	Waiting           int
+	Name       string
+	Pool       string
+	Zone       string
+	Generation string
+	Role       string
+	State      string
+	Models     []string
+	Adapters   []string
+	// Running and Waiting count requests.
+	Running int
+	Waiting int
+	// OutstandingTokens is what is left to prefill and to decode.
 	OutstandingTokens uint64
 	CacheUsedTokens   uint64
 	CacheLimitTokens  uint64
-	// LoadAge is how old the engine's report of its load is.
+	// LoadAge is how old the engine's report of its load is; zero where there is
+	// none.
 	LoadAge time.Duration
 	Address string
 	// Version is that of the engine's object, for "expect version".
@@ -96,28 +113,35 @@
 
 // PoolRow is one pool.
 type PoolRow struct {
-	Name           string
-	Zones          []string
-	Models         []string
-	Roles          []string
+	Name   string
+	Zones  []string
+	Models []string
+	Roles  []string
+	// MinimumEngines is how many engines must stay in the pool.
 	MinimumEngines uint32
 	Engines        int
 	ServingEngines int
-	Version        uint64
+	// Version is that of the pool's object, for "expect version".
+	Version uint64
 }
 
 // NodeRow is one node.
 type NodeRow struct {
-	Name                 string
-	Zone                 string
-	State                string
-	Incarnation          string
-	Address              string
-	DataFolder           bool
+	Name        string
+	Zone        string
+	State       string
+	Incarnation string
+	Address     string
+	// DataFolder tells whether the node keeps its replicas on disk.
+	DataFolder bool
+	// ConfigurationVersion is the version last heard from the node; 0 for none.
 	ConfigurationVersion uint64
-	Calls                int
-	Shards               int
-	Age                  time.Duration
+	// Calls counts the calls that the node runs.
+	Calls int
+	// Shards counts the replica sets that name the node.
+	Shards int
+	// Age is the time since the node started.
+	Age time.Duration
 	// Version is that of the node's object; 0 where there is none.
 	Version uint64
 }
@@ -128,9 +152,10 @@
 	Epoch    uint64
 	Replicas []string
 	Zones    []string
-	// LiveReplicas are those whose node is alive.
+	// LiveReplicas counts the replicas whose node is alive.
 	LiveReplicas int
-	Programs     uint64
+	// Programs counts the records of program trees.
+	Programs uint64
 }
 
 // ConfigurationRow is one object of the configuration.
@@ -138,9 +163,11 @@
 	Kind    string
 	Name    string
 	Version uint64
-	// Operator and Command wrote the version.
+	// Operator gave the command that wrote the version; empty where it was no
+	// command.
 	Operator string
-	Command  string
+	// Command is the id of that command.
+	Command string
 	// Body is the object as JSON.
 	Body string
 }
@@ -151,7 +178,7 @@
 	Engine string `json:"engine"`
 	// Rejected names the rule that ruled it out; empty where it was scored.
 	Rejected string `json:"rejected,omitempty"`
-	// Cost is the weighted sum; the smallest wins.
+	// Cost is the weighted sum of its parts; the smallest wins.
 	Cost         float64 `json:"cost"`
 	Queue        float64 `json:"queue_seconds"`
 	Prefill      float64 `json:"prefill_seconds"`
--- a/protocol/operator/table.go
+++ b/protocol/operator/table.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"slices"
+	"time"
 )
 
 // Column is a column of a table.
@@ -14,7 +15,7 @@
 // Row is the cells of one row, in the order of the columns.
 type Row []Value
 
-// table is one table of the language.
+// table is one table of the language, its rows without their types.
 type table struct {
 	name    string
 	columns []Column
@@ -34,7 +35,7 @@
 	return names
 }
 
-// cell is a column together with how it is read from a typed row.
+// cell is a column with the function that reads it from a typed row.
 type cell[R any] struct {
 	Column
 	read func(R) Value
@@ -56,6 +57,10 @@
 	return cell[R]{Column{name, KindList}, func(row R) Value { return List(read(row)) }}
 }
 
+func duration[R any](name string, read func(R) time.Duration) cell[R] {
+	return cell[R]{Column{name, KindDuration}, func(row R) Value { return Duration(read(row)) }}
+}
+
 // newTable makes a table of typed rows.
 func newTable[R any](name string, fetch func(context.Context, Tables, Hint) (Listing[R], error), cells ...cell[R]) *table {
 	result := &table{name: name}
@@ -76,6 +81,13 @@
 	return result
 }
 
+// unhinted adapts the fetch of a table that takes no hint.
+func unhinted[R any](fetch func(Tables, context.Context) (Listing[R], error)) func(context.Context, Tables, Hint) (Listing[R], error) {
+	return func(ctx context.Context, backend Tables, _ Hint) (Listing[R], error) {
+		return fetch(backend, ctx)
+	}
+}
+
 func readCells[R any](cells []cell[R], typed R) Row {
 	row := make(Row, len(cells))
 	for index, cell := range cells {
--- a/protocol/operator/tables.go
+++ b/protocol/operator/tables.go
@@ -6,17 +6,6 @@
 	"time"
 )
 
-func duration[R any](name string, read func(R) time.Duration) cell[R] {
-	return cell[R]{Column{name, KindDuration}, func(row R) Value { return Duration(read(row)) }}
-}
-
-// unhinted adapts the tables that know no hint.
-func unhinted[R any](fetch func(Tables, context.Context) (Listing[R], error)) func(context.Context, Tables, Hint) (Listing[R], error) {
-	return func(ctx context.Context, backend Tables, _ Hint) (Listing[R], error) {
-		return fetch(backend, ctx)
-	}
-}
-
 // allTables returns the tables of the language in the order of the reference.
 func allTables() []*table {
 	return []*table{
@@ -52,7 +41,7 @@
 	)
 }
 
-// CallID is how operators name a call.
+// CallID returns the id by which operators name a call: "PROGRAM/SEQUENCE".
 func CallID(program string, sequence uint64) string {
 	return program + "/" + strconv.FormatUint(sequence, 10)
 }
--- a/protocol/operator/value.go
+++ b/protocol/operator/value.go
@@ -24,7 +24,8 @@
 	KindList     Kind = "list"
 )
 
-// Value is one cell of a row. In JSON a duration is a text such as "1m30s".
+// Value is one cell of a row. Its kind says which field is set; a duration is in
+// integer, in nanoseconds. In JSON a duration is a text such as "1m30s".
 type Value struct {
 	kind    Kind
 	text    string
@@ -126,25 +127,26 @@
 	switch kind {
 	case KindInteger:
 		value.integer, err = strconv.ParseInt(strings.ReplaceAll(text, "_", ""), 10, 64)
-		return value, asked(err, text, "a whole number such as 42 or 1_000_000")
+		return value, wrongValue(err, text, "a whole number such as 42 or 1_000_000")
 	case KindNumber:
 		value.number, err = strconv.ParseFloat(text, 64)
-		return value, asked(err, text, "a number such as 0.5")
+		return value, wrongValue(err, text, "a number such as 0.5")
 	case KindBoolean:
 		value.flag, err = strconv.ParseBool(text)
-		return value, asked(err, text, "true or false")
+		return value, wrongValue(err, text, "true or false")
 	case KindDuration:
 		var duration time.Duration
 		duration, err = time.ParseDuration(text)
 		value.integer = int64(duration)
-		return value, asked(err, text, "a duration such as 250ms, 30s or 10m")
+		return value, wrongValue(err, text, "a duration such as 250ms, 30s or 10m")
 	case KindList:
 		value.list = []string{text}
 	}
 	return value, nil
 }
 
-func asked(err error, text, allowed string) error {
+// wrongValue says which values are allowed, unless there is no error.
+func wrongValue(err error, text, allowed string) error {
 	if err == nil {
 		return nil
 	}
@@ -183,8 +185,9 @@
 	return matches([]rune(pattern), []rune(v.String()))
 }
 
-// matches goes back to the last % where the rest doesn't fit, so that its time
-// is bounded by the product of the lengths.
+// matches tells whether the text matches the pattern. Where the rest doesn't fit
+// it goes back to the last %, so that its time is bounded by the product of the
+// lengths.
 func matches(pattern, text []rune) bool {
 	position, star, mark := 0, -1, 0
 	for index := 0; index < len(text); {
