--- a/node/configuration.go
+++ b/node/configuration.go
@@ -1,8 +1,6 @@
 package node
 
 import (
-	"context"
-
 	"github.com/marblering/marblering/coordination/configuration"
 	"github.com/marblering/marblering/coordination/execution"
 	"github.com/marblering/marblering/coordination/fleet"
@@ -92,22 +90,5 @@
 	return false
 }
 
-// engineFollower keeps the fleet's engines at what the configuration says. It
-// is a suture service.
-type engineFollower struct {
-	catalog catalog
-	fleet   *fleet.Fleet
-}
-
-// Serve follows the configuration until the context ends.
-func (f *engineFollower) Serve(ctx context.Context) error {
-	for {
-		changed := f.catalog.holder.Changed()
-		f.fleet.SetEngines(f.catalog.fleetEngines())
-		select {
-		case <-changed:
-		case <-ctx.Done():
-			return ctx.Err()
-		}
-	}
-}
+// followEngines sets the fleet's engines to what the configuration says.
+func (n *Node) followEngines() { n.fleet.SetEngines(catalog{n.holder}.fleetEngines()) }
--- a/node/control.go
+++ b/node/control.go
@@ -1,7 +1,6 @@
 package node
 
 import (
-	"context"
 	"sync"
 
 	"go.uber.org/zap"
@@ -11,15 +10,14 @@
 	"github.com/marblering/marblering/coordination/repair"
 	"github.com/marblering/marblering/coordination/shard"
 	"github.com/marblering/marblering/protocol/objectapi"
-	"github.com/marblering/marblering/transport/peer"
 )
 
 // buildControl makes the agent that keeps the configuration in force at this
 // node, and the acceptor of operators' changes.
-func (n *Node) buildControl(platform *objectapi.Client, peers *peer.Client) error {
+func (n *Node) buildControl(platform *objectapi.Client) error {
 	options := configuration.AgentOptions{
 		Platform: objectapi.NewPlatform(platform, watchSilence),
-		Peers:    &configurationPeers{client: peers},
+		Peers:    &configurationPeers{client: n.peers},
 		Members:  n.control,
 		Holder:   n.holder,
 		Logger:   n.logger,
@@ -117,24 +115,8 @@
 	return sets
 }
 
-// configurationAnnouncer tells the peers of each new version at once. It is a
-// suture service.
-type configurationAnnouncer struct {
-	holder     *configuration.Holder
-	membership *membership.Service
-	logger     *zap.Logger
-}
-
-// Serve follows the configuration until the context ends.
-func (a *configurationAnnouncer) Serve(ctx context.Context) error {
-	for {
-		changed := a.holder.Changed()
-		a.membership.ConfigurationChanged()
-		a.logger.Debug("configuration announced", zap.Uint64("version", a.holder.Version()))
-		select {
-		case <-changed:
-		case <-ctx.Done():
-			return ctx.Err()
-		}
-	}
+// announceConfiguration tells the peers of a new version at once.
+func (n *Node) announceConfiguration() {
+	n.membership.ConfigurationChanged()
+	n.logger.Debug("configuration announced", zap.Uint64("version", n.holder.Version()))
 }
--- a/node/instruments.go
+++ b/node/instruments.go
@@ -69,53 +69,66 @@
 
 func newInstruments(registerer prometheus.Registerer) *instruments {
 	factory := promauto.With(registerer)
-	return &instruments{
-		attempts: factory.NewCounterVec(prometheus.CounterOpts{
-			Name: "marblering_attempts_total",
-			Help: "Attempts at engines by outcome: answered, failed, leaving or refused.",
-		}, []string{"outcome"}),
-		lostAttempts: factory.NewCounterVec(prometheus.CounterOpts{
-			Name: "marblering_lost_attempts_total",
-			Help: "Attempts of other nodes found lost, to be taken over or ended, by who told: membership or the executor.",
-		}, []string{"witness"}),
-		recordChanges: factory.NewCounterVec(prometheus.CounterOpts{
-			Name: "marblering_record_changes_total",
-			Help: "Changes and reads of program records for callers by outcome: stored, refused, no_quorum or unknown.",
-		}, []string{"outcome"}),
-		recordSeconds: factory.NewHistogram(prometheus.HistogramOpts{
-			Name:    "marblering_record_change_seconds",
-			Help:    "Time of a change or read of a program record over its quorum.",
-			Buckets: prometheus.ExponentialBuckets(firstRecordBucketSeconds, recordBucketFactor, recordBucketCount),
-		}),
+	registered := &instruments{}
+	registered.registerAttempts(factory)
+	registered.registerDecisions(factory)
+	registered.registerSweep(factory)
+	return registered
+}
+
+// registerAttempts adds the metrics of attempts at engines and changes of records.
+func (i *instruments) registerAttempts(factory promauto.Factory) {
+	i.attempts = factory.NewCounterVec(prometheus.CounterOpts{
+		Name: "marblering_attempts_total",
+		Help: "Attempts at engines by outcome: answered, failed, leaving or refused.",
+	}, []string{"outcome"})
+	i.lostAttempts = factory.NewCounterVec(prometheus.CounterOpts{
+		Name: "marblering_lost_attempts_total",
+		Help: "Attempts of other nodes found lost, to be taken over or ended, by who told: membership or the executor.",
+	}, []string{"witness"})
+	i.recordChanges = factory.NewCounterVec(prometheus.CounterOpts{
+		Name: "marblering_record_changes_total",
+		Help: "Changes and reads of program records for callers by outcome: stored, refused, no_quorum or unknown.",
+	}, []string{"outcome"})
+	i.recordSeconds = factory.NewHistogram(prometheus.HistogramOpts{
+		Name:    "marblering_record_change_seconds",
+		Help:    "Time of a change or read of a program record over its quorum.",
+		Buckets: prometheus.ExponentialBuckets(firstRecordBucketSeconds, recordBucketFactor, recordBucketCount),
+	})
+}
 
-		decisions: factory.NewCounterVec(prometheus.CounterOpts{
-			Name: "marblering_routing_decisions_total",
-			Help: "Choices of an engine by result: chosen, or the name of the result code.",
-		}, []string{"result"}),
-		refusals: factory.NewCounterVec(prometheus.CounterOpts{
-			Name: "marblering_limit_refusals_total",
-			Help: "Refusals by the limit that was reached: concurrent_calls, tokens_per_minute, retry_budget or engine.",
-		}, []string{"limit"}),
-		unanswered: factory.NewCounterVec(prometheus.CounterOpts{
-			Name: "marblering_limit_unanswered_total",
-			Help: "Questions to the node that keeps a limit that it didn't answer in time; the call went on.",
-		}, []string{"limit"}),
+// registerDecisions adds the metrics of choices of an engine and limits.
+func (i *instruments) registerDecisions(factory promauto.Factory) {
+	i.decisions = factory.NewCounterVec(prometheus.CounterOpts{
+		Name: "marblering_routing_decisions_total",
+		Help: "Choices of an engine by result: chosen, or the name of the result code.",
+	}, []string{"result"})
+	i.refusals = factory.NewCounterVec(prometheus.CounterOpts{
+		Name: "marblering_limit_refusals_total",
+		Help: "Refusals by the limit that was reached: concurrent_calls, tokens_per_minute, retry_budget or engine.",
+	}, []string{"limit"})
+	i.unanswered = factory.NewCounterVec(prometheus.CounterOpts{
+		Name: "marblering_limit_unanswered_total",
+		Help: "Questions to the node that keeps a limit that it didn't answer in time; the call went on.",
+	}, []string{"limit"})
+}
 
-		sweptRecords: factory.NewCounter(prometheus.CounterOpts{
-			Name: "marblering_sweep_records_total",
-			Help: "Program records that the sweep took up.",
-		}),
-		endedPrograms: factory.NewCounter(prometheus.CounterOpts{
-			Name: "marblering_sweep_programs_ended_total",
-			Help: "Programs ended by the sweep at their idle limit.",
-		}),
-		endedCalls: factory.NewCounter(prometheus.CounterOpts{
-			Name: "marblering_sweep_calls_ended_total",
-			Help: "Calls ended by the sweep because their executor was lost and their deadline had passed.",
-		}),
-		releasedHolds: factory.NewCounter(prometheus.CounterOpts{
-			Name: "marblering_sweep_holds_released_total",
-			Help: "Contexts released at engines whose record no longer knew of them.",
-		}),
-	}
+// registerSweep adds the metrics of the sweep.
+func (i *instruments) registerSweep(factory promauto.Factory) {
+	i.sweptRecords = factory.NewCounter(prometheus.CounterOpts{
+		Name: "marblering_sweep_records_total",
+		Help: "Program records that the sweep took up.",
+	})
+	i.endedPrograms = factory.NewCounter(prometheus.CounterOpts{
+		Name: "marblering_sweep_programs_ended_total",
+		Help: "Programs ended by the sweep at their idle limit.",
+	})
+	i.endedCalls = factory.NewCounter(prometheus.CounterOpts{
+		Name: "marblering_sweep_calls_ended_total",
+		Help: "Calls ended by the sweep because their executor was lost and their deadline had passed.",
+	})
+	i.releasedHolds = factory.NewCounter(prometheus.CounterOpts{
+		Name: "marblering_sweep_holds_released_total",
+		Help: "Contexts released at engines whose record no longer knew of them.",
+	})
 }
--- a/node/repair.go
+++ b/node/repair.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"github.com/marblering/marblering/coordination/register"
 	"github.com/marblering/marblering/coordination/repair"
 	"github.com/marblering/marblering/coordination/shard"
 )
@@ -17,7 +18,9 @@
 	movesAtOnce = 8
 )
 
-func newRepair(n *Node, driver *shard.Driver) *repair.Service {
+// newRepair makes the service that keeps replica sets whole.
+func (n *Node) newRepair() *repair.Service {
+	driver := shard.NewDriver(n.identity, n.peers, n.views, register.SystemClock{}, n.newRandom(), register.DefaultSettings(), n.logger)
 	settings := shard.PlanSettings{
 		Factor:    n.settings.ReplicationFactor,
 		GoneAfter: goneGrace,
--- a/node/sweep.go
+++ b/node/sweep.go
@@ -18,6 +18,8 @@
 const (
 	// idleReason is why the sweep ends a program.
 	idleReason = "idle limit"
+	// sweepInterval is the pause between two rounds.
+	sweepInterval = 2 * time.Second
 	// roundsOfAPass is how many rounds a pass over all records takes.
 	roundsOfAPass = 5
 	// sweepTimeout bounds the work on one program or engine.
