--- a/node/bootstrap.go
+++ b/node/bootstrap.go
@@ -19,33 +19,37 @@
 )
 
 const (
+	// bootstrapPause is the pause between two looks at the members. Chosen, not
+	// measured.
 	bootstrapPause = 200 * time.Millisecond
-	// createPause is the pause after a try to create the shard map: for its way
-	// back to this node, or for the object API to recover.
+	// createPause is the pause after a try to create the shard map. In it the map
+	// comes back to this node, or the object API recovers. Chosen, not measured.
 	createPause = 2 * time.Second
 	// settleRounds is how many looks in a row must show the same members before
-	// the first shard map is made of them, so that the nodes of a deployment
-	// that starts all at once take part.
+	// the first shard map is made of them, so that all nodes of a deployment that
+	// starts at once take part. Chosen, not measured.
 	settleRounds = 5
 )
 
-// bootstrap creates the first shard map, where there is none, and gives its
-// views to the map of this node. Every node runs it; the object API's
-// create-if-absent lets one win. It is a suture service that ends when done.
+// bootstrap creates the first shard map where there is none, and gives the stored
+// one to the map of this node. Every node runs it; the object API creates an
+// object only once, so that one node wins. It is a suture service.
 type bootstrap struct {
-	platform          *objectapi.Client
-	holder            *configuration.Holder
-	members           func() *membership.Members
-	views             *shard.Map
+	platform *objectapi.Client
+	holder   *configuration.Holder
+	members  func() *membership.Members
+	views    *shard.Map
+	// shards and replicationFactor are those of the shard map to create.
 	shards            uint32
 	replicationFactor int
-	timeout           time.Duration
-	logger            *zap.Logger
+	// timeout bounds one try to create the shard map.
+	timeout time.Duration
+	logger  *zap.Logger
 	// reported is the outcome that was logged last.
 	reported string
 }
 
-// Serve waits for the shard map or makes it.
+// Serve waits for the shard map or creates it, and then for the context's end.
 func (b *bootstrap) Serve(ctx context.Context) error {
 	var lastMembers string
 	same := 0
@@ -94,7 +98,7 @@
 	return names
 }
 
-// create writes the first shard map unless somebody has.
+// create writes the first shard map unless another node has.
 func (b *bootstrap) create(ctx context.Context, candidates []shard.Candidate) {
 	body, err := b.shardMap(candidates)
 	if err != nil {
@@ -115,7 +119,7 @@
 	}
 }
 
-// report logs an outcome that differs from the one before.
+// report logs an outcome unless it is the same as the one before.
 func (b *bootstrap) report(outcome string, fields ...zap.Field) {
 	if outcome == b.reported {
 		return
@@ -155,8 +159,8 @@
 	return body, merry.Prepend(err, "encoding the shard map")
 }
 
-// learn gives the stored first views to the node's map; views of later epochs
-// that it has already stay.
+// learn gives the stored views to the node's map. Where the map has a view of a
+// later epoch, that stays.
 func (b *bootstrap) learn(stored *configuration.ShardMap) {
 	for number, members := range stored.Members {
 		view := register.View{Shard: uint32(number), Epoch: shard.FirstEpoch}
--- a/node/build.go
+++ b/node/build.go
@@ -24,12 +24,12 @@
 		return nil, err
 	}
 	peerMetrics := peer.NewMetrics(n.metrics)
-	n.peers = peer.NewClient(n.wire.client(wirePeer), n.settings.PeerTimeout, peerMetrics)
-	platform := objectapi.NewClient(n.settings.ObjectAPI, n.wire.client(wirePlatform)).Named(n.settings.Name)
-	engineClient := engineapi.NewClient(n.wire.client(wireEngine))
+	n.peers = peer.NewClient(n.connections.client(endPeer), n.settings.PeerTimeout, peerMetrics)
+	platform := objectapi.NewClient(n.settings.ObjectAPI, n.connections.client(endPlatform)).Named(n.settings.Name)
+	engineClient := engineapi.NewClient(n.connections.client(endEngine))
 	n.installer = shard.NewInstaller(n.replica, n.peers, n.logger)
 	n.buildMembership()
-	if err := n.buildControl(platform); err != nil {
+	if err := n.buildConfiguration(platform); err != nil {
 		return nil, errors.Join(err, n.closeListeners())
 	}
 	n.buildExecution(engineClient)
@@ -142,5 +142,5 @@
 	}
 }
 
-// newRandom makes an independent source; each part guards its own.
+// newRandom makes a source of its own for a part, which guards it.
 func (n *Node) newRandom() *rand.Rand { return rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())) }
--- a/node/configuration.go
+++ b/node/configuration.go
@@ -1,94 +1,122 @@
 package node
 
 import (
-	"github.com/marblering/marblering/coordination/configuration"
-	"github.com/marblering/marblering/coordination/execution"
-	"github.com/marblering/marblering/coordination/fleet"
-	"github.com/marblering/marblering/coordination/routing"
-	"github.com/marblering/marblering/coordination/tenant"
-	"github.com/marblering/marblering/protocol/callerapi"
-)
+	"sync"
 
-// catalog answers questions about the configuration in force. Each answer is
-// read from the newest snapshot.
-type catalog struct {
-	holder *configuration.Holder
-}
+	"go.uber.org/zap"
 
-var (
-	_ execution.Catalog = catalog{}
-	_ callerapi.Tenants = catalog{}
+	"github.com/marblering/marblering/coordination/configuration"
+	"github.com/marblering/marblering/coordination/membership"
+	"github.com/marblering/marblering/coordination/repair"
+	"github.com/marblering/marblering/coordination/shard"
+	"github.com/marblering/marblering/protocol/objectapi"
 )
 
-// Model implements execution.Catalog.
-func (c catalog) Model(name string) (execution.Model, bool) {
-	model, found := c.holder.Current().Model(name)
-	if !found {
-		return execution.Model{}, false
+// buildConfiguration makes the agent that keeps the configuration in force at this
+// node, and the acceptor of operators' commands.
+func (n *Node) buildConfiguration(platform *objectapi.Client) error {
+	options := configuration.AgentOptions{
+		Platform: objectapi.NewPlatform(platform, watchSilence),
+		Peers:    &configurationPeers{client: n.peers},
+		Members:  n.configurationMembers,
+		Holder:   n.holder,
+		Logger:   n.logger,
+		Random:   n.newRandom(),
+		Hold:     n.replica.HoldConfiguration,
+		Settings: configuration.Settings{
+			ReadersPerZone: readersPerZone,
+			PeerTimeout:    n.settings.PeerTimeout,
+			StoreTimeout:   n.settings.ObjectAPITimeout,
+		},
+	}
+	if n.settings.DataFolder != "" {
+		options.Archive = configuration.NewFileArchive(n.settings.DataFolder)
+	}
+	agent, err := configuration.NewAgent(options)
+	if err != nil {
+		return err
 	}
-	return execution.Model{ContextTokens: model.ContextTokens, OutputTokens: model.DefaultMaxTokens}, true
+	n.agent = agent
+	n.acceptor = configuration.NewAcceptor(configuration.AcceptorOptions{Agent: agent})
+	return nil
 }
 
-// Adapter implements execution.Catalog.
-func (c catalog) Adapter(name, model string) bool {
-	adapter, found := c.holder.Current().Adapter(name)
-	return found && adapter.Model == model
+// configurationSeen notes which configuration the node at the address has.
+// Membership calls it when it hears of one.
+func (n *Node) configurationSeen(address string, version uint64) {
+	n.configurationMembers.heard(address, version)
+	n.agent.LearnVersion(version)
 }
 
-// TenantOf implements callerapi.Tenants.
-func (c catalog) TenantOf(apiKey string) (string, bool) {
-	found, known := c.holder.Current().TenantByKey(tenant.DigestOf(apiKey).String())
-	if !known {
-		return "", false
-	}
-	return found.Name, true
+// configurationMembers implements configuration.Members with the membership and
+// the shard map.
+type configurationMembers struct {
+	self    configuration.Member
+	members func() *membership.Members
+	views   *shard.Map
+
+	mutex sync.Mutex
+	// versions holds the configuration version last heard from each address.
+	versions map[string]uint64
 }
 
-// weights gives the deployment's weights of latency and wasted cache.
-func (c catalog) weights() routing.Weights {
-	configured := c.holder.Current().Weights()
-	weights := routing.LatencyWeights()
-	weights.Latency = configured.Latency
-	weights.WastedCache = configured.WastedCache
-	return weights
+var _ configuration.Members = (*configurationMembers)(nil)
+
+func newConfigurationMembers(self configuration.Member, members func() *membership.Members, views *shard.Map) *configurationMembers {
+	return &configurationMembers{self: self, members: members, views: views, versions: make(map[string]uint64)}
 }
 
-// limits are the limits that hold for all tenants.
-func (c catalog) limits() configuration.Limits { return c.holder.Current().Limits() }
+// heard notes the version of the node at the address.
+func (c *configurationMembers) heard(address string, version uint64) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.versions[address] = max(c.versions[address], version)
+}
 
-// bodyLimit is the greatest size of a caller's request body in bytes.
-func (c catalog) bodyLimit() int64 { return int64(c.limits().MaxRequestBytes) }
+// Self implements configuration.Members.
+func (c *configurationMembers) Self() configuration.Peer {
+	member, _ := c.members().Node(c.self.Node)
+	return configuration.Peer{Member: c.self, Leaving: member.Leaving}
+}
 
-// fleetEngines are the engines of the configuration as the fleet needs them.
-func (c catalog) fleetEngines() []fleet.Engine {
-	var engines []fleet.Engine
-	for _, engine := range c.holder.Current().Engines() {
-		if engine.Stopped {
-			continue
+// Live implements configuration.Members. It forgets what was heard from addresses
+// that are gone.
+func (c *configurationMembers) Live() []configuration.Peer {
+	live := c.members().Live()
+	peers := make([]configuration.Peer, 0, len(live))
+	versions := make(map[string]uint64, len(live))
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	for _, member := range live {
+		version, found := c.versions[member.Address]
+		if found {
+			versions[member.Address] = version
 		}
-		engines = append(engines, fleet.Engine{
-			Name:       engine.Name,
-			Address:    engine.Address,
-			Zone:       engine.Zone,
-			Generation: engine.Generation,
-			Role:       string(engine.Role),
-			Models:     engine.Models,
-			Adapters:   engine.Adapters,
-			Leaving:    engine.Draining,
+		peers = append(peers, configuration.Peer{
+			Member:  configuration.Member(repair.Member(member)),
+			Leaving: member.Leaving,
+			Version: version,
 		})
 	}
-	return engines
+	c.versions = versions
+	return peers
 }
 
-// takesWork tells whether the engine at the address is to get new work.
-func (c catalog) takesWork(address string) bool {
-	for _, engine := range c.holder.Current().Engines() {
-		if engine.Address == address {
-			return !engine.Draining && !engine.Stopped
+// ReplicaSets implements configuration.Members.
+func (c *configurationMembers) ReplicaSets() configuration.ReplicaSets {
+	sets := configuration.ReplicaSets{Digest: c.views.Digest()}
+	for _, view := range c.views.Views() {
+		set := configuration.ReplicaSet{Shard: view.Shard}
+		for _, member := range view.Members {
+			set.Members = append(set.Members, configuration.Member(member))
 		}
+		sets.Sets = append(sets.Sets, set)
 	}
-	return false
+	return sets
 }
 
-// followEngines sets the fleet's engines to what the configuration says.
-func (n *Node) followEngines() { n.fleet.SetEngines(catalog{n.holder}.fleetEngines()) }
+// announceConfiguration tells the peers of a new version at once.
+func (n *Node) announceConfiguration() {
+	n.membership.ConfigurationChanged()
+	n.logger.Debug("configuration announced", zap.Uint64("version", n.holder.Version()))
+}
--- a/node/controlwire.go
+++ b/node/configurationpeers.go
@@ -9,11 +9,13 @@
 	"github.com/marblering/marblering/transport/peer"
 )
 
-// rejectedMark stands before the kind of an object that is stored but isn't in
-// force because it is invalid. A node that becomes a reader must know these.
+// rejectedMark stands before the kind of an object that is stored but not in force,
+// because it is invalid. A node that becomes a reader of the object API must know
+// these as well, or it would make another configuration of the same revision.
 const rejectedMark = "rejected/"
 
-// configurationPeers implements configuration.Peers by the internal protocol.
+// configurationPeers implements configuration.Peers with the protocol between
+// nodes.
 type configurationPeers struct {
 	client *peer.Client
 }
@@ -40,8 +42,8 @@
 	return configuration.InstallResult{Version: response.GetVersion(), Incarnation: response.GetIncarnation()}, nil
 }
 
-// installToWire leaves the base version of a complete update at 0, which no
-// other update has: it builds on nothing.
+// installToWire leaves the base version of a complete update at 0, which no other
+// update has, since a complete one builds on nothing.
 func installToWire(update configuration.Update) *peerv1.InstallConfigurationRequest {
 	request := &peerv1.InstallConfigurationRequest{
 		Version: update.Version,
--- a/node/configured.go
+++ b/node/configured.go
@@ -11,16 +11,16 @@
 	"github.com/marblering/marblering/coordination/execution"
 )
 
-// configuredService puts the limits object's defaults into the requests that
-// leave them open.
+// configuredService gives the requests of callers the defaults of the limits in
+// force, where they name no limits of their own.
 type configuredService struct {
 	execution.Service
 	limits func() configuration.Limits
 	now    func() time.Time
 }
 
-// Call gives a call without a deadline the default one. The executor shortens
-// deadlines beyond the settings' call_timeout, so that the stricter rules.
+// Call gives a call without a deadline the default one. The executor shortens a
+// deadline beyond the setting call_timeout, so that the stricter of both holds.
 func (c configuredService) Call(ctx context.Context, request execution.CallRequest, sink execution.Sink) (execution.Answer, error) {
 	if request.Deadline.IsZero() {
 		request.Deadline = c.now().Add(c.limits().DefaultDeadline.Std())
@@ -37,12 +37,13 @@
 	return c.Service.CreateProgram(ctx, request)
 }
 
-// defaultTurnLimitKey marks the context of a creation that named no turn limit.
+// defaultTurnLimitKey is the context key of the default turn limit that a creation
+// without one was given.
 type defaultTurnLimitKey struct{}
 
-// creationRecords lets a creation be repeated after the default turn limit has
-// changed: the program keeps the limit that it was created with, and differs
-// from the repeat in nothing that the caller said.
+// creationRecords accepts the repeat of a creation after the default turn limit
+// has changed. The program keeps the limit that it was created with, and the
+// repeat says nothing else than the creation did.
 type creationRecords struct {
 	execution.Records
 }
--- a/node/wire.go
+++ b/node/connections.go
@@ -11,21 +11,22 @@
 	"github.com/marblering/marblering/transport/peer"
 )
 
-// wire counts the bytes that really cross the sockets of one node, headers
-// included, by who is at the other end.
-type wire struct {
+// connections makes the node's HTTP clients and counts the bytes on all its
+// connections, headers included, by who is at the other end.
+type connections struct {
 	bytes *prometheus.CounterVec
 }
 
-// Ends of a connection, as labels of the metric.
+// Values of the label end: who is at the other end of a connection.
 const (
-	wirePeer     = "peer"
-	wireEngine   = "engine"
-	wirePlatform = "platform"
-	wireCaller   = "caller"
+	endPeer     = "peer"
+	endEngine   = "engine"
+	endPlatform = "platform"
+	endCaller   = "caller"
 )
 
-// Sizes of the connection pools.
+// Bounds of the pool of connections that an HTTP client keeps open. All are
+// chosen, not measured.
 const (
 	idleConnections        = 64
 	idleConnectionsPerHost = 8
@@ -33,27 +34,27 @@
 	dialTimeout            = 5 * time.Second
 )
 
-func newWire(registerer prometheus.Registerer) *wire {
-	w := &wire{bytes: prometheus.NewCounterVec(prometheus.CounterOpts{
+func newConnections(registerer prometheus.Registerer) *connections {
+	c := &connections{bytes: prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "marblering_wire_bytes_total",
 		Help: "Bytes on the node's connections, headers included, by other end and direction.",
 	}, []string{"end", "direction"})}
-	registerer.MustRegister(w.bytes)
-	return w
+	registerer.MustRegister(c.bytes)
+	return c
 }
 
-// conn wraps a connection to the given end.
-func (w *wire) conn(connection net.Conn, end string) net.Conn {
+// count returns the connection with its bytes counted as those of the end.
+func (c *connections) count(connection net.Conn, end string) net.Conn {
 	return &countedConn{
 		Conn: connection,
-		in:   w.bytes.WithLabelValues(end, "in"),
-		out:  w.bytes.WithLabelValues(end, "out"),
+		in:   c.bytes.WithLabelValues(end, "in"),
+		out:  c.bytes.WithLabelValues(end, "out"),
 	}
 }
 
-// client makes an HTTP client for one kind of other end. It has no timeout of
-// its own: contexts bound the requests.
-func (w *wire) client(end string) *http.Client {
+// client makes an HTTP client for one kind of other end. It has no timeout of its
+// own: contexts bound the requests.
+func (c *connections) client(end string) *http.Client {
 	dialer := &net.Dialer{Timeout: dialTimeout}
 	transport := &http.Transport{
 		DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
@@ -61,18 +62,19 @@
 			if err != nil {
 				return nil, err
 			}
-			return w.conn(connection, end), nil
+			return c.count(connection, end), nil
 		},
 		MaxIdleConns:        idleConnections,
 		MaxIdleConnsPerHost: idleConnectionsPerHost,
 		IdleConnTimeout:     idleConnectionTimeout,
 	}
-	if end == wirePeer {
+	if end == endPeer {
 		peer.UseProtocols(transport)
 	}
 	return &http.Client{Transport: transport}
 }
 
+// countedConn counts the bytes of one connection.
 type countedConn struct {
 	net.Conn
 	in  prometheus.Counter
@@ -96,8 +98,8 @@
 // countedListener counts the bytes of the connections it accepts.
 type countedListener struct {
 	net.Listener
-	wire *wire
-	end  string
+	connections *connections
+	end         string
 }
 
 // Accept implements net.Listener.
@@ -106,5 +108,5 @@
 	if err != nil {
 		return nil, err
 	}
-	return l.wire.conn(connection, l.end), nil
+	return l.connections.count(connection, l.end), nil
 }
--- a/node/drain.go
+++ b/node/drain.go
@@ -7,9 +7,10 @@
 	"go.uber.org/zap"
 )
 
-// Drain is a planned stop: new requests are refused, those in flight end as
-// they would, the peers learn that this node leaves and take its replicas over,
-// and only then the services stop.
+// Drain stops the node as planned. It refuses new requests, lets those in flight
+// end, tells the peers that this node leaves, waits until they have taken its
+// replicas over, and stops the services then. The setting drain_timeout bounds
+// the waiting; the error names what was still in flight after that.
 func (n *Node) Drain() error {
 	n.draining.Store(true)
 	n.logger.Info("draining", zap.Int("in_flight", n.callers.InFlight()))
@@ -24,8 +25,7 @@
 	return errors.Join(err, n.Close())
 }
 
-// Close stops the services at once, as a crash would. A node that has stopped
-// stays so.
+// Close stops the services at once, as a crash would. A closed node stays closed.
 func (n *Node) Close() error {
 	n.closing.Do(func() {
 		n.stop()
--- a/node/engine.go
+++ b/node/engine.go
@@ -10,11 +10,11 @@
 	"github.com/marblering/marblering/protocol/engineapi"
 )
 
-// engines adapts the client of the engine dialect to call execution and to the
-// view of the fleet.
+// engines adapts the client of the engine dialect to what runs calls and to the
+// fleet.
 type engines struct {
 	client *engineapi.Client
-	// takesWork tells whether the configuration in force gives new work to the
+	// takesWork tells whether the configuration in force allows new work at the
 	// engine at the address.
 	takesWork func(address string) bool
 	// silence is how long an engine may send nothing during a call.
@@ -22,7 +22,8 @@
 	instruments *instruments
 }
 
-// errWithdrawn keeps an attempt from an engine that drains or is out of use.
+// errWithdrawn ends an attempt before it is sent, where the engine drains or is
+// stopped.
 var errWithdrawn = errors.New("the configuration in force gives this engine no new work")
 
 // errSilent ends an attempt whose engine has sent nothing for too long.
@@ -33,9 +34,9 @@
 	_ fleet.Reporter    = engines{}
 )
 
-// Complete implements execution.Engines. The engine was chosen before a quorum
-// granted the attempt, perhaps under an older configuration; by now this node
-// has every version that was accepted before the grant, so it looks again.
+// Complete implements execution.Engines. It looks at the configuration again,
+// since the engine was chosen before a quorum granted the attempt. By now this
+// node has every version that was accepted before the grant.
 func (e engines) Complete(ctx context.Context, address string, request execution.EngineRequest, onText func(string) error) (execution.EngineAnswer, error) {
 	if !e.takesWork(address) {
 		return execution.EngineAnswer{}, &execution.EngineError{Cause: errWithdrawn}
@@ -75,12 +76,12 @@
 	}, nil
 }
 
-// maxResumes bounds how often a broken stream is taken up again.
+// maxResumes bounds how often a broken stream is resumed. Chosen, not measured.
 const maxResumes = 2
 
-// resume takes a stream up again whose connection broke: the engine goes on
-// generating, so that nothing is run or paid for twice, also where the call must
-// not be repeated.
+// resume reads on where the connection of a stream broke. The engine goes on
+// generating meanwhile, so that nothing is run or paid for twice, even where the
+// call must not be repeated.
 func (e engines) resume(ctx context.Context, address string, partial engineapi.Completion, err error, onText func(string) error) (engineapi.Completion, error) {
 	for range maxResumes {
 		if !isBroken(err) || ctx.Err() != nil {
@@ -96,15 +97,15 @@
 	return partial, err
 }
 
-// isBroken reports whether the stream ended before its end although the engine
-// may be at work on the request.
+// isBroken tells whether the stream broke off, so that the engine may still be at
+// work on the request.
 func isBroken(err error) bool {
 	var failure *engineapi.Error
 	return errors.As(err, &failure) && failure.Kind == engineapi.Truncated
 }
 
-// engineError keeps what matters for the next attempt. An error of an unknown
-// type counts as dispatched: the engine may have run the request.
+// engineError keeps what matters for the next attempt. An error of another type
+// counts as dispatched, since the engine may have run the request.
 func engineError(err error) error {
 	var failure *engineapi.Error
 	if !errors.As(err, &failure) {
--- a/node/execution.go
+++ b/node/execution.go
@@ -19,8 +19,9 @@
 	// historyCacheBytes bounds the history of programs in memory: 32 MB of the
 	// 64 MB that a node may use (docs/CAPACITY.md).
 	historyCacheBytes = 32 << 20
-	// pollInterval is the pause between two polls of an engine by its owner. The
-	// polls of all nodes are within the budget of docs/design/control-budget.md.
+	// pollInterval is the pause between two polls of an engine by its owner. With
+	// 9.1 engines a node, all of a node's control took 6.3 KB/s of the 9 that it
+	// may (docs/design/control-budget.md).
 	pollInterval = 1500 * time.Millisecond
 	// maxQueue is the longest expected queueing before a call is shed. Chosen, not
 	// measured.
@@ -56,6 +57,7 @@
 	})
 }
 
+// newFleet makes the view of all engines, which chooses one for each call.
 func (n *Node) newFleet(engineClient *engineapi.Client) *fleet.Fleet {
 	return fleet.New(fleet.Options{
 		Zone:         n.settings.Zone,
@@ -72,6 +74,7 @@
 	})
 }
 
+// newEngines adapts the client of engines.
 func (n *Node) newEngines(client *engineapi.Client) engines {
 	return engines{
 		client: client, takesWork: catalog{n.holder}.takesWork,
--- a/node/gate.go
+++ b/node/gate.go
@@ -12,31 +12,33 @@
 )
 
 const (
-	// notReadyRetry is the pause that a caller is asked for by a node that has
-	// no configuration or shard map yet: about the time that a start takes.
+	// notReadyRetry is the pause that a caller is asked for by a node that has no
+	// configuration or shard map yet. Chosen, not measured.
 	notReadyRetry = 2 * time.Second
-	// drainingRetry is the pause before a caller asks another node, or this one.
+	// drainingRetry is the pause before a caller asks another node, or this one
+	// again. Chosen, not measured.
 	drainingRetry = time.Second
 	// operationGate is how the metrics name a request that the gate refused.
 	operationGate = "gate"
 )
 
-// callerGate stands before the caller API. It refuses every request until the
-// node knows the tenants and the shards, so that a key that isn't known yet
-// isn't called wrong; then it refuses while the node is ordered to drain, and
-// keeps bodies within the configured limit.
+// callerGate decides whether a request reaches the callers' API. It refuses all
+// requests until the node knows the tenants and the shards, so that it never
+// refuses a key as wrong that it only doesn't know yet. It refuses them while the node is ordered
+// to drain, and those whose body is longer than the configuration in force allows.
 type callerGate struct {
 	handler http.Handler
-	// ready returns what the node still waits for, or nil. It isn't asked again
-	// after that: a configuration never reverts.
+	// ready returns what the node still waits for, or nil. After nil it isn't
+	// asked again, since a node never loses its configuration.
 	ready func() error
-	// draining tells whether an operator ordered this node to take no requests.
+	// draining tells whether an operator ordered this node to drain.
 	draining func() bool
-	// bodyLimit is the greatest size of a body in bytes by the configuration in
-	// force; the caller API has the limit of the settings.
+	// bodyLimit returns the greatest size of a body in bytes that the
+	// configuration in force allows. The callers' API checks that of the settings.
 	bodyLimit func() int64
 	observer  callerapi.Observer
-	open      atomic.Bool
+	// open is set once ready returned nil.
+	open atomic.Bool
 }
 
 // ServeHTTP implements http.Handler.
@@ -63,7 +65,8 @@
 	g.handler.ServeHTTP(writer, request)
 }
 
-// refuse answers as the caller API does, and closes the connection.
+// refuse answers with the error as the callers' API does, and closes the
+// connection.
 func (g *callerGate) refuse(writer http.ResponseWriter, refusal *result.Error) {
 	answer := refusal.Answer(0)
 	header := writer.Header()
@@ -72,7 +75,7 @@
 	header.Set(callerapi.HeaderResult, strconv.FormatUint(uint64(refusal.Code), 10))
 	answer.SetRetryAfter(header)
 	writer.WriteHeader(answer.Status)
-	// A failed write means that the caller left; nobody is there to be told.
+	// A write fails where the caller is gone: there is nobody to tell.
 	_ = json.NewEncoder(writer).Encode(answer.Body)
 	g.observer.Observe(callerapi.Observation{Operation: operationGate, Code: refusal.Code})
 }
--- a/node/gauges.go
+++ b/node/gauges.go
@@ -17,8 +17,8 @@
 	stateEjected = "ejected"
 )
 
-// gauges read the state of the node when metrics are gathered, so that keeping
-// them costs nothing in between.
+// gauges read the state of the node when metrics are gathered, and cost nothing in
+// between.
 type gauges struct {
 	node *Node
 
@@ -73,8 +73,8 @@
 	}
 }
 
-// countEngines counts each engine once; one that leaves counts as leaving also
-// where it is ejected.
+// countEngines counts each engine once. One that is leaving and ejected counts as
+// leaving.
 func countEngines(engines []routing.EngineState) map[string]int {
 	counts := make(map[string]int)
 	for index := range engines {
--- a/node/holds.go
+++ b/node/holds.go
@@ -19,13 +19,16 @@
 	"github.com/marblering/marblering/transport/peer"
 )
 
-// verifiedPerRound bounds the holds that are checked in one round, so that the
-// cost doesn't grow with the number of programs: one message each.
+// verifiedPerRound is how many holds are checked in one round, with one message
+// each, so that the cost doesn't grow with the number of programs. With 100
+// engines of 32 holds the control of a node took 32 to 34 KB/s, in place of 127 to
+// 142 with a quorum read for each hold (docs/design/control-budget.md).
 const verifiedPerRound = 4
 
-// holdSweep finds memory that an engine holds and that no record knows of: left
-// by a node that died, or that woke up and dispatched after its program had
-// ended. Holds that records know of are released by the sweep of records.
+// holdSweep releases holds at engines that no record knows of. A node that died
+// leaves such a hold, and so does one that was paused and dispatched a call after
+// its program had ended. The sweep of records releases the holds that records know
+// of.
 type holdSweep struct {
 	records *record.Store
 	fleet   *fleet.Fleet
@@ -37,13 +40,14 @@
 	now     func() time.Time
 	random  *rand.Rand
 	logger  *zap.Logger
-	// released counts the holds that were let go.
+	// released counts the holds that were released.
 	released prometheus.Counter
-	// verified says when a hold of an engine was last found to be wanted.
+	// verified has the time when the hold of a program at an engine was last found
+	// to be wanted, by engine and program.
 	verified map[string]map[string]time.Time
 }
 
-// sweepNext looks at one of the engines that this node owns; they take turns.
+// sweepNext looks at one of the engines that this node owns, another in each round.
 func (h *holdSweep) sweepNext(ctx context.Context, round int) {
 	var mine []routing.EngineState
 	for _, engine := range h.fleet.Engines() {
@@ -73,8 +77,8 @@
 	}
 }
 
-// longestUnverified returns a few of the listed holds, those first that were
-// never found to be wanted, and forgets holds that are gone.
+// longestUnverified returns the holds that weren't found to be wanted for the
+// longest time, at most verifiedPerRound, and forgets holds that are gone.
 func (h *holdSweep) longestUnverified(engine string, listed []engineapi.Hold) []string {
 	former := h.verified[engine]
 	current := make(map[string]time.Time, len(listed))
@@ -90,7 +94,8 @@
 	return ids[:min(verifiedPerRound, len(ids))]
 }
 
-// seemsWanted asks one replica, at random, for its copy of the record.
+// seemsWanted tells whether the copy of the record at one replica, chosen at
+// random, has the hold.
 func (h *holdSweep) seemsWanted(ctx context.Context, id, engine string) bool {
 	root := program.RootOf(id)
 	view, found := h.views.View(h.locate(root))
@@ -107,8 +112,9 @@
 	return err == nil && tree != nil && !program.Ended(tree, id) && program.Holds(tree, id, engine)
 }
 
-// unwanted reads the record: the hold of a program that has ended, or that the
-// record doesn't know at this engine, is to go. Only a decided read may say so.
+// unwanted tells whether the hold is to be released: the program has ended, or its
+// record doesn't have the hold. It reads the record from a quorum, since a single
+// copy may be out of date.
 func (h *holdSweep) unwanted(ctx context.Context, id, engine string) bool {
 	unwanted := false
 	_, err := h.records.Apply(ctx, program.RootOf(id), func(tree *statev1.ProgramTree) (*statev1.ProgramTree, error) {
--- a/node/installer.go
+++ b/node/installer.go
@@ -12,11 +12,11 @@
 	"github.com/marblering/marblering/transport/peer"
 )
 
-// configuredInstaller has a new member of a replica set know what the sealed set
-// knows of the configuration before it says that it is installed. A change of
-// the configuration counts as accepted once a majority of each set knows it; a
-// new member that knew less could otherwise be part of a majority that grants
-// changes decided under the old one.
+// configuredInstaller makes a new member of a replica set learn the configuration
+// that the sealed set knows, before the member says that it is installed. A change
+// of the configuration counts as accepted once a majority of each set knows it. A
+// new member that knew less could be part of a majority that grants changes
+// decided under the older configuration.
 type configuredInstaller struct {
 	installer   *shard.Installer
 	incarnation string
@@ -27,9 +27,9 @@
 
 var _ peer.Installer = (*configuredInstaller)(nil)
 
-// Install implements peer.Installer. The copy ends the previous epoch at a
-// majority, so that what a majority of its members knows afterwards includes
-// every version that was accepted in that epoch.
+// Install implements peer.Installer. The copying ends the previous epoch at a
+// majority. What a majority of its members knows afterwards includes every version
+// that was accepted in that epoch.
 func (c *configuredInstaller) Install(ctx context.Context, request shard.InstallRequest) archive.Reply {
 	reply := c.installer.Install(ctx, request)
 	if reply.Refusal != register.RefusalNone || request.TurnsOnly {
@@ -47,7 +47,8 @@
 	return reply
 }
 
-// learnFrom takes in what the member's node knows beyond this one.
+// learnFrom installs what the member's node knows beyond this one, and tells
+// whether that succeeded.
 func (c *configuredInstaller) learnFrom(ctx context.Context, member register.Member) bool {
 	if member.Incarnation == c.incarnation {
 		return true
--- a/node/instruments.go
+++ b/node/instruments.go
@@ -29,8 +29,8 @@
 	changeUnknown  = "unknown"
 )
 
-// decisionChosen is the label result of a decision that found an engine; the
-// others are named after result codes.
+// decisionChosen is the value of the label result for a choice that found an
+// engine. The others are the names of result codes.
 const decisionChosen = "chosen"
 
 // Values of the label limit of refusals.
@@ -41,8 +41,8 @@
 	limitEngine          = "engine"
 )
 
-// Buckets of changes of records, a factor of two apart: half a millisecond, less
-// than a round trip between zones, to 4 s.
+// Buckets of the time of a change of a record, a factor of two apart, from 0.5 ms
+// (less than a round trip between zones) to 4 s. Chosen, not measured.
 const (
 	firstRecordBucketSeconds = 0.0005
 	recordBucketFactor       = 2
@@ -50,7 +50,7 @@
 )
 
 // instruments are the metrics of one node that its parts don't register
-// themselves. docs/OPERATIONS.md lists them all; a test compares the two.
+// themselves. docs/OPERATIONS.md lists all metrics; a test compares the two.
 type instruments struct {
 	attempts      *prometheus.CounterVec
 	lostAttempts  *prometheus.CounterVec
--- a/node/listen.go
+++ b/node/listen.go
@@ -15,6 +15,7 @@
 	return listener.Open(name, address.String(), peer.NewHTTPServer(handler))
 }
 
+// openListeners opens the three listeners, or none.
 func (n *Node) openListeners(peers, callers, operators http.Handler) error {
 	var err error
 	if n.peerListener, err = listen("peers", n.settings.PeerListen, peers); err != nil {
@@ -23,8 +24,8 @@
 	if n.callerListener, err = listen("callers", n.settings.CallerListen, callers); err != nil {
 		return errors.Join(err, n.peerListener.Socket.Close())
 	}
-	n.peerListener.Socket = &countedListener{Listener: n.peerListener.Socket, wire: n.wire, end: wirePeer}
-	n.callerListener.Socket = &countedListener{Listener: n.callerListener.Socket, wire: n.wire, end: wireCaller}
+	n.peerListener.Socket = &countedListener{Listener: n.peerListener.Socket, connections: n.connections, end: endPeer}
+	n.callerListener.Socket = &countedListener{Listener: n.callerListener.Socket, connections: n.connections, end: endCaller}
 	if n.operatorListener, err = listen("operators", n.settings.OperatorListen, operators); err != nil {
 		return errors.Join(err, n.peerListener.Socket.Close(), n.callerListener.Socket.Close())
 	}
@@ -36,8 +37,8 @@
 	return errors.Join(n.peerListener.Socket.Close(), n.callerListener.Socket.Close(), n.operatorListener.Socket.Close())
 }
 
-// lateHandler is a handler that is set after its server has been opened. Until
-// then it answers 503.
+// lateHandler is a handler that is set after its listener was opened. Until then it
+// answers 503.
 type lateHandler struct {
 	handler atomic.Pointer[http.Handler]
 }
--- a/node/machines.go
+++ b/node/machines.go
@@ -13,24 +13,30 @@
 
 const (
 	// machinesInterval is the pause between two readings of the machine list.
+	// Chosen, not measured.
 	machinesInterval = time.Second
-	// readersPerZone bounds the nodes of a zone that read the object API; the
-	// others learn from them.
+	// readersPerZone is how many nodes of a zone read the object API, whatever
+	// their number; the others learn from them. Chosen, not measured.
 	readersPerZone = 2
-	// watchSilence ends a watch whose connection is taken for dead.
+	// watchSilence is how long a watch of the object API may bring nothing before
+	// its connection counts as dead. Chosen, not measured.
 	watchSilence = 15 * time.Second
-	// machinesKey makes the choice of readers independent of other choices.
+	// machinesKey is the key by which the readers of the machine list are chosen,
+	// apart from those of other things.
 	machinesKey = "machine list"
 )
 
-// machineWatch reads the platform's lagging list of machines at a few nodes a
-// zone and passes on who is leaving. It is a suture service.
+// machineWatch reads the platform's list of machines, which may be out of date, at
+// a few nodes of each zone, and tells the membership which machines are leaving.
+// It is a suture service.
 type machineWatch struct {
 	platform   *objectapi.Client
 	membership *membership.Service
-	reads      func(key string) bool
-	timeout    time.Duration
-	logger     *zap.Logger
+	// reads tells whether this node is one of the few that read.
+	reads func(key string) bool
+	// timeout bounds one reading.
+	timeout time.Duration
+	logger  *zap.Logger
 }
 
 // Serve reads the list until the context ends.
--- a/node/membership.go
+++ b/node/membership.go
@@ -22,7 +22,7 @@
 		HasDataFolder: n.settings.DataFolder != "",
 		Started:       now,
 	}
-	gossip := membership.New(n.membershipSettings(), identity, addresses(n.settings.Seeds), n.random, now)
+	gossip := membership.New(n.membershipSettings(), identity, addresses(n.settings.Seeds), n.newRandom(), now)
 	n.membership = membership.NewService(gossip, membership.Options{
 		Exchanger:            n.peers,
 		Now:                  time.Now,
@@ -32,7 +32,7 @@
 		ConfigurationSeen:    n.configurationSeen,
 		Observe:              n.observeMembership,
 	})
-	n.control = newControlMembers(configuration.Member{
+	n.configurationMembers = newConfigurationMembers(configuration.Member{
 		Node:        identity.Node,
 		Incarnation: identity.Incarnation,
 		Address:     identity.Address,
@@ -40,7 +40,8 @@
 	}, n.membership.Members, n.views)
 }
 
-// exchangesPerHeartbeat is how many exchanges a node begins a heartbeat.
+// exchangesPerHeartbeat is how many exchanges a node begins in each heartbeat
+// interval. Chosen, not measured.
 const exchangesPerHeartbeat = 3
 
 // membershipSettings derives the protocol's intervals from the node's settings.
@@ -52,6 +53,7 @@
 	return derived
 }
 
+// addresses returns the addresses as texts, as host:port.
 func addresses(ports []netip.AddrPort) []string {
 	var texts []string
 	for _, port := range ports {
@@ -60,7 +62,7 @@
 	return texts
 }
 
-// observeMembership passes evidence about engines on to the fleet.
+// observeMembership tells the fleet what other nodes saw of engines.
 func (n *Node) observeMembership(event membership.Event) {
 	if event.Kind == membership.EngineChanged {
 		n.fleet.MarkLeaving(event.Engine, event.EngineLeaving)
--- a/node/node.go
+++ b/node/node.go
@@ -1,11 +1,17 @@
-// Package node builds one daemon of the coordination parts: the suture tree,
-// the listeners and the wiring between them.
+// Package node builds one daemon, "marblering serve", of the parts in the layers
+// below and runs it.
+//
+// It owns the daemon's life (start, readiness, drain and stop), its listeners and
+// connections, and the adapters by which the parts use each other: the
+// configuration in force as limits, tenants and engines; the limits of tenants;
+// the sweep of what nobody looks after; and the rows that operators see. What a
+// part decides stays in the part. The package relies on settings, on the object
+// API for configuration, and on the peers for all else.
 package node
 
 import (
 	"context"
 	"errors"
-	"math/rand/v2"
 	"sync"
 	"sync/atomic"
 
@@ -31,46 +37,54 @@
 
 // Node is one running daemon.
 type Node struct {
-	settings   settings.Settings
-	logger     *zap.Logger
-	identity   string
-	holder     *configuration.Holder
-	agent      *configuration.Agent
-	acceptor   *configuration.Acceptor
-	control    *controlMembers
-	views      *shard.Map
+	settings settings.Settings
+	logger   *zap.Logger
+	// identity names this life of the process: see identitySeparator.
+	identity  string
+	readiness *telemetry.Readiness
+	metrics   *prometheus.Registry
+	// instruments count what the parts don't count themselves.
+	instruments *instruments
+	connections *connections
+
+	// The configuration in force and how it is kept and changed.
+	holder               *configuration.Holder
+	agent                *configuration.Agent
+	acceptor             *configuration.Acceptor
+	configurationMembers *configurationMembers
+
+	// The replicas of this node, and the nodes and replica sets it knows.
 	store      replica.Store
 	replica    *shard.Replica
-	peers      *peer.Client
 	installer  *shard.Installer
+	views      *shard.Map
 	repair     *repair.Service
 	membership *membership.Service
-	records    *record.Store
-	fleet      *fleet.Fleet
-	executor   *execution.Executor
-	limits     *limits
 	ownership  ownership
-	callers    *callerapi.Handler
-	readiness  *telemetry.Readiness
-	metrics    *prometheus.Registry
-	random     *rand.Rand
-	wire       *wire
-	// instruments count what the parts don't count themselves.
-	instruments *instruments
-	// draining is set from the first moment of a planned stop.
-	draining atomic.Bool
+	peers      *peer.Client
+
+	// What serves callers.
+	records  *record.Store
+	fleet    *fleet.Fleet
+	limits   *limits
+	executor *execution.Executor
+	callers  *callerapi.Handler
 
 	peerListener     *listener.Listener
 	callerListener   *listener.Listener
 	operatorListener *listener.Listener
 
+	// draining is set from the first moment of a planned stop.
+	draining atomic.Bool
+	// stop ends the services; stopped has their error once they have ended.
 	stop    context.CancelFunc
 	stopped <-chan error
+	// closing guards closed, the outcome of Close.
 	closing sync.Once
 	closed  error
 }
 
-// Run runs a node until the context ends, then drains it.
+// Run runs a node until the context ends, and drains it then.
 func Run(ctx context.Context, loaded settings.Settings, logger *zap.Logger) error {
 	n, err := Start(loaded, logger)
 	if err != nil {
@@ -92,9 +106,8 @@
 		holder:    configuration.NewHolder(),
 		readiness: telemetry.NewReadiness(),
 		metrics:   telemetry.NewRegistry(),
-		random:    rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 	}
-	n.wire = newWire(n.metrics)
+	n.connections = newConnections(n.metrics)
 	n.instruments = newInstruments(n.metrics)
 	n.metrics.MustRegister(newGauges(n))
 	if err := n.open(); err != nil {
@@ -124,7 +137,7 @@
 	n.logger.Warn("supervisor", zap.String("event", event.String()))
 }
 
-// PeerAddress is where other nodes reach this one.
+// PeerAddress returns where other nodes reach this one, as host:port.
 func (n *Node) PeerAddress() string {
 	if n.settings.PeerAdvertise.IsValid() {
 		return n.settings.PeerAdvertise.String()
@@ -132,13 +145,14 @@
 	return n.peerListener.Address()
 }
 
-// CallerAddress is where the caller API listens.
+// CallerAddress returns where the callers' API listens, as host:port.
 func (n *Node) CallerAddress() string { return n.callerListener.Address() }
 
-// OperatorAddress is where operators, metrics and health are served.
+// OperatorAddress returns where the operators' API, metrics and health are served,
+// as host:port.
 func (n *Node) OperatorAddress() string { return n.operatorListener.Address() }
 
-// open opens the replica store and names this life of the node.
+// open opens the replica store and names this life of the process.
 func (n *Node) open() error {
 	incarnation := uuid.NewString()
 	n.store = replica.NewMemory()
@@ -159,12 +173,12 @@
 	return n.replica.Restore()
 }
 
-// Name is the node's name in the settings.
+// Name returns the node's name in the settings.
 func (n *Node) Name() string { return n.settings.Name }
 
 // Explain returns the last routing decisions that this node made for the
 // program, oldest first.
 func (n *Node) Explain(id string) []fleet.Explained { return n.fleet.Explain(id) }
 
-// Metrics gathers what /metrics serves.
+// Metrics returns what /metrics serves.
 func (n *Node) Metrics() prometheus.Gatherer { return n.metrics }
--- a/node/observe.go
+++ b/node/observe.go
@@ -63,7 +63,7 @@
 	return result.Internal.String()
 }
 
-// observedPeers counts the attempts that other nodes say they have lost.
+// observedPeers counts the attempts that their executor says are lost.
 type observedPeers struct {
 	execution.Peers
 	instruments *instruments
@@ -78,7 +78,8 @@
 	return state
 }
 
-// observedLiveness counts the attempts whose executor membership says is gone.
+// observedLiveness counts the attempts that are lost because the membership says
+// that their executor is gone.
 type observedLiveness struct {
 	execution.Liveness
 	instruments *instruments
--- a/node/operator.go
+++ b/node/operator.go
@@ -18,23 +18,24 @@
 	"github.com/marblering/marblering/telemetry"
 )
 
-// recordRetry is advised where a program's record can't be read.
+// recordRetry is the pause that an operator is asked for where the record of a
+// program can't be read. Chosen, not measured.
 const recordRetry = 2 * time.Second
 
-// operatorBackend offers what this node knows, and the changes it can carry out,
-// to the operators' language. Any node may be asked.
+// operatorBackend gives the operators' language what this node knows and the
+// changes that it can carry out. Operators may ask any node.
 type operatorBackend struct {
 	*configuration.Acceptor
 	node     *Node
 	platform configuration.Platform
-	// engines ask an engine that drains what it has left.
+	// engines asks an engine that drains what it has left.
 	engines fleet.Reporter
 	now     func() time.Time
 }
 
 var _ operator.Backend = (*operatorBackend)(nil)
 
-// operatorMux serves the operators' API beside metrics and health.
+// operatorMux serves the operators' API, metrics and health.
 func operatorMux(monitoring, statements http.Handler) http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("/", monitoring)
@@ -45,7 +46,7 @@
 // monitoring serves metrics and health.
 func (n *Node) monitoring() http.Handler { return telemetry.NewHandler(n.metrics, n.readiness) }
 
-// operatorHandler answers statements of the operators' language.
+// operatorHandler makes the handler of statements of the operators' language.
 func (n *Node) operatorHandler(platform *objectapi.Client, engines fleet.Reporter) http.Handler {
 	return operator.NewHandler(operator.NewInterpreter(operator.Options{
 		Backend: &operatorBackend{
--- a/node/operatordrain.go
+++ b/node/operatordrain.go
@@ -12,15 +12,16 @@
 )
 
 const (
-	// drainTimeout bounds the question to an engine that drains.
+	// drainTimeout bounds the request to an engine that drains. Chosen, not
+	// measured.
 	drainTimeout = 2 * time.Second
-	// drainConcurrency bounds the engines asked at a time.
+	// drainConcurrency bounds how many engines are asked at a time. Chosen, not
+	// measured.
 	drainConcurrency = 16
 )
 
-// followDrains asks the engines what they have left. The row of one that has
-// nothing left, and for which no call is recorded as dispatched, becomes
-// drained.
+// followDrains asks the engines what they have left. An engine has drained where
+// nothing is left and no record has a call dispatched to it.
 func (b *operatorBackend) followDrains(ctx context.Context, draining []*operator.EngineRow) (incomplete string, err error) {
 	trees, incomplete, err := b.copies(ctx, func(tree *statev1.ProgramTree) bool { return dispatchedTo(tree, "") })
 	if err != nil {
@@ -48,8 +49,8 @@
 	return incomplete, nil
 }
 
-// followDrain reports whether the engine answered. The trees are those with a
-// dispatched call by this node's copies.
+// followDrain brings the engine's row up to date, and tells whether the engine
+// answered. The trees are this node's copies of those with a dispatched call.
 func (b *operatorBackend) followDrain(ctx context.Context, row *operator.EngineRow, trees []*statev1.ProgramTree) bool {
 	ctx, cancel := context.WithTimeout(ctx, drainTimeout)
 	defer cancel()
@@ -67,8 +68,8 @@
 	return true
 }
 
-// expectsCall tells whether a call is recorded as dispatched to the engine. A
-// copy that says so may be old: a quorum decides.
+// expectsCall tells whether a record has a call dispatched to the engine. A copy
+// that says so may be out of date, so that the record is read from a quorum.
 func (b *operatorBackend) expectsCall(ctx context.Context, engine string, trees []*statev1.ProgramTree) bool {
 	for _, copied := range trees {
 		if !dispatchedTo(copied, engine) {
@@ -82,8 +83,8 @@
 	return false
 }
 
-// dispatchedTo tells whether a call of the tree is dispatched to the engine, or
-// to any where the name is empty.
+// dispatchedTo tells whether a call of the tree is dispatched to the engine, or to
+// any engine where the name is empty.
 func dispatchedTo(tree *statev1.ProgramTree, engine string) bool {
 	for _, member := range tree.GetPrograms() {
 		for _, call := range member.GetCalls() {
--- a/node/operatorexplain.go
+++ b/node/operatorexplain.go
@@ -8,9 +8,9 @@
 	"github.com/marblering/marblering/protocol/operator"
 )
 
-// Decisions implements operator.Tables with the choices that this node made and
-// remembers. Those of other nodes are asked there; the records say which nodes
-// ran the calls.
+// Decisions implements operator.Tables with the choices that this node remembers.
+// Other nodes must be asked for theirs; the table of calls says which node ran a
+// call.
 func (b *operatorBackend) Decisions(_ context.Context, program string) (operator.Listing[operator.Decision], error) {
 	listing := operator.Listing[operator.Decision]{
 		Incomplete: "choices made at other nodes than " + b.node.settings.Name,
@@ -21,6 +21,8 @@
 	return listing, nil
 }
 
+// decisionRow makes the row of one choice. The journal of choices doesn't have the
+// number of the call.
 func decisionRow(node string, explained fleet.Explained) operator.Decision {
 	row := operator.Decision{
 		At:     explained.At,
--- a/node/operatorfleet.go
+++ b/node/operatorfleet.go
@@ -8,8 +8,8 @@
 	"github.com/marblering/marblering/protocol/operator"
 )
 
-// Engines implements operator.Tables. Of engines that drain the rows say what
-// they have left now; of the others, what they reported last.
+// Engines implements operator.Tables. The rows of engines that drain have what is
+// left there now; those of the others have what the engine reported last.
 func (b *operatorBackend) Engines(ctx context.Context) (operator.Listing[operator.EngineRow], error) {
 	known := make(map[string]routing.EngineState)
 	for _, state := range b.node.fleet.Engines() {
@@ -71,6 +71,8 @@
 	return operator.StateServing
 }
 
+// version returns the version of an object of the configuration; 0 where there is
+// none.
 func (b *operatorBackend) version(kind configuration.Kind, name string) uint64 {
 	object, _ := b.node.holder.Current().Object(configuration.Key{Kind: kind, Name: name})
 	return object.Version
--- a/node/operatornodes.go
+++ b/node/operatornodes.go
@@ -12,8 +12,8 @@
 	"github.com/marblering/marblering/state/program"
 )
 
-// Nodes implements operator.Tables. Calls are counted by this node's copies of
-// records; configuration versions are those last heard, 0 for none.
+// Nodes implements operator.Tables. It counts calls in this node's copies of
+// records. Configuration versions are those last heard, 0 for none.
 func (b *operatorBackend) Nodes(ctx context.Context) (operator.Listing[operator.NodeRow], error) {
 	trees, incomplete, err := b.copies(ctx, func(tree *statev1.ProgramTree) bool { return dispatchedTo(tree, "") })
 	listing := operator.Listing[operator.NodeRow]{Incomplete: incomplete}
@@ -64,7 +64,7 @@
 
 func (b *operatorBackend) heardVersions() map[string]uint64 {
 	versions := make(map[string]uint64)
-	for _, peer := range b.node.control.Live() {
+	for _, peer := range b.node.configurationMembers.Live() {
 		versions[peer.Node] = peer.Version
 	}
 	versions[b.node.settings.Name] = b.node.holder.Version()
@@ -81,8 +81,8 @@
 	return shards
 }
 
-// nodeState says drained only of this node: copies of records may miss a call
-// that another node runs.
+// nodeState returns the state of a node as operators see it. Only this node can be
+// drained: copies of records may lack a call that another node runs.
 func (b *operatorBackend) nodeState(member membership.Member) string {
 	ordered, found := b.node.holder.Current().Node(member.Node)
 	isSelf := member.Incarnation == b.node.replica.Incarnation()
@@ -101,8 +101,8 @@
 	return operator.StateServing
 }
 
-// Shards implements operator.Tables. Programs are counted where this node has a
-// replica.
+// Shards implements operator.Tables. It counts programs in the shards of which this
+// node has a replica.
 func (b *operatorBackend) Shards(context.Context) (operator.Listing[operator.ShardRow], error) {
 	var listing operator.Listing[operator.ShardRow]
 	for _, view := range b.node.views.Views() {
--- a/node/operatorprograms.go
+++ b/node/operatorprograms.go
@@ -16,7 +16,8 @@
 	"github.com/marblering/marblering/state/result"
 )
 
-// maxListedTrees bounds the records that one statement takes up.
+// maxListedTrees bounds the records that one statement reads. Chosen, not
+// measured.
 const maxListedTrees = 20_000
 
 // errEnoughTrees ends a listing at its bound.
@@ -58,8 +59,8 @@
 	return listing, err
 }
 
-// trees returns the record of the one program of the hint as a quorum has it;
-// without one, this node's copies.
+// trees returns the record of the hint's program as a quorum has it. For a hint
+// without a program it returns this node's copies.
 func (b *operatorBackend) trees(ctx context.Context, hint operator.Hint) (trees []*statev1.ProgramTree, incomplete string, err error) {
 	if hint.Program == "" {
 		return b.copies(ctx, func(tree *statev1.ProgramTree) bool {
@@ -79,8 +80,8 @@
 	return nil, "", err
 }
 
-// copies returns this node's copies of records. They may be out of date, and
-// records of shards without a replica here are missing.
+// copies returns this node's copies of the wanted records. They may be out of date,
+// and the records of shards without a replica here are missing.
 func (b *operatorBackend) copies(ctx context.Context, wanted func(*statev1.ProgramTree) bool) (trees []*statev1.ProgramTree, incomplete string, err error) {
 	for number := range b.node.replica.Shards() {
 		err := b.node.replica.EachRecord(number, func(root string, value []byte) error {
@@ -163,8 +164,8 @@
 	return row
 }
 
-// executorNode returns the name of the node that runs the call, or its
-// incarnation where the node is forgotten.
+// executorNode returns the name of the node that runs the call, or its incarnation
+// where the membership has forgotten it.
 func (b *operatorBackend) executorNode(call *statev1.Call) string {
 	incarnation, _, _ := strings.Cut(call.GetExecutor(), identitySeparator)
 	member, found := b.node.membership.Members().Incarnation(incarnation)
--- a/node/ownership.go
+++ b/node/ownership.go
@@ -6,21 +6,23 @@
 	"github.com/marblering/marblering/coordination/membership"
 )
 
-// maxRemembered bounds the names that an ownership remembers.
+// maxRemembered bounds the names that an ownership remembers: five times the 3,200
+// engines that a deployment is designed for.
 const maxRemembered = 16384
 
-// ownership remembers, for one snapshot of the membership, which engines this
-// node looks after. The polls and the sweep of holds ask of every engine every
-// second or two, and each answer compares all live nodes, while the snapshot
-// changes only when a node comes, goes or leaves.
+// ownership remembers, for one snapshot of the membership, which engines this node
+// looks after. The polls and the sweep of holds ask it of every engine every two
+// seconds or less, and each answer compares all live nodes. Without the memory one
+// such pass over 3,200 engines takes 38.0 ms with 350 nodes; with it, 0.82 ms on
+// average over 50 passes (docs/CAPACITY.md). The snapshot changes only when a node comes, goes or leaves.
 type ownership struct {
 	mutex   sync.Mutex
 	members *membership.Members
 	owned   map[string]bool
 }
 
-// owns returns what decide says of the name under the snapshot. A decision that
-// read a newer snapshot is asked for anew once that one is passed in.
+// owns returns what decide says of the name under the snapshot. Where decide reads
+// a newer snapshot already, it is asked again once that one is passed in.
 func (o *ownership) owns(members *membership.Members, name string, decide func(name string) bool) bool {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
@@ -36,7 +38,7 @@
 	return owned
 }
 
-// ownsEngine is prefers for the name of an engine, remembered.
+// ownsEngine tells whether this node looks after the engine.
 func (n *Node) ownsEngine(engine string) bool {
 	return n.ownership.owns(n.membership.Members(), engine, n.prefers)
 }
--- a/node/peer.go
+++ b/node/peer.go
@@ -11,12 +11,12 @@
 	"github.com/marblering/marblering/transport/peer"
 )
 
-// identitySeparator stands between the replica's incarnation and the id of one
+// identitySeparator stands between the incarnation of the replica and the id of one
 // life of the process. A node with a data folder keeps its incarnation over a
-// restart, but an attempt that its former process ran is lost all the same.
+// restart, but the attempts that the former process ran are lost.
 const identitySeparator = "/"
 
-// liveness implements execution.Liveness by membership.
+// liveness implements execution.Liveness with the membership.
 type liveness struct {
 	members func() *membership.Members
 }
@@ -27,7 +27,7 @@
 	return l.members().Gone(incarnation)
 }
 
-// peerNode answers the node service of the internal protocol.
+// peerNode answers the node service of the protocol between nodes.
 type peerNode struct {
 	identity   string
 	membership *membership.Service
--- a/node/preference.go
+++ b/node/preference.go
@@ -7,14 +7,15 @@
 	"github.com/marblering/marblering/state/program"
 )
 
-// prefers reports whether this node is the one of the live nodes that should
-// look after the key. Nothing that must hold rests on it.
+// prefers tells whether this node, of all live ones, should look after the key. Two
+// nodes may both think so for a while: it spreads work and guards nothing.
 func (n *Node) prefers(key string) bool {
 	_, local := n.owner(key)
 	return local
 }
 
-// owner returns where the node is reached that should look after the name.
+// owner returns the address of the node that should look after the name; local is
+// set where that is this node.
 func (n *Node) owner(name string) (address string, local bool) {
 	var best membership.Member
 	bestScore := uint64(0)
@@ -30,8 +31,8 @@
 	return best.Address, false
 }
 
-// reads reports whether this node is one of the few of its zone that should
-// read the object API for the key.
+// reads tells whether this node is one of the few of its zone that should read the
+// object API for the key.
 func (n *Node) reads(key string) bool {
 	var zone []membership.Member
 	for _, member := range n.membership.Members().Live() {
--- a/node/readiness.go
+++ b/node/readiness.go
@@ -5,7 +5,7 @@
 	"errors"
 )
 
-// Names of the checks of /readyz, in the order they are reported.
+// Names of the checks of /readyz, in the order in which it lists them.
 const (
 	checkNameConfiguration = "configuration"
 	checkNameShards        = "shards"
@@ -47,8 +47,8 @@
 	return nil
 }
 
-// knowsDeployment returns what a node that starts still waits for before it can
-// serve callers.
+// knowsDeployment returns what the node still waits for before it can serve
+// callers, or nil.
 func (n *Node) knowsDeployment() error {
 	ctx := context.Background()
 	if err := n.checkConfiguration(ctx); err != nil {
--- a/node/repair.go
+++ b/node/repair.go
@@ -9,12 +9,15 @@
 )
 
 const (
-	// repairInterval is the pause between two rounds of the maintainer.
+	// repairInterval is the pause between two rounds of the maintainer. Chosen,
+	// not measured.
 	repairInterval = time.Second
-	// goneGrace is how long a node must have been gone, beyond the time it took
-	// to find that out, before its replicas are replaced.
+	// goneGrace is how long a node must have been gone, beyond the time that it
+	// took to find that out, before its replicas are replaced. Chosen, not
+	// measured.
 	goneGrace = 5 * time.Second
-	// movesAtOnce bounds the sets that change at a time.
+	// movesAtOnce bounds how many replica sets change at a time. Chosen, not
+	// measured.
 	movesAtOnce = 8
 )
 
--- a/node/sweep.go
+++ b/node/sweep.go
@@ -16,22 +16,23 @@
 )
 
 const (
-	// idleReason is why the sweep ends a program.
+	// idleReason is the reason that the record of a program ended by the sweep
+	// has.
 	idleReason = "idle limit"
-	// sweepInterval is the pause between two rounds.
+	// sweepInterval is the pause between two rounds. Chosen, not measured.
 	sweepInterval = 2 * time.Second
-	// roundsOfAPass is how many rounds a pass over all records takes.
+	// roundsOfAPass is how many rounds a pass over all records takes. Chosen, not
+	// measured.
 	roundsOfAPass = 5
-	// sweepTimeout bounds the work on one program or engine.
+	// sweepTimeout bounds the work on one program or engine. Chosen, not measured.
 	sweepTimeout = 10 * time.Second
 )
 
 // errKeepTree leaves a record as it is.
 var errKeepTree = errors.New("nothing to change")
 
-// sweep looks after what nobody asks for any more: programs past their idle
-// limit, calls whose executor is gone, and holds that weren't released. It is a
-// suture service.
+// sweep ends programs past their idle limit and calls whose executor is gone, and
+// releases holds that nobody released. It is a suture service.
 type sweep struct {
 	interval time.Duration
 	records  *record.Store
@@ -39,8 +40,8 @@
 	holds    *holdSweep
 	// replica has this node's copies of records.
 	replica *shard.Replica
-	// mine reports whether this node should look after the key; a hint that
-	// spreads the work.
+	// mine tells whether this node should look after the key. It spreads the work
+	// and guards nothing.
 	mine func(key string) bool
 	now  func() time.Time
 	// defaults are the limits of programs that name none.
@@ -64,9 +65,9 @@
 	}
 }
 
-// sweepRecords looks at this node's copies of a part of the records and takes
-// up those that seem to need something. A pass over all of them takes
-// roundsOfAPass rounds, so that an idle program costs next to nothing.
+// sweepRecords looks at this node's copies of the records of some shards, and reads
+// those from a quorum that seem due. A pass over all shards takes roundsOfAPass
+// rounds. An idle program costs one look at a copy in each pass.
 func (s *sweep) sweepRecords(ctx context.Context, round int) {
 	var due []string
 	for number := range s.replica.Shards() {
@@ -91,7 +92,8 @@
 	}
 }
 
-// seemsDue judges by this node's copy, which may be out of date.
+// seemsDue tells whether the record needs the sweep, by this node's copy, which may
+// be out of date.
 func (s *sweep) seemsDue(root string, value []byte) bool {
 	tree, err := record.Decode(root, value)
 	if err != nil || tree == nil {
@@ -108,7 +110,8 @@
 	}
 }
 
-// idle leaves the tree as it is, so that the default isn't stored with it.
+// idle tells whether the tree is past its idle limit. It leaves the tree unchanged,
+// so that the default limit isn't stored with it.
 func (s *sweep) idle(tree *statev1.ProgramTree, nowUnixMS int64) bool {
 	own := tree.GetIdleLimitMs()
 	defer func() { tree.IdleLimitMs = own }()
@@ -140,8 +143,8 @@
 	s.executor.ReleaseHolds(ctx, tree)
 }
 
-// endLost ends calls whose executor is gone and whose deadline has passed, so
-// that nobody waits for their callers.
+// endLost ends calls whose executor is gone and whose deadline has passed. Nothing
+// else would end them where their callers don't ask again.
 func (s *sweep) endLost(ctx context.Context, tree *statev1.ProgramTree) {
 	for _, candidate := range tree.GetPrograms() {
 		running := program.Running(candidate)
--- a/node/views.go
+++ b/node/views.go
@@ -7,8 +7,8 @@
 	"github.com/marblering/marblering/coordination/shard"
 )
 
-// shardViews is the shard map together with the configuration version that
-// fences every change.
+// shardViews implements register.Views with the shard map and the version of the
+// configuration, which fences every change.
 type shardViews struct {
 	*shard.Map
 	holder *configuration.Holder
@@ -17,9 +17,9 @@
 // ConfigurationVersion implements register.Views.
 func (v *shardViews) ConfigurationVersion() uint64 { return v.holder.Version() }
 
-// LearnConfiguration waits until this node has the version that a replica
-// knows, as far as the context allows.
+// LearnConfiguration waits until this node has the version that a replica knows, or
+// the context ends.
 func (v *shardViews) LearnConfiguration(ctx context.Context, version uint64) {
-	// Where the wait fails the next round is refused again and says so.
+	// Where the wait fails, the replica refuses the next round as well and says why.
 	_, _ = v.holder.Wait(ctx, version)
 }
