--- a/node/gate.go
+++ b/node/gate.go
@@ -24,8 +24,9 @@
 
 // callerGate decides whether a request reaches the callers' API. It refuses all
 // requests until the node knows the tenants and the shards, so that it never
-// refuses a key as wrong that it only doesn't know yet. It refuses them while the node is ordered
-// to drain, and those whose body is longer than the configuration in force allows.
+// refuses a key as wrong that it only doesn't know yet. It refuses them while the
+// node is ordered to drain, and those whose body is longer than the configuration
+// in force allows.
 type callerGate struct {
 	handler http.Handler
 	// ready returns what the node still waits for, or nil. After nil it isn't
--- a/node/ownership.go
+++ b/node/ownership.go
@@ -14,7 +14,8 @@
 // looks after. The polls and the sweep of holds ask it of every engine every two
 // seconds or less, and each answer compares all live nodes. Without the memory one
 // such pass over 3,200 engines takes 38.0 ms with 350 nodes; with it, 0.82 ms on
-// average over 50 passes (docs/CAPACITY.md). The snapshot changes only when a node comes, goes or leaves.
+// average over 50 passes (docs/CAPACITY.md). The snapshot changes only when a node
+// comes, goes or leaves.
 type ownership struct {
 	mutex   sync.Mutex
 	members *membership.Members
--- a/node/sweep.go
+++ b/node/sweep.go
@@ -16,8 +16,7 @@
 )
 
 const (
-	// idleReason is the reason that the record of a program ended by the sweep
-	// has.
+	// idleReason is the end reason of a program that the sweep ends.
 	idleReason = "idle limit"
 	// sweepInterval is the pause between two rounds. Chosen, not measured.
 	sweepInterval = 2 * time.Second
--- a/protocol/callerapi/failure.go
+++ b/protocol/callerapi/failure.go
@@ -1,8 +1,6 @@
 package callerapi
 
 import (
-	"context"
-	"errors"
 	"net/http"
 	"strconv"
 
@@ -36,17 +34,9 @@
 // ErrorDetail describes an error; docs/RESULT-CODES.md lists the codes.
 type ErrorDetail = result.Detail
 
-// asResult returns what the caller is told of an error. The text of an error
-// that isn't a result stays in the log.
+// asResult returns what the caller is told of an error.
 func asResult(err error) *result.Error {
-	var failure *result.Error
-	if errors.As(err, &failure) {
-		return failure
-	}
-	if errors.Is(err, context.Canceled) || errors.Is(err, context.DeadlineExceeded) {
-		return result.Errorf(result.OutcomeUnresolved, "this node stopped waiting for the outcome")
-	}
-	return result.Errorf(result.Internal, "a fault of this program; the log has the details")
+	return result.FromError(err, result.Errorf(result.OutcomeUnresolved, "this node stopped waiting for the outcome"))
 }
 
 // writeError answers with the error.
--- a/protocol/operator/interpreter.go
+++ b/protocol/operator/interpreter.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"errors"
 	"strconv"
 	"strings"
 	"time"
@@ -257,17 +256,10 @@
 		zap.Float64("took_seconds", i.options.Now().Sub(started).Seconds()))
 }
 
-// asResult returns what the operator is told of an error. The text of an error
-// that isn't a result stays in the log.
+// asResult returns what the operator is told of an error.
 func asResult(err error) *result.Error {
-	var failure *result.Error
-	if errors.As(err, &failure) {
-		return failure
-	}
-	if errors.Is(err, context.Canceled) || errors.Is(err, context.DeadlineExceeded) {
-		return result.Errorf(result.CommandUnresolved, "this node stopped waiting for the outcome; the same command id finds out")
-	}
-	return result.Errorf(result.Internal, "a fault of this program; the log has the details")
+	return result.FromError(err, result.Errorf(result.CommandUnresolved,
+		"this node stopped waiting for the outcome; the same command id finds out"))
 }
 
 // splitCall reads the id of a call.
--- a/state/result/code.go
+++ b/state/result/code.go
@@ -7,6 +7,8 @@
 package result
 
 import (
+	"context"
+	"errors"
 	"fmt"
 	"net/http"
 	"time"
@@ -215,6 +217,20 @@
 	return &delayed
 }
 
+// FromError returns what a caller or an operator is told of any error: the *Error
+// that it wraps; unresolved where a context ended, since the outcome is then open;
+// else Internal without the error's text, which stays in the log.
+func FromError(err error, unresolved *Error) *Error {
+	var failure *Error
+	if errors.As(err, &failure) {
+		return failure
+	}
+	if errors.Is(err, context.Canceled) || errors.Is(err, context.DeadlineExceeded) {
+		return unresolved
+	}
+	return Errorf(Internal, "a fault of this program; the log has the details")
+}
+
 // Error gives code, name and message.
 func (e *Error) Error() string {
 	return fmt.Sprintf("%d %s: %s", e.Code, e.Code, e.Message)
--- a/state/result/code_test.go
+++ b/state/result/code_test.go
@@ -1,6 +1,7 @@
 package result_test
 
 import (
+	"context"
 	"errors"
 	"fmt"
 	"go/ast"
@@ -130,6 +131,23 @@
 	assert.Equal(t, result.Code(9999).Info().Code, result.Internal)
 }
 
+func TestFromErrorHidesUnexpectedText(t *testing.T) {
+	refused := result.Errorf(result.TenantLimit, "40 calls")
+	open := result.Errorf(result.CommandUnresolved, "ask again")
+	for _, test := range []struct {
+		err  error
+		want *result.Error
+	}{
+		{fmt.Errorf("calling: %w", refused), refused},
+		{errors.Join(context.Canceled, refused), refused},
+		{fmt.Errorf("calling: %w", context.Canceled), open},
+		{context.DeadlineExceeded, open},
+		{errors.New("secret"), result.Errorf(result.Internal, "a fault of this program; the log has the details")},
+	} {
+		assert.DeepEqual(t, result.FromError(test.err, open), test.want)
+	}
+}
+
 func TestAfterLeavesTheErrorAlone(t *testing.T) {
 	original := result.Errorf(result.Overloaded, "%d waiting", 12)
 	delayed := original.After(3 * time.Second)
