--- a/node/drain.go
+++ b/node/drain.go
@@ -3,18 +3,14 @@
 import (
 	"context"
 	"errors"
-	"net/http"
-	"sync/atomic"
 
 	"go.uber.org/zap"
-
-	"github.com/marblering/marblering/coordination/configuration"
-	"github.com/marblering/marblering/coordination/shard"
 )
 
-// Drain is a planned stop: new requests are refused, those in flight end as
-// they would, the peers learn that this node leaves and take its replicas over,
-// and only then the services stop.
+// Drain stops the node as planned. It refuses new requests, lets those in flight
+// end, tells the peers that this node leaves, waits until they have taken its
+// replicas over, and stops the services then. The setting drain_timeout bounds
+// the waiting; the error names what was still in flight after that.
 func (n *Node) Drain() error {
 	n.draining.Store(true)
 	n.logger.Info("draining", zap.Int("in_flight", n.callers.InFlight()))
@@ -29,8 +25,7 @@
 	return errors.Join(err, n.Close())
 }
 
-// Close stops the services at once, as a crash would. A node that has stopped
-// stays so.
+// Close stops the services at once, as a crash would. A closed node stays closed.
 func (n *Node) Close() error {
 	n.closing.Do(func() {
 		n.stop()
@@ -40,38 +35,3 @@
 	})
 	return n.closed
 }
-
-// lateHandler is a handler that is set after its server has been opened. Until
-// then it answers 503.
-type lateHandler struct {
-	handler atomic.Pointer[http.Handler]
-}
-
-func (l *lateHandler) set(handler http.Handler) { l.handler.Store(&handler) }
-
-// ServeHTTP implements http.Handler.
-func (l *lateHandler) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
-	handler := l.handler.Load()
-	if handler == nil {
-		http.Error(writer, "starting", http.StatusServiceUnavailable)
-		return
-	}
-	(*handler).ServeHTTP(writer, request)
-}
-
-// shardViews is the shard map together with the configuration version that
-// fences every change.
-type shardViews struct {
-	*shard.Map
-	holder *configuration.Holder
-}
-
-// ConfigurationVersion implements register.Views.
-func (v *shardViews) ConfigurationVersion() uint64 { return v.holder.Version() }
-
-// LearnConfiguration waits until this node has the version that a replica
-// knows, as far as the context allows.
-func (v *shardViews) LearnConfiguration(ctx context.Context, version uint64) {
-	// Where the wait fails the next round is refused again and says so.
-	_, _ = v.holder.Wait(ctx, version)
-}
--- a/node/repair.go
+++ b/node/repair.go
@@ -3,21 +3,27 @@
 import (
 	"time"
 
+	"github.com/marblering/marblering/coordination/register"
 	"github.com/marblering/marblering/coordination/repair"
 	"github.com/marblering/marblering/coordination/shard"
 )
 
 const (
-	// repairInterval is the pause between two rounds of the maintainer.
+	// repairInterval is the pause between two rounds of the maintainer. Chosen,
+	// not measured.
 	repairInterval = time.Second
-	// goneGrace is how long a node must have been gone, beyond the time it took
-	// to find that out, before its replicas are replaced.
+	// goneGrace is how long a node must have been gone, beyond the time that it
+	// took to find that out, before its replicas are replaced. Chosen, not
+	// measured.
 	goneGrace = 5 * time.Second
-	// movesAtOnce bounds the sets that change at a time.
+	// movesAtOnce bounds how many replica sets change at a time. Chosen, not
+	// measured.
 	movesAtOnce = 8
 )
 
-func newRepair(n *Node, driver *shard.Driver) *repair.Service {
+// newRepair makes the service that keeps replica sets whole.
+func (n *Node) newRepair() *repair.Service {
+	driver := shard.NewDriver(n.identity, n.peers, n.views, register.SystemClock{}, n.newRandom(), register.DefaultSettings(), n.logger)
 	settings := shard.PlanSettings{
 		Factor:    n.settings.ReplicationFactor,
 		GoneAfter: goneGrace,
