--- a/coordination/follow/counted.go
+++ b/coordination/follow/counted.go
@@ -8,8 +8,8 @@
 // Counter counts. prometheus.Counter is one.
 type Counter interface{ Inc() }
 
-// Counted counts the calls that reach a source: each is load for a store that
-// many nodes share.
+// Counted returns a source that counts the calls to the given one: each is load for a
+// store that many nodes share.
 func Counted(source Source, calls Counter) Source { return counted{source, calls} }
 
 type counted struct {
--- a/coordination/follow/follower.go
+++ b/coordination/follow/follower.go
@@ -12,60 +12,13 @@
 	"github.com/marblering/marblering/coordination/sleep"
 )
 
-// ErrHistoryGone is what a Source returns where it no longer has the changes
-// since the revision that was asked for.
-var ErrHistoryGone = errors.New("the store's history is gone")
-
-// ErrNobodyAsked is what a Source returns where it made no call that may have lost
-// changes, so that the next one can go on from the same revision.
-var ErrNobodyAsked = errors.New("the store wasn't asked")
-
-// Source is one kind of objects in a store.
-type Source interface {
-	// List returns every object, as the store had them the snapshot's age ago.
-	List(ctx context.Context) (Snapshot, error)
-	// Watch returns the changes since a revision as soon as there are any, and
-	// none after about the wait.
-	Watch(ctx context.Context, from int64, wait time.Duration) (Changes, error)
-}
-
-// Settings are the bounds of a follower's calls.
-type Settings struct {
-	// ListTimeout bounds one listing.
-	ListTimeout time.Duration
-	// WatchWait is how long the store may hold a call without changes.
-	WatchWait time.Duration
-	// WatchSlack is how much longer than WatchWait an answer may take. Both
-	// together bound how long a silent store goes unnoticed.
-	WatchSlack time.Duration
-	// Gather is the pause after changes, so that those that follow soon come in
-	// one answer.
-	Gather time.Duration
-	// MinPause and MaxPause bound the pause after a failed call, which doubles
-	// from one to the other.
-	MinPause time.Duration
-	MaxPause time.Duration
-}
-
-// DefaultSettings notice a silent store within three seconds.
-func DefaultSettings() Settings {
-	return Settings{
-		ListTimeout: 1500 * time.Millisecond,
-		WatchWait:   2 * time.Second,
-		WatchSlack:  700 * time.Millisecond,
-		Gather:      150 * time.Millisecond,
-		MinPause:    50 * time.Millisecond,
-		MaxPause:    400 * time.Millisecond,
-	}
-}
-
 // Options are the parts of a Follower.
 type Options struct {
-	// Name stands in log lines.
+	// Name is what log lines call the objects.
 	Name     string
 	Source   Source
 	Settings Settings
-	// Lost is told when the store doesn't answer any more; nil for nobody.
+	// Lost is called when the store doesn't answer any more; nil for nothing.
 	Lost func()
 	// Apply is called with the whole view after each change of it, one call at
 	// a time.
@@ -88,7 +41,7 @@
 	proved atomic.Pointer[time.Time]
 	// lost is set while the store doesn't answer.
 	lost atomic.Bool
-	// relist is set where the view may have missed changes.
+	// relist is set where the view may have missed changes. Only Serve uses it.
 	relist bool
 }
 
@@ -100,43 +53,6 @@
 // String names the service in the supervisor's messages.
 func (f *Follower) String() string { return "follower of " + f.options.Name }
 
-// Age is how long ago the store last answered; ok is false before the first
-// answer.
-func (f *Follower) Age() (age time.Duration, ok bool) {
-	heard := f.heard.Load()
-	if heard == 0 {
-		return 0, false
-	}
-	return f.options.Now().Sub(time.Unix(0, heard)), true
-}
-
-// Staleness is how long ago the store is known to have had nothing newer than the
-// view; ok is false where that was never known.
-func (f *Follower) Staleness() (staleness time.Duration, ok bool) {
-	proved := f.Proved()
-	if proved.IsZero() {
-		return 0, false
-	}
-	return f.options.Now().Sub(proved), true
-}
-
-// Proved is the newest moment before which the store is known to have had nothing
-// newer than the view; zero for none.
-func (f *Follower) Proved() time.Time {
-	if proved := f.proved.Load(); proved != nil {
-		return *proved
-	}
-	return time.Time{}
-}
-
-// prove notes such a moment. It is called once the view has been applied: whoever
-// sees the moment sees at least what was there then.
-func (f *Follower) prove(moment time.Time) {
-	if !moment.IsZero() && moment.After(f.Proved()) {
-		f.proved.Store(&moment)
-	}
-}
-
 // Serve follows the objects until the context ends.
 func (f *Follower) Serve(ctx context.Context) error {
 	pause := f.options.Settings.MinPause
@@ -155,7 +71,7 @@
 	return ctx.Err()
 }
 
-// step makes one call to the store.
+// step makes one call to the source.
 func (f *Follower) step(ctx context.Context) error {
 	if f.relist {
 		return f.list(ctx)
@@ -163,6 +79,7 @@
 	return f.watch(ctx)
 }
 
+// list replaces the view with all objects.
 func (f *Follower) list(ctx context.Context) error {
 	bounded, cancel := context.WithTimeout(ctx, f.options.Settings.ListTimeout)
 	defer cancel()
@@ -209,7 +126,7 @@
 	return true
 }
 
-// IsLost tells that the last call to the store failed.
+// IsLost tells that the last call to the source failed.
 func (f *Follower) IsLost() bool { return f.lost.Load() }
 
 // IsKnown tells that any snapshot was taken in.
@@ -226,6 +143,7 @@
 	return f.view.at
 }
 
+// watch waits for changes and takes them in.
 func (f *Follower) watch(ctx context.Context) error {
 	settings := f.options.Settings
 	bounded, cancel := context.WithTimeout(ctx, settings.WatchWait+settings.WatchSlack)
@@ -249,7 +167,7 @@
 	return nil
 }
 
-// change takes changes in and tells whether they were any.
+// change takes changes in, applies the view if it differs then, and tells whether it does.
 func (f *Follower) change(changes Changes) bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -260,14 +178,9 @@
 	return true
 }
 
-// failed notes that a call failed. A lost answer may have held changes, so the
-// next call is a listing. Where nobody was asked it isn't: another node refuses to be
-// listed from while its revision is older than the known one, which it often is though
-// it lacks nothing, since the store's revision rises with every kind. A node that had
-// asked the store itself once would then ask it for good: 2,816 calls of 295 nodes on a
-// quiet day of 48 s instead of 316, with the failures of one moment counted apart.
+// failed notes that a call failed.
 func (f *Follower) failed(err error) {
-	f.relist = f.relist || !errors.Is(err, ErrNobodyAsked)
+	f.relist = f.relist || needsListing(err)
 	if f.lost.Swap(true) {
 		return
 	}
@@ -278,19 +191,19 @@
 	}
 }
 
-// logUnreadable tells of objects that are passed over, whatever they would say.
+// needsListing decides whether the objects are listed after a failed call, rather than
+// followed on from the known revision. A lost answer may have held changes, so they are.
+// Where nobody was asked they aren't: another node refuses to be listed from while its
+// revision is older than the known one, which it often is though it lacks nothing, since
+// the store's revision rises with every kind. A node that had asked the store itself once
+// would then ask it for good: 2,816 calls of 295 nodes in a quiet run of 48 s in place of
+// 316, with the failures of one moment counted once for each kind.
+func needsListing(err error) bool { return !errors.Is(err, ErrNobodyAsked) }
+
+// logUnreadable logs that objects without a name were passed over.
 func (f *Follower) logUnreadable(count int, at int64) {
 	if count > 0 {
 		f.options.Logger.Warn("objects without a name passed over", zap.String("objects", f.options.Name),
 			zap.Int64("revision", at), zap.Int("count", count))
 	}
 }
-
-// heardAt notes that the store said something then.
-func (f *Follower) heardAt(moment time.Time) {
-	f.heard.Store(max(f.heard.Load(), moment.UnixNano()))
-	if !f.lost.Swap(false) {
-		return
-	}
-	f.options.Logger.Info("store regained", zap.String("objects", f.options.Name), zap.Int64("revision", f.revision()))
-}
--- a/coordination/follow/polled.go
+++ b/coordination/follow/polled.go
@@ -9,10 +9,10 @@
 
 // Polled returns a source that lists at the interval in place of holding calls, so that
 // each answer proves that nothing newer existed when it was asked for. The listings of
-// the source must be linearizable. A held call proves less for the same price: it is
-// asked for before what it waits for, so that its answer is a whole wait old at once,
-// and a store that is about to forget its history may leave it without an answer about
-// what has changed.
+// the source must be linearizable. A held call proves less for the same price: it proves
+// what was so when it was made, so that its answer is a whole wait old at once, and a
+// store that is about to forget its history may leave it without an answer about what
+// has changed.
 func Polled(source Source, interval time.Duration, now func() time.Time) Source {
 	return &polled{source: source, interval: interval, now: now}
 }
@@ -25,9 +25,9 @@
 	asked time.Time
 }
 
-// List implements Source. A question that isn't answered within the interval is given
-// up: the next one is due, and a store that said nothing has to be found soon after its
-// return.
+// List implements Source. A listing that isn't answered within the interval is given up:
+// the next one is due, and that a store which said nothing has returned has to be found
+// soon.
 func (p *polled) List(ctx context.Context) (Snapshot, error) {
 	ctx, cancel := context.WithTimeout(ctx, p.interval)
 	defer cancel()
@@ -50,9 +50,5 @@
 	if err != nil {
 		return Changes{}, err
 	}
-	changes := Changes{At: snapshot.At, IsWhole: true, Proved: snapshot.Proved}
-	for _, object := range snapshot.Objects {
-		changes.Events = append(changes.Events, Event{Object: object})
-	}
-	return changes, nil
+	return snapshot.Changes(), nil
 }
--- a/coordination/follow/view.go
+++ b/coordination/follow/view.go
@@ -20,11 +20,12 @@
 // Snapshot is every object of one kind at one revision of the store.
 type Snapshot struct {
 	Objects []Object
-	At      int64
-	// Unreadable is how many objects more there are that have no name to know them by.
+	// At is the revision of the store.
+	At int64
+	// Unreadable is how many further objects there are that have no name to know them by.
 	Unreadable int `json:"-"`
-	// Age is how long ago the store said so when the snapshot was handed out;
-	// zero where it was asked itself.
+	// Age is how long ago the store had said so when the snapshot was handed out; zero
+	// where the store itself was asked.
 	Age time.Duration `json:"-"`
 	// Proved is a moment before which the store had nothing newer, by this node's
 	// steady clock; zero where nothing shows such a moment.
@@ -43,27 +44,28 @@
 	Events []Event
 	// At is the revision from which to go on.
 	At int64
-	// Unreadable is how many changes more there are, of objects that have no name to
+	// Unreadable is how many further changes there are, of objects that have no name to
 	// know them by.
 	Unreadable int
 	// IsWhole tells that the events are all objects that there are: what isn't
 	// among them is gone.
 	IsWhole bool
-	// Age is how long ago the store said so; zero where it was asked itself.
+	// Age is how long ago the store had said so; zero where the store itself was asked.
 	Age time.Duration
-	// Proved is that of Snapshot.
+	// Proved is a moment as in Snapshot.
 	Proved time.Time
 }
 
-// view is the copy of the objects. It has no threads and no I/O.
+// view is the copy of the objects at one revision. It has no threads and no I/O, and never
+// goes back.
 type view struct {
 	objects map[string]Object
 	at      int64
 	known   bool
 }
 
-// replace takes a snapshot in. One that is older than what is known, such as an
-// answer that was held up on its way, is refused.
+// replace takes a snapshot in and tells whether it did. One that is older than what is
+// known, such as an answer that was held up on its way, is refused.
 func (v *view) replace(snapshot Snapshot) bool {
 	if v.known && snapshot.At < v.at {
 		return false
@@ -80,7 +82,7 @@
 // change takes changes in and tells whether any object differs from before.
 func (v *view) change(changes Changes) bool {
 	if changes.IsWhole {
-		return !v.has(changes) && v.replace(changes.snapshot())
+		return !v.has(changes) && v.replace(changes.Snapshot())
 	}
 	changed := false
 	for _, event := range changes.Events {
@@ -90,8 +92,7 @@
 	return changed
 }
 
-// has takes note of whole changes that say nothing new, and tells whether they are
-// such.
+// has tells whether whole changes say nothing new, and notes their revision if so.
 func (v *view) has(changes Changes) bool {
 	if !v.known || len(changes.Events) != len(v.objects) {
 		return false
@@ -106,15 +107,26 @@
 	return true
 }
 
-// snapshot is that of changes which are whole.
-func (c Changes) snapshot() Snapshot {
-	snapshot := Snapshot{At: c.At, Objects: make([]Object, 0, len(c.Events))}
+// Snapshot returns what changes that are whole say.
+func (c Changes) Snapshot() Snapshot {
+	snapshot := Snapshot{At: c.At, Age: c.Age, Proved: c.Proved, Objects: make([]Object, 0, len(c.Events))}
 	for _, event := range c.Events {
 		snapshot.Objects = append(snapshot.Objects, event.Object)
 	}
 	return snapshot
 }
 
+// Changes returns the snapshot as changes that are whole.
+func (s Snapshot) Changes() Changes {
+	changes := Changes{At: s.At, IsWhole: true, Age: s.Age, Proved: s.Proved}
+	for _, object := range s.Objects {
+		changes.Events = append(changes.Events, Event{Object: object})
+	}
+	return changes
+}
+
+// changeOne takes one event in, unless it is older than what is known of the object, and
+// tells whether the object differs from before.
 func (v *view) changeOne(event Event) bool {
 	known, exists := v.objects[event.Object.Name]
 	if exists && event.Object.Revision < known.Revision {
--- a/coordination/mirror/changes.go
+++ b/coordination/mirror/changes.go
@@ -119,10 +119,11 @@
 	return isStep || revision >= s.kept.Snapshot.At
 }
 
-// changesSince returns what changed after the revision.
+// changesSince returns what changed after the revision, or all that there is where that
+// isn't known.
 func (s *kindState) changesSince(revision int64) follow.Changes {
 	if !s.knowsFrom(revision) {
-		return s.whole()
+		return s.kept.Snapshot.Changes()
 	}
 	changes := follow.Changes{At: max(revision, s.kept.Snapshot.At)}
 	for _, object := range s.kept.Snapshot.Objects {
@@ -139,15 +140,6 @@
 	return changes
 }
 
-// whole is all that there is.
-func (s *kindState) whole() follow.Changes {
-	changes := follow.Changes{At: s.kept.Snapshot.At, IsWhole: true}
-	for _, object := range s.kept.Snapshot.Objects {
-		changes.Events = append(changes.Events, follow.Event{Object: object})
-	}
-	return changes
-}
-
 // answer says what there is to say now; done is false while it may be waited for
 // more.
 func (s *kindState) answer(revision int64) (said Answer, done bool) {
--- a/coordination/mirror/source.go
+++ b/coordination/mirror/source.go
@@ -154,11 +154,7 @@
 		return follow.Snapshot{}, errHolderBehind
 	}
 	s.trust(holder, changes.At)
-	snapshot := follow.Snapshot{At: changes.At, Age: changes.Age, Proved: changes.Proved}
-	for _, event := range changes.Events {
-		snapshot.Objects = append(snapshot.Objects, event.Object)
-	}
-	return snapshot, nil
+	return changes.Snapshot(), nil
 }
 
 // Watch implements follow.Source. A holder that can't be relied on may have kept changes
