--- a/settings/check.go
+++ b/settings/check.go
@@ -11,8 +11,8 @@
 	"github.com/go-playground/validator/v10"
 )
 
-// failureHeartbeats is the least number of heartbeats that a peer may miss
-// before it counts as failed: one lost packet must not be a failure.
+// failureHeartbeats is the least number of heartbeats in a failure timeout: one lost
+// packet must not be a failure.
 const failureHeartbeats = 2
 
 // checkFields applies the validate tags and reports the first field that fails.
@@ -32,6 +32,7 @@
 	return nil
 }
 
+// fieldFault makes the error of a field that failed a check.
 func (l *loader[T]) fieldFault(failure validator.FieldError) error {
 	option := l.option(failure.Field())
 	if failure.Tag() == "required" {
@@ -40,6 +41,7 @@
 	return l.fault(option, describe(failure.Value())+" isn't allowed")
 }
 
+// option returns the option of the key.
 func (l *loader[T]) option(key string) OptionOf[T] {
 	for _, option := range l.options {
 		if option.Key == key {
@@ -49,6 +51,8 @@
 	return OptionOf[T]{Key: key}
 }
 
+// newValidator makes a validator that knows the checks of this package and names fields
+// by their keys.
 func newValidator() (*validator.Validate, error) {
 	validate := validator.New(validator.WithRequiredStructEnabled())
 	validate.RegisterTagNameFunc(func(field reflect.StructField) string {
@@ -76,6 +80,7 @@
 	}
 }
 
+// validBaseURL accepts http with an IP number and port, and nothing after these.
 func validBaseURL(field validator.FieldLevel) bool {
 	parsed, err := url.Parse(field.Field().String())
 	if err != nil {
--- a/settings/gateway.go
+++ b/settings/gateway.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"net/netip"
+	"slices"
 	"time"
 
 	"github.com/spf13/pflag"
@@ -26,7 +27,7 @@
 	// Seeds are peer addresses of storage nodes, which are asked while the store
 	// is out of reach.
 	Seeds []netip.AddrPort `koanf:"seeds" validate:"max=64"`
-	// ApplyLimit is the time in which a new configuration must be in force.
+	// ApplyLimit is the time within which a new configuration must be in force.
 	ApplyLimit time.Duration `koanf:"apply_limit" validate:"min=100ms,max=1m"`
 	// UndisturbedTime is how long the store must have answered before ApplyLimit
 	// binds.
@@ -37,10 +38,11 @@
 	// QuotaWindow is the span over which the requests of a tenant are counted.
 	QuotaWindow time.Duration `koanf:"quota_window" validate:"min=1s,max=1h"`
 	// QuotaOver is the part of its quota by which a tenant may exceed it within such a
-	// span, and QuotaSlack how many requests may come on top.
-	QuotaOver  float64 `koanf:"quota_over" validate:"min=0,max=1"`
-	QuotaSlack int     `koanf:"quota_slack" validate:"min=0,max=100000"`
-	// DrainTimeout is how long a planned stop may take.
+	// span.
+	QuotaOver float64 `koanf:"quota_over" validate:"min=0,max=1"`
+	// QuotaSlack is how many requests may come on top within such a span.
+	QuotaSlack int `koanf:"quota_slack" validate:"min=0,max=100000"`
+	// DrainTimeout is how long a planned stop may take before the process is killed.
 	DrainTimeout time.Duration `koanf:"drain_timeout" validate:"min=1s,max=25h"`
 	// MemoryLimit is what the process may use.
 	MemoryLimit ByteSize `koanf:"memory_limit" validate:"min=16777216"`
@@ -48,7 +50,7 @@
 	LogLevel string `koanf:"log_level" validate:"oneof=debug info warn error"`
 }
 
-// LoadGateway reads and checks a gateway's settings as Load does a node's.
+// LoadGateway reads and checks a gateway's settings as Load does those of serve.
 func LoadGateway(path string, flags *pflag.FlagSet) (Gateway, error) {
 	return newLoader(path, flags, GatewayOptions()).load(checkGatewayPairs)
 }
@@ -64,6 +66,15 @@
 
 // GatewayOptions lists every option in the order of the documentation.
 func GatewayOptions() []OptionOf[Gateway] {
+	return slices.Concat(
+		gatewayAddressOptions(),
+		gatewayLimitOptions(),
+		gatewayProcessOptions(),
+	)
+}
+
+// gatewayAddressOptions say who the gateway is, where it listens and whom it asks.
+func gatewayAddressOptions() []OptionOf[Gateway] {
 	return []OptionOf[Gateway]{
 		{
 			Key: "name", Required: true, Allowed: allowedName,
@@ -100,6 +111,12 @@
 			Usage: "peer addresses of some storage nodes, asked for what they had from the store while it is out of reach",
 			field: func(s *Gateway) any { return &s.Seeds },
 		},
+	}
+}
+
+// gatewayLimitOptions say how soon configurations, keys and quotas have to be minded.
+func gatewayLimitOptions() []OptionOf[Gateway] {
+	return []OptionOf[Gateway]{
 		{
 			Key: "apply_limit", Default: "2s", Allowed: allowedDuration("100ms", "1m"),
 			Usage: "time in which a new configuration must be in force",
@@ -130,6 +147,12 @@
 			Usage: "requests that a tenant may have served within quota_window beyond that",
 			field: func(s *Gateway) any { return &s.QuotaSlack },
 		},
+	}
+}
+
+// gatewayProcessOptions are about the process itself.
+func gatewayProcessOptions() []OptionOf[Gateway] {
+	return []OptionOf[Gateway]{
 		{
 			Key: "drain_timeout", Default: "8s", Allowed: allowedDuration("1s", "25h"),
 			Usage: "how long a planned stop may take; then the process is killed",
--- a/settings/option.go
+++ b/settings/option.go
@@ -13,7 +13,7 @@
 	// Default is the value, as text, where neither file nor flag gives one.
 	// Empty means that there is none: the option may be left out or is required.
 	Default string
-	// Required tells that the option has no default and must be given.
+	// Required is set where the option has no default and must be given.
 	Required bool
 	// Allowed says which values are accepted.
 	Allowed string
@@ -47,6 +47,7 @@
 	options := append(identityOptions(), addressOptions()...)
 	options = append(options, stateOptions()...)
 	options = append(options, limitOptions()...)
+	options = append(options, membershipOptions()...)
 	return append(options, Option{
 		Key: "log_level", Default: "info", Allowed: allowedLogLevel,
 		Usage: usageLogLevel,
@@ -54,6 +55,7 @@
 	})
 }
 
+// identityOptions say who the node is.
 func identityOptions() []Option {
 	return []Option{
 		{
@@ -69,6 +71,7 @@
 	}
 }
 
+// addressOptions say where the node listens and whom it asks.
 func addressOptions() []Option {
 	return []Option{
 		{
@@ -104,6 +107,7 @@
 	}
 }
 
+// stateOptions say what the node keeps and where.
 func stateOptions() []Option {
 	return []Option{
 		{
@@ -124,6 +128,7 @@
 	}
 }
 
+// limitOptions bound the calls of the node.
 func limitOptions() []Option {
 	return []Option{
 		{
@@ -151,6 +156,12 @@
 			Usage: "limit of one request to the object API",
 			field: func(s *Settings) any { return &s.ObjectAPITimeout },
 		},
+	}
+}
+
+// membershipOptions say how soon a peer counts as failed, and how long a stop waits.
+func membershipOptions() []Option {
+	return []Option{
 		{
 			Key: "heartbeat_interval", Default: "1s", Allowed: allowedDuration("10ms", "1m"),
 			Usage: "pause between two heartbeats to a peer",
@@ -169,6 +180,7 @@
 	}
 }
 
+// allowedDuration describes a duration between the two, both included.
 func allowedDuration(least, most string) string {
 	return "duration with unit from " + least + " to " + most + "; units ms, s, m, h"
 }
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -1,7 +1,11 @@
-// Package settings reads what one node needs to know before it starts: its
-// name, its addresses, its data folder and its limits. They come from a YAML
-// file and from flags; a flag wins over the file. Reading is strict: anything
-// that isn't understood is an *Error, and nothing is started.
+// Package settings reads what a daemon needs to know before it starts: its name, its
+// addresses, its data folder and its limits. There is one type for each daemon: Settings
+// for serve, Gateway and Storage. The values come from a YAML file and from flags; a flag
+// wins over the file. Reading is strict: anything that isn't understood is an *Error,
+// which names the key, and nothing is started.
+//
+// Each key is described once, by an OptionOf: the file, the flags and the documentation
+// go by these. It relies on koanf to read and on validator to check single values.
 package settings
 
 import (
@@ -9,7 +13,7 @@
 	"time"
 )
 
-// Settings are the settings of one node. Load returns them complete and
+// Settings are the settings of a node that runs serve. Load returns them complete and
 // checked. Options describes each key.
 type Settings struct {
 	// Name is the node's name, unique in the deployment.
--- a/settings/storage.go
+++ b/settings/storage.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"net/netip"
+	"slices"
 	"time"
 
 	"github.com/spf13/pflag"
@@ -23,7 +24,7 @@
 	StoreURL string `koanf:"store_url" validate:"required,base_url"`
 	// Seeds are peer addresses of other storage nodes.
 	Seeds []netip.AddrPort `koanf:"seeds" validate:"max=64"`
-	// ApplyLimit is the time in which a new configuration must be in force at
+	// ApplyLimit is the time within which a new configuration must be in force at
 	// gateways.
 	ApplyLimit time.Duration `koanf:"apply_limit" validate:"min=100ms,max=1m"`
 	// RevokeLimit is how long after its removal gateways may take a key for valid;
@@ -45,7 +46,7 @@
 // be left after the losses.
 func (s Storage) ReplicationFactor() int { return 2*s.Losses + 1 }
 
-// LoadStorage reads and checks a storage node's settings as Load does a node's.
+// LoadStorage reads and checks a storage node's settings as Load does those of serve.
 func LoadStorage(path string, flags *pflag.FlagSet) (Storage, error) {
 	return newLoader(path, flags, StorageOptions()).load(checkStoragePairs)
 }
@@ -61,6 +62,15 @@
 
 // StorageOptions lists every option in the order of the documentation.
 func StorageOptions() []OptionOf[Storage] {
+	return slices.Concat(
+		storageAddressOptions(),
+		storageLimitOptions(),
+		storageProcessOptions(),
+	)
+}
+
+// storageAddressOptions say who the storage node is, where it listens and whom it asks.
+func storageAddressOptions() []OptionOf[Storage] {
 	return []OptionOf[Storage]{
 		{
 			Key: "name", Required: true, Allowed: allowedName, Usage: usageName,
@@ -90,6 +100,12 @@
 			Usage: "peer addresses of some storage nodes, through which this one finds the others while the store is out of reach",
 			field: func(s *Storage) any { return &s.Seeds },
 		},
+	}
+}
+
+// storageLimitOptions say how soon configurations have to be passed on, and what may be lost.
+func storageLimitOptions() []OptionOf[Storage] {
+	return []OptionOf[Storage]{
 		{
 			Key: "apply_limit", Default: "2s", Allowed: allowedDuration("100ms", "1m"),
 			Usage: "time in which a new configuration must be in force at gateways, which follow it through storage nodes",
@@ -110,6 +126,12 @@
 			Usage: "least number of shards when the replica sets are founded; there are more where there are many storage nodes",
 			field: func(s *Storage) any { return &s.Shards },
 		},
+	}
+}
+
+// storageProcessOptions are about the process itself.
+func storageProcessOptions() []OptionOf[Storage] {
+	return []OptionOf[Storage]{
 		{
 			Key: "data_folder", Required: true, Allowed: "absolute path",
 			Usage: "folder for replica state",
