--- a/coordination/routetable/configuration.go
+++ b/coordination/routetable/configuration.go
@@ -38,6 +38,7 @@
 
 // Target is one service of a route and its share of the route's requests.
 type Target struct {
+	// Service is the service's name.
 	Service string
 	// Weight is relative to the sum of the route's weights.
 	Weight float64
@@ -51,7 +52,7 @@
 	// PathPrefix begins and ends with a slash.
 	PathPrefix string
 	Kind       Kind
-	// Timeout is the longest that a request may take.
+	// Timeout is the longest that a request may take; above zero.
 	Timeout time.Duration
 	// TargetLatency is the time within which an answer is worth most.
 	TargetLatency time.Duration
@@ -63,19 +64,19 @@
 	Targets  []Target
 	// Attempts is how many back ends one request may be sent to.
 	Attempts int
-	// Affinity tells that a back end works faster on what it has seen lately.
+	// Affinity is set where a back end works faster on what it has seen lately.
 	Affinity bool
 	// Resumable streams may be continued by another back end.
 	Resumable bool
-	// Retained tells that turns of this route are kept for later ones.
+	// Retained routes have their turns kept for later ones.
 	Retained bool
 	// Retention is how long turns are kept.
 	Retention time.Duration
-	// Public routes ask for no key, though there are tenants.
+	// Public routes need no key, also where there are tenants.
 	Public bool
 }
 
-// Repeatable tells whether a request may run again after it may have run.
+// Repeatable tells whether a request that may have run may be run again.
 func (r *Route) Repeatable() bool { return r.Kind == Safe || r.Kind == Stream && r.Resumable }
 
 // Service is a pool of back ends that do the same work.
@@ -104,7 +105,7 @@
 	Routes   []Route
 	Services []Service
 	Limits   Limits
-	// KeysRequired tells that callers have to prove which tenant they belong to.
+	// KeysRequired is set where callers have to prove which tenant they belong to.
 	KeysRequired bool
 	Tenants      []tenant.Tenant
 }
@@ -126,6 +127,7 @@
 	return nil
 }
 
+// check returns the first contradiction in a route.
 func (r *Route) check(services map[string]bool) error {
 	switch {
 	case r.Host == "":
--- a/coordination/routetable/table.go
+++ b/coordination/routetable/table.go
@@ -19,7 +19,9 @@
 	tenants tenant.Directory
 }
 
-// NewTable checks the configuration and builds its table.
+// NewTable checks the configuration and builds its table. It fails with the first
+// contradiction: a route without a host, prefix, timeout or service, a service that isn't
+// configured, two tenants with one name or key.
 func NewTable(configuration Configuration) (*Table, error) {
 	if err := configuration.check(); err != nil {
 		return nil, err
@@ -42,10 +44,10 @@
 	return table, nil
 }
 
-// Version is that of the configuration.
+// Version is the version of the configuration.
 func (t *Table) Version() int64 { return t.configuration.Version }
 
-// Limits are those of the configuration.
+// Limits bound callers' requests.
 func (t *Table) Limits() Limits { return t.configuration.Limits }
 
 // Routes is how many routes the table has.
@@ -67,15 +69,18 @@
 // KeysRequired tells that there are tenants.
 func (t *Table) KeysRequired() bool { return t.configuration.KeysRequired }
 
-// Tenant returns the tenant that has the key.
-func (t *Table) Tenant(key tenant.Digest) (*tenant.Tenant, bool) { return t.tenants.Find(key) }
+// Tenant returns the tenant that has the key; found is false where none has.
+func (t *Table) Tenant(key tenant.Digest) (owner *tenant.Tenant, found bool) {
+	return t.tenants.Find(key)
+}
 
-// Match returns the route of the host whose prefix begins the path and is the
-// longest. The path is as it was sent, still escaped and without a query.
-func (t *Table) Match(host, path string) (*Route, bool) {
-	for _, route := range t.hosts[hostName(host)] {
-		if strings.HasPrefix(path, route.PathPrefix) {
-			return route, true
+// Match returns the route of the host with the longest prefix that the path begins with;
+// found is false where there is none. The path is as it was sent, still escaped and
+// without a query.
+func (t *Table) Match(host, path string) (route *Route, found bool) {
+	for _, candidate := range t.hosts[hostName(host)] {
+		if strings.HasPrefix(path, candidate.PathPrefix) {
+			return candidate, true
 		}
 	}
 	return nil, false
@@ -89,9 +94,9 @@
 	return strings.ToLower(host)
 }
 
-// Pick returns the service for a request, given a number from 0 (included) to 1
-// (excluded) that is drawn for it. Requests that belong together bring the same
-// number and so stay with one service.
+// Pick returns the service for a request by the weights of the targets, given a number
+// from 0 (included) to 1 (excluded) that is drawn for it. Requests that belong together
+// bring the same number and so stay with one service.
 func (r *Route) Pick(draw float64) string {
 	total := 0.0
 	for _, target := range r.Targets {
@@ -107,10 +112,11 @@
 	return r.Targets[len(r.Targets)-1].Service
 }
 
-// Holder publishes the newest table. Reading takes no lock.
+// Holder publishes the newest table. It is safe for concurrent use; reading takes no lock.
 type Holder struct {
 	current atomic.Pointer[Table]
-	mutex   sync.Mutex
+	// mutex is held while a table is installed.
+	mutex sync.Mutex
 }
 
 // Table returns the table in force; nil before the first.
--- a/coordination/tenant/tenant.go
+++ b/coordination/tenant/tenant.go
@@ -20,22 +20,24 @@
 
 // Tenant is one customer.
 type Tenant struct {
+	// Name is unique among tenants; logs and metrics go by it.
 	Name string
-	// Keys are those that its callers may use.
+	// Keys stand for the keys that its callers may use.
 	Keys []Digest
-	// Rate bounds its requests at all nodes together; the zero value is no limit.
+	// Rate bounds its requests at all nodes together, in requests a second with a burst;
+	// the zero value is no limit.
 	Rate limit.Rate
 }
 
 // Directory finds tenants by their keys. It is only read.
 type Directory struct {
 	byKey map[Digest]*Tenant
-	count int
 }
 
-// NewDirectory makes a directory, unless two tenants claim one key.
+// NewDirectory makes a directory. It fails where a tenant has no name, or two tenants have
+// the same name or key.
 func NewDirectory(tenants []Tenant) (Directory, error) {
-	d := Directory{byKey: make(map[Digest]*Tenant), count: len(tenants)}
+	d := Directory{byKey: make(map[Digest]*Tenant)}
 	names := make(map[string]bool, len(tenants))
 	for index := range tenants {
 		tenant := &tenants[index]
@@ -53,11 +55,8 @@
 	return d, nil
 }
 
-// IsEmpty tells that there are no tenants, so that no key is asked for.
-func (d Directory) IsEmpty() bool { return d.count == 0 }
-
-// Find returns the tenant that has the key.
-func (d Directory) Find(key Digest) (*Tenant, bool) {
-	found, known := d.byKey[key]
-	return found, known
+// Find returns the tenant that has the key; found is false where none has.
+func (d Directory) Find(key Digest) (owner *Tenant, found bool) {
+	owner, found = d.byKey[key]
+	return owner, found
 }
--- a/coordination/tenant/tenant_test.go
+++ b/coordination/tenant/tenant_test.go
@@ -38,10 +38,8 @@
 		_, ok := known.Find(tenant.DigestOf(key))
 		assert.Assert(t, !ok, "%q is no key", key)
 	}
-	assert.Assert(t, !known.IsEmpty())
 	empty, err := tenant.NewDirectory(nil)
 	assert.NilError(t, err)
-	assert.Assert(t, empty.IsEmpty())
 	_, ok := empty.Find(tenant.DigestOf(""))
 	assert.Assert(t, !ok)
 }
