--- a/telemetry/bounded.go
+++ b/telemetry/bounded.go
@@ -11,6 +11,9 @@
 	"golang.org/x/time/rate"
 )
 
+// closeTimeout bounds Close where nobody reads the log (chosen, not measured).
+const closeTimeout = time.Second
+
 // AsyncWriter writes lines in a goroutine of its own, so that a reader that is
 // slow holds up nobody. Lines that find no room are dropped and counted.
 type AsyncWriter struct {
@@ -21,13 +24,14 @@
 	once    sync.Once
 }
 
-// NewAsyncWriter makes a writer with room for so many lines.
+// NewAsyncWriter makes a writer to the target with room for so many lines that wait.
 func NewAsyncWriter(target io.Writer, room int) *AsyncWriter {
 	w := &AsyncWriter{lines: make(chan []byte, room), closing: make(chan struct{}), done: make(chan struct{})}
 	go w.run(target)
 	return w
 }
 
+// run writes lines until Close.
 func (w *AsyncWriter) run(target io.Writer) {
 	defer close(w.done)
 	for {
@@ -68,18 +72,18 @@
 // Dropped is how many lines found no room.
 func (w *AsyncWriter) Dropped() uint64 { return w.dropped.Load() }
 
-// Close writes what waits, for a second at the utmost.
+// Close writes what waits, for closeTimeout at most.
 func (w *AsyncWriter) Close() {
-	const patience = time.Second
 	w.once.Do(func() { close(w.closing) })
 	select {
 	case <-w.done:
-	case <-time.After(patience):
+	case <-time.After(closeTimeout):
 	}
 }
 
-// Limited returns a logger that writes at most so many lines a second after a
-// burst. The line after dropped ones says how many these were.
+// Limited returns a logger that writes at most so many lines a second, and after a quiet
+// time a burst at once. Further lines are dropped; the next one that is written says how
+// many these were.
 func Limited(logger *zap.Logger, perSecond float64, burst int) *zap.Logger {
 	limiter := &lineLimiter{limiter: rate.NewLimiter(rate.Limit(perSecond), burst)}
 	return logger.WithOptions(zap.WrapCore(func(core zapcore.Core) zapcore.Core {
@@ -87,8 +91,9 @@
 	}))
 }
 
-// Lines a second about holders of what the store has, and what may be saved up:
-// while the store is away each follower tries others several times a second.
+// followLines bounds the lines a second about the ways by which a node follows the store,
+// and followBurst is what may be saved up: while the store is away each follower tries
+// other holders several times a second (both chosen, not measured).
 const (
 	followLines = 10
 	followBurst = 50
@@ -98,12 +103,13 @@
 // slots of quotas and their holders, which fail as often.
 func Following(logger *zap.Logger) *zap.Logger { return Limited(logger, followLines, followBurst) }
 
+// lineLimiter is what the loggers that were made of one limited logger share.
 type lineLimiter struct {
 	limiter *rate.Limiter
 	dropped atomic.Uint64
 }
 
-// limitedCore applies the limit of all loggers that were made of one.
+// limitedCore applies a limit to a logger.
 type limitedCore struct {
 	zapcore.Core
 	shared *lineLimiter
--- a/telemetry/handler.go
+++ b/telemetry/handler.go
@@ -18,7 +18,7 @@
 	ReadyPath   = "/readyz"
 )
 
-// readyTimeout limits the checks of one readiness request.
+// readyTimeout bounds the checks of one readiness request (chosen, not measured).
 const readyTimeout = 2 * time.Second
 
 // NewHandler serves the metrics, the liveness and the readiness of a node.
@@ -43,11 +43,12 @@
 	writeText(w, http.StatusOK, "ok\n")
 }
 
+// readyHandler answers whether the node is ready.
 type readyHandler struct {
 	readiness *Readiness
 }
 
-// ServeHTTP runs the checks.
+// ServeHTTP implements http.Handler: it runs the checks and reports one line each.
 func (h readyHandler) ServeHTTP(w http.ResponseWriter, request *http.Request) {
 	ctx, cancel := context.WithTimeout(request.Context(), readyTimeout)
 	defer cancel()
--- a/telemetry/logfile/logfile.go
+++ b/telemetry/logfile/logfile.go
@@ -1,5 +1,10 @@
-// Package logfile reads the key=value logs of several processes and puts what
-// they say of one request in the order of time.
+// Package logfile reads the key=value logs of several processes back and collects, in the
+// order of time, what they say of one request, of the starts of processes, and of the
+// tries of callers.
+//
+// It keeps nothing between calls. It relies on the form of the lines that package
+// telemetry writes, and on the messages and fields of the lines about requests, which
+// package transport/relay writes.
 package logfile
 
 import (
@@ -13,7 +18,7 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// maxLineBytes bounds one line; processes write far shorter ones.
+// maxLineBytes bounds one line; processes write far shorter ones (chosen, not measured).
 const maxLineBytes = 1 << 20
 
 // Field is one key=value pair, with the value unquoted.
@@ -37,8 +42,8 @@
 	return ""
 }
 
-// Parse reads one line. What stands before its time is left out, so that logs
-// may have passed through a collector that writes a prefix.
+// Parse reads one line, and tells whether it is one. What stands before its time is left
+// out, so that logs may have passed through a collector that writes a prefix.
 func Parse(text string) (Line, bool) {
 	start := strings.Index(text, "time=")
 	if start < 0 || start > 0 && text[start-1] != ' ' {
@@ -89,8 +94,9 @@
 	Context []Line
 }
 
-// Find reads the logs and tells the story of the id. Lines of other requests
-// aren't part of it.
+// Find reads the logs and returns the story of the request, program or instance with the
+// id; an empty one where no line names it. Lines of other requests aren't part of it. It
+// fails where a log can't be read.
 func Find(logs []io.Reader, id string, window time.Duration) (Story, error) {
 	all, err := readAll(logs)
 	if err != nil {
@@ -143,6 +149,7 @@
 	return all, nil
 }
 
+// read returns the lines of one log; what isn't such a line is passed over.
 func read(log io.Reader) ([]Line, error) {
 	var lines []Line
 	scanner := bufio.NewScanner(log)
@@ -160,5 +167,5 @@
 	return slices.ContainsFunc(l.Fields, func(f Field) bool { return f.Value == id })
 }
 
-// isOfRequest tells the lines that belong to some request.
+// isOfRequest tells whether the line belongs to some request.
 func (l Line) isOfRequest() bool { return l.Get("request") != "" || l.Get("turn") != "" }
--- a/telemetry/logfile/starts.go
+++ b/telemetry/logfile/starts.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// startedMessage is the first line of a process, milestones what it logs when it
-// has what it depends on.
+// startedMessage is the first line of a process.
 const startedMessage = "started"
 
+// milestones are the lines that a process logs when it has what it depends on.
 func milestones() []string {
 	return []string{
 		"mirrored objects taken", "configuration in force", "instances changed", "replica sets learned",
@@ -32,8 +32,8 @@
 	After time.Duration
 }
 
-// Starts finds the starts of processes in the logs, oldest first, and when each
-// process had what it depends on.
+// Starts finds the starts of processes in the logs, oldest first, and when each process
+// had what it depends on. It fails where a log can't be read.
 func Starts(logs []io.Reader) ([]Start, error) {
 	all, err := readAll(logs)
 	if err != nil {
@@ -55,6 +55,7 @@
 	return starts, nil
 }
 
+// reach notes a milestone, unless it was reached before.
 func (s *Start) reach(message string, at time.Time) {
 	isKnown := slices.ContainsFunc(s.Reached, func(known Milestone) bool { return known.Message == message })
 	if !isKnown {
--- a/telemetry/logfile/times.go
+++ b/telemetry/logfile/times.go
@@ -12,17 +12,16 @@
 	failedMessage   = "not answered"
 )
 
-// Times say where the time of a program went, by the lines of its requests.
-// Requests that ran side by side count each by itself, so that the parts may come
-// to more than the whole.
+// Times say where the time of a program went, by the lines of its requests. Requests that
+// ran side by side count one by one, so that the parts may come to more than the whole.
 type Times struct {
-	// Answered and Failed are how many of its requests the lines tell of.
+	// Answered and Failed are how many of its requests were and weren't answered.
 	Answered, Failed int
 	// Whole is the time from the arrival of the first request to the end of the
 	// last.
 	Whole time.Duration
-	// Preparing went to reading the bodies, and for turns to the budget and to
-	// what came before them.
+	// Preparing went to reading the bodies, and for turns to reserving the budget and
+	// reading the turns before.
 	Preparing time.Duration
 	// Waiting is the time until the first byte of the answers: connection, queue
 	// and prefill at the back end.
--- a/telemetry/logfile/tries.go
+++ b/telemetry/logfile/tries.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// followWindow is how long after a try that wasn't served another one of the same
-// program on the same route counts as its repeat: longer than any Retry-After and
-// the time a request has.
+// followWindow is how long after a try that wasn't served another one of the same program
+// on the same route counts as its repeat: longer than any Retry-After and the time that a
+// request has (chosen, not measured).
 const followWindow = 5 * time.Second
 
 // Held says what a gateway waited for before it ended a try.
@@ -27,7 +27,7 @@
 	HeldByBackend Held = "back end"
 )
 
-// heldAtLeast is the shortest time that counts as having been held.
+// heldAtLeast is the shortest time that counts as having been held (chosen, not measured).
 const heldAtLeast = 10 * time.Millisecond
 
 // Tries are the tries of one route that ended alike.
@@ -50,9 +50,9 @@
 	held                Held
 }
 
-// SummarizeTries reads the logs of gateways and sums up how the tries of their
-// callers ended, the most frequent first within each route. Gateways bound their
-// lines a second, so that answered tries may be missing under load.
+// SummarizeTries reads the logs of gateways and sums up how the tries of their callers
+// ended, the most frequent first within each route. Gateways bound their lines a second,
+// so that answered tries may be missing under load. It fails where a log can't be read.
 func SummarizeTries(logs []io.Reader) ([]Tries, error) {
 	all, err := readAll(logs)
 	if err != nil {
@@ -77,6 +77,7 @@
 	return sortTries(found), nil
 }
 
+// sortTries returns the sums by route, and within a route the most frequent first.
 func sortTries(found map[triesKey]*Tries) []Tries {
 	sorted := make([]Tries, 0, len(found))
 	for _, one := range found {
@@ -89,6 +90,7 @@
 	return sorted
 }
 
+// add counts a try, with the next one of the same program and route if there is one.
 func (t *Tries) add(l, next Line, followed bool) {
 	took := l.duration("took")
 	t.Count++
@@ -107,14 +109,16 @@
 	}
 }
 
-// isTry tells the lines that end a request of a caller.
+// isTry tells whether the line ends a request of a caller.
 func (l Line) isTry() bool {
 	message := l.Get("msg")
-	return message == "answered" || message == "not answered"
+	return message == answeredMessage || message == failedMessage
 }
 
-func (l Line) isServed() bool { return l.Get("msg") == "answered" }
+// isServed tells whether the request was answered.
+func (l Line) isServed() bool { return l.Get("msg") == answeredMessage }
 
+// held says what the gateway waited for, by the times and sends in the line.
 func (l Line) held() Held {
 	switch took := l.duration("took"); {
 	case l.isServed() || took < heldAtLeast:
--- a/telemetry/logger.go
+++ b/telemetry/logger.go
@@ -1,5 +1,9 @@
-// Package telemetry holds what a node tells its operators: log lines of
-// key=value pairs, metrics for Prometheus, liveness and readiness.
+// Package telemetry holds what a daemon tells its operators: log lines of key=value
+// pairs, metrics for Prometheus, liveness and readiness.
+//
+// It owns the form of the lines and the paths on the operators' address. What is logged,
+// counted and checked is up to the parts that use it. It relies on zap and on the client
+// library of Prometheus.
 package telemetry
 
 import (
@@ -60,6 +64,7 @@
 	return p.Core.Write(entry, withoutStacks(fields))
 }
 
+// withoutStacks replaces errors by their texts.
 func withoutStacks(fields []zapcore.Field) []zapcore.Field {
 	plain := make([]zapcore.Field, len(fields))
 	for index, field := range fields {
--- a/telemetry/registry.go
+++ b/telemetry/registry.go
@@ -21,7 +21,7 @@
 // by kind of objects.
 const StoreCalls = "marblering_store_calls_total"
 
-// NewStoreCalls makes the counter StoreCalls, to be registered.
+// NewStoreCalls makes the counter StoreCalls. It isn't registered yet.
 func NewStoreCalls() *prometheus.CounterVec {
 	return prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: StoreCalls, Help: "Listings and watches that the store itself was asked for, by kind of objects.",
--- a/telemetry/workload.go
+++ b/telemetry/workload.go
@@ -13,8 +13,9 @@
 	"go.uber.org/zap"
 )
 
-// WorkloadInterval is the pause between two lines about a node's work: short
-// enough to tell the seconds of a failure apart, long enough to cost nothing.
+// WorkloadInterval is the pause between two lines about a node's work: short enough to
+// tell the seconds of a failure apart, long enough to cost next to nothing (chosen, not
+// measured).
 const WorkloadInterval = 2 * time.Second
 
 // allocatedBytes and collections are names of runtime/metrics.
@@ -23,10 +24,10 @@
 	collections    = "/gc/cycles/total:gc-cycles"
 )
 
-// Workload logs what a node did since its line before: processor time, memory
-// allocated, and how much each of the named counters grew. Logs are often all
-// that is left of a failure, and without it an overloaded node can't be told
-// from one that waits. It is a suture service.
+// Workload logs what a node did since the last such line: processor time, memory
+// allocated, and how much each of the named counters grew. Logs are often all that is
+// left of a failure, and without these lines an overloaded node can't be told from one
+// that waits. It is a suture service.
 type Workload struct {
 	registry prometheus.Gatherer
 	// counters are the names of the counters that are logged, with the field
@@ -35,8 +36,8 @@
 	logger   *zap.Logger
 }
 
-// NewWorkload makes the service. Counters maps names of the registry's counters
-// to the prefix of their fields; the values of a counter's labels follow it.
+// NewWorkload makes the service. Counters maps names of the registry's counters to the
+// prefix of their fields, which the values of the counter's labels follow.
 func NewWorkload(registry prometheus.Gatherer, counters map[string]string, logger *zap.Logger) *Workload {
 	return &Workload{registry: registry, counters: counters, logger: logger}
 }
@@ -70,6 +71,7 @@
 	counted     map[string]float64
 }
 
+// sample reads what the process has done up to now.
 func (w *Workload) sample() workSample {
 	readings := []metrics.Sample{{Name: allocatedBytes}, {Name: collections}}
 	metrics.Read(readings)
@@ -79,7 +81,7 @@
 	}
 }
 
-// ProcessorTime is what the process has used of all cores; zero where the system
+// ProcessorTime is the time that the process has used of all cores; zero where the system
 // doesn't tell.
 func ProcessorTime() time.Duration {
 	var usage syscall.Rusage
