--- a/coordination/mirror/changes.go
+++ b/coordination/mirror/changes.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	// maxRemovals is how many removed objects of a kind are remembered, and
-	// maxSteps how many of its snapshots' revisions. Whoever asks from before is
-	// told all that there is.
+	// maxRemovals is how many removed objects of a kind are remembered, and maxSteps how
+	// many revisions of its snapshots (chosen, not measured). Whoever asks for changes
+	// since an earlier revision is told all that there is.
 	maxRemovals = 512
 	maxSteps    = 1024
 )
@@ -19,13 +19,14 @@
 // removal is an object that was gone at a revision.
 type removal struct {
 	name string
-	at   int64
+	// at is the revision of the first snapshot without the object.
+	at int64
 }
 
 // Answer is what a holder says about changes: one of the types below.
 type Answer interface{ isAnswer() }
 
-// Current is what there is to take in.
+// Current is what changed.
 type Current struct {
 	Changes follow.Changes
 }
@@ -42,10 +43,12 @@
 
 // Upstream is the holder's own way to the store. follow.Follower is one.
 type Upstream interface {
+	// Age is how long ago the store last answered; ok is false before it first did.
 	Age() (age time.Duration, ok bool)
 	// Proved is the newest moment before which the store is known to have had
 	// nothing newer than what was kept; zero for none.
 	Proved() time.Time
+	// IsLost tells that the last call failed.
 	IsLost() bool
 }
 
@@ -54,11 +57,11 @@
 	kept Copy
 	// removals are in the order of their revisions.
 	removals []removal
-	// steps are the revisions of the snapshots that were taken in, oldest first.
-	// What was made and removed between two of them was never seen here, so that
-	// only whoever is at one of them can be told what changed since; others are
-	// told all that there is.
-	steps    []int64
+	// steps are the revisions of the snapshots that were taken in, oldest first. What was
+	// made and removed between two of them was never seen here, so that only whoever is at
+	// one of them can be told what changed since; others are told all that there is.
+	steps []int64
+	// upstream is the way by which the holder hears of the kind; nil before Through.
 	upstream Upstream
 	// changed is closed when anything of it changes.
 	changed chan struct{}
@@ -68,16 +71,17 @@
 	return &kindState{kept: Copy{Kind: kind}, changed: make(chan struct{})}
 }
 
-// wake lets those look again who wait for a change.
+// wake has those look again who wait for a change.
 func (s *kindState) wake() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// replace takes a newer snapshot in and remembers what it lacks.
+// replace takes a newer snapshot in and remembers which objects are gone.
 func (s *kindState) replace(snapshot follow.Snapshot, heard time.Time) {
 	if !s.kept.Heard.IsZero() {
-		// Before, what was removed while this node was away isn't known.
+		// A copy of an earlier life isn't a step: nobody is told what changed since, so that
+		// what it has and the snapshot lacks needn't be known.
 		s.rememberRemovals(snapshot)
 	}
 	if len(s.steps) == 0 || s.steps[len(s.steps)-1] < snapshot.At {
@@ -88,6 +92,7 @@
 	s.wake()
 }
 
+// rememberRemovals notes the known objects that the next snapshot lacks.
 func (s *kindState) rememberRemovals(next follow.Snapshot) {
 	names := make(map[string]bool, len(next.Objects))
 	for _, object := range next.Objects {
@@ -100,8 +105,8 @@
 	}
 }
 
-// forget drops the oldest removals and steps. Whoever is at a step that is left
-// needs no removal that was dropped.
+// forget drops the oldest removals and steps beyond the bounds. Steps before a dropped
+// removal go with it: whoever is at a step that is left needs no removal that was dropped.
 func (s *kindState) forget() {
 	if excess := len(s.removals) - maxRemovals; excess > 0 {
 		dropped := s.removals[excess-1].at
@@ -140,8 +145,8 @@
 	return changes
 }
 
-// answer says what there is to say now; done is false while it may be waited for
-// more.
+// answer says what there is to say now about changes since the revision; done is false
+// where nothing has changed, so that it may be waited for.
 func (s *kindState) answer(revision int64) (said Answer, done bool) {
 	if s.upstream == nil || s.upstream.IsLost() {
 		return Lost{}, true
@@ -150,15 +155,15 @@
 	if !heard {
 		return Lost{}, true
 	}
-	// The moment comes first: what is told is at least as new.
+	// The moment is read before the changes: what is told is at least as new.
 	proved := s.upstream.Proved()
 	changes := s.changesSince(revision)
 	changes.Age, changes.Proved = age, proved
 	return Current{Changes: changes}, changes.IsWhole || len(changes.Events) > 0
 }
 
-// Watch answers as soon as there is a change of the kind after the revision, or
-// this holder loses the store; and after the wait that nothing changed.
+// Watch answers as soon as there is a change of the kind after the revision, or this
+// holder loses the store. After the wait it answers that nothing changed.
 func (h *Holder) Watch(ctx context.Context, kind string, revision int64, wait time.Duration) Answer {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
@@ -186,14 +191,14 @@
 	}
 }
 
-// Through names the way by which the holder hears of the kind.
+// Through sets the way by which the holder hears of the kind.
 func (h *Holder) Through(kind string, upstream Upstream) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	h.state(kind).upstream = upstream
 }
 
-// Lost tells those that wait for a change of the kind that the store is lost.
+// Lost has those answered that wait for a change of the kind, since the store is lost.
 func (h *Holder) Lost(kind string) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
--- a/coordination/mirror/holder.go
+++ b/coordination/mirror/holder.go
@@ -16,15 +16,17 @@
 )
 
 const (
-	// mediumShard is the shard number under which copies are kept: the last but
-	// one, the last being that of the replica's own state.
+	// mediumShard is the shard number under which copies are kept: the last but one. The
+	// last is that of the replica's own state.
 	mediumShard uint32 = 1<<32 - 2
-	namePrefix         = "mirror-"
-	// savePause lies between two writes, so that a burst of changes is one.
+	// namePrefix begins the name of a kept copy; the kind follows.
+	namePrefix = "mirror-"
+	// savePause lies between two writes, so that a burst of changes is written once
+	// (chosen, not measured).
 	savePause = 500 * time.Millisecond
 )
 
-// Kinds that are mirrored.
+// Kinds of objects that are mirrored.
 const (
 	KindConfiguration = "configuration"
 	KindInstances     = "instances"
@@ -33,26 +35,28 @@
 	KindRetirements   = "retirements"
 )
 
-// Kinds lists those of which copies are kept for nodes that start while the store
-// is away. The others are only passed on.
+// Kinds lists the kinds of which copies are kept for nodes that start while the store is
+// away. The others are only passed on.
 func Kinds() []string { return []string{KindConfiguration, KindInstances, KindSets} }
 
 // Copy is one kind of objects as the store had them.
 type Copy struct {
 	Kind     string
 	Snapshot follow.Snapshot
-	// Heard is when the store last confirmed the snapshot; zero where that was
-	// in an earlier life of the holder.
+	// Heard is when the snapshot was taken in; zero where that was in an earlier life of
+	// the holder.
 	Heard time.Time
 }
 
-// Medium keeps small values. replica.Store is one.
+// Medium keeps small values on a disk. replica.Store is one.
 type Medium interface {
 	SaveMeta(shard uint32, name string, value []byte) error
+	// LoadMeta returns nil where there is no such value.
 	LoadMeta(shard uint32, name string) ([]byte, error)
 }
 
-// Holder keeps copies. It is a suture service and safe for concurrent use.
+// Holder keeps copies of what the store has, and tells what changes. It is a suture
+// service and safe for concurrent use.
 type Holder struct {
 	medium Medium
 	now    func() time.Time
@@ -60,40 +64,53 @@
 
 	mutex sync.Mutex
 	// keeps are the kinds of which copies are kept.
-	keeps   []string
-	states  map[string]*kindState
+	keeps []string
+	// states are what is known of each kind, kept or not.
+	states map[string]*kindState
+	// unsaved are the kinds whose copy has changed since it was last written, and changed
+	// tells that there are any.
 	unsaved map[string]bool
 	changed chan struct{}
 }
 
-// NewHolder makes a holder that keeps copies of the kinds, with those that the
-// medium has.
+// NewHolder makes a holder that keeps copies of the kinds, beginning with those that the
+// medium has. A copy that can't be decoded is left out; it fails where the medium can't
+// be read.
 func NewHolder(kinds []string, medium Medium, now func() time.Time, logger *zap.Logger) (*Holder, error) {
 	h := &Holder{
 		medium: medium, now: now, logger: logger, keeps: kinds,
 		states: make(map[string]*kindState), unsaved: make(map[string]bool), changed: make(chan struct{}, 1),
 	}
 	for _, kind := range kinds {
-		encoded, err := medium.LoadMeta(mediumShard, namePrefix+kind)
-		if err != nil {
-			return nil, merry.Prependf(err, "load the copy of %s", kind)
-		}
-		if encoded == nil {
-			continue
+		if err := h.load(kind); err != nil {
+			return nil, err
 		}
-		kept := Copy{Kind: kind}
-		if err := json.Unmarshal(encoded, &kept.Snapshot); err != nil {
-			logger.Warn("mirrored objects can't be read", zap.String("objects", kind), zap.Error(err))
-			continue
-		}
-		h.state(kind).kept = kept
-		logger.Info("mirrored objects loaded", zap.String("objects", kind),
-			zap.Int64("revision", kept.Snapshot.At), zap.Int("count", len(kept.Snapshot.Objects)))
 	}
 	return h, nil
 }
 
-// Keep takes in what the store had. An older snapshot changes nothing.
+// load begins with the copy of the kind that the medium has.
+func (h *Holder) load(kind string) error {
+	encoded, err := h.medium.LoadMeta(mediumShard, namePrefix+kind)
+	if err != nil {
+		return merry.Prependf(err, "load the copy of %s", kind)
+	}
+	if encoded == nil {
+		return nil
+	}
+	kept := Copy{Kind: kind}
+	if err := json.Unmarshal(encoded, &kept.Snapshot); err != nil {
+		h.logger.Warn("mirrored objects can't be read", zap.String("objects", kind), zap.Error(err))
+		return nil
+	}
+	h.state(kind).kept = kept
+	h.logger.Info("mirrored objects loaded", zap.String("objects", kind),
+		zap.Int64("revision", kept.Snapshot.At), zap.Int("count", len(kept.Snapshot.Objects)))
+	return nil
+}
+
+// Keep takes in what the store had. A snapshot that is older than the known one changes
+// nothing.
 func (h *Holder) Keep(kind string, snapshot follow.Snapshot) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -112,7 +129,7 @@
 	}
 }
 
-// state returns that of the kind. The mutex must be held.
+// state returns the state of the kind, made where there is none. The mutex must be held.
 func (h *Holder) state(kind string) *kindState {
 	if h.states[kind] == nil {
 		h.states[kind] = newKindState(kind)
@@ -120,7 +137,7 @@
 	return h.states[kind]
 }
 
-// Copies returns what is kept, in the order of kinds.
+// Copies returns the copies that are kept, in the order of kinds.
 func (h *Holder) Copies() []Copy {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -152,6 +169,7 @@
 	}
 }
 
+// save writes the copies that have changed.
 func (h *Holder) save() {
 	for _, kept := range h.takeUnsaved() {
 		encoded, err := json.Marshal(kept.Snapshot)
@@ -159,13 +177,14 @@
 			err = h.medium.SaveMeta(mediumShard, namePrefix+kept.Kind, encoded)
 		}
 		if err != nil {
-			// A disk that takes no writes has the node start anew; the copy in
-			// memory serves on.
+			// The copy in memory serves on. A disk that takes no writes is noticed by the
+			// replica store, and the node starts anew.
 			h.logger.Warn("mirrored objects not saved", zap.String("objects", kept.Kind), zap.Error(err))
 		}
 	}
 }
 
+// takeUnsaved returns the copies to be written, which then count as written.
 func (h *Holder) takeUnsaved() []Copy {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
--- a/coordination/mirror/reader.go
+++ b/coordination/mirror/reader.go
@@ -12,22 +12,23 @@
 	"github.com/marblering/marblering/coordination/sleep"
 )
 
+// Bounds of the reader (chosen, not measured).
 const (
-	// firstPatience is how long a node that has just started waits for the store
-	// itself.
+	// firstPatience is how long a node that has just started waits for the store itself.
 	firstPatience = 100 * time.Millisecond
 	// fetchTimeout bounds one request to a holder.
 	fetchTimeout = 400 * time.Millisecond
-	// searchStagger lies between asking one holder and the next before anything is
-	// known, so that nodes that start together don't have every holder send all it
-	// has to every one of them.
+	// searchStagger lies between asking one holder and the next before anything is known,
+	// so that nodes that start together don't have every holder send all it has to every
+	// one of them.
 	searchStagger = 60 * time.Millisecond
-	// searchedAtOnce bounds the holders of one round.
+	// searchedAtOnce bounds the holders that are asked in one round of a search.
 	searchedAtOnce = 4
-	// searchPause lies between two rounds before anything is known. The pause
-	// between two while the store stays away doubles from firstRefresh to
-	// lastRefresh: what a holder knows then hardly changes.
-	searchPause  = 100 * time.Millisecond
+	// searchPause lies between two rounds before anything is known.
+	searchPause = 100 * time.Millisecond
+	// firstRefresh is the first pause between two requests while the store is away. It
+	// doubles up to lastRefresh: what holders know then hardly changes, and 259 gateways
+	// that asked for three whole copies a second would fill the links of the first ones.
 	firstRefresh = 500 * time.Millisecond
 	lastRefresh  = 4 * time.Second
 )
@@ -48,20 +49,21 @@
 	FetchMirror(ctx context.Context, address netip.AddrPort) ([]Copy, error)
 }
 
-// Reader offers mirrored snapshots to the followers of one node while the store
-// doesn't answer these. It is a suture service.
+// Reader offers mirrored snapshots to the followers of one node while these hear nothing
+// from the store. It is a suture service.
 type Reader struct {
 	holders   func() []netip.AddrPort
 	fetcher   Fetcher
 	followers map[string]Follower
 	now       func() time.Time
 	logger    *zap.Logger
-	// next counts the holders that were asked to refresh what is known.
+	// next counts the requests that refreshed what is known, so that each goes to the next
+	// holder.
 	next int
 }
 
-// NewReader makes a reader that asks the holders, in the order in which they are
-// preferred, for the kinds that the followers are named by.
+// NewReader makes a reader that asks the holders, which are listed in the order of
+// preference. The followers are named by their kinds.
 func NewReader(holders func() []netip.AddrPort, fetcher Fetcher, followers map[string]Follower, now func() time.Time, logger *zap.Logger) *Reader {
 	return &Reader{holders: holders, fetcher: fetcher, followers: followers, now: now, logger: logger}
 }
@@ -69,7 +71,7 @@
 // String names the service in the supervisor's messages.
 func (r *Reader) String() string { return "reader of mirrored objects" }
 
-// Serve asks while it is needed, until the context ends.
+// Serve asks holders while any follower needs that, until the context ends.
 func (r *Reader) Serve(ctx context.Context) error {
 	pause, refresh := firstPatience, firstRefresh
 	for {
@@ -90,6 +92,7 @@
 	}
 }
 
+// isNeeded tells that a follower hears nothing from the store or knows nothing yet.
 func (r *Reader) isNeeded() bool {
 	for _, follower := range r.followers {
 		if follower.IsLost() || !follower.IsKnown() {
@@ -130,8 +133,7 @@
 	asking.Wait()
 }
 
-// refresh asks the next holder: one that has been asked before may have been
-// behind the others.
+// refresh asks the next holder, since the one before may have been behind the others.
 func (r *Reader) refresh(ctx context.Context) {
 	holders := r.holders()
 	if len(holders) == 0 {
@@ -143,6 +145,7 @@
 	r.fetch(ctx, holders[r.next%len(holders)])
 }
 
+// fetch asks one holder and offers what it has.
 func (r *Reader) fetch(ctx context.Context, holder netip.AddrPort) {
 	copies, err := r.fetcher.FetchMirror(ctx, holder)
 	if err != nil {
@@ -152,8 +155,7 @@
 	r.offer(holder, copies)
 }
 
-// offer gives a follower what it lacks. One that hears from the store itself
-// gets nothing.
+// offer gives each follower the copy of its kind, unless it hears from the store.
 func (r *Reader) offer(holder netip.AddrPort, copies []Copy) {
 	for _, offered := range copies {
 		follower, followed := r.followers[offered.Kind]
