--- a/coordination/backend/choose.go
+++ b/coordination/backend/choose.go
@@ -9,8 +9,8 @@
 // A key's instance is passed over while it has more of this node's requests than
 // boundFactor times the mean plus boundSlack requests: consistent hashing with bounded
 // loads (Mirrokni, Thorup, Zadimoghaddam 2018). The bound is for a key that is asked for
-// far more often than the others. Both figures are chosen, not measured: on seven days
-// of load without such a key nothing beyond noise was lost without any bound.
+// far more often than the others. Both figures are chosen, not measured: in seven runs
+// without such a key nothing beyond noise was lost without any bound.
 const (
 	boundFactor = 1.5
 	boundSlack  = 2
--- a/coordination/backend/health.go
+++ b/coordination/backend/health.go
@@ -43,28 +43,43 @@
 	return &health{ejector: limit.NewEjector(policy), usual: recent.New(usualIdle, unknown)}
 }
 
-// patience is how long an instance may say nothing about a request of the route.
-func (h *health) patience(route string, now time.Time) time.Duration {
-	h.mutex.Lock()
-	usual := *h.usual.Get(route, now)
-	h.mutex.Unlock()
+// patienceFor decides how long an instance may say nothing about a request whose usual
+// wait is known; zero for not yet.
+func patienceFor(usual time.Duration) time.Duration {
 	if usual == 0 {
 		return firstPatience
 	}
 	return max(patienceFactor*usual, minPatience)
 }
 
-// expect returns the usual wait of the route and takes a new one in.
+// nextUsual returns the usual wait after a further wait. A single long wait counts for
+// little, so that a stalled instance doesn't make stalls the usual.
+func nextUsual(usual, wait time.Duration) time.Duration {
+	if usual == 0 {
+		return wait
+	}
+	bounded := min(wait, usualClamp*usual)
+	return usual + time.Duration(usualGain*float64(bounded-usual))
+}
+
+// patience is how long an instance may say nothing about a request of the route.
+func (h *health) patience(route string, now time.Time) time.Duration {
+	h.mutex.Lock()
+	defer h.mutex.Unlock()
+	return patienceFor(*h.usual.Get(route, now))
+}
+
+// expect takes a wait in, and returns what was the usual one of the route before it; the
+// wait itself where it is the first.
 func (h *health) expect(route string, wait time.Duration, now time.Time) time.Duration {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	usual := h.usual.Get(route, now)
 	before := *usual
+	*usual = nextUsual(before, wait)
 	if before == 0 {
-		*usual = wait
 		return wait
 	}
-	*usual += time.Duration(usualGain * float64(min(wait, usualClamp*before)-before))
 	return before
 }
 
--- a/coordination/backend/rules_test.go
+++ b/coordination/backend/rules_test.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"strings"
 	"testing"
+	"time"
 
 	"gotest.tools/v3/assert"
 
@@ -103,3 +104,31 @@
 		assert.Equal(t, isLapse(c.vanished, c.known), c.want, "%d of %d", c.vanished, c.known)
 	}
 }
+
+func TestPatienceFor(t *testing.T) {
+	cases := map[time.Duration]time.Duration{
+		0:                      time.Second,
+		10 * time.Millisecond:  250 * time.Millisecond,
+		62 * time.Millisecond:  250 * time.Millisecond,
+		100 * time.Millisecond: 400 * time.Millisecond,
+		2 * time.Second:        8 * time.Second,
+	}
+	for usual, want := range cases {
+		assert.Equal(t, patienceFor(usual), want, "%s", usual)
+	}
+}
+
+func TestNextUsual(t *testing.T) {
+	const ms = time.Millisecond
+	cases := []struct{ usual, wait, want time.Duration }{
+		{0, 100 * ms, 100 * ms},
+		{100 * ms, 100 * ms, 100 * ms},
+		{100 * ms, 200 * ms, 105 * ms},
+		{100 * ms, 0, 95 * ms},
+		{100 * ms, 400 * ms, 115 * ms},
+		{100 * ms, time.Minute, 115 * ms},
+	}
+	for _, c := range cases {
+		assert.Equal(t, nextUsual(c.usual, c.wait), c.want, "%s after %s", c.wait, c.usual)
+	}
+}
--- a/node/gateway/doc.go
+++ b/node/gateway/doc.go
@@ -12,5 +12,5 @@
 //
 // Two rules are functions without I/O: how each kind of objects is followed
 // (following.go), and whether a missing route or an unknown key is refused for good
-// (absence.go).
+// (refusal.go).
 package gateway
