--- a/lab/engine/core_behaviour_test.go
+++ b/lab/engine/core_behaviour_test.go
@@ -40,7 +40,7 @@
 
 func TestNewerGenerationsAreFaster(t *testing.T) {
 	previous := time.Hour
-	for _, generation := range Generations() {
+	for _, generation := range generations {
 		took := latency(t, generation, 1)
 		assert.Assert(t, took < previous, "%s took %v", generation.Name, took)
 		slowed := latency(t, generation, 2)
--- a/lab/engine/generation.go
+++ b/lab/engine/generation.go
@@ -1,7 +1,6 @@
 package engine
 
 import (
-	"slices"
 	"strings"
 	"time"
 )
@@ -30,11 +29,7 @@
 	TransferRate float64
 }
 
-// Generations lists the known generations, oldest first. The slice is a copy.
-func Generations() []Generation {
-	return slices.Clone(generations[:])
-}
-
+// generations are the known ones, oldest first.
 var generations = [...]Generation{
 	{"gen1", 1500, 45 * time.Millisecond, 1200 * time.Microsecond, 256, 8, 64 << 10, 5_000},
 	{"gen2", 3500, 30 * time.Millisecond, 700 * time.Microsecond, 512, 16, 128 << 10, 10_000},
--- a/test/matrix/main.go
+++ b/test/matrix/main.go
@@ -1,8 +1,8 @@
-// Command matrix writes days for the users' bench. Of storage machines: each ordered
-// pair of their troubles, with the store well, silent or down between them, and a disk
-// wiped at the end. Of tenants: each trouble of keys, quotas and what they rest on, alone
-// and with each other, the second within the first, and all processes killed at the
-// end. docs/design/days.md says how they are played.
+// Command matrix writes days for the users' bench, one file each. The days of storage
+// machines have each ordered pair of their troubles, with the store well, silent or busy
+// between the two, and a disk wiped at the end. The days of tenants have each trouble of
+// keys, quotas and what these rest on, alone and in pairs, the second within the first,
+// and all processes killed at the end. docs/design/days.md says how they are played.
 package main
 
 import (
@@ -18,8 +18,9 @@
 	storeAt  = 6.0
 	storeFor = 5.0
 	secondAt = 9.0
-	// firstSeed and the number of a day make its seed.
-	firstSeed = 4000
+	// The first seed and the number of a day make its seed.
+	firstStorageSeed = 4000
+	firstTenantSeed  = 5000
 )
 
 // trouble is one entry of a day, without its moment.
@@ -28,7 +29,8 @@
 	isPlanned    bool
 }
 
-func troubles() []trouble {
+// storageTroubles are those that storage machines have to bear.
+func storageTroubles() []trouble {
 	return []trouble{
 		{"retire", `kind = "retire", for_s = 8.0`, true},
 		{"replace", `kind = "replace_core", on = "store", x = 2.0`, false},
@@ -57,15 +59,15 @@
 
 // tenantDays returns each of the tenants' troubles alone and in pairs.
 func tenantDays() []day {
-	const lastSeed = 5000
+	const closing = `kind = "kill_all", down_s = 1.0`
 	var all []day
 	listed := tenantTroubles()
 	for index, first := range listed {
 		planned, faults := entries(placed{first, firstAt}, placed{first, secondAt})
-		all = append(all, closedDay(first.name, lastSeed+len(all), "kill_all", planned, faults))
+		all = append(all, newDay(first.name, firstTenantSeed+len(all), closing, planned, faults))
 		for _, second := range listed[index+1:] {
 			planned, faults := entries(placed{first, firstAt}, placed{second, firstAt + 1}, placed{first, secondAt})
-			all = append(all, closedDay(first.name+"-"+second.name, lastSeed+len(all), "kill_all", planned, faults))
+			all = append(all, newDay(first.name+"-"+second.name, firstTenantSeed+len(all), closing, planned, faults))
 		}
 	}
 	return all
@@ -90,47 +92,46 @@
 	return planned, faults
 }
 
-// closedDay is a day that ends with the closing.
-func closedDay(name string, seed int, closing, planned, faults string) day {
-	return day{name: name, content: fmt.Sprintf(
-		"name = %q\nslot = \"trouble\"\nseed = %d\nclosing = { kind = %q, down_s = 1.0 }\nplan = [\n%s]\nfaults = [\n%s]\n",
-		name, seed, closing, planned, faults)}
-}
-
 // day is one file.
 type day struct {
 	name, content string
 }
 
-// days returns the whole matrix, in an order that doesn't change.
-func days() []day {
+// newDay is a day with planned work, faults and what happens at its end.
+func newDay(name string, seed int, closing, planned, faults string) day {
+	return day{name: name, content: fmt.Sprintf(
+		"name = %q\nslot = \"trouble\"\nseed = %d\nclosing = { %s }\nplan = [\n%s]\nfaults = [\n%s]\n",
+		name, seed, closing, planned, faults)}
+}
+
+// storageDays returns each ordered pair of the storage machines' troubles beside
+// each state of the store.
+func storageDays() []day {
 	var all []day
 	for _, store := range []string{"well", "silent", "busy"} {
-		for _, first := range troubles() {
-			for _, second := range troubles() {
-				all = append(all, newDay(len(all), first, second, store))
+		for _, first := range storageTroubles() {
+			for _, second := range storageTroubles() {
+				all = append(all, storageDay(firstStorageSeed+len(all), first, second, store))
 			}
 		}
 	}
 	return all
 }
 
-func newDay(number int, first, second trouble, store string) day {
+func storageDay(seed int, first, second trouble, store string) day {
 	planned, faults := entries(placed{first, firstAt}, placed{second, secondAt})
 	if store != "well" {
 		faults += fmt.Sprintf("  { at = %.1f, kind = \"platform_down\", for_s = %.1f, how = %q },\n", storeAt, storeFor, store)
 	}
-	name := fmt.Sprintf("%s-%s-%s", first.name, second.name, store)
-	return day{name: name, content: fmt.Sprintf(
-		"name = %q\nslot = \"trouble\"\nseed = %d\nclosing = { kind = \"wipe_after_ack\", down_s = 1.0, how = \"oldest\" }\nplan = [\n%s]\nfaults = [\n%s]\n",
-		name, firstSeed+number, planned, faults)}
+	const closing = `kind = "wipe_after_ack", down_s = 1.0, how = "oldest"`
+	return newDay(fmt.Sprintf("%s-%s-%s", first.name, second.name, store), seed, closing, planned, faults)
 }
 
 func main() {
 	folder := flag.String("out", "", "folder for the days, which must exist")
 	of := flag.String("of", "storage", "storage or tenants: whose troubles")
 	flag.Parse()
-	listed := map[string]func() []day{"storage": days, "tenants": tenantDays}[*of]
+	listed := map[string]func() []day{"storage": storageDays, "tenants": tenantDays}[*of]
 	if *folder == "" || listed == nil || flag.NArg() > 0 {
 		flag.Usage()
 		os.Exit(2)
--- a/test/matrix/main_test.go
+++ b/test/matrix/main_test.go
@@ -11,7 +11,7 @@
 // store, under a name and a seed of its own.
 func TestEachPairOnce(t *testing.T) {
 	names, contents := map[string]bool{}, map[string]bool{}
-	for _, one := range days() {
+	for _, one := range storageDays() {
 		names[one.name] = true
 		contents[one.content] = true
 		assert.Equal(t, strings.Count(one.content, "at = "), strings.Count(one.content, "kind = ")-1, one.content)
