--- a/lab/engine/completions.go
+++ b/lab/engine/completions.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"github.com/marblering/marblering/lab/ledger"
+	"github.com/marblering/marblering/lab/standin"
 	"github.com/marblering/marblering/protocol/engineapi"
 )
 
@@ -129,7 +130,7 @@
 		seconds := math.Ceil(refusal.RetryAfter.Seconds() / s.options.TimeScale)
 		w.Header().Set("Retry-After", strconv.Itoa(max(1, int(seconds))))
 	}
-	writeJSON(w, statusOf(err), engineapi.ErrorAnswer{
+	standin.WriteJSON(w, statusOf(err), engineapi.ErrorAnswer{
 		Error: engineapi.ErrorBody{Type: errorTypes[refusal.Reason], Message: refusal.Error()},
 		Fence: refusal.Fence,
 	})
--- a/lab/engine/fault.go
+++ b/lab/engine/fault.go
@@ -1,10 +1,10 @@
 package engine
 
 import (
-	"encoding/json"
 	"math"
 	"net/http"
 
+	"github.com/marblering/marblering/lab/standin"
 	"github.com/marblering/marblering/protocol/engineapi"
 )
 
@@ -47,15 +47,13 @@
 
 // setFaults serves POST /control/faults.
 func (s *Server) setFaults(w http.ResponseWriter, r *http.Request) {
-	decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBody))
-	decoder.DisallowUnknownFields()
 	var faults Faults
-	if err := decoder.Decode(&faults); err != nil {
+	if err := standin.Read(w, r, maxBody, &faults); err != nil {
 		refuse(w, http.StatusBadRequest, typeBadRequest, "the faults can't be read: "+err.Error())
 		return
 	}
 	s.SetFaults(faults)
-	writeJSON(w, http.StatusOK, faults)
+	standin.WriteJSON(w, http.StatusOK, faults)
 }
 
 // SetFaults replaces the faults.
@@ -120,11 +118,5 @@
 )
 
 func refuse(w http.ResponseWriter, status int, errorType, text string) {
-	writeJSON(w, status, engineapi.ErrorAnswer{Error: engineapi.ErrorBody{Type: errorType, Message: text}})
-}
-
-func writeJSON(w http.ResponseWriter, status int, body any) {
-	w.Header().Set("Content-Type", "application/json")
-	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(body)
+	standin.WriteJSON(w, status, engineapi.ErrorAnswer{Error: engineapi.ErrorBody{Type: errorType, Message: text}})
 }
--- a/lab/engine/kv.go
+++ b/lab/engine/kv.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"github.com/marblering/marblering/lab/ledger"
+	"github.com/marblering/marblering/lab/standin"
 	"github.com/marblering/marblering/protocol/engineapi"
 )
 
@@ -33,7 +34,7 @@
 		refuse(w, http.StatusInternalServerError, typeFailed, err.Error())
 		return
 	}
-	writeJSON(w, http.StatusOK, engineapi.Context{Program: request.Program, Blob: blob, Tokens: uint64(exported.Tokens)})
+	standin.WriteJSON(w, http.StatusOK, engineapi.Context{Program: request.Program, Blob: blob, Tokens: uint64(exported.Tokens)})
 }
 
 // importContext serves POST /v1/kv/import. The answer comes once the context is
--- a/lab/engine/management.go
+++ b/lab/engine/management.go
@@ -6,6 +6,7 @@
 	"strconv"
 
 	"github.com/marblering/marblering/lab/ledger"
+	"github.com/marblering/marblering/lab/standin"
 	"github.com/marblering/marblering/protocol/engineapi"
 )
 
@@ -17,7 +18,7 @@
 			list.Holds = append(list.Holds, engineapi.Hold{Program: held.Program, Tokens: uint64(held.Tokens)})
 		}
 	})
-	writeJSON(w, http.StatusOK, list)
+	standin.WriteJSON(w, http.StatusOK, list)
 }
 
 // release serves DELETE /v1/holds/{program}.
@@ -71,7 +72,7 @@
 
 // readState serves GET /v1/state.
 func (s *Server) readState(w http.ResponseWriter, _ *http.Request) {
-	writeJSON(w, http.StatusOK, s.state())
+	standin.WriteJSON(w, http.StatusOK, s.state())
 }
 
 func (s *Server) state() engineapi.State {
@@ -145,5 +146,5 @@
 		s.refuseCore(w, err)
 		return
 	}
-	writeJSON(w, http.StatusOK, s.state())
+	standin.WriteJSON(w, http.StatusOK, s.state())
 }
--- a/lab/engine/sse.go
+++ b/lab/engine/sse.go
@@ -5,6 +5,7 @@
 	"fmt"
 	"net/http"
 
+	"github.com/marblering/marblering/lab/standin"
 	"github.com/marblering/marblering/protocol/engineapi"
 )
 
@@ -134,5 +135,5 @@
 	whole := c.chunk(engineapi.ChatChoice{Message: &message, FinishReason: &status.finishReason})
 	whole.Object = "chat.completion"
 	whole.Usage = &status.usage
-	writeJSON(c.writer, http.StatusOK, whole)
+	standin.WriteJSON(c.writer, http.StatusOK, whole)
 }
--- a/lab/objectstore/server.go
+++ b/lab/objectstore/server.go
@@ -10,6 +10,8 @@
 	"time"
 
 	"github.com/ansel1/merry/v2"
+
+	"github.com/marblering/marblering/lab/standin"
 )
 
 // Default settings of a Server.
@@ -121,34 +123,19 @@
 			writeError(w, http.StatusServiceUnavailable, "the object API is down; nothing was done")
 			return
 		}
-		if !pause(r, s.switches.delay()) {
+		if !standin.Delay(r, s.switches.delay()) {
 			return
 		}
 		handle(w, r)
 	}
 }
 
-// pause waits; it returns false where the client went away first.
-func pause(r *http.Request, delay time.Duration) bool {
-	if delay <= 0 {
-		return true
-	}
-	timer := time.NewTimer(delay)
-	defer timer.Stop()
-	select {
-	case <-timer.C:
-		return true
-	case <-r.Context().Done():
-		return false
-	}
-}
-
 func (s *Server) handleListAll(w http.ResponseWriter, _ *http.Request) {
-	writeJSON(w, http.StatusOK, s.store.list(""))
+	standin.WriteJSON(w, http.StatusOK, s.store.list(""))
 }
 
 func (s *Server) handleList(w http.ResponseWriter, r *http.Request) {
-	writeJSON(w, http.StatusOK, s.store.list(r.PathValue("kind")))
+	standin.WriteJSON(w, http.StatusOK, s.store.list(r.PathValue("kind")))
 }
 
 func (s *Server) handleGet(w http.ResponseWriter, r *http.Request) {
@@ -157,7 +144,7 @@
 		writeError(w, http.StatusNotFound, "no such object")
 		return
 	}
-	writeJSON(w, http.StatusOK, object)
+	standin.WriteJSON(w, http.StatusOK, object)
 }
 
 func (s *Server) handlePut(w http.ResponseWriter, r *http.Request) {
@@ -202,11 +189,11 @@
 	}
 	switch result {
 	case conflict:
-		writeJSON(w, http.StatusConflict, object)
+		standin.WriteJSON(w, http.StatusConflict, object)
 	case missing:
 		writeError(w, http.StatusNotFound, "no such object")
 	default:
-		writeJSON(w, http.StatusOK, object)
+		standin.WriteJSON(w, http.StatusOK, object)
 	}
 }
 
@@ -216,12 +203,12 @@
 	if machines == nil {
 		machines = []Machine{}
 	}
-	writeJSON(w, http.StatusOK, MachineList{Machines: machines})
+	standin.WriteJSON(w, http.StatusOK, MachineList{Machines: machines})
 }
 
 func (s *Server) handlePutMachine(w http.ResponseWriter, r *http.Request) {
 	var machine Machine
-	if err := readStrict(r, &machine); err != nil {
+	if err := standin.Read(w, r, maxBodyBytes, &machine); err != nil {
 		writeError(w, http.StatusBadRequest, err.Error())
 		return
 	}
@@ -231,7 +218,7 @@
 		return
 	}
 	s.PutMachine(machine)
-	writeJSON(w, http.StatusOK, machine)
+	standin.WriteJSON(w, http.StatusOK, machine)
 }
 
 func (s *Server) handleDeleteMachine(w http.ResponseWriter, r *http.Request) {
@@ -241,20 +228,20 @@
 
 func (s *Server) handleFaults(w http.ResponseWriter, r *http.Request) {
 	var faults Faults
-	if err := readStrict(r, &faults); err != nil {
+	if err := standin.Read(w, r, maxBodyBytes, &faults); err != nil {
 		writeError(w, http.StatusBadRequest, err.Error())
 		return
 	}
 	s.SetFaults(faults)
-	writeJSON(w, http.StatusOK, s.switches.get())
+	standin.WriteJSON(w, http.StatusOK, s.switches.get())
 }
 
 func (s *Server) handleShowFaults(w http.ResponseWriter, _ *http.Request) {
-	writeJSON(w, http.StatusOK, s.switches.get())
+	standin.WriteJSON(w, http.StatusOK, s.switches.get())
 }
 
 func (s *Server) handleStats(w http.ResponseWriter, _ *http.Request) {
-	writeJSON(w, http.StatusOK, s.Stats())
+	standin.WriteJSON(w, http.StatusOK, s.Stats())
 }
 
 func pathKey(r *http.Request) key {
@@ -275,23 +262,10 @@
 	return condition{version: version}, nil
 }
 
-func readStrict(r *http.Request, into any) error {
-	decoder := json.NewDecoder(io.LimitReader(r.Body, maxBodyBytes))
-	decoder.DisallowUnknownFields()
-	return decoder.Decode(into)
-}
-
 type errorAnswer struct {
 	Error string `json:"error"`
 }
 
 func writeError(w http.ResponseWriter, status int, message string) {
-	writeJSON(w, status, errorAnswer{Error: message})
-}
-
-func writeJSON(w http.ResponseWriter, status int, value any) {
-	w.Header().Set("Content-Type", "application/json")
-	w.WriteHeader(status)
-	// The client went away where this fails; there is nobody left to tell.
-	_ = json.NewEncoder(w).Encode(value)
+	standin.WriteJSON(w, status, errorAnswer{Error: message})
 }
--- a/lab/objectstore/watch.go
+++ b/lab/objectstore/watch.go
@@ -5,6 +5,8 @@
 	"net/http"
 	"strconv"
 	"time"
+
+	"github.com/marblering/marblering/lab/standin"
 )
 
 // handleWatch streams the changes after ?from=R until the client leaves, the
@@ -63,7 +65,7 @@
 		case <-bookmark.C:
 		case <-next.more:
 		}
-		if !pause(r, s.switches.delay()) {
+		if !standin.Delay(r, s.switches.delay()) {
 			return
 		}
 		if s.switches.isDown() {
--- a/lab/platformstore/server.go
+++ b/lab/platformstore/server.go
@@ -7,6 +7,8 @@
 	"strconv"
 	"sync"
 	"time"
+
+	"github.com/marblering/marblering/lab/standin"
 )
 
 // Mode is how the store answers.
@@ -125,7 +127,7 @@
 	s.calls++
 	mode, delay := s.mode, s.delay
 	s.mutex.Unlock()
-	if !pause(r, delay) {
+	if !standin.Delay(r, delay) {
 		return
 	}
 	if s.fails(w, r, mode) {
@@ -170,7 +172,7 @@
 		return
 	}
 	items, more, at := s.data.page(r.PathValue("kind"), query.Get("after"), pageSize)
-	writeJSON(w, http.StatusOK, map[string]any{"items": items, "more": more, "at": at})
+	standin.WriteJSON(w, http.StatusOK, map[string]any{"items": items, "more": more, "at": at})
 }
 
 // watch holds the call until there is a change or the wait is over.
@@ -216,7 +218,7 @@
 	for _, one := range past {
 		events = append(events, map[string]any{"gone": one.gone, "object": one.object})
 	}
-	writeJSON(w, http.StatusOK, map[string]any{"events": events, "at": at})
+	standin.WriteJSON(w, http.StatusOK, map[string]any{"events": events, "at": at})
 }
 
 func (s *Server) get(w http.ResponseWriter, r *http.Request) {
@@ -225,7 +227,7 @@
 		w.WriteHeader(http.StatusNotFound)
 		return
 	}
-	writeJSON(w, http.StatusOK, object)
+	standin.WriteJSON(w, http.StatusOK, object)
 }
 
 func (s *Server) create(w http.ResponseWriter, r *http.Request) {
@@ -240,7 +242,7 @@
 	}
 	s.data.mutex.Unlock()
 	if exists {
-		writeJSON(w, http.StatusConflict, known)
+		standin.WriteJSON(w, http.StatusConflict, known)
 		return
 	}
 	s.answerWrite(w, object)
@@ -289,7 +291,7 @@
 	case !found:
 		w.WriteHeader(http.StatusNotFound)
 	case conflict:
-		writeJSON(w, http.StatusConflict, known)
+		standin.WriteJSON(w, http.StatusConflict, known)
 	default:
 		s.answerWrite(w, known)
 	}
@@ -299,7 +301,7 @@
 	if s.losesAnswer() {
 		panic(http.ErrAbortHandler)
 	}
-	writeJSON(w, http.StatusOK, object)
+	standin.WriteJSON(w, http.StatusOK, object)
 }
 
 func readObject(w http.ResponseWriter, r *http.Request) (Object, bool) {
@@ -310,24 +312,3 @@
 	}
 	return object, true
 }
-
-func writeJSON(w http.ResponseWriter, status int, content any) {
-	w.Header().Set("Content-Type", "application/json")
-	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(content)
-}
-
-// pause returns false where the caller left first.
-func pause(r *http.Request, delay time.Duration) bool {
-	if delay <= 0 {
-		return true
-	}
-	timer := time.NewTimer(delay)
-	defer timer.Stop()
-	select {
-	case <-timer.C:
-		return true
-	case <-r.Context().Done():
-		return false
-	}
-}
--- a/lab/tool/service.go
+++ b/lab/tool/service.go
@@ -1,16 +1,15 @@
 package tool
 
 import (
-	"bytes"
 	"crypto/sha256"
 	"encoding/hex"
-	"encoding/json"
 	"io"
 	"net/http"
 	"sync"
 	"time"
 
 	"github.com/marblering/marblering/lab/ledger"
+	"github.com/marblering/marblering/lab/standin"
 )
 
 // maxBody limits the body of an invocation, in bytes.
@@ -53,8 +52,9 @@
 	closed chan struct{}
 	close  sync.Once
 
+	faults standin.Faults[Faults]
+
 	mutex   sync.Mutex
-	faults  Faults
 	answers map[invocationKey]Answer
 	effects uint64
 }
@@ -72,7 +72,7 @@
 		answers: make(map[invocationKey]Answer),
 	}
 	s.mux.HandleFunc("POST /v1/tools/{name}/invoke", s.invoke)
-	s.mux.HandleFunc("POST /control/faults", s.control)
+	s.mux.Handle("POST /control/faults", &s.faults)
 	s.mux.Handle("GET /ledger", s.ledger)
 	return s
 }
@@ -93,17 +93,7 @@
 }
 
 // SetFaults replaces the faults.
-func (s *Service) SetFaults(faults Faults) {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	s.faults = faults
-}
-
-func (s *Service) currentFaults() Faults {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	return s.faults
-}
+func (s *Service) SetFaults(faults Faults) { s.faults.Set(faults) }
 
 // invoke serves POST /v1/tools/{name}/invoke.
 func (s *Service) invoke(w http.ResponseWriter, r *http.Request) {
@@ -122,7 +112,7 @@
 		Digest:    hex.EncodeToString(sum[:]),
 		Outcome:   ledger.Running,
 	}
-	faults := s.currentFaults()
+	faults := s.faults.Get()
 	number := s.ledger.Append(entry)
 	if !s.pause(r, time.Duration(faults.SlowMilliseconds)*time.Millisecond) {
 		s.end(number, ledger.Cancelled, 0)
@@ -160,7 +150,7 @@
 	if silent {
 		return false
 	}
-	writeJSON(w, answer)
+	standin.WriteJSON(w, http.StatusOK, answer)
 	return true
 }
 
@@ -217,26 +207,3 @@
 	}
 	return false
 }
-
-// control serves POST /control/faults.
-func (s *Service) control(w http.ResponseWriter, r *http.Request) {
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBody))
-	if err != nil {
-		http.Error(w, err.Error(), http.StatusBadRequest)
-		return
-	}
-	decoder := json.NewDecoder(bytes.NewReader(body))
-	decoder.DisallowUnknownFields()
-	var faults Faults
-	if err := decoder.Decode(&faults); err != nil {
-		http.Error(w, "the faults can't be read: "+err.Error(), http.StatusBadRequest)
-		return
-	}
-	s.SetFaults(faults)
-	writeJSON(w, faults)
-}
-
-func writeJSON(w http.ResponseWriter, body any) {
-	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(body)
-}
--- a/lab/weightstore/store.go
+++ b/lab/weightstore/store.go
@@ -7,13 +7,13 @@
 package weightstore
 
 import (
-	"encoding/json"
 	"net/http"
 	"strconv"
-	"sync"
 
 	"github.com/cespare/xxhash/v2"
 	"golang.org/x/time/rate"
+
+	"github.com/marblering/marblering/lab/standin"
 )
 
 // chunkSize is how much is sent at a time, in bytes.
@@ -43,9 +43,7 @@
 	size    int64
 	limiter *rate.Limiter
 	mux     *http.ServeMux
-
-	mutex  sync.Mutex
-	faults Faults
+	faults  standin.Faults[Faults]
 }
 
 // New returns a store.
@@ -60,7 +58,7 @@
 		mux:     http.NewServeMux(),
 	}
 	s.mux.HandleFunc("GET /weights/{name}/{version}", s.read)
-	s.mux.HandleFunc("POST /control/faults", s.control)
+	s.mux.Handle("POST /control/faults", &s.faults)
 	return s
 }
 
@@ -70,22 +68,12 @@
 }
 
 // SetFaults replaces the faults.
-func (s *Store) SetFaults(faults Faults) {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	s.faults = faults
-}
-
-func (s *Store) currentFaults() Faults {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	return s.faults
-}
+func (s *Store) SetFaults(faults Faults) { s.faults.Set(faults) }
 
 // read serves GET /weights/{name}/{version}.
 func (s *Store) read(w http.ResponseWriter, r *http.Request) {
 	name := r.PathValue("name")
-	faults := s.currentFaults()
+	faults := s.faults.Get()
 	switch {
 	case faults.Unavailable:
 		w.Header().Set("Retry-After", "1")
@@ -129,16 +117,3 @@
 	}
 	return chunk
 }
-
-// control serves POST /control/faults.
-func (s *Store) control(w http.ResponseWriter, r *http.Request) {
-	decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, chunkSize))
-	decoder.DisallowUnknownFields()
-	var faults Faults
-	if err := decoder.Decode(&faults); err != nil {
-		http.Error(w, "the faults can't be read: "+err.Error(), http.StatusBadRequest)
-		return
-	}
-	s.SetFaults(faults)
-	w.WriteHeader(http.StatusOK)
-}
