--- a/lab/demo/demo.go
+++ b/lab/demo/demo.go
@@ -4,18 +4,19 @@
 package demo
 
 import (
-	"bytes"
 	"context"
-	"encoding/json"
 	"errors"
+	"fmt"
 	"io"
 	"net/http"
 	"time"
 
-	"github.com/ansel1/merry/v2"
 	"go.uber.org/zap"
 
 	"github.com/marblering/marblering/lab/deployment"
+	"github.com/marblering/marblering/node"
+	"github.com/marblering/marblering/protocol/callerapi"
+	"github.com/marblering/marblering/protocol/callerapi/client"
 )
 
 const (
@@ -46,32 +47,35 @@
 		return err
 	}
 	defer func() { err = errors.Join(err, started.Close()) }()
-	return converse(ctx, out, started)
+	return converse(ctx, out, started.Nodes)
 }
 
-// post sends a JSON request to one node and decodes the answer.
-func post(ctx context.Context, url string, body, answer any) (http.Header, error) {
-	encoded, err := json.Marshal(body)
+// converse creates a program and runs its turns, each through another node. The
+// caller sends its new message only; the system adds the history.
+func converse(ctx context.Context, out io.Writer, nodes []*node.Node) error {
+	created, err := clientOf(nodes[0]).CreateProgram(ctx, client.ProgramSpec{Model: deployment.ModelName, BudgetTokens: budgetTokens}, "")
 	if err != nil {
-		return nil, err
-	}
-	request, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(encoded))
-	if err != nil {
-		return nil, err
-	}
-	request.Header.Set("Authorization", "Bearer "+deployment.APIKey)
-	request.Header.Set("Content-Type", "application/json")
-	response, err := http.DefaultClient.Do(request)
-	if err != nil {
-		return nil, err
-	}
-	defer response.Body.Close()
-	content, err := io.ReadAll(response.Body)
-	if err != nil {
-		return nil, err
+		return err
 	}
-	if response.StatusCode/100 != 2 {
-		return nil, merry.Errorf("POST %s: %s: %s", url, response.Status, bytes.TrimSpace(content))
+	fmt.Fprintf(out, "program %s with a budget of %d tokens\n", created.ID, created.BudgetTokens)
+	for index, text := range turns {
+		serving := nodes[index%len(nodes)]
+		answer, err := clientOf(serving).Call(ctx, client.Call{
+			Program: created.ID, Messages: []callerapi.Message{{Role: "user", Content: text}},
+		})
+		if err != nil {
+			return err
+		}
+		fmt.Fprintf(out, "\nturn %d at %s\n  user:      %s\n  assistant: %s\n", index+1, serving.Name(), text, answer.Content)
+		fmt.Fprintf(out, "  served by %s (prompt %d tokens, %d of them cached; answer %d tokens)\n", answer.Engine,
+			answer.Usage.PromptTokens, answer.Usage.PromptTokensDetails.CachedTokens, answer.Usage.CompletionTokens)
+		for _, explained := range serving.Explain(created.ID) {
+			fmt.Fprintf(out, "  why: %s\n", explained.Decision.Reason)
+		}
 	}
-	return response.Header, json.Unmarshal(content, answer)
+	return nil
+}
+
+func clientOf(at *node.Node) *client.Client {
+	return client.New("http://"+at.CallerAddress(), deployment.APIKey, http.DefaultClient)
 }
