--- a/cmd/marblering-lab/standin.go
+++ b/cmd/marblering-lab/standin.go
@@ -158,7 +158,7 @@
 		use:   "tool",
 		short: "Run a stand-in of a tool service",
 		open: func() (http.Handler, func()) {
-			service := tool.New(nil)
+			service := tool.New()
 			return service, service.Close
 		},
 	}.command()
--- a/lab/demo/demo.go
+++ b/lab/demo/demo.go
@@ -19,15 +19,20 @@
 	"github.com/marblering/marblering/protocol/callerapi/client"
 )
 
+// The system of the demo.
 const (
-	zoneCount    = 3
-	engineCount  = 2
-	shardCount   = 8
-	engineSeed   = 1
-	budgetTokens = 20000
-	startTimeout = 30 * time.Second
+	zoneCount   = 3
+	engineCount = 2
+	shardCount  = 8
+	engineSeed  = 1
 )
 
+// budgetTokens is the program's budget, which its turns stay far below.
+const budgetTokens = 20000
+
+// timeout bounds the whole demo.
+const timeout = 30 * time.Second
+
 // turns are the user's messages; each depends on the answer before it.
 var turns = []string{
 	"Which of the three pumps reported an error last night?",
@@ -37,7 +42,7 @@
 
 // Run starts the system, runs the program and prints each turn.
 func Run(ctx context.Context, out io.Writer, logger *zap.Logger) (err error) {
-	ctx, cancel := context.WithTimeout(ctx, startTimeout)
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	started, err := deployment.Start(ctx, deployment.Options{
 		Zones: zoneCount, Nodes: zoneCount, Engines: engineCount, Shards: shardCount,
--- a/lab/deployment/deployment.go
+++ b/lab/deployment/deployment.go
@@ -36,8 +36,12 @@
 )
 
 const (
-	loopback     = "127.0.0.1:0"
-	readyPause   = 50 * time.Millisecond
+	// loopback is a free port of this machine.
+	loopback = "127.0.0.1:0"
+	// readyPause is the time between two questions whether a node is ready.
+	readyPause = 50 * time.Millisecond
+	// modelContext and modelOutput are the model's longest context and the
+	// default length of its answers, in tokens.
 	modelContext = 400000
 	modelOutput  = 64
 	// maxSeeds is how many of the first nodes the others are told of.
@@ -50,14 +54,9 @@
 	Nodes   int
 	Engines int
 	Shards  int
-	// Generations are dealt to the engines in turn; empty means the default.
-	Generations []string
-	Seed        uint64
+	Seed    uint64
 	// TimeScale is how many seconds of an engine pass in one real second.
 	TimeScale float64
-	// DataFolders gives each node a folder for its replicas; empty keeps them
-	// in memory.
-	DataFolders []string
 	// TenantLimits are those of TenantName.
 	TenantLimits configuration.TenantLimits
 	// Limits hold for all tenants; nil writes no object, so that the defaults
@@ -92,12 +91,11 @@
 	d.Platform = d.serve(objectstore.New(objectstore.Options{Seed: d.options.Seed})).URL
 	for index := range d.options.Engines {
 		stand := engine.New(engine.Options{
-			Name:       EngineName(index),
-			Generation: d.generation(index),
-			Zone:       d.zone(index),
-			Models:     []string{ModelName},
-			Seed:       d.options.Seed,
-			TimeScale:  d.options.TimeScale,
+			Name:      engineName(index),
+			Zone:      d.zone(index),
+			Models:    []string{ModelName},
+			Seed:      d.options.Seed,
+			TimeScale: d.options.TimeScale,
 		})
 		d.shutdown = append(d.shutdown, func() error { stand.Close(); return nil })
 		d.Engines = append(d.Engines, stand)
@@ -121,18 +119,11 @@
 	return server
 }
 
-// EngineName names the engine of the index, counted from zero.
-func EngineName(index int) string { return fmt.Sprintf("engine-%d", index+1) }
+// engineName names the engine of the index, counted from zero.
+func engineName(index int) string { return fmt.Sprintf("engine-%d", index+1) }
 
 func (d *Deployment) zone(index int) string { return fmt.Sprintf("zone-%d", index%d.options.Zones+1) }
 
-func (d *Deployment) generation(index int) string {
-	if len(d.options.Generations) == 0 {
-		return engine.DefaultGeneration
-	}
-	return d.options.Generations[index%len(d.options.Generations)]
-}
-
 // configure writes the objects that the nodes need.
 func (d *Deployment) configure(ctx context.Context) error {
 	digest := sha256.Sum256([]byte(APIKey))
@@ -155,8 +146,8 @@
 		err = errors.Join(err, d.put(ctx, configuration.KindLimits, configuration.SingletonName, d.options.Limits))
 	}
 	for index, address := range d.EngineAddresses {
-		err = errors.Join(err, d.put(ctx, configuration.KindEngine, EngineName(index), configuration.Engine{
-			Address: address, Zone: d.zone(index), Generation: d.generation(index), Pool: PoolName,
+		err = errors.Join(err, d.put(ctx, configuration.KindEngine, engineName(index), configuration.Engine{
+			Address: address, Zone: d.zone(index), Generation: engine.DefaultGeneration, Pool: PoolName,
 			Models: []string{ModelName}, Role: configuration.RoleMixed,
 		}))
 	}
@@ -231,9 +222,6 @@
 	if len(seeds) > 0 {
 		arguments = append(arguments, "--seeds", strings.Join(seeds, ","))
 	}
-	if index < len(d.options.DataFolders) {
-		arguments = append(arguments, "--data-folder", d.options.DataFolders[index])
-	}
 	return Settings(arguments...)
 }
 
--- a/lab/engine/completions.go
+++ b/lab/engine/completions.go
@@ -62,7 +62,7 @@
 		id:      request.RequestID,
 		model:   request.Model,
 		hold:    request.Hold,
-		created: s.options.Clock().UTC(),
+		created: time.Now().UTC(),
 		text:    limitTokens(whole, request.MaxTokens),
 		changed: make(chan struct{}),
 	}
@@ -167,7 +167,7 @@
 
 // record adds a ledger entry for a request that has ended already.
 func (s *Server) record(kind ledger.Kind, entry ledger.Entry, err error) {
-	entry.Time = s.options.Clock().UTC()
+	entry.Time = time.Now().UTC()
 	entry.Kind = kind
 	entry.Outcome = ledger.Done
 	if err != nil {
--- a/lab/engine/driver.go
+++ b/lab/engine/driver.go
@@ -156,7 +156,7 @@
 	if err != nil {
 		return merry.Wrap(err)
 	}
-	response, err := s.options.HTTPClient.Do(request)
+	response, err := http.DefaultClient.Do(request)
 	if err != nil {
 		return merry.Wrap(err)
 	}
--- a/lab/engine/options.go
+++ b/lab/engine/options.go
@@ -1,7 +1,6 @@
 package engine
 
 import (
-	"net/http"
 	"slices"
 	"strings"
 	"time"
@@ -22,7 +21,7 @@
 // Options describe one engine.
 type Options struct {
 	Name string
-	// Generation names one of Generations; empty is DefaultGeneration.
+	// Generation names a known generation; empty is DefaultGeneration.
 	Generation string
 	Zone       string
 	// Models and Adapters are loaded from the start, each "name" or
@@ -34,8 +33,6 @@
 	// TimeScale is how many seconds of the engine pass in one real second;
 	// zero is 1.
 	TimeScale float64
-	// Clock gives the wall time of ledger entries and answers; nil is time.Now.
-	Clock func() time.Time
 	// MemoryTokens is the room for KV cache; zero is the generation's.
 	MemoryTokens int
 	// MaxWaiting, LoadLag, CacheEventDelay and CacheEventLoss are as in
@@ -47,8 +44,6 @@
 	// WeightStore is the base URL of the weight store; where it is empty, a
 	// load takes DefaultLoadDuration.
 	WeightStore string
-	// HTTPClient fetches weights; nil is http.DefaultClient.
-	HTTPClient *http.Client
 	// LedgerLimit is how many ledger entries are kept; zero is the ledger's
 	// default.
 	LedgerLimit int
@@ -83,15 +78,9 @@
 }
 
 func (o *Options) setDefaults() {
-	if o.Clock == nil {
-		o.Clock = time.Now
-	}
 	if o.TimeScale == 0 {
 		o.TimeScale = 1
 	}
-	if o.HTTPClient == nil {
-		o.HTTPClient = http.DefaultClient
-	}
 }
 
 func newServerCore(options Options) *Core {
--- a/lab/engine/transfer.go
+++ b/lab/engine/transfer.go
@@ -43,14 +43,10 @@
 	if refused != nil {
 		return refused
 	}
-	tokens := 0
-	for _, segment := range exported.Path {
-		if segment.Tokens < 0 {
-			return &Refusal{Reason: Invalid}
-		}
-		tokens += segment.Tokens
-	}
+	tokens := pathLength(exported.Path)
 	switch {
+	case tokens < 0:
+		return &Refusal{Reason: Invalid}
 	case c.jobs[id] != nil:
 		return &Refusal{Reason: InUse}
 	case c.leaving:
@@ -80,6 +76,19 @@
 	return nil
 }
 
+// pathLength is the number of tokens of a path, or -1 where a segment's is
+// negative.
+func pathLength(path []Segment) int {
+	tokens := 0
+	for _, segment := range path {
+		if segment.Tokens < 0 {
+			return -1
+		}
+		tokens += segment.Tokens
+	}
+	return tokens
+}
+
 // transferTime is how long it takes to move tokens of context.
 func (c *Core) transferTime(tokens int) time.Duration {
 	seconds := float64(tokens) / c.options.Generation.TransferRate * c.slowdown
--- a/lab/experiment/call.go
+++ b/lab/experiment/call.go
@@ -3,6 +3,7 @@
 import (
 	"cmp"
 	"slices"
+	"strconv"
 	"time"
 
 	"github.com/marblering/marblering/lab/engine"
@@ -45,6 +46,9 @@
 	over   bool
 }
 
+// name is the attempt's request id in a ledger.
+func (a *attempt) name() string { return strconv.FormatUint(a.id, 10) }
+
 // Pauses of the simulated nodes.
 const (
 	// detectTime is how long a node waits before it counts a silent peer as
@@ -103,7 +107,8 @@
 	return append(busy[:len(busy):len(busy)], interval{c.issued, s.schedule.now}).union()
 }
 
-// pastDeadline gives a tree up whose calls have taken too long.
+// pastDeadline gives up a tree whose calls have taken too long, and reports
+// whether they have.
 func (s *simulation) pastDeadline(c *call) bool {
 	root := c.program.tree
 	if s.spent(c) < s.workload.deadline {
@@ -266,11 +271,3 @@
 	slices.SortFunc(list, func(a, b *attempt) int { return cmp.Compare(a.id, b.id) })
 	return list
 }
-
-func sortIntervals(list intervals) intervals {
-	sorted := slices.Clone(list)
-	slices.SortFunc(sorted, func(a, b interval) int {
-		return cmp.Or(cmp.Compare(a.from, b.from), cmp.Compare(a.to, b.to))
-	})
-	return sorted
-}
--- a/lab/experiment/fault.go
+++ b/lab/experiment/fault.go
@@ -1,10 +1,5 @@
 package experiment
 
-import (
-	"strconv"
-	"time"
-)
-
 // Fault is what goes wrong in a trial.
 type Fault string
 
@@ -96,9 +91,3 @@
 	s.cutZone = ""
 	s.failedOver = false
 }
-
-// name is the attempt's request id in a ledger.
-func (a *attempt) name() string { return strconv.FormatUint(a.id, 10) }
-
-// seconds makes a duration of a number of seconds.
-func seconds(amount float64) time.Duration { return time.Duration(amount * float64(time.Second)) }
--- a/lab/experiment/fleet.go
+++ b/lab/experiment/fleet.go
@@ -131,7 +131,7 @@
 	return float64(hash>>32)/scale < eventLoss
 }
 
-// capacitySeconds is the time the engine needs to prefill tokens when nothing
+// prefillSeconds is the time the engine needs to prefill tokens when nothing
 // else runs.
 func (e *simEngine) prefillSeconds(tokens int) float64 {
 	return float64(tokens) / e.spec.Generation.PrefillRate
--- a/lab/experiment/policy.go
+++ b/lab/experiment/policy.go
@@ -37,7 +37,8 @@
 // polled states, its own books and what it was told of its own calls.
 type policy interface {
 	choose(s *simulation, n *simNode, c *call) choice
-	// finished tells of an answer, failed of an attempt that got lost.
+	// finished is called with each answer, failed with each attempt that got
+	// lost, ended with each program that has ended.
 	finished(s *simulation, a *attempt, usage engine.Usage)
 	failed(s *simulation, a *attempt)
 	ended(s *simulation, p *program)
--- a/lab/experiment/program.go
+++ b/lab/experiment/program.go
@@ -1,7 +1,9 @@
 package experiment
 
 import (
+	"cmp"
 	"fmt"
+	"slices"
 	"strconv"
 	"time"
 
@@ -149,8 +151,7 @@
 	s.report.finish(s, root)
 }
 
-// giveUp ends a tree whose caller has waited for longer than an answer is of
-// use.
+// giveUp ends a tree whose caller no longer waits for its answer.
 func (s *simulation) giveUp(root *tree) {
 	s.endTree(root, true)
 	for _, p := range s.programs {
@@ -167,10 +168,12 @@
 // intervals is a set of spans that may overlap.
 type intervals []interval
 
-// union is the time covered by at least one of the spans, which must have been
-// added in the order of their ends or are sorted by the caller.
+// union is the time covered by at least one of the spans.
 func (i intervals) union() time.Duration {
-	sorted := sortIntervals(i)
+	sorted := slices.Clone(i)
+	slices.SortFunc(sorted, func(a, b interval) int {
+		return cmp.Or(cmp.Compare(a.from, b.from), cmp.Compare(a.to, b.to))
+	})
 	var total, reached time.Duration
 	for _, span := range sorted {
 		from := max(span.from, reached)
--- a/lab/experiment/simulation.go
+++ b/lab/experiment/simulation.go
@@ -100,3 +100,6 @@
 func (s *simulation) cutOff(from, to string) bool {
 	return s.cutZone != "" && from != to && (from == s.cutZone || to == s.cutZone)
 }
+
+// seconds makes a duration of a number of seconds.
+func seconds(amount float64) time.Duration { return time.Duration(amount * float64(time.Second)) }
--- a/lab/objectstore/control.go
+++ b/lab/objectstore/control.go
@@ -79,7 +79,7 @@
 	return s.slow/2 + time.Duration(s.random.Int64N(int64(s.slow)))
 }
 
-// takeLoss tells whether the answer of the write that was just done is lost.
+// takeLoss reports whether the answer of the write that was just done is lost.
 func (s *switches) takeLoss() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/lab/platformstore/server.go
+++ b/lab/platformstore/server.go
@@ -29,8 +29,11 @@
 )
 
 const (
-	pageSize     = 50
-	maxWait      = 30 * time.Second
+	// pageSize is the number of objects of one page of a list.
+	pageSize = 50
+	// maxWait is the longest that a watch is held.
+	maxWait = 30 * time.Second
+	// maxBodyBytes is the greatest size of an object.
 	maxBodyBytes = 1 << 20
 )
 
@@ -136,7 +139,7 @@
 	s.mux.ServeHTTP(w, r)
 }
 
-// fails answers in a mode other than Up, and tells whether it did.
+// fails answers in a mode other than Up, and reports whether it did.
 func (s *Server) fails(w http.ResponseWriter, r *http.Request, mode Mode) bool {
 	switch mode {
 	case Busy:
@@ -154,7 +157,7 @@
 	return true
 }
 
-// losesAnswer tells whether the write that was just done isn't answered.
+// losesAnswer reports whether the write that was just done stays unanswered.
 func (s *Server) losesAnswer() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -273,7 +276,8 @@
 	s.answerWrite(w, object)
 }
 
-// update changes an object, if the revision that was sent, if any, is still its.
+// update changes an object, unless the request names a revision that the object
+// no longer has.
 func (s *Server) update(w http.ResponseWriter, r *http.Request, apply func(known *Object, sent Object)) {
 	sent, valid := readObject(w, r)
 	if !valid {
--- a/lab/runner/runner.go
+++ b/lab/runner/runner.go
@@ -71,7 +71,7 @@
 
 // Runner is one start of a runner.
 type Runner struct {
-	// Instance is its id, Address where it listens.
+	// Instance is the id of this start, Address where it listens.
 	Instance string
 	Address  string
 	// Events is how many events a stream has; zero answers plainly.
@@ -169,7 +169,8 @@
 	r.answer(w, request, fault)
 }
 
-// namesUnknown tells a request that names a reservation or a copy of memory.
+// namesUnknown reports whether a request names a reservation or a copy of
+// memory.
 func (r *Runner) namesUnknown(request *http.Request) bool {
 	for _, name := range systemHeaders() {
 		if request.Header.Get(name) != "" {
--- a/lab/tool/service.go
+++ b/lab/tool/service.go
@@ -47,7 +47,6 @@
 // Service is a tool service. It implements http.Handler.
 type Service struct {
 	mux    *http.ServeMux
-	clock  func() time.Time
 	ledger *ledger.Ledger
 	closed chan struct{}
 	close  sync.Once
@@ -59,14 +58,10 @@
 	effects uint64
 }
 
-// New returns a service that stamps its ledger by clock; nil is time.Now.
-func New(clock func() time.Time) *Service {
-	if clock == nil {
-		clock = time.Now
-	}
+// New returns a service without faults.
+func New() *Service {
 	s := &Service{
 		mux:     http.NewServeMux(),
-		clock:   clock,
 		ledger:  ledger.New(0),
 		closed:  make(chan struct{}),
 		answers: make(map[invocationKey]Answer),
@@ -105,7 +100,7 @@
 	key := invocationKey{tool: r.PathValue("name"), key: r.Header.Get("Idempotency-Key")}
 	sum := sha256.Sum256(body)
 	entry := ledger.Entry{
-		Time:      s.clock().UTC(),
+		Time:      time.Now().UTC(),
 		Kind:      ledger.Invocation,
 		RequestID: key.key,
 		Name:      key.tool,
--- a/lab/tool/service_test.go
+++ b/lab/tool/service_test.go
@@ -18,7 +18,7 @@
 
 func start(t *testing.T) (*tool.Service, string) {
 	t.Helper()
-	service := tool.New(nil)
+	service := tool.New()
 	listener := httptest.NewServer(service)
 	t.Cleanup(func() {
 		service.Close()
