--- a/api/peer/v1/descriptor_test.go
+++ b/test/golden/descriptor_test.go
@@ -1,4 +1,4 @@
-package peerv1_test
+package golden_test
 
 import (
 	"fmt"
