--- a/transport/relay/call.go
+++ b/transport/relay/call.go
@@ -64,8 +64,8 @@
 type tried struct {
 	// instances are the ids of those that were chosen, in order.
 	instances []string
-	// sends is to how many of them the request was sent, detours to how many it wasn't.
-	sends, detours int
+	// sends is to how many of them the request was sent, unsent to how many it wasn't.
+	sends, unsent int
 	// reached tells that a back end was sent the request and didn't promise that it
 	// hadn't run it.
 	reached bool
@@ -76,8 +76,8 @@
 // count notes what the end of an attempt says about the request.
 func (t *tried) count(ended outcome) {
 	switch ended {
-	case unreached:
-		t.detours++
+	case unsent:
+		t.unsent++
 	case refused:
 		t.sends++
 	case delivered, abandoned:
--- a/transport/relay/deliver.go
+++ b/transport/relay/deliver.go
@@ -34,11 +34,6 @@
 	return c.deliverWhole(answer, attempt)
 }
 
-var (
-	errNotResumed = errors.New("the stream wasn't resumed")
-	errCutEvent   = errors.New("the stream ended within an event")
-)
-
 func isEventStream(answer *upstream.Answer) bool {
 	kind, _, err := mime.ParseMediaType(answer.Header.Get("Content-Type"))
 	return err == nil && kind == eventStream && answer.Status == http.StatusOK
--- a/transport/relay/run.go
+++ b/transport/relay/run.go
@@ -2,68 +2,87 @@
 
 import (
 	"context"
-	"errors"
 
 	"go.uber.org/zap"
 
 	"github.com/marblering/marblering/coordination/backend"
-	"github.com/marblering/marblering/coordination/limit"
 	"github.com/marblering/marblering/state/result"
 	"github.com/marblering/marblering/transport/upstream"
 )
 
-const (
-	// maxDetours bounds the instances that were tried without being sent the
-	// request: unreachable ones and those whose address another has.
-	maxDetours = 4
-)
-
-// outcome is how one attempt ended.
-type outcome int
-
-const (
-	// delivered: the answer was passed on whole.
-	delivered outcome = iota
-	// unreached: the request wasn't sent.
-	unreached
-	// refused: a back end promised that it didn't run the request.
-	refused
-	// lost: the request was sent and there is no whole answer.
-	lost
-	// unstored: the answer came whole, but its turn can't be kept.
-	unstored
-	// abandoned: the client is gone, or its time is over.
-	abandoned
-)
-
 // run tries back ends until the request is answered or given up.
 func (c *call) run(ctx context.Context) {
 	c.handler.options.Retries.Attempted(c.basis.route.Name, c.handler.options.Now())
 	for {
-		choice, err := c.handler.options.Backends.Acquire(backend.Query{
-			Service: c.basis.route.Pick(backend.Draw(c.asked.facts.Key)), Route: c.basis.route.Name, Key: c.asked.facts.Key, Tried: c.tried.instances,
-		})
+		choice, err := c.acquire()
 		if err != nil {
-			c.giveUp(ctx, unreached, err)
+			c.end(c.attemptEnd(ctx, unsent, err).giveUp())
 			return
 		}
 		if failure := c.reauthorize(); failure != nil {
 			choice.Release(backend.Unjudged{})
-			c.refuse(ctx, failure)
+			c.endUnsent(ctx, failure)
 			return
 		}
 		ended, cause := c.try(ctx, choice)
 		if ended == delivered {
 			return
 		}
-		if !c.mayTryAgain(ctx, ended) {
-			c.giveUp(ctx, ended, cause)
+		attempt := c.attemptEnd(ctx, ended, cause)
+		if step, again := attempt.next().(tryAnother); !again || !c.mayRetry(step) {
+			c.end(attempt.giveUp())
 			return
 		}
 		c.logRetry(choice, ended, cause)
 	}
 }
 
+// acquire places the request at an instance that it hasn't tried.
+func (c *call) acquire() (*backend.Choice, error) {
+	return c.handler.options.Backends.Acquire(backend.Query{
+		Service: c.basis.route.Pick(backend.Draw(c.asked.facts.Key)), Route: c.basis.route.Name,
+		Key: c.asked.facts.Key, Tried: c.tried.instances,
+	})
+}
+
+// attemptEnd gathers what decides about the next step.
+func (c *call) attemptEnd(ctx context.Context, ended outcome, cause error) attemptEnd {
+	route := c.basis.route
+	return attemptEnd{
+		ended: ended, cause: cause,
+		clientGone: c.request.Context().Err() != nil, isOver: c.isOver(ctx),
+		began: c.reply.began, mayHaveRun: c.tried.mayHaveRun,
+		sends: c.tried.sends, unsent: c.tried.unsent,
+		attempts: route.Attempts, repeatable: route.Repeatable(), resumable: route.Resumable,
+		allowed: c.times.allowed(),
+	}
+}
+
+// mayRetry takes a retry from the budget where the step needs one.
+func (c *call) mayRetry(step tryAnother) bool {
+	return !step.spends || c.handler.options.Retries.Retry(c.basis.route.Name, c.handler.options.Now())
+}
+
+// end answers a request that is given up, or breaks its connection.
+func (c *call) end(step nextStep) {
+	switch step := step.(type) {
+	case refuse:
+		c.fail(step.failure)
+	case cut:
+		c.abort(step.code, step.cause)
+	}
+}
+
+// endUnsent ends a request that may not be sent any more. Where it may have run already,
+// the answer mustn't promise that it hasn't.
+func (c *call) endUnsent(ctx context.Context, failure *result.Error) {
+	if c.tried.mayHaveRun {
+		c.end(c.attemptEnd(ctx, lost, failure).giveUp())
+		return
+	}
+	c.fail(failure)
+}
+
 // try sends the request to one instance.
 func (c *call) try(ctx context.Context, choice *backend.Choice) (outcome, error) {
 	c.tried.instances = append(c.tried.instances, choice.Instance.ID)
@@ -95,7 +114,7 @@
 	case Misdirected:
 		drain(answer)
 		c.handler.options.Gone(attempt.choice.Instance.Life())
-		return unreached, errMisdirected
+		return unsent, errMisdirected
 	case Improper:
 		answer.CloseBody()
 		return lost, errImproper
@@ -103,20 +122,6 @@
 	return c.deliver(ctx, answer, attempt)
 }
 
-var (
-	errRefused     = errors.New("the back end refused the request")
-	errMisdirected = errors.New("another instance has the address")
-	errImproper    = errors.New("the answer isn't one of a back end")
-)
-
-func outcomeOf(err error) outcome {
-	var failure *upstream.Error
-	if errors.As(err, &failure) && !failure.Sent {
-		return unreached
-	}
-	return lost
-}
-
 func (c *call) upstreamRequest(choice *backend.Choice) *upstream.Request {
 	header := endToEnd(c.request.Header)
 	c.handler.options.Dialect.Write(header, Attempt{
@@ -132,53 +137,6 @@
 	}
 }
 
-// mayTryAgain says whether another instance may be sent the request.
-func (c *call) mayTryAgain(ctx context.Context, ended outcome) bool {
-	if ended == abandoned || ended == unstored || c.isOver(ctx) {
-		return false
-	}
-	if ended == unreached {
-		return c.tried.detours <= maxDetours
-	}
-	if ended == lost && !c.basis.route.Repeatable() {
-		return false
-	}
-	if c.reply.began && !c.basis.route.Resumable {
-		return false
-	}
-	return c.tried.sends < c.basis.route.Attempts && c.handler.options.Retries.Retry(c.basis.route.Name, c.handler.options.Now())
-}
-
-// giveUp answers a request that has no answer.
-func (c *call) giveUp(ctx context.Context, ended outcome, cause error) {
-	switch {
-	case c.request.Context().Err() != nil:
-		c.abort(result.ClientGone, context.Canceled)
-	case c.reply.began:
-		c.abort(result.BackendFailed, cause)
-	case c.tried.mayHaveRun && c.isOver(ctx):
-		c.fail(result.Errorf(result.BackendTimeout, "no answer within %s", c.times.allowed()))
-	case c.tried.mayHaveRun:
-		c.fail(result.Errorf(result.BackendFailed, "%v", cause))
-	case ended == refused:
-		c.fail(busyBackEnd.refusal("%v", cause))
-	default:
-		// Also where the time of the request is over: a caller that knows that it
-		// hasn't run may ask again for what must not run twice.
-		c.fail(noBackEnd.refusal("%v", cause))
-	}
-}
-
-// refuse ends a request that may not be sent any more. Where it may have run already,
-// the answer mustn't promise that it hasn't.
-func (c *call) refuse(ctx context.Context, failure *result.Error) {
-	if c.tried.mayHaveRun {
-		c.giveUp(ctx, lost, failure)
-		return
-	}
-	c.fail(failure)
-}
-
 func (c *call) logRetry(choice *backend.Choice, ended outcome, cause error) {
 	c.handler.options.Metrics.retries.Inc()
 	c.handler.options.Logger.Info("trying another back end",
@@ -187,9 +145,3 @@
 		zap.Int64("outstanding", choice.Outstanding), zap.Int("sends", c.tried.sends),
 		zap.Bool("refused", ended == refused), zap.Bool("began", c.reply.began), zap.Error(cause))
 }
-
-// RetryPolicy bounds the repeats of a gateway to a fifth of its requests, and
-// lets one that has just started repeat some.
-func RetryPolicy() limit.RetryPolicy {
-	return limit.RetryPolicy{Ratio: 0.2, MinPerSecond: 4, Burst: 40, Saved: 20}
-}
--- a/transport/relay/trial.go
+++ b/transport/relay/trial.go
@@ -37,7 +37,7 @@
 			t.first = waited
 		}
 		return backend.Answered{Wait: t.first, Faulty: t.status >= http.StatusInternalServerError}
-	case unreached, lost:
+	case unsent, lost:
 		return backend.Broken{}
 	case abandoned:
 		if t.first == 0 {
