--- a/transport/relay/answer.go
+++ b/transport/relay/answer.go
@@ -11,7 +11,7 @@
 	"github.com/marblering/marblering/state/result"
 )
 
-// failureBody is the JSON body of this node's own answers, in the form of
+// failureBody is the JSON body of this gateway's own answers, in the form of
 // docs/RESULT-CODES.md.
 type failureBody struct {
 	Error failureDetail `json:"error"`
@@ -25,7 +25,7 @@
 	Repeat    result.Repeat    `json:"repeat"`
 }
 
-// fail gives this node's own answer. It never carries a back end's header.
+// fail answers with the failure. The answer has no header of a back end.
 func (c *call) fail(failure *result.Error) {
 	info := failure.Code.Info()
 	c.reply.code = failure.Code
@@ -44,19 +44,19 @@
 		body = nil
 	}
 	header.Set("Content-Length", strconv.Itoa(len(body)))
-	c.leaveBody(header)
+	c.discardBody(header)
 	c.begin(info.HTTP)
 	_, _ = c.writer.Write(body)
 }
 
-// abort breaks the caller's connection: what was written must not look whole.
+// abort breaks the client's connection, so that what was written doesn't look whole.
 func (c *call) abort(code result.Code, cause error) {
 	c.reply.code = code
 	c.reply.reason = cause.Error()
 	panic(http.ErrAbortHandler)
 }
 
-// report writes the line and the figures of the request.
+// report writes the log line of the request and counts it.
 func (c *call) report() {
 	took := c.handler.options.Now().Sub(c.times.arrived)
 	c.handler.options.Metrics.observe(c, took)
@@ -77,7 +77,7 @@
 	c.handler.options.Logger.Info("not answered", append(fields, zap.String("reason", c.reply.reason))...)
 }
 
-// ageField tells how old the configuration was that the request was decided by.
+// ageField is the age of the configuration that the request was decided by.
 func (c *call) ageField() zap.Field {
 	if !c.basis.ageKnown {
 		return zap.String("configuration_age", "unknown")
@@ -85,6 +85,7 @@
 	return zap.Duration("configuration_age", c.basis.age)
 }
 
+// routeName is empty before the route was found.
 func (c *call) routeName() string {
 	if c.basis.route == nil {
 		return ""
--- a/transport/relay/authorize.go
+++ b/transport/relay/authorize.go
@@ -5,10 +5,9 @@
 	"github.com/marblering/marblering/state/result"
 )
 
-// authorize finds the tenant whose key the caller showed. It is asked at the arrival
-// of a request, before its body is read, and again whenever the request is about to
-// leave for a back end: it may have waited, the process may have stood still, and the
-// key may have been taken away meanwhile.
+// authorize finds the tenant that owns the client's key. It is called when a request
+// arrives, before its body is read, and again before each attempt: the request may have
+// waited, or the process may have been paused, and the key may have been revoked meanwhile.
 func (c *call) authorize() *result.Error {
 	if !c.basis.needsKey {
 		return nil
@@ -16,8 +15,8 @@
 	if failure := c.checkProof(); failure != nil {
 		return failure
 	}
-	// The table comes after the proof: it is at least as new, however long the process
-	// stands still in between.
+	// The table is read after the proof, so that it is at least as new, however long the
+	// process is paused in between.
 	table := c.handler.options.Tables.Table()
 	owner, known := table.Tenant(c.asked.key)
 	if !known {
@@ -38,8 +37,8 @@
 	return freshness{staleness, isKnown, proof.Limit()}.refusal(proof.Source)
 }
 
-// reauthorize is authorize for a request that is about to leave. What is already
-// being answered goes on: the caller was let in while its key was valid.
+// reauthorize calls authorize before an attempt. A request that is already being answered
+// goes on, since its key was valid when it began.
 func (c *call) reauthorize() *result.Error {
 	if c.reply.began {
 		return nil
@@ -47,6 +46,7 @@
 	return c.authorize()
 }
 
+// tenantName is empty where the route needs no key.
 func (c *call) tenantName() string {
 	if c.granted.tenant == nil {
 		return ""
@@ -54,7 +54,7 @@
 	return c.granted.tenant.Name
 }
 
-// takeKey keeps the key's digest in place of the key.
+// takeKey replaces the key by its digest, so that the key can't be logged.
 func (c *call) takeKey() {
 	c.asked.key = tenant.DigestOf(c.asked.facts.APIKey)
 	c.asked.facts.APIKey = ""
--- a/transport/relay/body.go
+++ b/transport/relay/body.go
@@ -11,35 +11,36 @@
 	"github.com/marblering/marblering/state/result"
 )
 
+// The rest of a body that isn't needed any more is read before the answer is sent, so that
+// the connection can be kept: most bodies arrive together with their heads. Chosen, not
+// measured.
 const (
-	// leftBodyTime is how long an answer waits for the rest of a body that nobody needs
-	// any more, so that its connection can be kept: bodies mostly come along with
-	// their heads.
-	leftBodyTime = 20 * time.Millisecond
-	// maxLeftBody is how much of it is read.
-	maxLeftBody = 256 << 10
+	// discardTime bounds how long the answer waits for it.
+	discardTime = 20 * time.Millisecond
+	// maxDiscarded bounds how much of it is read, in bytes.
+	maxDiscarded = 256 << 10
 )
 
-// leaveBody has an answer sent though the body isn't needed. The server would wait for
-// the rest of the body first, which a slow client may hold back for as long as it
-// likes, unless the answer ends the connection.
-func (c *call) leaveBody(answer http.Header) {
+// discardBody reads what is left of the body, or has the answer close the connection.
+// Without either the server would wait for the rest of the body before it sends the
+// answer, as long as a slow client likes.
+func (c *call) discardBody(answer http.Header) {
 	if c.asked.bodyTaken || c.request.Body == nil || c.request.Body == http.NoBody {
 		return
 	}
 	c.asked.bodyTaken = true
 	controller := http.NewResponseController(c.writer)
-	// A writer without deadlines is one of a test, whose bodies are there at once.
-	_ = controller.SetReadDeadline(c.handler.options.Now().Add(leftBodyTime))
-	if _, err := io.CopyN(io.Discard, c.request.Body, maxLeftBody); err != io.EOF {
+	// Only writers of tests have no deadlines; their bodies are there at once.
+	_ = controller.SetReadDeadline(c.handler.options.Now().Add(discardTime))
+	if _, err := io.CopyN(io.Discard, c.request.Body, maxDiscarded); err != io.EOF {
 		answer.Set("Connection", "close")
 		return
 	}
 	_ = controller.SetReadDeadline(time.Time{})
 }
 
-// readBody reads the whole body, so that it can be sent more than once and no
-// back end waits for a slow client.
+// readBody reads the whole body, so that it can be sent more than once and no back end
+// has to wait for a slow client.
 func (c *call) readBody(limits routetable.Limits) *result.Error {
 	if c.request.Body == nil || c.request.Body == http.NoBody {
 		return nil
@@ -60,6 +61,7 @@
 	return bodyFailure(err, limits)
 }
 
+// bodyFailure says why the body can't be used; nil where it can.
 func bodyFailure(err error, limits routetable.Limits) *result.Error {
 	var tooLarge *http.MaxBytesError
 	switch {
--- a/transport/relay/deliver.go
+++ b/transport/relay/deliver.go
@@ -1,9 +1,7 @@
 package relay
 
 import (
-	"bufio"
 	"context"
-	"errors"
 	"io"
 	"mime"
 	"net/http"
@@ -12,26 +10,29 @@
 	"github.com/marblering/marblering/transport/upstream"
 )
 
+// Sizes of answers, in bytes. Chosen, not measured.
 const (
-	// bufferedAnswer is the largest answer that is read whole before its head
-	// is passed on, so that one that breaks can still be replaced.
+	// bufferedAnswer is the largest answer that is read whole before its head is passed
+	// on, so that another back end can be tried if it breaks off.
 	bufferedAnswer = 256 << 10
-	// drainedAnswer is how much of an unwanted answer is read to keep its
-	// connection.
+	// drainedAnswer is how much of an unwanted answer is read so that its connection can
+	// be used again.
 	drainedAnswer = 16 << 10
-	eventStream   = "text/event-stream"
 )
 
-// deliver passes a proper answer on.
-func (c *call) deliver(ctx context.Context, answer *upstream.Answer, attempt *trial) (outcome, error) {
+// eventStream is the media type of streams (WHATWG HTML, section 9.2.4).
+const eventStream = "text/event-stream"
+
+// deliver passes a proper answer on to the client.
+func (c *call) deliver(ctx context.Context, answer *upstream.Answer, tried *attempt) (outcome, error) {
 	defer answer.CloseBody()
 	if isEventStream(answer) {
-		return c.deliverEvents(ctx, answer, attempt)
+		return c.deliverEvents(ctx, answer, tried)
 	}
 	if c.reply.began {
 		return lost, errNotResumed
 	}
-	return c.deliverWhole(answer, attempt)
+	return c.deliverWhole(answer, tried)
 }
 
 func isEventStream(answer *upstream.Answer) bool {
@@ -39,14 +40,14 @@
 	return err == nil && kind == eventStream && answer.Status == http.StatusOK
 }
 
-// deliverWhole passes a plain answer on once all of it has arrived.
-func (c *call) deliverWhole(answer *upstream.Answer, attempt *trial) (outcome, error) {
+// deliverWhole passes on an answer that isn't a stream once all of it has arrived.
+func (c *call) deliverWhole(answer *upstream.Answer, tried *attempt) (outcome, error) {
 	body, err := io.ReadAll(io.LimitReader(answer, bufferedAnswer+1))
 	if err != nil {
 		return lost, err
 	}
-	attempt.status = answer.Status
-	attempt.heard(c.handler.options.Now())
+	tried.status = answer.Status
+	tried.heard(c.handler.options.Now())
 	if len(body) > bufferedAnswer {
 		return c.deliverLarge(answer, body)
 	}
@@ -59,13 +60,14 @@
 	return delivered, nil
 }
 
-// mayHaveBody follows RFC 9110, sections 15.3.5 and 15.4.5.
+// mayHaveBody tells whether answers with the status have a body (RFC 9110, sections 15.3.5
+// and 15.4.5).
 func mayHaveBody(status int) bool {
 	return status != http.StatusNoContent && status != http.StatusNotModified
 }
 
-// deliverLarge passes a long answer on as it comes. If it breaks, the caller's
-// connection breaks as well.
+// deliverLarge passes a long answer on as it comes. If it breaks off, the client's
+// connection is broken as well.
 func (c *call) deliverLarge(answer *upstream.Answer, first []byte) (outcome, error) {
 	setAnswerHeader(c.writer.Header(), answer.Header)
 	if length := answer.Header.Get("Content-Length"); length != "" {
@@ -81,9 +83,9 @@
 	return delivered, nil
 }
 
-// deliverEvents passes whole events on as they come. The head follows with the
-// first of them, so that a stream that breaks before can still be replaced.
-func (c *call) deliverEvents(ctx context.Context, answer *upstream.Answer, attempt *trial) (outcome, error) {
+// deliverEvents passes whole events on as they come. The head is passed on with the first
+// of them, so that another back end can be tried if the stream breaks off before.
+func (c *call) deliverEvents(ctx context.Context, answer *upstream.Answer, tried *attempt) (outcome, error) {
 	events := newEventReader(answer)
 	controller := http.NewResponseController(c.writer)
 	for {
@@ -94,7 +96,7 @@
 		if err != nil {
 			return lost, err
 		}
-		attempt.heard(c.handler.options.Now())
+		tried.heard(c.handler.options.Now())
 		if event.isOld(c.reply.lastEvent) {
 			continue
 		}
@@ -112,8 +114,8 @@
 	}
 }
 
-// endStream stores the turn, if it is one, and also passes the head of a stream
-// without events on. A turn that can't be stored doesn't end as whole.
+// endStream stores the turn, if the request is one, and passes on the head of a stream
+// without events. A stream whose turn can't be stored isn't ended as a whole one.
 func (c *call) endStream(ctx context.Context, answer *upstream.Answer) (outcome, error) {
 	began := c.handler.options.Now()
 	err := c.completeTurn(ctx)
@@ -125,8 +127,8 @@
 	return delivered, nil
 }
 
-// beginStream writes the head once: a resumed stream keeps that of its first
-// back end.
+// beginStream writes the head once: a resumed stream keeps the head of its first back
+// end.
 func (c *call) beginStream(answer *upstream.Answer) {
 	if c.reply.began {
 		return
@@ -135,6 +137,7 @@
 	c.begin(answer.Status)
 }
 
+// begin writes the head of the answer.
 func (c *call) begin(status int) {
 	c.reply.began = true
 	c.reply.status = status
@@ -145,66 +148,8 @@
 	c.writer.WriteHeader(status)
 }
 
-// drain reads a short answer to its end, so that its connection can be kept.
+// drain reads a short answer to its end, so that its connection can be used again.
 func drain(answer *upstream.Answer) {
 	_, _ = io.CopyN(io.Discard, answer, drainedAnswer)
 	answer.CloseBody()
 }
-
-// event is one event of a stream, with the empty line that ends it.
-type event struct {
-	raw []byte
-	id  string
-}
-
-// isOld tells that the event was passed on before.
-func (e event) isOld(last string) bool {
-	if last == "" || e.id == "" {
-		return false
-	}
-	number, err := strconv.ParseUint(e.id, 10, 64)
-	if err != nil {
-		return false
-	}
-	known, err := strconv.ParseUint(last, 10, 64)
-	return err == nil && number <= known
-}
-
-// eventReader splits a stream into events without changing a byte.
-type eventReader struct {
-	reader *bufio.Reader
-}
-
-const (
-	eventBufferBytes = 4 << 10
-	maxEventBytes    = 1 << 20
-)
-
-func newEventReader(source io.Reader) *eventReader {
-	return &eventReader{reader: bufio.NewReaderSize(source, eventBufferBytes)}
-}
-
-// next returns the next whole event. io.EOF means that the stream ended between
-// two events.
-func (r *eventReader) next() (event, error) {
-	var current event
-	for {
-		line, err := r.reader.ReadSlice('\n')
-		current.raw = append(current.raw, line...)
-		if errors.Is(err, bufio.ErrBufferFull) && len(current.raw) <= maxEventBytes {
-			continue
-		}
-		if err == io.EOF && len(current.raw) > 0 {
-			return event{}, errCutEvent
-		}
-		if err != nil {
-			return event{}, err
-		}
-		if isBlank(line) {
-			return current, nil
-		}
-		if id, found := eventID(line); found {
-			current.id = id
-		}
-	}
-}
--- a/transport/relay/dialect.go
+++ b/transport/relay/dialect.go
@@ -12,41 +12,42 @@
 	"github.com/marblering/marblering/transport/upstream"
 )
 
-// Facts are what a request's head says of it.
+// Facts are what the head of a request says about it.
 type Facts struct {
-	// ID names the request; back ends repeat it in their answers.
+	// ID is the request's id, which back ends repeat in their answers.
 	ID string
 	// Remaining is how long the client will wait; zero where it doesn't say.
 	Remaining time.Duration
-	// Key names what the request shares with others, such as its program or
-	// the thing it is about; empty for none.
+	// Key is what the request has in common with others that the same back end serves
+	// best, such as its program; empty for none.
 	Key string
 	// LastEvent is the id of the last event that the client has of a stream
 	// that broke; empty for none.
 	LastEvent string
-	// Program is the program that the request is a turn or call of; empty for
-	// none.
+	// Program is the id of the program that the request belongs to; empty for none.
 	Program string
-	// APIKey shows which tenant the caller belongs to; empty for none. It is never
+	// APIKey proves which tenant the client belongs to; empty for none. It is never
 	// logged.
 	APIKey string
-	// Previous is the turn that this one goes on from; empty for none.
+	// Previous is the id of the turn that this one continues; empty for none.
 	Previous string
-	// Budget is what all turns of the program may generate, in tokens; zero for
-	// no bound. MostTokens is the most that this turn may.
-	Budget     uint64
+	// Budget is how many tokens all turns of the program may generate; zero for no
+	// bound.
+	Budget uint64
+	// MostTokens is how many tokens this turn may generate; zero where the client doesn't
+	// say.
 	MostTokens uint64
 }
 
-// Attempt is what a back end is told beside the request itself.
+// Attempt is what a back end is told in addition to the request itself.
 type Attempt struct {
 	// ID is that of the request, as the client sent it.
 	ID string
 	// Tenant is the name of the caller's tenant; empty for none.
 	Tenant string
-	// Remaining is how long an answer is waited for.
+	// Remaining is how long the answer is waited for.
 	Remaining time.Duration
-	// Instance is the id of the start that is meant.
+	// Instance is the id of the instance that the request is meant for.
 	Instance string
 	// LastEvent is the id of the last event that was passed on; empty where the
 	// stream begins.
@@ -60,9 +61,9 @@
 const (
 	// Proper answers are passed on.
 	Proper Judgement = iota
-	// Refused promises that the request wasn't run.
+	// Refused answers promise that the request wasn't run.
 	Refused
-	// Misdirected promises it too: another instance has the address.
+	// Misdirected answers promise it as well: another instance has the address.
 	Misdirected
 	// Improper answers can't be passed on; the request may have run.
 	Improper
@@ -70,16 +71,15 @@
 
 // Dialect knows the headers of a deployment.
 type Dialect interface {
-	// Read returns the facts of a request.
+	// Read returns the facts of a request, or why it is refused.
 	Read(request *http.Request) (Facts, *result.Error)
-	// Write takes out of the head what clients may not set, and sets the headers of
-	// an attempt.
+	// Write removes the headers that clients may not set, and sets those of an attempt.
 	Write(header http.Header, attempt Attempt)
 	// Judge says what an answer means.
 	Judge(answer *upstream.Answer) Judgement
 }
 
-// Backends places requests at instances. backend.Pool implements it.
+// Backends chooses instances for requests. backend.Pool implements it.
 type Backends interface {
 	Acquire(query backend.Query) (*backend.Choice, error)
 }
@@ -89,7 +89,7 @@
 	Begin(ctx context.Context, request conversation.Request) (*conversation.Turn, *result.Error)
 }
 
-// Quotas lets requests of tenants run. quota.Client implements it.
+// Quotas admits requests of tenants. quota.Client implements it.
 type Quotas interface {
 	Take(ctx context.Context, request quota.Request) (quota.Permit, *result.Error)
 }
--- a/transport/relay/event.go
+++ b/transport/relay/event.go
@@ -1,8 +1,93 @@
 package relay
 
-import "strings"
+import (
+	"bufio"
+	"bytes"
+	"errors"
+	"io"
+	"strconv"
+	"strings"
+)
 
-// isBlank tells that a line has nothing but its end.
+// event is one event of a stream, with the empty line that ends it.
+type event struct {
+	raw []byte
+	id  string
+}
+
+// isOld tells whether the event was passed on before, by the id of the last that was.
+// Ids that aren't numbers can't be compared.
+func (e event) isOld(last string) bool {
+	if last == "" || e.id == "" {
+		return false
+	}
+	number, err := strconv.ParseUint(e.id, 10, 64)
+	if err != nil {
+		return false
+	}
+	known, err := strconv.ParseUint(last, 10, 64)
+	return err == nil && number <= known
+}
+
+// eventReader splits a stream into events without changing a byte.
+type eventReader struct {
+	reader *bufio.Reader
+}
+
+// Sizes in bytes. Chosen, not measured.
+const (
+	eventBufferBytes = 4 << 10
+	// maxEventBytes bounds one event.
+	maxEventBytes = 1 << 20
+)
+
+func newEventReader(source io.Reader) *eventReader {
+	return &eventReader{reader: bufio.NewReaderSize(source, eventBufferBytes)}
+}
+
+// next returns the next whole event. The error is io.EOF where the stream ended between two
+// events, errCutEvent where it ended within one.
+func (r *eventReader) next() (event, error) {
+	var current event
+	for {
+		line, err := r.reader.ReadSlice('\n')
+		current.raw = append(current.raw, line...)
+		if errors.Is(err, bufio.ErrBufferFull) && len(current.raw) <= maxEventBytes {
+			continue
+		}
+		if err == io.EOF && len(current.raw) > 0 {
+			return event{}, errCutEvent
+		}
+		if err != nil {
+			return event{}, err
+		}
+		if isBlank(line) {
+			return current, nil
+		}
+		if id, found := eventID(line); found {
+			current.id = id
+		}
+	}
+}
+
+// data returns the content of the event's data fields, joined by line feeds
+// (WHATWG HTML, section 9.2.6).
+func (e event) data() (data []byte, found bool) {
+	for line := range bytes.Lines(e.raw) {
+		value, isData := bytes.CutPrefix(bytes.TrimRight(line, "\r\n"), []byte("data:"))
+		if !isData {
+			continue
+		}
+		if found {
+			data = append(data, '\n')
+		}
+		data = append(data, bytes.TrimPrefix(value, []byte(" "))...)
+		found = true
+	}
+	return data, found
+}
+
+// isBlank tells whether a line is empty, which ends an event.
 func isBlank(line []byte) bool {
 	return string(line) == "\n" || string(line) == "\r\n"
 }
--- a/transport/relay/handler.go
+++ b/transport/relay/handler.go
@@ -23,33 +23,34 @@
 	Dialect   Dialect
 	Turns     Turns
 	Quotas    Quotas
-	// Certain tells whether the table in force is known to be the newest, so
-	// that a missing route is really none.
+	// Certain tells whether the configuration in force is known to be the newest, so that
+	// a missing route or an unknown key may be refused for good.
 	Certain func() bool
-	// TableAge is how long ago the store confirmed the table in force, for the lines of
-	// requests; ok is false before it first did. nil where that isn't known.
+	// TableAge is how long ago the store confirmed the configuration in force, for the
+	// log; ok is false before it first did. nil where that isn't known.
 	TableAge func() (age time.Duration, ok bool)
-	// Proof tells how fresh the table in force is; nil where no key has to be proved
-	// valid.
+	// Proof tells how fresh the configuration in force is; nil where keys are accepted
+	// whatever its age.
 	Proof Proof
-	// Unready tells that callers do better at another node, because this one is
-	// being stopped or can't serve turns: each answer then ends its connection,
-	// so that what follows comes in elsewhere.
+	// Unready tells that clients do better at another gateway, because this one is being
+	// stopped or can't serve turns: each answer then closes its connection, so that the
+	// client's next request goes elsewhere.
 	Unready func() bool
-	// MaxInFlight bounds the requests under way.
+	// MaxInFlight is how many requests may be under way.
 	MaxInFlight int64
-	// Gone is told an instance that another has taken the address of.
-	Gone    func(backend.Life)
+	// Gone is called with an instance whose address another one has.
+	Gone func(backend.Life)
+	// Retries is the retry budget of all requests; RetryPolicy sizes it.
 	Retries *limit.RetryBudget
 	Metrics *Metrics
-	// Logger takes a line for each failed request and each repeat, Answered one
-	// for each request that was answered; both should be bounded.
+	// Logger gets a line for each failed request and each retry, Answered one for each
+	// request that was answered; both should limit their rate.
 	Logger   *zap.Logger
 	Answered *zap.Logger
 	Now      func() time.Time
 }
 
-// Handler is the http.Handler of a gateway's callers.
+// Handler is the http.Handler of a gateway's clients. It is safe for concurrent use.
 type Handler struct {
 	options  Options
 	inFlight atomic.Int64
@@ -93,7 +94,7 @@
 	current.run(ctx)
 }
 
-// prepare finds the route and reads the whole request.
+// prepare finds the route, checks the key and reads the whole request.
 func (c *call) prepare() *result.Error {
 	options := &c.handler.options
 	table := options.Tables.Table()
@@ -128,6 +129,7 @@
 	return c.readBody(limits)
 }
 
+// setRoute notes the route and the deadline that follows from it.
 func (c *call) setRoute(route *routetable.Route) {
 	c.basis.route = route
 	total := route.Timeout
--- a/transport/relay/header.go
+++ b/transport/relay/header.go
@@ -5,8 +5,8 @@
 	"strings"
 )
 
-// connectionHeaders concern one connection only (RFC 9110, section 7.6.1), or
-// are set anew for each message.
+// connectionHeaders belong to a single connection (RFC 9110, section 7.6.1) or are set
+// anew for each message.
 func connectionHeaders() []string {
 	return []string{
 		"Connection", "Proxy-Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization",
@@ -14,7 +14,7 @@
 	}
 }
 
-// endToEnd copies the fields that are meant for the other end.
+// endToEnd copies the fields that aren't meant for this connection alone.
 func endToEnd(header http.Header) http.Header {
 	copied := header.Clone()
 	for _, line := range header.Values("Connection") {
@@ -28,9 +28,8 @@
 	return copied
 }
 
-// originForm drops scheme and authority from a target in absolute form, which
-// servers have to take (RFC 9112, section 3.2.2). Path and query stay as they
-// are.
+// originForm drops scheme and authority from a target in absolute form, which servers have
+// to accept (RFC 9112, section 3.2.2). Path and query stay as they are.
 func originForm(target string) string {
 	_, rest, ok := strings.Cut(target, "://")
 	if !ok || strings.HasPrefix(target, "/") {
@@ -46,7 +45,7 @@
 	return rest[start:]
 }
 
-// headerBytes is about the size of a request's head as it was received.
+// headerBytes is about the size of a request's head as it was received, in bytes.
 func headerBytes(request *http.Request) int64 {
 	const separators = len(": \r\n")
 	size := len(request.Method) + len(request.RequestURI) + len(request.Host)
@@ -58,8 +57,8 @@
 	return int64(size)
 }
 
-// setAnswerHeader passes the fields of a back end's answer on. Fields that the
-// server would add by itself are kept out where the back end didn't set them.
+// setAnswerHeader copies the header of a back end's answer. Fields that net/http would add
+// by itself are left out where the back end didn't set them.
 func setAnswerHeader(target, source http.Header) {
 	for name, values := range endToEnd(source) {
 		target[name] = values
--- a/transport/relay/metrics.go
+++ b/transport/relay/metrics.go
@@ -7,7 +7,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// Metrics count what a Handler does.
+// Metrics are the counters and histograms of a Handler.
 type Metrics struct {
 	requests  *prometheus.CounterVec
 	retries   prometheus.Counter
@@ -15,7 +15,7 @@
 	duration  *prometheus.HistogramVec
 }
 
-// NewMetrics registers the metrics.
+// NewMetrics makes the metrics and registers them.
 func NewMetrics(registry prometheus.Registerer) *Metrics {
 	buckets := []float64{.005, .01, .025, .05, .1, .2, .4, .8, 1.6, 3.2, 6.4}
 	m := &Metrics{
@@ -40,6 +40,7 @@
 	return m
 }
 
+// observe counts a request that has ended.
 func (m *Metrics) observe(c *call, took time.Duration) {
 	kind := "none"
 	if c.basis.route != nil {
--- a/transport/relay/quota.go
+++ b/transport/relay/quota.go
@@ -7,8 +7,8 @@
 	"github.com/marblering/marblering/state/result"
 )
 
-// takePermit has the request let in by its tenant's quota. It is asked before anything
-// else that costs other nodes work.
+// takePermit asks for a permit of the tenant's quota. It is called before anything else
+// that causes work at other nodes.
 func (c *call) takePermit(ctx context.Context) *result.Error {
 	if c.granted.tenant == nil {
 		return nil
@@ -23,8 +23,8 @@
 	return failure
 }
 
-// settlePermit gives the permit of a request back that no back end ran, so that it
-// counts for nothing.
+// settlePermit returns the permit of a request that no back end ran, so that it doesn't
+// count.
 func (c *call) settlePermit() {
 	if !c.tried.reached {
 		c.granted.permit.Return()
--- a/transport/relay/run.go
+++ b/transport/relay/run.go
@@ -86,13 +86,13 @@
 // try sends the request to one instance.
 func (c *call) try(ctx context.Context, choice *backend.Choice) (outcome, error) {
 	c.tried.instances = append(c.tried.instances, choice.Instance.ID)
-	attempt := &trial{choice: choice, began: c.handler.options.Now()}
-	ended, cause := c.exchange(ctx, attempt)
+	current := &attempt{choice: choice, began: c.handler.options.Now()}
+	ended, cause := c.exchange(ctx, current)
 	c.tried.count(ended)
 	if c.isOver(ctx) && ended != delivered {
 		ended = abandoned
 	}
-	choice.Release(attempt.ending(ended, c.handler.options.Now()))
+	choice.Release(current.ending(ended, c.handler.options.Now()))
 	return ended, cause
 }
 
@@ -102,8 +102,8 @@
 	return ctx.Err() != nil || !c.handler.options.Now().Before(c.times.deadline)
 }
 
-func (c *call) exchange(ctx context.Context, attempt *trial) (outcome, error) {
-	answer, err := c.handler.options.Exchanger.Do(ctx, c.upstreamRequest(attempt.choice))
+func (c *call) exchange(ctx context.Context, tried *attempt) (outcome, error) {
+	answer, err := c.handler.options.Exchanger.Do(ctx, c.upstreamRequest(tried.choice))
 	if err != nil {
 		return outcomeOf(err), err
 	}
@@ -113,13 +113,13 @@
 		return refused, errRefused
 	case Misdirected:
 		drain(answer)
-		c.handler.options.Gone(attempt.choice.Instance.Life())
+		c.handler.options.Gone(tried.choice.Instance.Life())
 		return unsent, errMisdirected
 	case Improper:
 		answer.CloseBody()
 		return lost, errImproper
 	}
-	return c.deliver(ctx, answer, attempt)
+	return c.deliver(ctx, answer, tried)
 }
 
 func (c *call) upstreamRequest(choice *backend.Choice) *upstream.Request {
--- a/transport/relay/turn.go
+++ b/transport/relay/turn.go
@@ -1,7 +1,6 @@
 package relay
 
 import (
-	"bytes"
 	"context"
 
 	"github.com/marblering/marblering/coordination/backend"
@@ -10,15 +9,16 @@
 	"github.com/marblering/marblering/state/result"
 )
 
-// beginTurn prepares a request that is a turn of a program: what came before is
-// put in front of its body, and what it may generate is reserved.
+// beginTurn prepares a request that is a turn of a program: the turns before it are put in
+// front of its body, and the tokens that it may generate are reserved. It does nothing
+// for other requests.
 func (c *call) beginTurn(ctx context.Context, table *routetable.Table) *result.Error {
 	if c.basis.route.Kind != routetable.Stream || c.asked.facts.Budget == 0 && !c.basis.route.Retained {
 		return nil
 	}
 	if c.basis.route.Retained && c.asked.facts.LastEvent != "" {
-		// The part of the answer that the client has isn't known here, so that
-		// the turn could not be kept whole.
+		// The part of the answer that the client already has isn't known here, so that
+		// the turn couldn't be stored whole.
 		return resumedTurn.refusal("a retained turn begins at its start")
 	}
 	service := table.Service(c.basis.route.Pick(backend.Draw(c.asked.facts.Key)))
@@ -35,7 +35,7 @@
 	return nil
 }
 
-// countEvent tells the turn of an event before it is handed out.
+// countEvent counts an event of a turn before it is passed on.
 func (c *call) countEvent(passed event) {
 	if c.granted.turn == nil {
 		return
@@ -45,7 +45,8 @@
 	}
 }
 
-// completeTurn stores the turn. The answer ends as a whole one only afterwards.
+// completeTurn stores the turn, which has to be done before its answer may end as a whole
+// one.
 func (c *call) completeTurn(ctx context.Context) error {
 	if c.granted.turn == nil {
 		return nil
@@ -53,25 +54,9 @@
 	return c.granted.turn.Complete(ctx)
 }
 
+// endTurn settles the budget of the turn by what was passed on.
 func (c *call) endTurn() {
 	if c.granted.turn != nil {
 		c.granted.turn.End()
 	}
 }
-
-// data returns the content of the event's data fields, joined by line feeds
-// (WHATWG HTML, section 9.2.6).
-func (e event) data() (data []byte, found bool) {
-	for line := range bytes.Lines(e.raw) {
-		value, isData := bytes.CutPrefix(bytes.TrimRight(line, "\r\n"), []byte("data:"))
-		if !isData {
-			continue
-		}
-		if found {
-			data = append(data, '\n')
-		}
-		data = append(data, bytes.TrimPrefix(value, []byte(" "))...)
-		found = true
-	}
-	return data, found
-}
