--- a/transport/relay/obstacle.go
+++ b/transport/relay/obstacle.go
@@ -1,7 +1,6 @@
 package relay
 
 import (
-	"fmt"
 	"strconv"
 	"time"
 
@@ -50,7 +49,7 @@
 // than what another gateway or back end can do at once.
 func (o obstacle) refusal(format string, args ...any) *result.Error {
 	code, pause := o.answer()
-	return result.Errorf(code, "%s", fmt.Sprintf(format, args...)).After(pause)
+	return result.Errorf(code, format, args...).After(pause)
 }
 
 func (o obstacle) answer() (code result.Code, pause time.Duration) {
--- a/transport/relay/run.go
+++ b/transport/relay/run.go
@@ -28,9 +28,9 @@
 		if ended == delivered {
 			return
 		}
-		attempt := c.attemptEnd(ctx, ended, cause)
-		if step, again := attempt.next().(tryAnother); !again || !c.mayRetry(step) {
-			c.end(attempt.giveUp())
+		step := c.nextStep(c.attemptEnd(ctx, ended, cause))
+		if _, again := step.(tryAnother); !again {
+			c.end(step)
 			return
 		}
 		c.logRetry(choice, ended, cause)
@@ -58,9 +58,15 @@
 	}
 }
 
-// mayRetry takes a retry from the budget where the step needs one.
-func (c *call) mayRetry(step tryAnother) bool {
-	return !step.spends || c.handler.options.Retries.Retry(c.basis.route.Name, c.handler.options.Now())
+// nextStep takes a retry from the budget where the next step needs one. Without one left
+// the request is given up.
+func (c *call) nextStep(attempt attemptEnd) nextStep {
+	step := attempt.next()
+	again, isAnother := step.(tryAnother)
+	if !isAnother || !again.spends || c.handler.options.Retries.Retry(c.basis.route.Name, c.handler.options.Now()) {
+		return step
+	}
+	return attempt.giveUp()
 }
 
 // end answers a request that is given up, or breaks its connection.
