--- a/node/gate.go
+++ b/node/gate.go
@@ -44,16 +44,7 @@
 
 // ServeHTTP implements http.Handler.
 func (g *callerGate) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
-	if !g.open.Load() {
-		if err := g.ready(); err != nil {
-			refusal := result.Errorf(result.NotReady, "this node is starting: %v", err).After(notReadyRetry)
-			g.refuse(writer, callerapi.Unrecorded(refusal, request.Header))
-			return
-		}
-		g.open.Store(true)
-	}
-	if g.draining() {
-		refusal := result.Errorf(result.Draining, "this node drains by an operator's order").After(drainingRetry)
+	if refusal := g.closed(); refusal != nil {
 		g.refuse(writer, callerapi.Unrecorded(refusal, request.Header))
 		return
 	}
@@ -66,6 +57,20 @@
 	g.handler.ServeHTTP(writer, request)
 }
 
+// closed returns why the node takes no request at all; nil where it takes them.
+func (g *callerGate) closed() *result.Error {
+	if !g.open.Load() {
+		if err := g.ready(); err != nil {
+			return result.Errorf(result.NotReady, "this node is starting: %v", err).After(notReadyRetry)
+		}
+		g.open.Store(true)
+	}
+	if g.draining() {
+		return result.Errorf(result.Draining, "this node drains by an operator's order").After(drainingRetry)
+	}
+	return nil
+}
+
 // refuse answers with the error as the callers' API does, and closes the
 // connection.
 func (g *callerGate) refuse(writer http.ResponseWriter, refusal *result.Error) {
