--- a/cmd/marblering-lab/command.go
+++ b/cmd/marblering-lab/command.go
@@ -67,9 +67,6 @@
 		newObjectStoreCommand(),
 		newToolCommand(),
 		newWeightStoreCommand(),
-		newMeasureCommand(),
-		newScaleCommand(),
-		newScaleGroupCommand(),
 		newExperimentCommand(),
 	)
 	return root
--- a/coordination/fleet/poll.go
+++ b/coordination/fleet/poll.go
@@ -9,7 +9,7 @@
 	"go.uber.org/zap"
 	"golang.org/x/sync/errgroup"
 
-	"github.com/marblering/marblering/coordination/limit"
+	"github.com/marblering/marblering/coordination/admission"
 )
 
 // Polling is bounded by a node's control budget, not by the number of engines.
@@ -114,7 +114,7 @@
 	defer cancel()
 	leaving, err := f.Reporter.Leaving(ctx, engine.Address)
 	if err != nil {
-		f.Logger.Debug("engine silent", zap.String("engine", engine.Name), zap.Error(err))
+		f.Logger.Debug("engine did not answer", zap.String("engine", engine.Name), zap.Error(err))
 		return nil
 	}
 	f.takeLeaving(engine.Name, leaving)
@@ -129,7 +129,7 @@
 	defer cancel()
 	load, err := f.Reporter.Load(ctx, engine.Address)
 	if err != nil {
-		f.Logger.Debug("no load report", zap.String("engine", engine.Name), zap.Error(err))
+		f.Logger.Debug("load report not read", zap.String("engine", engine.Name), zap.Error(err))
 		return nil
 	}
 	f.takeLoad(engine.Name, load)
@@ -153,7 +153,7 @@
 		entry.load = load
 		entry.reportedAt = now
 	})
-	f.Admitter.SetCapacity(engine, limit.Capacity{
+	f.Admitter.SetCapacity(engine, admission.Capacity{
 		MaxTokens:       load.CacheLimit,
 		TokensPerSecond: load.PrefillSpeed,
 	})
--- a/coordination/turnstore/store_test.go
+++ b/coordination/turnstore/store_test.go
@@ -25,7 +25,7 @@
 
 var errDown = errors.New("no answer")
 
-// members are replicas in memory, one a zone.
+// members are replicas in memory, each in a zone of its own.
 type members struct {
 	mutex  sync.Mutex
 	turns  map[string]map[string]replica.Turn
@@ -127,34 +127,52 @@
 }
 
 // TestLineSurvivesAnyLoss: whichever member is lost, and whichever gateway asks,
-// a stored line is found whole.
+// a stored line is found whole. Turns are stored and read in virtual time: in real time
+// a busy machine lets a hedge be sent, which writes a third copy.
 func TestLineSurvivesAnyLoss(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
+	rapid.Check(t, func(rt *rapid.T) {
 		m, v := newMembers(3)
-		writer := newStore(t, rapid.SampledFrom([]string{"z0", "z1", "z2", "none"}).Draw(t, "writer"), m, v)
-		var ancestors []string
-		for index := range rapid.IntRange(1, 6).Draw(t, "turns") {
-			id := fmt.Sprint("turn", index)
-			program := rapid.SampledFrom([]string{"p", "q"}).Draw(t, "program")
-			assert.NilError(t, writer.Put(context.Background(), program, &statev1.RetainedTurn{
-				Id: id, Ancestors: append([]string(nil), ancestors...), Input: []byte(id), Output: bytes.Repeat([]byte("x"), index),
-			}))
-			ancestors = append(ancestors, id)
-		}
-		assert.Equal(t, m.writes, 2*len(ancestors), "two copies of three members")
-		lost := fmt.Sprint("m", rapid.IntRange(0, 2).Draw(t, "lost"))
-		// A replica that lost its memory is another incarnation and refuses.
-		m.down[lost] = true
-		reader := newStore(t, "z1", m, v)
-		line, err := reader.Line(context.Background(), "p", ancestors[len(ancestors)-1])
-		assert.NilError(t, err)
+		writer := newStore(rt, rapid.SampledFrom([]string{"z0", "z1", "z2", "none"}).Draw(rt, "writer"), m, v)
+		reader := newStore(rt, "z1", m, v)
+		programs := rapid.SliceOfN(rapid.SampledFrom([]string{"p", "q"}), 1, 6).Draw(rt, "programs")
+		lost := fmt.Sprint("m", rapid.IntRange(0, 2).Draw(rt, "lost"))
+		var line []*statev1.RetainedTurn
+		var putErr, lineErr error
+		synctest.Test(t, func(*testing.T) {
+			if putErr = putLine(writer, programs); putErr != nil {
+				return
+			}
+			// A replica that lost its memory is another incarnation and refuses.
+			m.down[lost] = true
+			line, lineErr = reader.Line(context.Background(), "p", fmt.Sprint("turn", len(programs)-1))
+		})
+		assert.NilError(rt, putErr)
+		assert.Equal(rt, m.writes, 2*len(programs), "two copies of three members")
+		assert.NilError(rt, lineErr)
 		for index, whole := range line {
-			assert.Equal(t, whole.GetId(), ancestors[index])
-			assert.Equal(t, len(whole.GetOutput()), index)
+			assert.Equal(rt, whole.GetId(), fmt.Sprint("turn", index))
+			assert.Equal(rt, len(whole.GetOutput()), index)
 		}
 	})
 }
 
+// putLine stores a line of turns, one for each of the programs. Each has an output as
+// long as its place in the line.
+func putLine(writer *turnstore.Store, programs []string) error {
+	var ancestors []string
+	for index, program := range programs {
+		id := fmt.Sprint("turn", index)
+		err := writer.Put(context.Background(), program, &statev1.RetainedTurn{
+			Id: id, Ancestors: append([]string(nil), ancestors...), Input: []byte(id), Output: bytes.Repeat([]byte("x"), index),
+		})
+		if err != nil {
+			return err
+		}
+		ancestors = append(ancestors, id)
+	}
+	return nil
+}
+
 // TestUnknownOnlyIfSure: without a quorum a missing turn isn't denied.
 func TestUnknownOnlyIfSure(t *testing.T) {
 	m, v := newMembers(2)
@@ -171,7 +189,8 @@
 	assert.ErrorIs(t, err, turnstore.ErrUnavailable)
 }
 
-// TestPutNeedsAQuorum and asks the others where the preferred ones fail.
+// TestPutNeedsAQuorum: Put asks other members where the preferred ones fail, and fails
+// itself where no quorum is left.
 func TestPutNeedsAQuorum(t *testing.T) {
 	m, v := newMembers(1)
 	store := newStore(t, "z0", m, v)
@@ -183,7 +202,7 @@
 	assert.ErrorIs(t, store.Put(ctx, "p", &statev1.RetainedTurn{Id: "b"}), turnstore.ErrUnavailable)
 }
 
-// TestNearestIsAskedFirst, and alone where it has the turn.
+// TestNearestIsAskedFirst: no other member is asked where the nearest has the turn.
 func TestNearestIsAskedFirst(t *testing.T) {
 	m, v := newMembers(1)
 	assert.NilError(t, newStore(t, "z2", m, v).Put(context.Background(), "p", &statev1.RetainedTurn{Id: "a"}))
@@ -204,8 +223,8 @@
 	assert.Equal(t, string(line[0].GetInput()), "right")
 }
 
-// lateViews knows the sets only once it was asked for one, as a gateway does that
-// starts while requests come.
+// lateViews knows the replica sets only once it was asked for one, like a gateway that
+// starts while requests arrive.
 type lateViews struct {
 	views
 	known *atomic.Bool
@@ -232,8 +251,8 @@
 	return v.views.View(number)
 }
 
-// TestSetsThatBecomeKnownLate: where a turn is kept is found out only once the
-// sets are known.
+// TestSetsThatBecomeKnownLate: the shard of a turn is looked up only once the replica sets
+// are known.
 func TestSetsThatBecomeKnownLate(t *testing.T) {
 	for index := range 16 {
 		program := fmt.Sprint("program", index)
@@ -249,8 +268,8 @@
 	}
 }
 
-// TestSlowMembersGetNoMoreRequests: where all members are slow, that is load, and
-// asking others as well would add to it.
+// TestSlowMembersGetNoMoreRequests: where all members are slow, they are overloaded, and
+// asking more of them would add to that.
 func TestSlowMembersGetNoMoreRequests(t *testing.T) {
 	const turns = 200
 	synctest.Test(t, func(t *testing.T) {
@@ -269,8 +288,8 @@
 	})
 }
 
-// allAtOnce calls f so often at the same moment, and returns once all that this
-// began has ended.
+// allAtOnce makes so many calls of f at the same moment and returns once all that they
+// started has ended.
 func allAtOnce(times int, f func(i int)) {
 	var calls sync.WaitGroup
 	for i := range times {
@@ -281,8 +300,8 @@
 	synctest.Wait()
 }
 
-// TestSilentMemberIsPassedOver: a member that says nothing is waited for once,
-// and asked last from then on.
+// TestSilentMemberIsPassedOver: one request waits for a member that doesn't answer; later
+// ones ask it last.
 func TestSilentMemberIsPassedOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m, v := newMembers(1)
@@ -301,8 +320,8 @@
 	})
 }
 
-// TestSealedSetIsAskedLessAndLess: while a set changes its members refuse, and
-// each round is work for them.
+// TestSealedSetIsAskedLessAndLess: while a replica set changes, its members refuse
+// requests, and each round is work for them.
 func TestSealedSetIsAskedLessAndLess(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m, v := newMembers(1)
--- a/lab/experiment/marblering.go
+++ b/lab/experiment/marblering.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"github.com/marblering/marblering/coordination/admission"
 	"github.com/marblering/marblering/coordination/limit"
 	"github.com/marblering/marblering/coordination/routing"
 	"github.com/marblering/marblering/lab/engine"
@@ -16,15 +17,14 @@
 
 // marbleringNode is what one node keeps beside its tables.
 type marbleringNode struct {
-	shedder *limit.Shedder
+	shedder *admission.Shedder
 	ejector *limit.Ejector
 	engines []routing.EngineState
 	// batches are the greatest numbers of running requests seen while others
 	// waited.
 	batches []int
 	// usual is a moving average of the time that calls of a program take.
-	usual    time.Duration
-	retainer retainer
+	usual time.Duration
 }
 
 func batchLimit(state *routing.EngineState) int {
@@ -39,23 +39,18 @@
 		p := &marblering{weights: weights}
 		for range s.nodes {
 			p.nodes = append(p.nodes, marbleringNode{
-				shedder:  limit.NewShedder(limit.DefaultShedPolicy()),
-				ejector:  limit.NewEjector(limit.DefaultEjectionPolicy()),
-				engines:  make([]routing.EngineState, len(s.engines)),
-				batches:  make([]int, len(s.engines)),
-				retainer: retainer{returns: routing.NewReturns()},
+				shedder: admission.NewShedder(admission.DefaultShedPolicy()),
+				ejector: limit.NewEjector(limit.DefaultEjectionPolicy()),
+				engines: make([]routing.EngineState, len(s.engines)),
+				batches: make([]int, len(s.engines)),
 			})
 		}
-		for _, node := range s.nodes {
-			p.startRetention(s, node)
-		}
 		return p
 	}
 }
 
 func (p *marblering) choose(s *simulation, n *simNode, c *call) choice {
 	now := s.wall(s.schedule.now)
-	p.nodes[n.index].retainer.returned(c)
 	snapshot := p.snapshot(n, now)
 	request := newRequest(n, c)
 	decision := routing.Choose(snapshot, request, n.random)
@@ -136,7 +131,7 @@
 
 // shed refuses calls of new programs while the wait is long.
 func (p *marblering) shed(s *simulation, n *simNode, c *call, decision *routing.Decision, now time.Time) time.Duration {
-	demand := limit.Demand{
+	demand := admission.Demand{
 		Begun:         c.program.tree.calls > 1,
 		ExpectedQueue: seconds(decision.Candidates[0].Queue),
 		Expected:      decision.Expected,
@@ -164,15 +159,9 @@
 	ejector.Observe(a.engine.spec.Name, outcome, s.wall(s.schedule.now))
 }
 
-func (p *marblering) paused(s *simulation, paused *program) {
-	own := &p.nodes[s.home(paused.tree).index].retainer
-	own.pausing = append(own.pausing, paused)
-}
-
 func (p *marblering) ended(s *simulation, ended *program) {
 	node := s.home(ended.tree)
 	node.locality.Forget(ended.id)
-	p.nodes[node.index].retainer.returns.Left(returnClass(ended), s.schedule.now-ended.lastActive)
 	if ended.id == ended.tree.id && !ended.tree.failed && ended.script.counted() {
 		p.nodes[node.index].learnUsual(ended.tree.busy.union())
 	}
--- a/lab/experiment/simulation.go
+++ b/lab/experiment/simulation.go
@@ -4,8 +4,6 @@
 	"time"
 
 	"github.com/cespare/xxhash/v2"
-
-	"github.com/marblering/marblering/coordination/limit"
 )
 
 // simulation is one run of one policy.
@@ -14,7 +12,6 @@
 	deployment Deployment
 	workload   workload
 	policy     policy
-	limits     limit.ProgramLimits
 	engines    []*simEngine
 	nodes      []*simNode
 	trees      []*tree
@@ -27,8 +24,6 @@
 	failedOver  bool
 	lastAttempt uint64
 	transfers   map[uint64]*attempt
-	// moves are what to do when an import has arrived that no call waits for.
-	moves map[uint64]func(tokens int)
 }
 
 // epoch is the wall time of the simulation's start. Decision packages want
@@ -58,9 +53,7 @@
 	s := &simulation{
 		deployment: t.deployment,
 		workload:   t.workload,
-		limits:     limit.ProgramLimits{Idle: t.workload.idle, Turns: turnLimit},
 		transfers:  make(map[uint64]*attempt),
-		moves:      make(map[uint64]func(int)),
 	}
 	s.report = newRecorder(t)
 	for i, spec := range t.deployment.Engines {
@@ -82,7 +75,8 @@
 	return s.report.result(s)
 }
 
-// turnLimit bounds programs that loop.
+// turnLimit is the number of calls after which a program is ended, so that
+// loops end.
 const turnLimit = 40
 
 // drainTime is how long a run goes on after the last arrival, so that programs
--- a/node/build.go
+++ b/node/build.go
@@ -12,6 +12,7 @@
 	"github.com/marblering/marblering/protocol/callerapi"
 	"github.com/marblering/marblering/protocol/engineapi"
 	"github.com/marblering/marblering/protocol/objectapi"
+	"github.com/marblering/marblering/transport/nodepeer"
 	"github.com/marblering/marblering/transport/peer"
 )
 
@@ -24,7 +25,7 @@
 		return nil, err
 	}
 	peerMetrics := peer.NewMetrics(n.metrics)
-	n.peers = peer.NewClient(n.connections.client(endPeer), n.settings.PeerTimeout, peerMetrics)
+	n.peers = nodepeer.NewClient(n.connections.client(endPeer), n.settings.PeerTimeout, peerMetrics)
 	platform := objectapi.NewClient(n.settings.ObjectAPI, n.connections.client(endPlatform)).Named(n.settings.Name)
 	engineClient := engineapi.NewClient(n.connections.client(endEngine))
 	n.installer = shard.NewInstaller(n.replica, n.peers, n.logger)
@@ -62,7 +63,7 @@
 }
 
 func (n *Node) newPeerHandler(metrics *peer.Metrics) http.Handler {
-	return peer.NewHandler(n.replica, n.configuredInstaller(n.peers), &peerNode{
+	return nodepeer.NewHandler(n.replica, n.configuredInstaller(n.peers), &peerNode{
 		identity:   n.identity,
 		membership: n.membership,
 		executor:   n.executor,
@@ -129,7 +130,7 @@
 			records:  n.records,
 			fleet:    n.fleet,
 			engines:  engineClient,
-			peers:    n.peers,
+			peers:    n.peers.Client,
 			views:    &shardViews{n.views, n.holder},
 			locate:   n.views.Locate,
 			owns:     n.ownsEngine,
--- a/node/node.go
+++ b/node/node.go
@@ -32,7 +32,7 @@
 	"github.com/marblering/marblering/state/replica"
 	"github.com/marblering/marblering/telemetry"
 	"github.com/marblering/marblering/transport/listener"
-	"github.com/marblering/marblering/transport/peer"
+	"github.com/marblering/marblering/transport/nodepeer"
 )
 
 // Node is one running daemon.
@@ -61,7 +61,7 @@
 	repair     *repair.Service
 	membership *membership.Service
 	ownership  ownership
-	peers      *peer.Client
+	peers      *nodepeer.Client
 
 	// What serves callers.
 	records  *record.Store
@@ -134,7 +134,7 @@
 }
 
 func (n *Node) logEvent(event suture.Event) {
-	n.logger.Warn("supervisor", zap.String("event", event.String()))
+	n.logger.Warn("supervisor event", zap.String("event", event.String()))
 }
 
 // PeerAddress returns where other nodes reach this one, as host:port.
--- a/state/history/messages.go
+++ b/state/history/messages.go
@@ -11,17 +11,17 @@
 	statev1 "github.com/marblering/marblering/api/state/v1"
 )
 
-// bytesPerToken and tokensPerMessage are the estimate's parameters: English
-// text has about four bytes a token in the usual byte-pair vocabularies, and a
-// chat template adds a few tokens around each message.
+// Parameters of EstimateTokens: English text has about four bytes for each token in the
+// usual byte-pair vocabularies, and a chat template adds a few tokens around each message
+// (chosen, not compared with a tokenizer).
 const (
 	bytesPerToken    = 4
 	tokensPerMessage = 4
 )
 
-// EstimateTokens returns the number of tokens that the messages are taken to
-// have before an engine has counted them: a quarter of the bytes of each,
-// rounded up, and four a message. Budgets are reserved by it.
+// EstimateTokens returns the number of tokens that the messages are taken to have before
+// an engine has counted them: a quarter of the bytes of each, rounded up, and four for
+// each message. Budgets are reserved by it. It is no upper bound.
 func EstimateTokens(messages []json.RawMessage) uint64 {
 	var total uint64
 	for _, message := range messages {
@@ -31,21 +31,8 @@
 	return total
 }
 
-// Messages returns the whole conversation of the turns: the messages that the
-// caller added in each, followed by the answer. The result shares the turns'
-// memory and must not be changed.
-func Messages(turns []*statev1.Turn) ([]json.RawMessage, error) {
-	var messages []json.RawMessage
-	for _, turn := range turns {
-		ofTurn, err := turnMessages(turn)
-		if err != nil {
-			return nil, err
-		}
-		messages = append(messages, ofTurn...)
-	}
-	return messages, nil
-}
-
+// turnMessages returns the messages that the caller added in the turn, followed by the
+// answer. They share the turn's memory.
 func turnMessages(turn *statev1.Turn) ([]json.RawMessage, error) {
 	messages, err := splitArray(turn.GetMessages())
 	if err != nil {
@@ -57,7 +44,7 @@
 	return messages, nil
 }
 
-// splitArray returns the elements of a JSON array as parts of its memory.
+// splitArray returns the elements of a JSON array. They share the array's memory.
 func splitArray(array []byte) ([]json.RawMessage, error) {
 	if len(array) == 0 {
 		return nil, nil
--- a/state/replica/recovery.go
+++ b/state/replica/recovery.go
@@ -16,12 +16,15 @@
 // Names inside the data folder.
 const (
 	dataFileName = "replica.db"
-	newFileName  = "replica.db.new"
+	// newFileName is the name of a data file until it is whole.
+	newFileName = "replica.db.new"
+	// lockFileName is the file that a process locks while it uses the folder.
 	lockFileName = "replica.lock"
 	// corruptFileFormat names a damaged data file that was set aside.
 	corruptFileFormat = "replica.db.corrupt-%d"
 )
 
+// Permissions of what the store creates: its data is for this user alone.
 const (
 	folderMode = 0o750
 	fileMode   = 0o600
@@ -44,9 +47,9 @@
 	return file, nil
 }
 
-// verifyDataFile reads the whole file without trusting any of it and returns
-// its header. The entries go to visit on the way. The error is ErrCorrupt where
-// the content is damaged and ErrFormat where it is of another version.
+// verifyDataFile reads the whole file without trusting any of it and returns its header.
+// It calls visit for each other entry. It returns ErrCorrupt where the content is damaged
+// and ErrFormat where another version of the program wrote it.
 func verifyDataFile(path string, visit func(key, payload []byte) error) (header, error) {
 	source, err := os.Open(path)
 	if err != nil {
@@ -60,6 +63,7 @@
 	return verifyData(source, info.Size(), visit)
 }
 
+// verifyData is verifyDataFile for content of any source; size is in bytes.
 func verifyData(source io.ReaderAt, size int64, visit func(key, payload []byte) error) (header, error) {
 	file, err := openBoltFile(source, size)
 	if err != nil {
@@ -84,10 +88,10 @@
 		return header{}, err
 	}
 	if !found {
-		return header{}, damaged("the header is missing")
+		return header{}, corruptf("the header is missing")
 	}
 	if stored.entries != counted.entries || stored.digest != counted.digest {
-		return header{}, damaged("%d entries with digest %016x, the header says %d with %016x",
+		return header{}, corruptf("%d entries with digest %016x, the header says %d with %016x",
 			counted.entries, counted.digest, stored.entries, stored.digest)
 	}
 	return stored, nil
