--- a/node/build.go
+++ b/node/build.go
@@ -63,7 +63,7 @@
 }
 
 func (n *Node) newPeerHandler(metrics *peer.Metrics) http.Handler {
-	return nodepeer.NewHandler(n.replica, n.configuredInstaller(n.peers), &peerNode{
+	return nodepeer.NewHandler(n.replica, n.newConfiguredInstaller(), &peerNode{
 		identity:   n.identity,
 		membership: n.membership,
 		executor:   n.executor,
--- a/node/installer.go
+++ b/node/installer.go
@@ -9,7 +9,6 @@
 	"github.com/marblering/marblering/coordination/configuration"
 	"github.com/marblering/marblering/coordination/register"
 	"github.com/marblering/marblering/coordination/shard"
-	"github.com/marblering/marblering/transport/nodepeer"
 	"github.com/marblering/marblering/transport/peer"
 )
 
@@ -65,11 +64,12 @@
 	return err == nil
 }
 
-func (n *Node) configuredInstaller(client *nodepeer.Client) *configuredInstaller {
+// newConfiguredInstaller makes the installer that other nodes ask for new members.
+func (n *Node) newConfiguredInstaller() *configuredInstaller {
 	return &configuredInstaller{
 		installer:   n.installer,
 		incarnation: n.replica.Incarnation(),
-		peers:       &configurationPeers{client: client},
+		peers:       &configurationPeers{client: n.peers},
 		agent:       n.agent,
 		logger:      n.logger,
 	}
