--- a/lab/engine/completions.go
+++ b/lab/engine/completions.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"github.com/marblering/marblering/lab/ledger"
+	"github.com/marblering/marblering/lab/standin"
 	"github.com/marblering/marblering/protocol/engineapi"
 )
 
@@ -61,7 +62,7 @@
 		id:      request.RequestID,
 		model:   request.Model,
 		hold:    request.Hold,
-		created: s.options.Clock().UTC(),
+		created: time.Now().UTC(),
 		text:    limitTokens(whole, request.MaxTokens),
 		changed: make(chan struct{}),
 	}
@@ -129,7 +130,7 @@
 		seconds := math.Ceil(refusal.RetryAfter.Seconds() / s.options.TimeScale)
 		w.Header().Set("Retry-After", strconv.Itoa(max(1, int(seconds))))
 	}
-	writeJSON(w, statusOf(err), engineapi.ErrorAnswer{
+	standin.WriteJSON(w, statusOf(err), engineapi.ErrorAnswer{
 		Error: engineapi.ErrorBody{Type: errorTypes[refusal.Reason], Message: refusal.Error()},
 		Fence: refusal.Fence,
 	})
@@ -166,7 +167,7 @@
 
 // record adds a ledger entry for a request that has ended already.
 func (s *Server) record(kind ledger.Kind, entry ledger.Entry, err error) {
-	entry.Time = s.options.Clock().UTC()
+	entry.Time = time.Now().UTC()
 	entry.Kind = kind
 	entry.Outcome = ledger.Done
 	if err != nil {
--- a/node/build.go
+++ b/node/build.go
@@ -130,7 +130,7 @@
 			records:  n.records,
 			fleet:    n.fleet,
 			engines:  engineClient,
-			peers:    n.peers.Client,
+			peers:    n.peers,
 			views:    &shardViews{n.views, n.holder},
 			locate:   n.views.Locate,
 			owns:     n.ownsEngine,
--- a/node/holds.go
+++ b/node/holds.go
@@ -16,7 +16,7 @@
 	"github.com/marblering/marblering/coordination/routing"
 	"github.com/marblering/marblering/protocol/engineapi"
 	"github.com/marblering/marblering/state/program"
-	"github.com/marblering/marblering/transport/peer"
+	"github.com/marblering/marblering/transport/nodepeer"
 )
 
 // verifiedPerRound is how many holds are checked in one round, with one message
@@ -33,7 +33,7 @@
 	records *record.Store
 	fleet   *fleet.Fleet
 	engines *engineapi.Client
-	peers   *peer.Client
+	peers   *nodepeer.Client
 	views   register.Views
 	locate  func(root string) uint32
 	owns    func(engine string) bool
--- a/node/peerlimits.go
+++ b/node/peerlimits.go
@@ -7,7 +7,7 @@
 	"github.com/marblering/marblering/coordination/admission"
 )
 
-// Reserve implements peer.Node.
+// Reserve implements nodepeer.Node.
 func (p *peerNode) Reserve(request *peerv1.ReserveRequest) *peerv1.ReserveResponse {
 	reservation := admission.Reservation{
 		Engine:       request.GetEngine(),
@@ -26,13 +26,13 @@
 	}
 }
 
-// Release implements peer.Node.
+// Release implements nodepeer.Node.
 func (p *peerNode) Release(request *peerv1.ReleaseRequest) *peerv1.ReleaseResponse {
 	p.limits.admission.Release(request.GetEngine(), request.GetRequestId())
 	return &peerv1.ReleaseResponse{}
 }
 
-// Grant implements peer.Node.
+// Grant implements nodepeer.Node.
 func (p *peerNode) Grant(request *peerv1.GrantRequest) *peerv1.GrantResponse {
 	p.limits.refreshTenant(request.GetName())
 	slice := p.limits.pool.Grant(request.GetName(), request.GetNeededTokens(), time.Now())
