--- a/coordination/membership/table.go
+++ b/coordination/membership/table.go
@@ -57,7 +57,7 @@
 	fromCopy
 )
 
-// merge takes in one whole status.
+// merge records one whole status.
 func (g *Gossip) merge(now time.Time, status *peerv1.NodeStatus, from origin) {
 	if !acceptable(status) {
 		return
@@ -80,12 +80,20 @@
 		// Others gave it up with less knowledge than is here: look again.
 		g.requestProbe(status.GetNode())
 	}
-	if from == fromNode && status.GetIncarnation() == known.status.GetIncarnation() && !known.gone() {
+	if from == fromNode {
+		g.heardFrom(now, known, status.GetIncarnation())
+	}
+}
+
+// heardFrom ends a suspicion of the incarnation, which has answered itself.
+func (g *Gossip) heardFrom(now time.Time, known *record, incarnation string) {
+	if incarnation == known.status.GetIncarnation() && !known.gone() {
 		known.direct = now
 		g.endSuspicion(known)
 	}
 }
 
+// insert records the first status of a node.
 func (g *Gossip) insert(now time.Time, status *peerv1.NodeStatus, from origin) {
 	if len(g.records) >= maximumNodes {
 		return
--- a/coordination/shard/driver.go
+++ b/coordination/shard/driver.go
@@ -150,6 +150,7 @@
 	return view, merry.Prepend(err, "decode view")
 }
 
+// newRandom returns a random source for one client.
 func (d *Driver) newRandom() *rand.Rand {
 	d.randomMutex.Lock()
 	defer d.randomMutex.Unlock()
@@ -165,18 +166,11 @@
 	})
 }
 
-// installAndOpen has every member of the successor copy the shard, opens it once
-// a majority has and goes on to open the others as they come. Sealing is when this
-// driver began to end the epoch before.
+// installAndOpen has every member of the successor copy the shard, opens the successor
+// once a majority of them has, and opens the others as they follow. Sealing is the time at
+// which this driver began to end the previous epoch.
 func (d *Driver) installAndOpen(ctx context.Context, current, successor register.View, sealing time.Time) error {
-	request := InstallRequest{Previous: current, Successor: successor}
-	installed := make(chan installation, len(successor.Members))
-	for _, member := range successor.Members {
-		go func() {
-			reply, err := d.members.Install(ctx, member, request)
-			installed <- installation{member: member, reply: reply, err: failure(reply, err)}
-		}()
-	}
+	installed := d.install(ctx, InstallRequest{Previous: current, Successor: successor})
 	var ready []register.Member
 	var last error
 	var openedAfter time.Duration
@@ -211,6 +205,21 @@
 	return nil
 }
 
+// install has every member of the successor copy the shard. One result a member comes
+// from the channel.
+func (d *Driver) install(ctx context.Context, request InstallRequest) <-chan installation {
+	members := request.Successor.Members
+	installed := make(chan installation, len(members))
+	for _, member := range members {
+		go func() {
+			reply, err := d.members.Install(ctx, member, request)
+			installed <- installation{member: member, reply: reply, err: failure(reply, err)}
+		}()
+	}
+	return installed
+}
+
+// installation is how the copying of a shard ended at one member.
 type installation struct {
 	member register.Member
 	reply  archive.Reply
--- a/coordination/shard/installer.go
+++ b/coordination/shard/installer.go
@@ -41,8 +41,7 @@
 // returns once the copy has reached the medium. It may be repeated.
 func (i *Installer) Install(ctx context.Context, request InstallRequest) archive.Reply {
 	shard := request.Successor.Shard
-	isAsked := i.replica.isMember(request.Successor) || request.TurnsOnly && i.replica.isMember(request.Previous)
-	if !isAsked {
+	if !i.isAsked(request) {
 		return archive.Reply{Refusal: register.RefusalIncarnation, View: i.replica.openView(shard)}
 	}
 	if request.Previous.Epoch+1 != request.Successor.Epoch || request.Previous.Shard != shard {
@@ -71,6 +70,12 @@
 	return i.report(request, i.replica.finishInstall(request.Successor))
 }
 
+// isAsked tells whether the request is meant for this replica: a member of the successor,
+// or one of the previous view that copies turns ahead.
+func (i *Installer) isAsked(request InstallRequest) bool {
+	return i.replica.isMember(request.Successor) || request.TurnsOnly && i.replica.isMember(request.Previous)
+}
+
 // copyAhead copies turns. A member of the previous view that isn't asked to do so
 // tells whether it holds that epoch.
 func (i *Installer) copyAhead(ctx context.Context, request InstallRequest) archive.Reply {
@@ -90,6 +95,7 @@
 	return i.report(request, i.copyShard(ctx, request))
 }
 
+// report logs and returns how an installation ended.
 func (i *Installer) report(request InstallRequest, err error) archive.Reply {
 	if err == nil {
 		return archive.Reply{}
--- a/coordination/shard/listing.go
+++ b/coordination/shard/listing.go
@@ -85,8 +85,14 @@
 			ask(1)
 		}
 	}
-	return nil, merry.Prependf(last, "%d of %d members of epoch %d can be copied, a majority is needed",
-		len(listings), len(members), request.Previous.Epoch)
+	return nil, tooFewListings(request.Previous, len(listings), last)
+}
+
+// tooFewListings is the error of a copy that a majority of the previous view's members
+// can't be listed for.
+func tooFewListings(previous register.View, listed int, last error) error {
+	return merry.Prependf(last, "%d of %d members of epoch %d can be copied, a majority is needed",
+		listed, len(previous.Members), previous.Epoch)
 }
 
 // listingOrder puts this replica's own listing first, which costs no request, and
