--- a/test/document/document_test.go
+++ b/test/document/document_test.go
@@ -53,15 +53,17 @@
 	assert.DeepEqual(t, named, packages)
 }
 
-// TestWalkNamesWhatExists holds each function that the walk through the code
-// names to the file that it names for it.
+// TestWalkNamesWhatExists holds each function that the walk through the code and the
+// page of decisions name to the file that they name for it.
 func TestWalkNamesWhatExists(t *testing.T) {
-	landmarks := document.Landmarks(read(t, filepath.Join(root, "docs", "ARCHITECTURE.md")))
-	assert.Assert(t, len(landmarks) >= 15, "found only %d functions", len(landmarks))
-	for _, landmark := range landmarks {
-		code := read(t, filepath.Join(root, landmark.File))
-		declared := regexp.MustCompile(`(?m)^func (\([^)]*\) )?` + landmark.Function + `\(`)
-		assert.Assert(t, declared.MatchString(code), "%s declares no %s", landmark.File, landmark.Function)
+	for page, least := range map[string]int{"ARCHITECTURE.md": 15, "design/decisions.md": 25} {
+		landmarks := document.Landmarks(read(t, filepath.Join(root, "docs", page)))
+		assert.Assert(t, len(landmarks) >= least, "found only %d functions in %s", len(landmarks), page)
+		for _, landmark := range landmarks {
+			code := read(t, filepath.Join(root, landmark.File))
+			declared := regexp.MustCompile(`(?m)^func (\([^)]*\) )?` + landmark.Function + `\(`)
+			assert.Assert(t, declared.MatchString(code), "%s: %s declares no %s", page, landmark.File, landmark.Function)
+		}
 	}
 }
 
