--- a/transport/relay/retry.go
+++ b/transport/relay/retry.go
@@ -14,10 +14,9 @@
 // measured.
 const maxUnsent = 4
 
-// RetryPolicy is the retry budget of a gateway. Its figures are chosen, not measured, but
-// for Saved: without it the budget began empty and a gateway that had just started
-// retried nothing. A higher rate was ruled out, since a lasting failure would multiply
-// the load.
+// RetryPolicy is the retry budget of a gateway. Its figures are chosen, not measured. The
+// budget doesn't begin empty, since a gateway that had just started retried nothing then. A
+// higher rate was ruled out: a lasting failure would multiply the load.
 func RetryPolicy() limit.RetryPolicy {
 	return limit.RetryPolicy{
 		Ratio:        0.2, // retries for each request
