--- a/coordination/routetable/table.go
+++ b/coordination/routetable/table.go
@@ -112,24 +112,24 @@
 	return r.Targets[len(r.Targets)-1].Service
 }
 
-// Holder publishes the newest table. It is safe for concurrent use; reading takes no lock.
-type Holder struct {
+// InForce publishes the newest table. It is safe for concurrent use; reading takes no lock.
+type InForce struct {
 	current atomic.Pointer[Table]
 	// mutex is held while a table is installed.
 	mutex sync.Mutex
 }
 
 // Table returns the table in force; nil before the first.
-func (h *Holder) Table() *Table { return h.current.Load() }
+func (f *InForce) Table() *Table { return f.current.Load() }
 
 // Install puts the table in force unless its version is older than, or the same
 // as, the one in force, and tells whether it did.
-func (h *Holder) Install(table *Table) bool {
-	h.mutex.Lock()
-	defer h.mutex.Unlock()
-	if current := h.current.Load(); current != nil && table.Version() <= current.Version() {
+func (f *InForce) Install(table *Table) bool {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
+	if current := f.current.Load(); current != nil && table.Version() <= current.Version() {
 		return false
 	}
-	h.current.Store(table)
+	f.current.Store(table)
 	return true
 }
--- a/coordination/routetable/table_test.go
+++ b/coordination/routetable/table_test.go
@@ -42,9 +42,9 @@
 		fmt.Println(err)
 		return
 	}
-	var holder routetable.Holder
-	holder.Install(made)
-	found, _ := holder.Table().Match("Shop.Example:80", "/cart/7")
+	var inForce routetable.InForce
+	inForce.Install(made)
+	found, _ := inForce.Table().Match("Shop.Example:80", "/cart/7")
 	fmt.Println(found.Name)
 	// Output: cart
 }
@@ -87,14 +87,14 @@
 	})
 }
 
-func TestHolderNeverGoesBack(t *testing.T) {
-	var holder routetable.Holder
-	assert.Assert(t, holder.Table() == nil)
-	assert.Assert(t, holder.Install(table(t, 5)))
-	assert.Assert(t, !holder.Install(table(t, 4)))
-	assert.Assert(t, !holder.Install(table(t, 5)))
-	assert.Equal(t, holder.Table().Version(), int64(5))
-	assert.Assert(t, holder.Install(table(t, 9)))
+func TestTableInForceNeverGoesBack(t *testing.T) {
+	var inForce routetable.InForce
+	assert.Assert(t, inForce.Table() == nil)
+	assert.Assert(t, inForce.Install(table(t, 5)))
+	assert.Assert(t, !inForce.Install(table(t, 4)))
+	assert.Assert(t, !inForce.Install(table(t, 5)))
+	assert.Equal(t, inForce.Table().Version(), int64(5))
+	assert.Assert(t, inForce.Install(table(t, 9)))
 }
 
 func TestCheck(t *testing.T) {
--- a/node/gateway/gateway.go
+++ b/node/gateway/gateway.go
@@ -65,7 +65,7 @@
 
 	// What is known of the deployment, and the ways by which it comes.
 	followers followers
-	tables    *routetable.Holder
+	tables    *routetable.InForce
 	backends  *backend.Pool
 	entries   entries
 	// unusable is set while the newest configuration can't be used, so that an older one
@@ -147,7 +147,7 @@
 func newGateway(loaded settings.Gateway, parts Parts, logger *zap.Logger) (*Gateway, error) {
 	g := &Gateway{
 		settings: loaded, parts: parts, logger: logger,
-		tables:  &routetable.Holder{},
+		tables:  &routetable.InForce{},
 		metrics: telemetry.NewRegistry(),
 	}
 	g.buildBackends()
--- a/transport/relay/authorize_test.go
+++ b/transport/relay/authorize_test.go
@@ -52,7 +52,7 @@
 
 // keyWorld is a handler whose callers show a key.
 type keyWorld struct {
-	tables    *routetable.Holder
+	tables    *routetable.InForce
 	proof     *scriptedProof
 	exchanger *brokenExchanger
 	handler   http.Handler
@@ -61,7 +61,7 @@
 
 func newKeyWorld(t *testing.T, kind routetable.Kind) *keyWorld {
 	t.Helper()
-	w := &keyWorld{tables: &routetable.Holder{}, proof: &scriptedProof{step: func(int) {}}, exchanger: &brokenExchanger{after: func() {}}}
+	w := &keyWorld{tables: &routetable.InForce{}, proof: &scriptedProof{step: func(int) {}}, exchanger: &brokenExchanger{after: func() {}}}
 	w.install(t, kind, "key")
 	pool := backend.NewPool(backend.EjectionPolicy(), time.Now)
 	pool.Replace([]backend.Instance{{ID: "i-1", Service: "app"}, {ID: "i-2", Service: "app"}})
--- a/transport/relay/deadline_test.go
+++ b/transport/relay/deadline_test.go
@@ -59,7 +59,7 @@
 		}},
 	})
 	assert.NilError(t, err)
-	tables := &routetable.Holder{}
+	tables := &routetable.InForce{}
 	tables.Install(table)
 	pool := backend.NewPool(backend.EjectionPolicy(), time.Now)
 	pool.Replace([]backend.Instance{{ID: "i-1", Service: "app"}, {ID: "i-2", Service: "app"}})
--- a/transport/relay/handler.go
+++ b/transport/relay/handler.go
@@ -17,7 +17,7 @@
 
 // Options are the parts of a Handler.
 type Options struct {
-	Tables    *routetable.Holder
+	Tables    *routetable.InForce
 	Backends  Backends
 	Exchanger Exchanger
 	Dialect   Dialect
