--- a/coordination/configuration/platform.go
+++ b/coordination/configuration/platform.go
@@ -53,6 +53,7 @@
 	Current Object
 }
 
+// Error names the object and the version that it has.
 func (e *ConflictError) Error() string {
 	return fmt.Sprintf("%s is at version %d", e.Current.Key, e.Current.Version)
 }
--- a/coordination/execution/settle.go
+++ b/coordination/execution/settle.go
@@ -11,8 +11,10 @@
 	"github.com/marblering/marblering/state/result"
 )
 
-// Pauses between tries to store an outcome.
+// Pauses between tries to store an outcome. Both are chosen, not measured.
 const (
+	// settlePauseFirst is the first pause. Each that follows is twice as long, up to
+	// settlePauseMost.
 	settlePauseFirst = 50 * time.Millisecond
 	settlePauseMost  = 2 * time.Second
 	// settlePatience is how long a caller waits for its answer to be stored
--- a/coordination/fleet/fleet.go
+++ b/coordination/fleet/fleet.go
@@ -83,10 +83,12 @@
 	OnLeaving func(engine string, leaving bool)
 }
 
-// Bounds of a fleet's memory.
+// Bounds of a fleet's memory. Both are chosen, not measured.
 const (
+	// localityLimit is the number of programs whose engine is remembered.
 	localityLimit = 20000
-	eventLag      = 5 * time.Second
+	// eventLag is how late an engine's cache events may come.
+	eventLag = 5 * time.Second
 	// probeTimeout is how long a claim to probe an ejected engine stands.
 	probeTimeout = 2 * time.Second
 	// maxRefusals bounds the admission points asked for one attempt.
--- a/coordination/fleet/journal.go
+++ b/coordination/fleet/journal.go
@@ -8,10 +8,12 @@
 	"github.com/marblering/marblering/coordination/routing"
 )
 
-// Bounds of the journal.
+// Bounds of the journal. Both are chosen, not measured.
 const (
+	// maxJournalPrograms is the number of programs whose decisions are kept.
 	maxJournalPrograms = 2000
-	maxJournalEntries  = 8
+	// maxJournalEntries is the number of decisions that are kept of each.
+	maxJournalEntries = 8
 )
 
 // Explained is one decision kept for operators who ask why.
--- a/coordination/membership/settings.go
+++ b/coordination/membership/settings.go
@@ -34,34 +34,76 @@
 	SyncBytesPerSecond float64
 }
 
-// Sizes that no installation needs to tune.
+// Whom a node probes: its successors on hash rings.
 const (
+	// anyZoneRings is the number of rings over all nodes, otherZoneRings that over nodes
+	// of other zones. So about six nodes probe each node, some of them from other
+	// zones. Chosen, not measured.
 	anyZoneRings   = 4
 	otherZoneRings = 2
 	ringCount      = anyZoneRings + otherZoneRings
+)
 
-	helperCount         = 3
-	maximumQuestions    = 8
-	maximumUpdateBytes  = 1200
-	extraExchangeBurst  = 12
-	updateByteBurst     = 8 << 10
-	syncByteBurst       = 80 << 10
-	maximumNodes        = 4096
-	maximumEvidence     = 4096
-	maximumNameLength   = 256
-	fullCopyStatuses    = 24
-	fullCopySends       = 4
-	sendsPerLogarithm   = 2
-	heardSends          = 2
+// Suspicion. All are chosen, not measured.
+const (
+	// helperCount is how many nodes are asked for a later heartbeat of a suspected one.
+	helperCount = 3
+	// maximumQuestions bounds the suspected nodes that one exchange asks about.
+	maximumQuestions = 8
+	// minimumProbes is the least number of probes that a suspected node gets within
+	// Settings.SuspicionTime.
+	minimumProbes = 4
+	// heartbeatInterval is the pause between two heartbeats of a node.
+	heartbeatInterval = time.Second
+	// goneHeartbeatMargin is how many heartbeats a gone mark is ahead of what the node
+	// would have by now, so that it overrides what others have heard of it.
 	goneHeartbeatMargin = 3
-	minimumProbes       = 4
+	// stallTime is the time between two steps after which a node takes itself to have
+	// been stopped, and gives all suspects their time again.
+	stallTime = 2 * time.Second
+	// proofAge is how old a helper's knowledge may be to count as a sign of life.
+	proofAge = 2 * time.Second
+	// probeSpacing is the least time between two probes of a node that others ask for.
+	probeSpacing = 500 * time.Millisecond
+	// loneContactPause stands for Settings.ContactInterval while no other node is known.
+	loneContactPause = 500 * time.Millisecond
+)
 
-	heartbeatInterval = time.Second
-	stallTime         = 2 * time.Second
-	proofAge          = 2 * time.Second
-	probeSpacing      = 500 * time.Millisecond
-	loneContactPause  = 500 * time.Millisecond
-	pruneInterval     = time.Minute
+// Bounds of what is sent. docs/design/membership.md measures the bytes a second that
+// come of them; the single figures are chosen.
+const (
+	// maximumUpdateBytes bounds the changes that one message carries.
+	maximumUpdateBytes = 1200
+	// extraExchangeBurst is the number of exchanges beside the regular ones that may be
+	// saved up.
+	extraExchangeBurst = 12
+	// updateByteBurst and syncByteBurst are the bytes of changes and of full copies that
+	// may be saved up.
+	updateByteBurst = 8 << 10
+	syncByteBurst   = 80 << 10
+	// fullCopyStatuses is the number of statuses above which a message counts as a full
+	// copy.
+	fullCopyStatuses = 24
+	// fullCopySends bounds how often a change that came in a full copy is sent on.
+	fullCopySends = 4
+	// sendsPerLogarithm times the logarithm to base 2 of the number of nodes is how often
+	// each node sends a change, as in SWIM.
+	sendsPerLogarithm = 2
+	// heardSends is by how much that number falls when the change comes in from another
+	// node.
+	heardSends = 2
+)
+
+// Bounds of what is kept. All are chosen, not measured.
+const (
+	// maximumNodes and maximumEvidence bound the nodes and the statements about engines
+	// that are known.
+	maximumNodes    = 4096
+	maximumEvidence = 4096
+	// maximumNameLength bounds names and addresses, in bytes.
+	maximumNameLength = 256
+	// pruneInterval is the pause between two searches for what is to be forgotten.
+	pruneInterval = time.Minute
 )
 
 // DefaultSettings returns the settings that docs/design/membership.md measures.
--- a/transport/nodepeer/server.go
+++ b/transport/nodepeer/server.go
@@ -31,35 +31,44 @@
 	return mux
 }
 
+// server serves the node service of the internal protocol.
 type server struct {
 	peerv1connect.UnimplementedNodeServiceHandler
 	node Node
 }
 
+// Exchange serves one round of gossip.
 func (s *server) Exchange(ctx context.Context, request *connect.Request[peerv1.ExchangeRequest]) (*connect.Response[peerv1.ExchangeResponse], error) {
 	return peer.AnswerExchange(ctx, s.node, request)
 }
 
+// AttemptStatus tells whether an attempt runs here.
 func (s *server) AttemptStatus(_ context.Context, request *connect.Request[peerv1.AttemptStatusRequest]) (*connect.Response[peerv1.AttemptStatusResponse], error) {
 	return connect.NewResponse(s.node.AttemptStatus(request.Msg)), nil
 }
 
+// Reserve takes room at this node's admission point.
 func (s *server) Reserve(_ context.Context, request *connect.Request[peerv1.ReserveRequest]) (*connect.Response[peerv1.ReserveResponse], error) {
 	return connect.NewResponse(s.node.Reserve(request.Msg)), nil
 }
 
+// Release gives the room back.
 func (s *server) Release(_ context.Context, request *connect.Request[peerv1.ReleaseRequest]) (*connect.Response[peerv1.ReleaseResponse], error) {
 	return connect.NewResponse(s.node.Release(request.Msg)), nil
 }
 
+// Grant gives a slice of a tenant's rate.
 func (s *server) Grant(_ context.Context, request *connect.Request[peerv1.GrantRequest]) (*connect.Response[peerv1.GrantResponse], error) {
 	return connect.NewResponse(s.node.Grant(request.Msg)), nil
 }
 
+// FetchConfiguration returns what is newer than the known version.
 func (s *server) FetchConfiguration(_ context.Context, request *connect.Request[peerv1.FetchConfigurationRequest]) (*connect.Response[peerv1.FetchConfigurationResponse], error) {
 	return connect.NewResponse(s.node.FetchConfiguration(request.Msg)), nil
 }
 
+// InstallConfiguration takes configuration objects. Objects that can't be installed fail with
+// connect.CodeInvalidArgument.
 func (s *server) InstallConfiguration(_ context.Context, request *connect.Request[peerv1.InstallConfigurationRequest]) (*connect.Response[peerv1.InstallConfigurationResponse], error) {
 	response, err := s.node.InstallConfiguration(request.Msg)
 	if err != nil {
--- a/transport/peer/reconfigure.go
+++ b/transport/peer/reconfigure.go
@@ -169,6 +169,7 @@
 	return w.stream.Send(message)
 }
 
+// Seal ends an epoch at this replica.
 func (s *replicaServer) Seal(ctx context.Context, request *connect.Request[peerv1.SealRequest]) (*connect.Response[peerv1.SealResponse], error) {
 	successor := ViewFromWire(request.Msg.GetSuccessor())
 	if successor == nil {
@@ -184,6 +185,7 @@
 	}), nil
 }
 
+// Install has this replica copy a shard, which may take as long as the caller waits.
 func (s *replicaServer) Install(ctx context.Context, request *connect.Request[peerv1.InstallRequest]) (*connect.Response[peerv1.InstallResponse], error) {
 	previous := ViewFromWire(request.Msg.GetPrevious())
 	successor := ViewFromWire(request.Msg.GetSuccessor())
@@ -202,6 +204,7 @@
 	}), nil
 }
 
+// Open lets this replica serve a view.
 func (s *replicaServer) Open(ctx context.Context, request *connect.Request[peerv1.OpenRequest]) (*connect.Response[peerv1.OpenResponse], error) {
 	view := ViewFromWire(request.Msg.GetView())
 	if view == nil {
@@ -214,6 +217,7 @@
 	}), nil
 }
 
+// Pull streams what a shard has here, some items a message.
 func (s *replicaServer) Pull(ctx context.Context, request *connect.Request[peerv1.PullRequest], stream *connect.ServerStream[peerv1.PullResponse]) error {
 	pull := shard.PullRequest{
 		Fence:       fenceFromWire(request.Msg.GetFence()),
--- a/transport/peer/server.go
+++ b/transport/peer/server.go
@@ -97,6 +97,7 @@
 	membership Exchanger
 }
 
+// Exchange serves one round of gossip.
 func (s *exchangeServer) Exchange(ctx context.Context, request *connect.Request[peerv1.ExchangeRequest]) (*connect.Response[peerv1.ExchangeResponse], error) {
 	return AnswerExchange(ctx, s.membership, request)
 }
@@ -149,6 +150,7 @@
 	}
 }
 
+// Peek returns this replica's copy of a register, which may be old.
 func (s *replicaServer) Peek(_ context.Context, request *connect.Request[peerv1.PeekRequest]) (*connect.Response[peerv1.PeekResponse], error) {
 	value, refusal := s.replica.Peek(fenceFromWire(request.Msg.GetFence()), request.Msg.GetKey())
 	return connect.NewResponse(&peerv1.PeekResponse{Refusal: peerv1.Refusal(refusal), Value: value}), nil
@@ -171,6 +173,7 @@
 	}, nil
 }
 
+// ReadTurns streams the turns of a program.
 func (s *replicaServer) ReadTurns(ctx context.Context, request *connect.Request[peerv1.ReadTurnsRequest], stream *connect.ServerStream[peerv1.ReadTurnsResponse]) error {
 	fence := fenceFromWire(request.Msg.GetFence())
 	reply, err := s.replica.ReadTurns(ctx, fence, request.Msg.GetProgram(), request.Msg.GetFromSequence(), func(turn replica.Turn) error {
