--- a/coordination/conversation/pause.go
+++ b/coordination/conversation/pause.go
@@ -12,7 +12,7 @@
 //     likely does, so the client loses nothing but the way there;
 //   - reservedPause where another host holds the rest of the budget, which it gives
 //     back within a second of the program's last turn;
-//   - else half of the time that the trouble has lasted, between retryPause and
+//   - else half of the time that the trouble has lasted, between shortestPause and
 //     longestPause: a fixed short pause would use up the client's tries while a replica
 //     set changes. In place of a fixed 0.2 s it raised what is earned on days with such
 //     changes from 0.603 to 0.696 of what is owed, and from 0.713 to 0.738 on another
@@ -24,9 +24,9 @@
 	// reservedPause is about half of the time in which a reserve is given back.
 	// Chosen, not measured.
 	reservedPause = 400 * time.Millisecond
-	// retryPause is the shortest pause in trouble: what a hedged read of a turn takes.
+	// shortestPause is the shortest pause in trouble: what a hedged read of a turn takes.
 	// Chosen, not measured.
-	retryPause = 200 * time.Millisecond
+	shortestPause = 200 * time.Millisecond
 	// longestPause is the longest pause in trouble. Chosen, not measured.
 	longestPause = time.Second
 	// pauseShare is the part of the time that the trouble has lasted after which a
@@ -57,5 +57,5 @@
 	}
 	t.last = now
 	lasted := now.Sub(t.since)
-	return min(max(time.Duration(pauseShare*float64(lasted)), retryPause), longestPause)
+	return min(max(time.Duration(pauseShare*float64(lasted)), shortestPause), longestPause)
 }
--- a/coordination/conversation/pause_test.go
+++ b/coordination/conversation/pause_test.go
@@ -13,13 +13,13 @@
 	now := start
 	lasting := trouble{now: func() time.Time { return now }}
 	for _, c := range []struct{ at, want time.Duration }{
-		{0, retryPause},
-		{200 * time.Millisecond, retryPause},
+		{0, shortestPause},
+		{200 * time.Millisecond, shortestPause},
 		{800 * time.Millisecond, 400 * time.Millisecond},
 		{1500 * time.Millisecond, 750 * time.Millisecond},
 		{2400 * time.Millisecond, longestPause},
 		{3400 * time.Millisecond, longestPause},
-		{4500 * time.Millisecond, retryPause},
+		{4500 * time.Millisecond, shortestPause},
 		{5100 * time.Millisecond, 300 * time.Millisecond},
 	} {
 		now = start.Add(c.at)
--- a/transport/relay/answer.go
+++ b/transport/relay/answer.go
@@ -11,23 +11,10 @@
 	"github.com/marblering/marblering/state/result"
 )
 
-// failureBody is the JSON body of this gateway's own answers, in the form of
-// docs/RESULT-CODES.md.
-type failureBody struct {
-	Error failureDetail `json:"error"`
-}
-
-type failureDetail struct {
-	Code      result.Code      `json:"code"`
-	Type      string           `json:"type"`
-	Message   string           `json:"message"`
-	Execution result.Execution `json:"execution"`
-	Repeat    result.Repeat    `json:"repeat"`
-}
-
-// fail answers with the failure. The answer has no header of a back end.
+// fail answers with the failure, in the form of docs/RESULT-CODES.md. The answer has no
+// header of a back end. Its pause stands in Retry-After alone, which has fractions of a
+// second.
 func (c *call) fail(failure *result.Error) {
-	info := failure.Code.Info()
 	c.reply.code = failure.Code
 	c.reply.reason = failure.Message
 	header := c.writer.Header()
@@ -36,16 +23,15 @@
 	if failure.RetryAfter > 0 {
 		header.Set("Retry-After", retryAfter(failure.RetryAfter, rand.N(failure.RetryAfter)))
 	}
-	body, err := json.Marshal(failureBody{Error: failureDetail{
-		Code: failure.Code, Type: info.Name, Message: failure.Message,
-		Execution: info.Execution, Repeat: info.Repeat,
-	}})
+	body, err := json.Marshal(result.Body{Error: failure.Detail()})
 	if err != nil {
-		body = nil
+		// Numbers and texts always have a JSON form. The status says the rest.
+		c.handler.options.Logger.Error("refusal has no body", zap.String("request", c.asked.facts.ID), zap.Error(err))
 	}
 	header.Set("Content-Length", strconv.Itoa(len(body)))
 	c.discardBody(header)
-	c.begin(info.HTTP)
+	c.begin(failure.Code.Info().HTTP)
+	// A failed write means that the client has left; nobody is there to be told.
 	_, _ = c.writer.Write(body)
 }
 
--- a/transport/relay/handler.go
+++ b/transport/relay/handler.go
@@ -62,7 +62,11 @@
 // InFlight is how many requests are under way.
 func (h *Handler) InFlight() int64 { return h.inFlight.Load() }
 
-// ServeHTTP serves one request.
+// ServeHTTP serves one request. Whether it is taken is decided in this order, each step
+// cheaper for the deployment than those after it: room for another request, a
+// configuration, the size of the head, what the headers say, the route, the key (before
+// the body is read), the body, the tenant's quota, the turn. The first step that fails
+// ends the request.
 func (h *Handler) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	arrived := h.options.Now()
 	underWay := h.inFlight.Add(1)
--- a/transport/relay/run.go
+++ b/transport/relay/run.go
@@ -21,7 +21,7 @@
 		}
 		if failure := c.reauthorize(); failure != nil {
 			choice.Release(backend.Unjudged{})
-			c.endUnsent(ctx, failure)
+			c.endRevoked(ctx, failure)
 			return
 		}
 		ended, cause := c.try(ctx, choice)
@@ -79,9 +79,9 @@
 	}
 }
 
-// endUnsent ends a request that may not be sent any more. Where it may have run already,
-// the answer mustn't promise that it hasn't.
-func (c *call) endUnsent(ctx context.Context, failure *result.Error) {
+// endRevoked ends a request whose key isn't accepted any more. Where an earlier attempt
+// may have run it, the answer mustn't promise that it hasn't.
+func (c *call) endRevoked(ctx context.Context, failure *result.Error) {
 	if c.tried.mayHaveRun {
 		c.end(c.attemptEnd(ctx, lost, failure).giveUp())
 		return
@@ -108,6 +108,7 @@
 	return ctx.Err() != nil || !c.handler.options.Now().Before(c.times.deadline)
 }
 
+// exchange has one exchange with the instance, and judges its answer.
 func (c *call) exchange(ctx context.Context, tried *attempt) (outcome, error) {
 	answer, err := c.handler.options.Exchanger.Do(ctx, c.upstreamRequest(tried.choice))
 	if err != nil {
@@ -128,6 +129,7 @@
 	return c.deliver(ctx, answer, tried)
 }
 
+// upstreamRequest is what the instance is sent.
 func (c *call) upstreamRequest(choice *backend.Choice) *upstream.Request {
 	header := endToEnd(c.request.Header)
 	c.handler.options.Dialect.Write(header, Attempt{
@@ -143,6 +145,7 @@
 	}
 }
 
+// logRetry logs and counts that another instance gets the request.
 func (c *call) logRetry(choice *backend.Choice, ended outcome, cause error) {
 	c.handler.options.Metrics.retries.Inc()
 	c.handler.options.Logger.Info("trying another back end",
