--- a/coordination/backend/choose.go
+++ b/coordination/backend/choose.go
@@ -7,13 +7,13 @@
 )
 
 // A key's instance is passed over while it has more of this node's requests than
-// boundFactor times the mean plus boundSlack requests: consistent hashing with bounded
+// loadBoundFactor times the mean plus loadBoundSlack requests: consistent hashing with bounded
 // loads (Mirrokni, Thorup, Zadimoghaddam 2018). The bound is for a key that is asked for
 // far more often than the others. Both figures are chosen, not measured: in seven runs
 // without such a key nothing beyond noise was lost without any bound.
 const (
-	boundFactor = 1.5
-	boundSlack  = 2
+	loadBoundFactor = 1.5
+	loadBoundSlack  = 2
 )
 
 // candidate is an instance that may be given a request, with what its choice depends on.
@@ -26,8 +26,8 @@
 	outstanding int64
 }
 
-// placement is what the choice of an instance depends on.
-type placement struct {
+// picker is what the choice of an instance depends on.
+type picker struct {
 	// candidates are the instances to choose from, one at least.
 	candidates []candidate
 	// hasKey is set where the request shares its context with others.
@@ -55,8 +55,8 @@
 // the callers, 0.87 of what callers are owed was served under high load in place of 0.96
 // (one run each). What is saved by staying in the zone, 2.8 ms a request and bytes
 // between zones, is less on every deployment measured.
-func choose(p placement) (chosen candidate, preferred bool) {
-	chosen, preferred = p.first()
+func choose(p picker) (chosen candidate, preferred bool) {
+	chosen, preferred = p.pick()
 	if !p.isStalled(chosen) {
 		return chosen, preferred
 	}
@@ -65,12 +65,12 @@
 		return chosen, preferred
 	}
 	p.candidates = rest
-	chosen, _ = p.first()
+	chosen, _ = p.pick()
 	return chosen, false
 }
 
-// first chooses without regard to stalls.
-func (p placement) first() (chosen candidate, preferred bool) {
+// pick chooses without regard to stalls.
+func (p picker) pick() (chosen candidate, preferred bool) {
 	if !p.hasKey {
 		return p.leastLoaded(), false
 	}
@@ -92,16 +92,16 @@
 
 // loadBound is the number of requests above which an instance is passed over. It is above
 // the mean, so that one instance at least isn't.
-func (p placement) loadBound() float64 {
+func (p picker) loadBound() float64 {
 	var sum int64
 	for _, c := range p.candidates {
 		sum += c.outstanding
 	}
-	return boundFactor*float64(sum)/float64(len(p.candidates)) + boundSlack
+	return loadBoundFactor*float64(sum)/float64(len(p.candidates)) + loadBoundSlack
 }
 
 // leastLoaded begins at a random place, so that equals share the work.
-func (p placement) leastLoaded() candidate {
+func (p picker) leastLoaded() candidate {
 	start := p.random(len(p.candidates))
 	best := p.candidates[start]
 	for step := 1; step < len(p.candidates); step++ {
@@ -114,7 +114,7 @@
 }
 
 // responsive returns the candidates that aren't stalled.
-func (p placement) responsive() []candidate {
+func (p picker) responsive() []candidate {
 	var rest []candidate
 	for _, c := range p.candidates {
 		if !p.isStalled(c) {
@@ -124,11 +124,11 @@
 	return rest
 }
 
-func hashText(text string) uint64 { return xxhash.Sum64String(text) }
+func hashString(text string) uint64 { return xxhash.Sum64String(text) }
 
-// mix is the finalizer of MurmurHash3: every input bit changes every output
+// fmix64 is the finalizer of MurmurHash3: every input bit changes every output
 // bit with probability one half.
-func mix(value uint64) uint64 {
+func fmix64(value uint64) uint64 {
 	value ^= value >> 33
 	value *= 0xff51afd7ed558ccd
 	value ^= value >> 33
@@ -143,5 +143,5 @@
 	if key == "" {
 		return rand.Float64()
 	}
-	return float64(mix(hashText(key))>>(64-fractionBits)) / (1 << fractionBits)
+	return float64(fmix64(hashString(key))>>(64-fractionBits)) / (1 << fractionBits)
 }
--- a/coordination/backend/ejection.go
+++ b/coordination/backend/ejection.go
@@ -14,25 +14,25 @@
 	// slowFactor is how many times slower than the median of its service, each wait
 	// relative to the usual one of its route, an instance has to be.
 	slowFactor = 4
-	// failuresInRow is the number of failed requests in a row.
-	failuresInRow = 3
-	// faultShare is the part of the requests that fail, as a moving average. It is below
+	// consecutiveFailures is the number of failed requests in a row.
+	consecutiveFailures = 3
+	// failureRate is the part of the requests that fail, as a moving average. It is below
 	// a half, so that an instance that fails every second request is found.
-	faultShare = 0.4
+	failureRate = 0.4
 	// minSamples is how many requests must have ended at an instance before it is judged
 	// by its waits or its share of faults.
 	minSamples = 4
-	// baseTime is how long the first ejection lasts; each that follows soon lasts twice
+	// baseEjectionTime is how long the first ejection lasts; each that follows soon lasts twice
 	// as long, up to maxTime. Both are short, since instances restart often.
-	baseTime = time.Second
-	maxTime  = 8 * time.Second
-	// maxFraction is the part of a service's instances that may be out at once. Where
+	baseEjectionTime = time.Second
+	maxEjectionTime  = 8 * time.Second
+	// maxEjectedFraction is the part of a service's instances that may be out at once. Where
 	// more of them are slow the service is overloaded, and leaving instances out makes
 	// that worse.
-	maxFraction = 0.5
-	// probes is how many requests in a row have to succeed, one at a time, before an
+	maxEjectedFraction = 0.5
+	// requiredProbes is how many requests in a row have to succeed, one at a time, before an
 	// ejected instance returns.
-	probes = 2
+	requiredProbes = 2
 )
 
 // EjectionPolicy suits services whose instances restart often: an instance is
@@ -40,12 +40,12 @@
 func EjectionPolicy() limit.EjectionPolicy {
 	return limit.EjectionPolicy{
 		SlowFactor:  slowFactor,
-		Failures:    failuresInRow,
-		FaultShare:  faultShare,
+		Failures:    consecutiveFailures,
+		FaultShare:  failureRate,
 		MinSamples:  minSamples,
-		BaseTime:    baseTime,
-		MaxTime:     maxTime,
-		MaxFraction: maxFraction,
-		Probes:      probes,
+		BaseTime:    baseEjectionTime,
+		MaxTime:     maxEjectionTime,
+		MaxFraction: maxEjectedFraction,
+		Probes:      requiredProbes,
 	}
 }
--- a/coordination/backend/ending.go
+++ b/coordination/backend/ending.go
@@ -4,7 +4,7 @@
 
 // Ending is how a request ended at its instance, as far as it says something of the
 // instance: Answered, Broken, Waited or Unjudged.
-type Ending interface{ ending() }
+type Ending interface{ isEnding() }
 
 // Answered is a whole answer.
 type Answered struct {
@@ -27,7 +27,7 @@
 // load.
 type Unjudged struct{}
 
-func (Answered) ending() {}
-func (Broken) ending()   {}
-func (Waited) ending()   {}
-func (Unjudged) ending() {}
+func (Answered) isEnding() {}
+func (Broken) isEnding()   {}
+func (Waited) isEnding()   {}
+func (Unjudged) isEnding() {}
--- a/coordination/backend/instance.go
+++ b/coordination/backend/instance.go
@@ -36,11 +36,11 @@
 
 // candidate is the member as a choice, for a request whose key has the hash.
 func (m *member) candidate(key uint64) candidate {
-	return candidate{member: m, weight: mix(m.hash ^ key), outstanding: m.load.outstanding.Load()}
+	return candidate{member: m, weight: fmix64(m.hash ^ key), outstanding: m.load.outstanding.Load()}
 }
 
-// set is an immutable collection of instances.
-type set struct {
+// snapshot is an immutable collection of instances.
+type snapshot struct {
 	services map[string]*service
 	byID     map[string]*member
 }
@@ -48,17 +48,17 @@
 // service is the instances of one service; its health outlives the sets.
 type service struct {
 	members []*member
-	health  *health
+	health  *serviceHealth
 }
 
-func newSet(instances []Instance, previous *set, policy limit.EjectionPolicy) *set {
-	next := &set{services: make(map[string]*service), byID: make(map[string]*member, len(instances))}
+func newSnapshot(instances []Instance, previous *snapshot, policy limit.EjectionPolicy) *snapshot {
+	next := &snapshot{services: make(map[string]*service), byID: make(map[string]*member, len(instances))}
 	for _, instance := range instances {
-		joined := &member{Instance: instance, load: previous.loadOf(instance.Life()), hash: hashText(instance.ID)}
+		joined := &member{Instance: instance, load: previous.loadFor(instance.Life()), hash: hashString(instance.ID)}
 		next.byID[instance.ID] = joined
 		of := next.services[instance.Service]
 		if of == nil {
-			of = &service{health: previous.healthOf(instance.Service, policy)}
+			of = &service{health: previous.healthFor(instance.Service, policy)}
 			next.services[instance.Service] = of
 		}
 		of.members = append(of.members, joined)
@@ -70,18 +70,18 @@
 	return next
 }
 
-// healthOf returns the judgement of a service that was known before, or a new one.
-func (s *set) healthOf(name string, policy limit.EjectionPolicy) *health {
+// healthFor returns the judgement of a service that was known before, or a new one.
+func (s *snapshot) healthFor(name string, policy limit.EjectionPolicy) *serviceHealth {
 	if s != nil {
 		if known, found := s.services[name]; found {
 			return known.health
 		}
 	}
-	return newHealth(policy)
+	return newServiceHealth(policy)
 }
 
-// loadOf returns the load of a life that was known before, or a new one.
-func (s *set) loadOf(life Life) *load {
+// loadFor returns the load of a life that was known before, or a new one.
+func (s *snapshot) loadFor(life Life) *load {
 	if s != nil {
 		if known, found := s.byID[life.ID]; found && known.Life().isSame(life) {
 			return known.load
--- a/coordination/backend/lapse.go
+++ b/coordination/backend/lapse.go
@@ -10,22 +10,22 @@
 	// 1.00 were served in place of 0.87, 0.70 and 0.85 without (three returns, one run
 	// each).
 	LapseTime = 1800 * time.Millisecond
-	// lapseShare of a service's instances, and lapseLeast of them, must vanish at once to
+	// massExpiryFraction of a service's instances, and lapseLeast of them, must vanish at once to
 	// look like a lapse rather than like ends of their own (chosen, not measured).
-	lapseShare = 1.0 / 3
-	lapseLeast = 2
+	massExpiryFraction = 1.0 / 3
+	massExpiryMinimum  = 2
 )
 
-// isLapse decides whether so many of a service's instances vanished at once that their
+// isMassExpiry decides whether so many of a service's instances vanished at once that their
 // entries rather than they themselves are gone.
-func isLapse(vanished, known int) bool {
-	return vanished >= lapseLeast && float64(vanished) >= lapseShare*float64(known)
+func isMassExpiry(vanished, known int) bool {
+	return vanished >= massExpiryMinimum && float64(vanished) >= massExpiryFraction*float64(known)
 }
 
-// lapsed returns the instances of the set that vanished in a lapse and may still come
+// retainExpired returns the instances of the set that vanished in a lapse and may still come
 // back. One that was leaving has left, and another instance at the address of one shows
 // that it has ended.
-func lapsed(previous *set, next []Instance, now time.Time) []Instance {
+func retainExpired(previous *snapshot, next []Instance, now time.Time) []Instance {
 	present := make(map[string]bool, len(next))
 	addresses := make(map[string]bool, len(next))
 	for _, instance := range next {
@@ -40,9 +40,9 @@
 				vanished = append(vanished, known)
 			}
 		}
-		begins := isLapse(len(vanished), len(of.members))
+		begins := isMassExpiry(len(vanished), len(of.members))
 		for _, known := range vanished {
-			if known.load.lapse(begins, now) {
+			if known.load.retain(begins, now) {
 				kept = append(kept, known.Instance)
 			}
 		}
@@ -50,21 +50,21 @@
 	return kept
 }
 
-// lapse tells whether an instance without an entry is kept; begins says that its entry
-// vanishes in a lapse now. One that lapsed is kept until its time is over, whatever
+// retain tells whether an instance without an entry is kept; begins says that its entry
+// vanishes in a retain now. One that lapsed is kept until its time is over, whatever
 // vanishes later.
-func (l *load) lapse(begins bool, now time.Time) bool {
+func (l *load) retain(begins bool, now time.Time) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if l.lapsedAt.IsZero() && begins {
-		l.lapsedAt = now
+	if l.expiredAt.IsZero() && begins {
+		l.expiredAt = now
 	}
-	return !l.lapsedAt.IsZero() && now.Sub(l.lapsedAt) < LapseTime
+	return !l.expiredAt.IsZero() && now.Sub(l.expiredAt) < LapseTime
 }
 
-// returned forgets that the instance's entry had lapsed.
-func (l *load) returned() {
+// clearExpiry forgets that the instance's entry had lapsed.
+func (l *load) clearExpiry() {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.lapsedAt = time.Time{}
+	l.expiredAt = time.Time{}
 }
--- a/coordination/backend/life.go
+++ b/coordination/backend/life.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// rememberEnded is how long the start of an instance that is gone is remembered, so that
+// endedRetention is how long the start of an instance that is gone is remembered, so that
 // a late entry of an earlier life doesn't bring it back. It is three times as long as a
 // store keeps its history, after which nobody is told of old entries.
-const rememberEnded = time.Minute
+const endedRetention = time.Minute
 
 // Life is one run of a back end process, from its start to its end. An instance may be
 // started again under the id that it had; nothing that is known of one life holds for
@@ -37,15 +37,15 @@
 // endedLife is the last life of an instance that is gone.
 type endedLife struct {
 	started time.Time
-	// noticed is when the instance was found to be gone.
-	noticed time.Time
+	// detected is when the instance was found to be gone.
+	detected time.Time
 }
 
-// adopt returns the listed instances, each in its newest life. An entry without a start
+// resolveLives returns the listed instances, each in its newest life. An entry without a start
 // belongs to the life that is known. An entry of an earlier life is late and changes
 // nothing: an instance that is known stays as it is, and one that is gone stays gone. The
 // mutex must be held.
-func (p *Pool) adopt(previous *set, listed []Instance) []Instance {
+func (p *Pool) resolveLives(previous *snapshot, listed []Instance) []Instance {
 	adopted := make([]Instance, 0, len(listed))
 	for _, instance := range listed {
 		known, isKnown := previous.byID[instance.ID]
@@ -66,19 +66,19 @@
 	return adopted
 }
 
-// remember keeps when the last life of an instance that is gone began. The mutex must be
+// recordEnded keeps when the last life of an instance that is gone began. The mutex must be
 // held.
-func (p *Pool) remember(gone *member) {
+func (p *Pool) recordEnded(gone *member) {
 	if !gone.Started.IsZero() {
-		p.ended[gone.ID] = endedLife{started: gone.Started, noticed: p.now()}
+		p.ended[gone.ID] = endedLife{started: gone.Started, detected: p.now()}
 	}
 }
 
-// forgetEnded drops what is remembered of instances that have been gone for long. The
+// pruneEnded drops what is remembered of instances that have been gone for long. The
 // mutex must be held.
-func (p *Pool) forgetEnded() {
+func (p *Pool) pruneEnded() {
 	for id, last := range p.ended {
-		if p.now().Sub(last.noticed) >= rememberEnded {
+		if p.now().Sub(last.detected) >= endedRetention {
 			delete(p.ended, id)
 		}
 	}
--- a/coordination/backend/pool.go
+++ b/coordination/backend/pool.go
@@ -11,8 +11,8 @@
 	"github.com/marblering/marblering/coordination/limit"
 )
 
-// ErrNone is returned where no instance of the service can take a request.
-var ErrNone = errors.New("no instance can take the request")
+// ErrNoInstance is returned where no instance of the service can take a request.
+var ErrNoInstance = errors.New("no instance can take the request")
 
 // Pool chooses instances and counts this node's work at them. It is safe for
 // concurrent use.
@@ -25,7 +25,7 @@
 	// restarted is told of each instance that was started again under its id.
 	restarted func(Restart)
 
-	current atomic.Pointer[set]
+	current atomic.Pointer[snapshot]
 	// mutex guards what follows, and is held while the set is replaced.
 	mutex sync.Mutex
 	// listed are the instances as they were given last.
@@ -40,7 +40,7 @@
 		now: now, policy: policy, ended: make(map[string]endedLife),
 		ejected: func(Instance, Ending) {}, restarted: func(Restart) {},
 	}
-	pool.current.Store(newSet(nil, nil, policy))
+	pool.current.Store(newSnapshot(nil, nil, policy))
 	return pool
 }
 
@@ -52,7 +52,7 @@
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.listed = instances
-	return p.replace()
+	return p.rebuild()
 }
 
 // Expire drops instances that lapsed and didn't come back in time, and returns
@@ -60,30 +60,30 @@
 func (p *Pool) Expire() (gone []string) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	gone, _ = p.replace()
+	gone, _ = p.rebuild()
 	return gone
 }
 
-// replace makes the set of what was listed last. The mutex must be held.
-func (p *Pool) replace() (gone []string, kept int) {
+// rebuild makes the set of what was listed last. The mutex must be held.
+func (p *Pool) rebuild() (gone []string, kept int) {
 	previous := p.current.Load()
-	p.forgetEnded()
-	listed := p.adopt(previous, p.listed)
-	missing := lapsed(previous, listed, p.now())
-	next := newSet(slices.Concat(listed, missing), previous, p.policy)
+	p.pruneEnded()
+	listed := p.resolveLives(previous, p.listed)
+	missing := retainExpired(previous, listed, p.now())
+	next := newSnapshot(slices.Concat(listed, missing), previous, p.policy)
 	for _, instance := range listed {
-		next.byID[instance.ID].load.returned()
+		next.byID[instance.ID].load.clearExpiry()
 	}
 	var restarts []Restart
 	for id, was := range previous.byID {
 		is, stays := next.byID[id]
 		switch {
 		case !stays:
-			p.end(previous, was)
-			p.remember(was)
+			p.endLife(previous, was)
+			p.recordEnded(was)
 			gone = append(gone, id)
 		case is.load != was.load:
-			p.end(previous, was)
+			p.endLife(previous, was)
 			next.services[is.Service].health.ejector.Know(id)
 			restarts = append(restarts, Restart{Was: was.Life(), Is: is.Life(), UnderWay: was.load.outstanding.Load()})
 		}
@@ -95,8 +95,8 @@
 	return gone, len(missing)
 }
 
-// end notes that a life of an instance is over, and forgets how it served.
-func (p *Pool) end(previous *set, was *member) {
+// endLife notes that a life of an instance is over, and forgets how it served.
+func (p *Pool) endLife(previous *snapshot, was *member) {
 	was.load.ended.Store(true)
 	previous.services[was.Service].health.ejector.Forget(was.ID)
 }
@@ -105,7 +105,7 @@
 // new work only where nothing else is left. Only the given life is concerned.
 func (p *Pool) Gone(life Life) {
 	if known, found := p.current.Load().byID[life.ID]; found && known.Life().isSame(life) {
-		known.load.gone.Store(true)
+		known.load.addressLost.Store(true)
 	}
 }
 
@@ -158,15 +158,15 @@
 	// Outstanding is how many other requests of this node were there.
 	Outstanding int64
 
-	pool     *Pool
-	load     *load
-	health   *health
-	route    string
-	patience time.Duration
-	// heard is when the instance last gave a sign of the request, in
+	pool         *Pool
+	load         *load
+	health       *serviceHealth
+	route        string
+	stallTimeout time.Duration
+	// lastActivity is when the instance last gave a sign of the request, in
 	// nanoseconds since 1970.
-	heard    atomic.Int64
-	released atomic.Bool
+	lastActivity atomic.Int64
+	released     atomic.Bool
 }
 
 // Acquire chooses an instance and counts the request there until Release. It returns
@@ -175,30 +175,30 @@
 	now := p.now()
 	of, ok := p.current.Load().services[query.Service]
 	if !ok {
-		return nil, ErrNone
+		return nil, ErrNoInstance
 	}
 	candidates := of.candidates(query, now)
 	if len(candidates) == 0 {
-		return nil, ErrNone
+		return nil, ErrNoInstance
 	}
-	chosen, preferred := choose(placement{
+	chosen, preferred := choose(picker{
 		candidates: candidates,
 		hasKey:     query.Key != "",
-		isStalled:  func(c candidate) bool { return c.member.load.stalled(now) },
+		isStalled:  func(c candidate) bool { return c.member.load.isStalled(now) },
 		random:     rand.IntN,
 	})
 	c := &Choice{
 		Instance: chosen.member.Instance, Preferred: preferred, Outstanding: chosen.outstanding,
 		pool: p, load: chosen.member.load, health: of.health,
-		route: query.Route, patience: of.health.patience(query.Route, now),
+		route: query.Route, stallTimeout: of.health.stallTimeout(query.Route, now),
 	}
-	c.heard.Store(now.UnixNano())
+	c.lastActivity.Store(now.UnixNano())
 	c.load.add(c)
 	return c, nil
 }
 
 // Heard notes that something of the answer came.
-func (c *Choice) Heard() { c.heard.Store(c.pool.now().UnixNano()) }
+func (c *Choice) Heard() { c.lastActivity.Store(c.pool.now().UnixNano()) }
 
 // Release ends the request's place. Only the first call counts. It returns the
 // instance's health after it.
--- a/coordination/backend/pool_test.go
+++ b/coordination/backend/pool_test.go
@@ -78,9 +78,9 @@
 		assert.Equal(t, choice.Instance.ID, "i1")
 	}
 	_, err := pool.Acquire(backend.Query{Service: "app", Tried: []string{"i1"}})
-	assert.ErrorIs(t, err, backend.ErrNone)
+	assert.ErrorIs(t, err, backend.ErrNoInstance)
 	_, err = pool.Acquire(backend.Query{Service: "other"})
-	assert.ErrorIs(t, err, backend.ErrNone)
+	assert.ErrorIs(t, err, backend.ErrNoInstance)
 }
 
 func TestReplaceTellsWhatIsGone(t *testing.T) {
--- a/coordination/backend/rules_test.go
+++ b/coordination/backend/rules_test.go
@@ -14,22 +14,22 @@
 func TestStandingOf(t *testing.T) {
 	cases := []struct {
 		name  string
-		facts standingFacts
-		want  standing
+		facts eligibilityInput
+		want  eligibility
 	}{
-		{"healthy", standingFacts{health: limit.Healthy}, usable},
-		{"probed", standingFacts{health: limit.Probed}, probed},
-		{"ejected", standingFacts{health: limit.Ejected}, lastResort},
-		{"lost its address", standingFacts{lostAddress: true}, lastResort},
-		{"lost its address while probed", standingFacts{lostAddress: true, health: limit.Probed}, lastResort},
-		{"leaving", standingFacts{isLeaving: true}, unusable},
-		{"leaving while ejected", standingFacts{isLeaving: true, health: limit.Ejected}, unusable},
-		{"tried before", standingFacts{wasTried: true}, unusable},
-		{"tried before, lost its address", standingFacts{wasTried: true, lostAddress: true}, unusable},
+		{"healthy", eligibilityInput{health: limit.Healthy}, eligible},
+		{"probed", eligibilityInput{health: limit.Probed}, probed},
+		{"ejected", eligibilityInput{health: limit.Ejected}, lastResort},
+		{"lost its address", eligibilityInput{addressLost: true}, lastResort},
+		{"lost its address while probed", eligibilityInput{addressLost: true, health: limit.Probed}, lastResort},
+		{"leaving", eligibilityInput{isLeaving: true}, ineligible},
+		{"leaving while ejected", eligibilityInput{isLeaving: true, health: limit.Ejected}, ineligible},
+		{"tried before", eligibilityInput{wasTried: true}, ineligible},
+		{"tried before, lost its address", eligibilityInput{wasTried: true, addressLost: true}, ineligible},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			assert.Equal(t, standingOf(c.facts), c.want)
+			assert.Equal(t, eligibilityOf(c.facts), c.want)
 		})
 	}
 }
@@ -59,7 +59,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			chosen, preferred := choose(placement{
+			chosen, preferred := choose(picker{
 				candidates: candidatesWith(c.outstanding),
 				hasKey:     c.hasKey,
 				isStalled:  func(of candidate) bool { return strings.Contains(c.stalled, of.member.ID) },
@@ -101,7 +101,7 @@
 		{12, 37, false},
 	}
 	for _, c := range cases {
-		assert.Equal(t, isLapse(c.vanished, c.known), c.want, "%d of %d", c.vanished, c.known)
+		assert.Equal(t, isMassExpiry(c.vanished, c.known), c.want, "%d of %d", c.vanished, c.known)
 	}
 }
 
@@ -114,7 +114,7 @@
 		2 * time.Second:        8 * time.Second,
 	}
 	for usual, want := range cases {
-		assert.Equal(t, patienceFor(usual), want, "%s", usual)
+		assert.Equal(t, stallTimeoutFor(usual), want, "%s", usual)
 	}
 }
 
@@ -129,6 +129,6 @@
 		{100 * ms, time.Minute, 115 * ms},
 	}
 	for _, c := range cases {
-		assert.Equal(t, nextUsual(c.usual, c.wait), c.want, "%s after %s", c.wait, c.usual)
+		assert.Equal(t, updateBaseline(c.usual, c.wait), c.want, "%s after %s", c.wait, c.usual)
 	}
 }
--- a/coordination/backend/stall.go
+++ b/coordination/backend/stall.go
@@ -13,41 +13,41 @@
 	// ended is set once the life is over: how requests end there from then on says
 	// nothing of the next one.
 	ended atomic.Bool
-	// gone is set once another instance was found at the address.
-	gone atomic.Bool
+	// addressLost is set once another instance was found at the address.
+	addressLost atomic.Bool
 
 	mutex sync.Mutex
-	// lapsedAt is when the instance's entry vanished in a lapse; zero while it is
+	// expiredAt is when the instance's entry vanished in a lapse; zero while it is
 	// there.
-	lapsedAt time.Time
-	// waiting are the requests of this node there.
-	waiting map[*Choice]struct{}
+	expiredAt time.Time
+	// inFlight are the requests of this node there.
+	inFlight map[*Choice]struct{}
 }
 
 func (l *load) add(c *Choice) {
 	l.outstanding.Add(1)
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if l.waiting == nil {
-		l.waiting = map[*Choice]struct{}{}
+	if l.inFlight == nil {
+		l.inFlight = map[*Choice]struct{}{}
 	}
-	l.waiting[c] = struct{}{}
+	l.inFlight[c] = struct{}{}
 }
 
 func (l *load) remove(c *Choice) {
 	l.outstanding.Add(-1)
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	delete(l.waiting, c)
+	delete(l.inFlight, c)
 }
 
-// stalled tells that the instance has said nothing about a request of this node for
+// isStalled tells that the instance has said nothing about a request of this node for
 // longer than the patience with it.
-func (l *load) stalled(now time.Time) bool {
+func (l *load) isStalled(now time.Time) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	for c := range l.waiting {
-		if now.Sub(time.Unix(0, c.heard.Load())) > c.patience {
+	for c := range l.inFlight {
+		if now.Sub(time.Unix(0, c.lastActivity.Load())) > c.stallTimeout {
 			return true
 		}
 	}
