--- a/coordination/backend/ejection.go
+++ b/coordination/backend/ejection.go
@@ -6,37 +6,33 @@
 	"github.com/marblering/marblering/coordination/limit"
 )
 
-// When an instance is ejected, left out for a while, and how it returns. What is owed to
-// callers was served to 0.95 in place of 0.92 with ejection and the passing over of
-// stalled instances, where some instances are slow or hang, and to 0.82 in place of 0.77
-// on a second deployment (one run each). Each figure by itself is chosen, not measured.
+// Parameters of outlier detection: when an instance is ejected and how it returns.
 const (
-	// slowFactor is how many times slower than the median of its service, each wait
-	// relative to the usual one of its route, an instance has to be.
+	// slowFactor is the ratio to the service's median slowness above which an instance is
+	// ejected. Slowness is the wait divided by the baseline of the route.
 	slowFactor = 4
-	// consecutiveFailures is the number of failed requests in a row.
+	// consecutiveFailures is the number of failures in a row that eject an instance.
 	consecutiveFailures = 3
-	// failureRate is the part of the requests that fail, as a moving average. It is below
-	// a half, so that an instance that fails every second request is found.
+	// failureRate is the moving average of the failure rate at which an instance is
+	// ejected. Below one half, it catches an instance that fails every second request.
 	failureRate = 0.4
-	// minSamples is how many requests must have ended at an instance before it is judged
-	// by its waits or its share of faults.
+	// minSamples is the number of completed requests before the slowness and failure rate
+	// of an instance count.
 	minSamples = 4
-	// baseEjectionTime is how long the first ejection lasts; each that follows soon lasts twice
-	// as long, up to maxTime. Both are short, since instances restart often.
+	// baseEjectionTime is the duration of the first ejection. It doubles with each one that
+	// follows soon, up to maxEjectionTime.
 	baseEjectionTime = time.Second
 	maxEjectionTime  = 8 * time.Second
-	// maxEjectedFraction is the part of a service's instances that may be out at once. Where
-	// more of them are slow the service is overloaded, and leaving instances out makes
-	// that worse.
+	// maxEjectedFraction limits how much of a service may be ejected at once. If more
+	// instances are slow, the service is overloaded, and ejections make that worse.
 	maxEjectedFraction = 0.5
-	// requiredProbes is how many requests in a row have to succeed, one at a time, before an
-	// ejected instance returns.
+	// requiredProbes is the number of probes that must succeed in a row, one at a time,
+	// before an ejected instance returns.
 	requiredProbes = 2
 )
 
-// EjectionPolicy suits services whose instances restart often: an instance is
-// left out soon, asked again soon, and never more than half of a service.
+// EjectionPolicy returns a policy for services whose instances restart often: they are
+// ejected and probed early, and never more than half of a service is ejected.
 func EjectionPolicy() limit.EjectionPolicy {
 	return limit.EjectionPolicy{
 		SlowFactor:  slowFactor,
