--- a/coordination/backend/ending.go
+++ b/coordination/backend/ending.go
@@ -2,29 +2,29 @@
 
 import "time"
 
-// Ending is how a request ended at its instance, as far as it says something of the
-// instance: Answered, Broken, Waited or Unjudged.
+// Ending is the result of a request as a signal of its instance's health: Answered,
+// Broken, Waited or Unjudged.
 type Ending interface{ isEnding() }
 
-// Answered is a whole answer.
+// Answered is a complete response.
 type Answered struct {
-	// Wait is the time to the first event, or to the whole of a plain answer.
+	// Wait is the time to the first event of a stream, or to the end of a plain response.
 	Wait time.Duration
-	// Faulty is set where the instance answered with an error of its own.
+	// Faulty is set if the instance responded with a server error.
 	Faulty bool
 }
 
-// Broken is a broken connection, or an answer that isn't one.
+// Broken is a failed connection or a malformed response.
 type Broken struct{}
 
-// Waited is a request that was given up before anything of its answer came.
+// Waited is a request that timed out or was abandoned before its response began.
 type Waited struct {
-	// Wait is the time until it was given up.
+	// Wait is the time until the request ended.
 	Wait time.Duration
 }
 
-// Unjudged says nothing of the instance, such as a refusal, which is a sign of
-// load.
+// Unjudged says nothing about the instance's health. An example is a refusal, which
+// indicates load.
 type Unjudged struct{}
 
 func (Answered) isEnding() {}
--- a/coordination/backend/health.go
+++ b/coordination/backend/health.go
@@ -9,83 +9,78 @@
 )
 
 const (
-	// baselineSmoothing is the weight of a new wait in the usual one, a moving average: some 20
-	// requests make a change of the service the usual (chosen, not measured).
+	// baselineSmoothing is the weight of a new sample in the moving average of waits.
 	baselineSmoothing = 0.05
-	// maxSampleRatio times the usual wait is the most that a single wait counts for (chosen,
-	// not measured).
+	// maxSampleRatio caps a single sample at this multiple of the baseline.
 	maxSampleRatio = 4
-	// stallFactor times the usual wait is how long an instance may say nothing before
-	// it counts as stalled, but never less than minPatience, and firstPatience where
-	// nothing is known yet (chosen, not measured one by one; what passing over stalled
-	// instances and ejection bring together stands with the figures of ejection).
-	stallFactor         = 4
-	minStallTimeout     = 250 * time.Millisecond
+	// stallFactor is the ratio of the stall timeout to the baseline wait.
+	stallFactor     = 4
+	minStallTimeout = 250 * time.Millisecond
+	// initialStallTimeout applies until the route has a baseline.
 	initialStallTimeout = time.Second
-	// baselineIdleTime is how long the usual wait of a route without requests is kept (chosen,
-	// not measured).
+	// baselineIdleTime is how long the baseline of a route without requests is kept.
 	baselineIdleTime = time.Minute
 )
 
-// serviceHealth judges the instances of one service against each other. The usual wait
-// follows the service as a whole: where all instances are slow, the service is
-// overloaded and none of them is at fault. It is safe for concurrent use.
+// serviceHealth compares the instances of one service with each other. The baselines
+// follow the whole service: if all instances are slow, the service is overloaded and none
+// of them is at fault. It is safe for concurrent use.
 type serviceHealth struct {
 	ejector *limit.Ejector
 
 	mutex sync.Mutex
-	// baselines is the baselines wait of each route; zero before its first answer.
+	// baselines holds the moving average of waits by route; zero before the first answer.
 	baselines *recent.Map[time.Duration]
 }
 
 func newServiceHealth(policy limit.EjectionPolicy) *serviceHealth {
-	unknown := func(time.Time) time.Duration { return 0 }
-	return &serviceHealth{ejector: limit.NewEjector(policy), baselines: recent.New(baselineIdleTime, unknown)}
+	noBaseline := func(time.Time) time.Duration { return 0 }
+	return &serviceHealth{ejector: limit.NewEjector(policy), baselines: recent.New(baselineIdleTime, noBaseline)}
 }
 
-// stallTimeoutFor decides how long an instance may say nothing about a request whose usual
-// wait is known; zero for not yet.
-func stallTimeoutFor(usual time.Duration) time.Duration {
-	if usual == 0 {
+// stallTimeoutFor returns how long a request may make no progress before its instance
+// counts as stalled. The baseline is zero if none is known yet.
+func stallTimeoutFor(baseline time.Duration) time.Duration {
+	if baseline == 0 {
 		return initialStallTimeout
 	}
-	return max(stallFactor*usual, minStallTimeout)
+	return max(stallFactor*baseline, minStallTimeout)
 }
 
-// updateBaseline returns the usual wait after a further wait. A single long wait counts for
-// little, so that a stalled instance doesn't make stalls the usual.
-func updateBaseline(usual, wait time.Duration) time.Duration {
-	if usual == 0 {
+// nextBaseline adds a wait to the moving average. The wait is capped, so that a stalled
+// instance doesn't raise the baseline of its service.
+func nextBaseline(baseline, wait time.Duration) time.Duration {
+	if baseline == 0 {
 		return wait
 	}
-	bounded := min(wait, maxSampleRatio*usual)
-	return usual + time.Duration(baselineSmoothing*float64(bounded-usual))
+	bounded := min(wait, maxSampleRatio*baseline)
+	return baseline + time.Duration(baselineSmoothing*float64(bounded-baseline))
 }
 
-// stallTimeout is how long an instance may say nothing about a request of the route.
+// stallTimeout returns the current stall timeout of the route.
 func (h *serviceHealth) stallTimeout(route string, now time.Time) time.Duration {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	return stallTimeoutFor(*h.baselines.Get(route, now))
 }
 
-// recordWait takes a wait in, and returns what was the usual one of the route before it; the
-// wait itself where it is the first.
+// recordWait adds a wait to the route's baseline and returns the baseline before it, or
+// the wait itself if it is the first.
 func (h *serviceHealth) recordWait(route string, wait time.Duration, now time.Time) time.Duration {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	usual := h.baselines.Get(route, now)
-	before := *usual
-	*usual = updateBaseline(before, wait)
-	if before == 0 {
+	baseline := h.baselines.Get(route, now)
+	previous := *baseline
+	*baseline = nextBaseline(previous, wait)
+	if previous == 0 {
 		return wait
 	}
-	return before
+	return previous
 }
 
-// observe takes in how a request of the route ended, and returns the instance's health
-// after it. An error of the instance counts as a failure. A wait counts by how it
-// compares with the usual one of the route, also where the answer was given up.
+// observe records how a request of the route ended and returns the instance's health
+// afterwards. Errors of the instance count as failures. Waits, including those of
+// abandoned requests, are compared with the baseline of the route.
 func (h *serviceHealth) observe(instance, route string, ending Ending, now time.Time) limit.EngineHealth {
 	switch e := ending.(type) {
 	case Answered:
@@ -103,8 +98,9 @@
 	return h.ejector.Health(instance, now)
 }
 
-// observeAbandoned takes in that an answer didn't come within the wait. A client that leaves
-// before the usual wait has passed says nothing of the instance.
+// observeAbandoned records a request that was given up without an answer. A wait shorter
+// than stallTimeout/stallFactor, which is never below the baseline, is ignored: a client
+// that leaves early says nothing about the instance.
 func (h *serviceHealth) observeAbandoned(instance, route string, wait time.Duration, now time.Time) limit.EngineHealth {
 	if wait < h.stallTimeout(route, now)/stallFactor {
 		return h.ejector.Health(instance, now)
--- a/coordination/backend/rules_test.go
+++ b/coordination/backend/rules_test.go
@@ -129,6 +129,6 @@
 		{100 * ms, time.Minute, 115 * ms},
 	}
 	for _, c := range cases {
-		assert.Equal(t, updateBaseline(c.usual, c.wait), c.want, "%s after %s", c.wait, c.usual)
+		assert.Equal(t, nextBaseline(c.usual, c.wait), c.want, "%s after %s", c.wait, c.usual)
 	}
 }
