--- a/coordination/backend/instance.go
+++ b/coordination/backend/instance.go
@@ -8,33 +8,33 @@
 	"github.com/marblering/marblering/coordination/limit"
 )
 
-// Instance is a back end process.
+// Instance is a backend process.
 type Instance struct {
-	// ID is unique over all instances; an address may be used again by another.
+	// ID is unique among all instances, while an address may be reused.
 	ID string
-	// Started is when the process started, by its own clock; zero where it doesn't say.
-	// One that is started again may keep its id: see Life.
+	// Started is the start time of the process by its own clock; zero if unknown. A
+	// restarted instance may keep its ID, see Life.
 	Started time.Time
 	Service string
-	// Address is an IP number and port.
+	// Address is an IP address and port.
 	Address string
-	// Zone is the zone whose failure takes the instance with it.
+	// Zone is the failure domain of the instance.
 	Zone string
-	// Capacity is how many requests it works on at once.
+	// Capacity is the number of requests that it processes at once.
 	Capacity int
-	// Leaving instances get nothing new.
+	// Leaving instances get no new requests.
 	Leaving bool
 }
 
-// member is an instance with what this node knows of its work there.
+// member is an instance with the state that this node keeps about it.
 type member struct {
 	Instance
 	load *load
-	// hash mixes the instance's id into rendezvous weights.
+	// hash is the hash of the ID, for rendezvous weights.
 	hash uint64
 }
 
-// candidate is the member as a choice, for a request whose key has the hash.
+// candidate returns the member as a candidate for a request; key is the hash of its key.
 func (m *member) candidate(key uint64) candidate {
 	return candidate{member: m, weight: fmix64(m.hash ^ key), outstanding: m.load.outstanding.Load()}
 }
@@ -45,7 +45,8 @@
 	byID     map[string]*member
 }
 
-// service is the instances of one service; its health outlives the sets.
+// service holds the instances of one service. Its health is carried from one snapshot to
+// the next.
 type service struct {
 	members []*member
 	health  *serviceHealth
@@ -54,23 +55,23 @@
 func newSnapshot(instances []Instance, previous *snapshot, policy limit.EjectionPolicy) *snapshot {
 	next := &snapshot{services: make(map[string]*service), byID: make(map[string]*member, len(instances))}
 	for _, instance := range instances {
-		joined := &member{Instance: instance, load: previous.loadFor(instance.Life()), hash: hashString(instance.ID)}
-		next.byID[instance.ID] = joined
-		of := next.services[instance.Service]
-		if of == nil {
-			of = &service{health: previous.healthFor(instance.Service, policy)}
-			next.services[instance.Service] = of
+		added := &member{Instance: instance, load: previous.loadFor(instance.Life()), hash: hashString(instance.ID)}
+		next.byID[instance.ID] = added
+		svc := next.services[instance.Service]
+		if svc == nil {
+			svc = &service{health: previous.healthFor(instance.Service, policy)}
+			next.services[instance.Service] = svc
 		}
-		of.members = append(of.members, joined)
-		of.health.ejector.Know(instance.ID)
+		svc.members = append(svc.members, added)
+		svc.health.ejector.Know(instance.ID)
 	}
-	for _, of := range next.services {
-		slices.SortFunc(of.members, func(a, b *member) int { return cmp.Compare(a.ID, b.ID) })
+	for _, svc := range next.services {
+		slices.SortFunc(svc.members, func(a, b *member) int { return cmp.Compare(a.ID, b.ID) })
 	}
 	return next
 }
 
-// healthFor returns the judgement of a service that was known before, or a new one.
+// healthFor returns the health of the service from the snapshot, or a new one.
 func (s *snapshot) healthFor(name string, policy limit.EjectionPolicy) *serviceHealth {
 	if s != nil {
 		if known, found := s.services[name]; found {
@@ -80,7 +81,7 @@
 	return newServiceHealth(policy)
 }
 
-// loadFor returns the load of a life that was known before, or a new one.
+// loadFor returns the load of the incarnation from the snapshot, or a new one.
 func (s *snapshot) loadFor(life Life) *load {
 	if s != nil {
 		if known, found := s.byID[life.ID]; found && known.Life().isSame(life) {
--- a/coordination/backend/stall.go
+++ b/coordination/backend/load.go
@@ -6,21 +6,21 @@
 	"time"
 )
 
-// load is this node's work at one life of an instance. It outlives the sets. It is safe
-// for concurrent use.
+// load is this node's work at one incarnation of an instance. It is carried from one
+// snapshot to the next. It is safe for concurrent use.
 type load struct {
 	outstanding atomic.Int64
-	// ended is set once the life is over: how requests end there from then on says
-	// nothing of the next one.
+	// ended is set once the incarnation is over. Requests that end afterwards don't affect
+	// the health of the next one.
 	ended atomic.Bool
-	// addressLost is set once another instance was found at the address.
+	// addressLost is set once another instance was found at its address.
 	addressLost atomic.Bool
 
 	mutex sync.Mutex
-	// expiredAt is when the instance's entry vanished in a lapse; zero while it is
-	// there.
+	// expiredAt is when the instance's entry vanished in a mass expiry; zero while the
+	// entry exists.
 	expiredAt time.Time
-	// inFlight are the requests of this node there.
+	// inFlight holds this node's requests at the instance.
 	inFlight map[*Choice]struct{}
 }
 
@@ -41,8 +41,8 @@
 	delete(l.inFlight, c)
 }
 
-// isStalled tells that the instance has said nothing about a request of this node for
-// longer than the patience with it.
+// isStalled reports whether a request has made no progress for longer than its stall
+// timeout.
 func (l *load) isStalled(now time.Time) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
