--- a/coordination/backend/doc.go
+++ b/coordination/backend/doc.go
@@ -1,17 +1,17 @@
-// Package backend knows the running instances of each service and chooses one for a
-// request: the one that most likely has the request's context in memory, unless it
-// carries too much of this node's work, fails, says nothing, or is leaving.
+// Package backend tracks the running instances of each service and chooses one for each
+// request: the one that most likely has the context of the request in memory, unless it
+// has more than its share of this node's load, is ejected, stalled or leaving.
 //
-// It owns what this node knows of each instance: the requests that it has there, how
-// these ended, and whether it is left out because of that. The set of instances is given
-// to it as a whole (Pool.Replace) and is read without locks by requests. It makes no
-// connections: whoever sends the requests says how they ended (Ending).
+// It owns this node's state of each instance: the requests in flight, how earlier ones
+// ended, and whether the instance is ejected. The set of instances is replaced as a whole
+// (Pool.Replace) and read by requests without locks. The package opens no connections: the
+// sender of a request reports how it ended (Ending).
 //
-// It relies on package coordination/limit to tell instances that serve worse than the
-// others of their service.
+// Outlier detection, which compares an instance with the others of its service, comes from
+// package coordination/limit.
 //
-// The rules are functions without I/O: what an instance may be used for (standing.go),
-// which one a request goes to (choose.go), when one counts as silent (health.go), when
-// one is left out (ejection.go), which entries have lapsed (lapse.go), and which of two
-// entries names the newer life (life.go).
+// The rules are functions without I/O: whether an instance may be used (eligibility.go),
+// which one a request goes to (choose.go), when one counts as stalled (health.go), when
+// one is ejected (ejection.go), which expired entries are kept (massexpiry.go), and which
+// of two entries belongs to the newer incarnation (life.go).
 package backend
--- a/coordination/backend/life.go
+++ b/coordination/backend/life.go
@@ -2,51 +2,49 @@
 
 import "time"
 
-// endedRetention is how long the start of an instance that is gone is remembered, so that
-// a late entry of an earlier life doesn't bring it back. It is three times as long as a
-// store keeps its history, after which nobody is told of old entries.
+// endedRetention is how long the start time of a removed instance is kept, so that a
+// delayed entry of an earlier incarnation doesn't bring it back. It is three times the
+// history of a store, after which no old entries are delivered.
 const endedRetention = time.Minute
 
-// Life is one run of a back end process, from its start to its end. An instance may be
-// started again under the id that it had; nothing that is known of one life holds for
-// another: neither the requests that it works on nor how it has served, its connections
-// nor what it keeps in memory.
+// Life identifies one incarnation of a backend process. A restarted instance may keep its
+// ID, but its requests, health, connections and memory belong to a single incarnation.
 type Life struct {
 	ID string
-	// Started is when the process started, by its own clock; zero where it doesn't say.
+	// Started is the start time of the process by its own clock; zero if unknown.
 	Started time.Time
 }
 
-// Life returns the life that the instance is in.
+// Life returns the current incarnation of the instance.
 func (i Instance) Life() Life { return Life{ID: i.ID, Started: i.Started} }
 
-// isSame tells whether both may be the same life. One that doesn't say when it began is
-// taken for the other: back ends of older versions never say it.
+// isSame reports whether both may be the same incarnation. An unknown start time matches
+// any other, since older backends don't report it.
 func (l Life) isSame(other Life) bool {
 	return l.ID == other.ID && (l.Started.IsZero() || other.Started.IsZero() || l.Started.Equal(other.Started))
 }
 
-// Restart tells that an instance was started again under its id.
+// Restart describes an instance that was restarted under its ID.
 type Restart struct {
 	Was, Is Life
-	// UnderWay is how many requests of this node the earlier life had. They may have
-	// run.
+	// UnderWay is the number of requests that this node had in flight at the previous
+	// incarnation. They may have been processed.
 	UnderWay int64
 }
 
-// endedLife is the last life of an instance that is gone.
-type endedLife struct {
+// endedIncarnation is the last incarnation of a removed instance.
+type endedIncarnation struct {
 	started time.Time
-	// detected is when the instance was found to be gone.
+	// detected is when the instance was removed.
 	detected time.Time
 }
 
-// resolveLives returns the listed instances, each in its newest life. An entry without a start
-// belongs to the life that is known. An entry of an earlier life is late and changes
-// nothing: an instance that is known stays as it is, and one that is gone stays gone. The
-// mutex must be held.
-func (p *Pool) resolveLives(previous *snapshot, listed []Instance) []Instance {
-	adopted := make([]Instance, 0, len(listed))
+// resolveIncarnations returns the listed instances, each in its newest incarnation. An
+// entry without a start time stands for the newest known one. An entry of an earlier
+// incarnation is outdated: a known instance stays as it is, a removed one stays removed.
+// The mutex must be held.
+func (p *Pool) resolveIncarnations(previous *snapshot, listed []Instance) []Instance {
+	resolved := make([]Instance, 0, len(listed))
 	for _, instance := range listed {
 		known, isKnown := previous.byID[instance.ID]
 		newest := p.ended[instance.ID].started
@@ -61,21 +59,20 @@
 		case instance.Started.Before(newest):
 			continue
 		}
-		adopted = append(adopted, instance)
+		resolved = append(resolved, instance)
 	}
-	return adopted
+	return resolved
 }
 
-// recordEnded keeps when the last life of an instance that is gone began. The mutex must be
-// held.
-func (p *Pool) recordEnded(gone *member) {
-	if !gone.Started.IsZero() {
-		p.ended[gone.ID] = endedLife{started: gone.Started, detected: p.now()}
+// recordEnded keeps the start time of a removed instance. The mutex must be held.
+func (p *Pool) recordEnded(removed *member) {
+	if !removed.Started.IsZero() {
+		p.ended[removed.ID] = endedIncarnation{started: removed.Started, detected: p.now()}
 	}
 }
 
-// pruneEnded drops what is remembered of instances that have been gone for long. The
-// mutex must be held.
+// pruneEnded drops the instances that were removed at least endedRetention ago. The mutex
+// must be held.
 func (p *Pool) pruneEnded() {
 	for id, last := range p.ended {
 		if p.now().Sub(last.detected) >= endedRetention {
--- a/coordination/backend/pool.go
+++ b/coordination/backend/pool.go
@@ -11,113 +11,110 @@
 	"github.com/marblering/marblering/coordination/limit"
 )
 
-// ErrNoInstance is returned where no instance of the service can take a request.
+// ErrNoInstance is returned if no instance of the service can take a request.
 var ErrNoInstance = errors.New("no instance can take the request")
 
-// Pool chooses instances and counts this node's work at them. It is safe for
+// Pool chooses instances for requests and tracks this node's work at each. It is safe for
 // concurrent use.
 type Pool struct {
 	now    func() time.Time
 	policy limit.EjectionPolicy
-	// ejected is told of each instance that is left out from now on, with the ending that
-	// decided it.
-	ejected func(Instance, Ending)
-	// restarted is told of each instance that was started again under its id.
-	restarted func(Restart)
+	// onEjected is called for each ejected instance, with the ending that caused it.
+	onEjected func(Instance, Ending)
+	// onRestarted is called for each instance that was restarted under its ID.
+	onRestarted func(Restart)
 
 	current atomic.Pointer[snapshot]
-	// mutex guards what follows, and is held while the set is replaced.
+	// mutex guards the fields below and is held while the snapshot is replaced.
 	mutex sync.Mutex
-	// listed are the instances as they were given last.
+	// listed holds the instances of the last call of Replace.
 	listed []Instance
-	// ended are the last lives of instances that are gone, by their ids.
-	ended map[string]endedLife
+	// ended holds the last incarnations of removed instances by ID.
+	ended map[string]endedIncarnation
 }
 
-// NewPool makes a pool that knows no instance.
+// NewPool returns a pool without instances.
 func NewPool(policy limit.EjectionPolicy, now func() time.Time) *Pool {
 	pool := &Pool{
-		now: now, policy: policy, ended: make(map[string]endedLife),
-		ejected: func(Instance, Ending) {}, restarted: func(Restart) {},
+		now: now, policy: policy, ended: make(map[string]endedIncarnation),
+		onEjected: func(Instance, Ending) {}, onRestarted: func(Restart) {},
 	}
 	pool.current.Store(newSnapshot(nil, nil, policy))
 	return pool
 }
 
-// Replace has requests sent to these instances, and to those known before whose entries
-// seem to have lapsed. It returns the ids of the instances that are gone, and how many
-// are kept though they have no entry: where there are any, Expire is to be called after
-// LapseTime.
-func (p *Pool) Replace(instances []Instance) (gone []string, kept int) {
+// Replace sets the instances that requests are sent to. Instances that vanished in a mass
+// expiry are kept. It returns the IDs of the removed instances and the number of instances
+// kept without an entry: if there are any, Expire must be called after LapseTime.
+func (p *Pool) Replace(instances []Instance) (removed []string, kept int) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.listed = instances
 	return p.rebuild()
 }
 
-// Expire drops instances that lapsed and didn't come back in time, and returns
-// their ids.
-func (p *Pool) Expire() (gone []string) {
+// Expire removes kept instances that didn't come back in time and returns their IDs.
+func (p *Pool) Expire() (removed []string) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	gone, _ = p.rebuild()
-	return gone
+	removed, _ = p.rebuild()
+	return removed
 }
 
-// rebuild makes the set of what was listed last. The mutex must be held.
-func (p *Pool) rebuild() (gone []string, kept int) {
+// rebuild builds the snapshot from the instances listed last. The mutex must be held.
+func (p *Pool) rebuild() (removed []string, kept int) {
 	previous := p.current.Load()
 	p.pruneEnded()
-	listed := p.resolveLives(previous, p.listed)
-	missing := retainExpired(previous, listed, p.now())
-	next := newSnapshot(slices.Concat(listed, missing), previous, p.policy)
+	listed := p.resolveIncarnations(previous, p.listed)
+	retained := retainExpired(previous, listed, p.now())
+	next := newSnapshot(slices.Concat(listed, retained), previous, p.policy)
 	for _, instance := range listed {
 		next.byID[instance.ID].load.clearExpiry()
 	}
 	var restarts []Restart
-	for id, was := range previous.byID {
-		is, stays := next.byID[id]
+	for id, old := range previous.byID {
+		current, found := next.byID[id]
 		switch {
-		case !stays:
-			p.endLife(previous, was)
-			p.recordEnded(was)
-			gone = append(gone, id)
-		case is.load != was.load:
-			p.endLife(previous, was)
-			next.services[is.Service].health.ejector.Know(id)
-			restarts = append(restarts, Restart{Was: was.Life(), Is: is.Life(), UnderWay: was.load.outstanding.Load()})
+		case !found:
+			p.endIncarnation(previous, old)
+			p.recordEnded(old)
+			removed = append(removed, id)
+		case current.load != old.load:
+			p.endIncarnation(previous, old)
+			next.services[current.Service].health.ejector.Know(id)
+			restarts = append(restarts, Restart{Was: old.Life(), Is: current.Life(), UnderWay: old.load.outstanding.Load()})
 		}
 	}
 	p.current.Store(next)
 	for _, restart := range restarts {
-		p.restarted(restart)
+		p.onRestarted(restart)
 	}
-	return gone, len(missing)
+	return removed, len(retained)
 }
 
-// endLife notes that a life of an instance is over, and forgets how it served.
-func (p *Pool) endLife(previous *snapshot, was *member) {
-	was.load.ended.Store(true)
-	previous.services[was.Service].health.ejector.Forget(was.ID)
+// endIncarnation marks an incarnation as ended and drops its health.
+func (p *Pool) endIncarnation(previous *snapshot, old *member) {
+	old.load.ended.Store(true)
+	previous.services[old.Service].health.ejector.Forget(old.ID)
 }
 
-// Gone says that another instance was found at the address of this one, which then gets
-// new work only where nothing else is left. Only the given life is concerned.
+// Gone records that another instance was found at the address of this incarnation, which
+// from then on gets requests only as a last resort.
 func (p *Pool) Gone(life Life) {
 	if known, found := p.current.Load().byID[life.ID]; found && known.Life().isSame(life) {
 		known.load.addressLost.Store(true)
 	}
 }
 
-// OnRestarted sets who is told of each instance that was started again under its id. It
-// is to be called before the pool is used.
-func (p *Pool) OnRestarted(tell func(Restart)) { p.restarted = tell }
+// OnRestarted sets the function that is called for each instance that was restarted under
+// its ID. It must be called before the pool is used.
+func (p *Pool) OnRestarted(callback func(Restart)) { p.onRestarted = callback }
 
-// OnEjected sets who is told of each instance that is left out, and of the ending that
-// decided it. It is to be called before the pool is used.
-func (p *Pool) OnEjected(tell func(Instance, Ending)) { p.ejected = tell }
+// OnEjected sets the function that is called for each ejected instance, with the ending
+// that caused it. It must be called before the pool is used.
+func (p *Pool) OnEjected(callback func(Instance, Ending)) { p.onEjected = callback }
 
-// Known returns the instance that has the id.
+// Known returns the instance with the ID.
 func (p *Pool) Known(id string) (Instance, bool) {
 	known, found := p.current.Load().byID[id]
 	if !found {
@@ -126,8 +123,7 @@
 	return known.Instance, true
 }
 
-// Count returns how many instances of all services are known, and how many of
-// these are leaving.
+// Count returns the number of instances of all services, and how many of them are leaving.
 func (p *Pool) Count() (known, leaving int) {
 	for _, member := range p.current.Load().byID {
 		known++
@@ -138,24 +134,24 @@
 	return known, leaving
 }
 
-// Query describes a request to be placed.
+// Query describes a request that needs an instance.
 type Query struct {
 	Service string
-	// Route names the kind of work, so that like is compared with like.
+	// Route is the name of the route. Waits are compared per route.
 	Route string
-	// Key names the context that the request shares with others, such as its
-	// program; empty for none.
+	// Key is the affinity key: it names the context that the request has in common with
+	// others, such as its program. Empty for none.
 	Key string
-	// Tried are ids of instances that this request was sent to before.
+	// Tried holds the IDs of instances that this request was sent to before.
 	Tried []string
 }
 
-// Choice is a request's place at an instance until Release.
+// Choice is the assignment of a request to an instance until Release.
 type Choice struct {
 	Instance Instance
-	// Preferred tells that the instance is the first in the key's order.
+	// Preferred is set if the instance ranks first for the key.
 	Preferred bool
-	// Outstanding is how many other requests of this node were there.
+	// Outstanding is the number of other requests that this node had in flight there.
 	Outstanding int64
 
 	pool         *Pool
@@ -163,21 +159,21 @@
 	health       *serviceHealth
 	route        string
 	stallTimeout time.Duration
-	// lastActivity is when the instance last gave a sign of the request, in
-	// nanoseconds since 1970.
+	// lastActivity is when the last part of the response arrived, or the time of Acquire
+	// before that, as Unix nanoseconds.
 	lastActivity atomic.Int64
 	released     atomic.Bool
 }
 
 // Acquire chooses an instance and counts the request there until Release. It returns
-// ErrNone where no instance of the service can take the request.
+// ErrNoInstance if no instance of the service can take the request.
 func (p *Pool) Acquire(query Query) (*Choice, error) {
 	now := p.now()
-	of, ok := p.current.Load().services[query.Service]
+	svc, ok := p.current.Load().services[query.Service]
 	if !ok {
 		return nil, ErrNoInstance
 	}
-	candidates := of.candidates(query, now)
+	candidates := svc.candidates(query, now)
 	if len(candidates) == 0 {
 		return nil, ErrNoInstance
 	}
@@ -189,19 +185,19 @@
 	})
 	c := &Choice{
 		Instance: chosen.member.Instance, Preferred: preferred, Outstanding: chosen.outstanding,
-		pool: p, load: chosen.member.load, health: of.health,
-		route: query.Route, stallTimeout: of.health.stallTimeout(query.Route, now),
+		pool: p, load: chosen.member.load, health: svc.health,
+		route: query.Route, stallTimeout: svc.health.stallTimeout(query.Route, now),
 	}
 	c.lastActivity.Store(now.UnixNano())
 	c.load.add(c)
 	return c, nil
 }
 
-// Heard notes that something of the answer came.
+// Heard records that a part of the response arrived.
 func (c *Choice) Heard() { c.lastActivity.Store(c.pool.now().UnixNano()) }
 
-// Release ends the request's place. Only the first call counts. It returns the
-// instance's health after it.
+// Release ends the assignment and returns the instance's health afterwards. Only the first
+// call has an effect.
 func (c *Choice) Release(ending Ending) limit.EngineHealth {
 	now := c.pool.now()
 	if c.released.Swap(true) {
@@ -214,7 +210,7 @@
 	before := c.health.ejector.Health(c.Instance.ID, now)
 	after := c.health.observe(c.Instance.ID, c.route, ending, now)
 	if before != limit.Ejected && after == limit.Ejected {
-		c.pool.ejected(c.Instance, ending)
+		c.pool.onEjected(c.Instance, ending)
 	}
 	return after
 }
