--- a/coordination/backend/bench_test.go
+++ b/coordination/backend/bench_test.go
@@ -8,10 +8,10 @@
 	"github.com/marblering/marblering/coordination/backend"
 )
 
-// BenchmarkAcquire places requests of 100 programs at 45 instances and ends each.
+// BenchmarkAcquire acquires and releases requests of 100 programs at 45 instances.
 func BenchmarkAcquire(b *testing.B) {
-	at := newClock()
-	pool := newPool(at, 45)
+	clk := newClock()
+	pool := newPool(clk, 45)
 	keys := make([]string, 100)
 	for index := range keys {
 		keys[index] = fmt.Sprint("program-", index)
--- a/coordination/backend/health_test.go
+++ b/coordination/backend/health_test.go
@@ -11,7 +11,7 @@
 	"github.com/marblering/marblering/coordination/limit"
 )
 
-// serve ends requests at all instances in turn, each as end says.
+// serve completes requests at all instances in turn, each with the result of end.
 func serve(t *testing.T, pool *backend.Pool, instances, rounds int, end func(instance string, round int) backend.Ending) {
 	t.Helper()
 	for round := range rounds {
@@ -22,7 +22,7 @@
 	}
 }
 
-// acquireAt places a request at the instance by having tried all others.
+// acquireAt acquires a request at the instance by marking all others as tried.
 func acquireAt(t *testing.T, pool *backend.Pool, id string, instances int) *backend.Choice {
 	t.Helper()
 	var others []string
@@ -36,8 +36,8 @@
 	return c
 }
 
-// chosen counts where requests of many programs go.
-func chosen(t *testing.T, pool *backend.Pool) map[string]int {
+// distribution counts the requests of many programs by instance.
+func distribution(t *testing.T, pool *backend.Pool) map[string]int {
 	t.Helper()
 	counts := map[string]int{}
 	for i := range 200 {
@@ -49,13 +49,13 @@
 	return counts
 }
 
-func usually(string, int) backend.Ending { return backend.Answered{Wait: 50 * time.Millisecond} }
+func respondFast(string, int) backend.Ending { return backend.Answered{Wait: 50 * time.Millisecond} }
 
-// TestSlowInstanceIsLeftOut: compared with the others, whether its answers come
-// late or never.
-func TestSlowInstanceIsLeftOut(t *testing.T) {
-	for name, slow := range map[string]backend.Ending{
-		"late":   backend.Answered{Wait: 500 * time.Millisecond},
+// TestOutlierIsEjected covers instances that are slow, hang or fail while the others of
+// their service don't.
+func TestOutlierIsEjected(t *testing.T) {
+	for name, ending := range map[string]backend.Ending{
+		"slow":   backend.Answered{Wait: 500 * time.Millisecond},
 		"hangs":  backend.Waited{Wait: 3 * time.Second},
 		"faulty": backend.Answered{Wait: 20 * time.Millisecond, Faulty: true},
 	} {
@@ -63,49 +63,50 @@
 			pool := newPool(newClock(), 4)
 			var ejected []string
 			pool.OnEjected(func(instance backend.Instance, _ backend.Ending) { ejected = append(ejected, instance.ID) })
-			serve(t, pool, 4, 10, usually)
-			assert.Assert(t, chosen(t, pool)["i2"] > 0)
+			serve(t, pool, 4, 10, respondFast)
+			assert.Assert(t, distribution(t, pool)["i2"] > 0)
 			serve(t, pool, 4, 5, func(instance string, round int) backend.Ending {
 				if instance == "i2" {
-					return slow
+					return ending
 				}
-				return usually(instance, round)
+				return respondFast(instance, round)
 			})
-			assert.Equal(t, chosen(t, pool)["i2"], 0)
+			assert.Equal(t, distribution(t, pool)["i2"], 0)
 			assert.DeepEqual(t, ejected, []string{"i2"})
 		})
 	}
 }
 
-// TestOneLateAnswerIsForgiven: a long prompt is no fault.
-func TestOneLateAnswerIsForgiven(t *testing.T) {
+// TestSingleSlowResponseDoesNotEject guards against the ejection of an instance that
+// processed one long prompt.
+func TestSingleSlowResponseDoesNotEject(t *testing.T) {
 	pool := newPool(newClock(), 4)
-	serve(t, pool, 4, 10, usually)
+	serve(t, pool, 4, 10, respondFast)
 	acquireAt(t, pool, "i2", 4).Release(backend.Answered{Wait: 30 * time.Second})
-	assert.Assert(t, chosen(t, pool)["i2"] > 0)
+	assert.Assert(t, distribution(t, pool)["i2"] > 0)
 }
 
-// TestPartlyFailingInstanceIsLeftOut: it answers every second request well and
-// never fails three times in a row.
-func TestPartlyFailingInstanceIsLeftOut(t *testing.T) {
+// TestIntermittentFailuresEject covers an instance that fails every second request and so
+// never reaches the limit of consecutive failures.
+func TestIntermittentFailuresEject(t *testing.T) {
 	pool := newPool(newClock(), 4)
-	serve(t, pool, 4, 10, usually)
+	serve(t, pool, 4, 10, respondFast)
 	serve(t, pool, 4, 12, func(instance string, round int) backend.Ending {
 		return backend.Answered{Wait: 50 * time.Millisecond, Faulty: instance == "i2" && round%2 == 0}
 	})
-	assert.Equal(t, chosen(t, pool)["i2"], 0)
+	assert.Equal(t, distribution(t, pool)["i2"], 0)
 }
 
-// TestOverloadLeavesNoneOut: where all instances are slow, or none answers in
-// time, each of them keeps its part.
-func TestOverloadLeavesNoneOut(t *testing.T) {
+// TestOverloadEjectsNothing guards against ejections if all instances of a service are
+// slow or time out.
+func TestOverloadEjectsNothing(t *testing.T) {
 	for name, ending := range map[string]backend.Ending{
-		"late":     backend.Answered{Wait: 2 * time.Second},
-		"time-out": backend.Waited{Wait: 3 * time.Second},
+		"slow":    backend.Answered{Wait: 2 * time.Second},
+		"timeout": backend.Waited{Wait: 3 * time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
 			pool := newPool(newClock(), 4)
-			serve(t, pool, 4, 10, usually)
+			serve(t, pool, 4, 10, respondFast)
 			for range 40 {
 				serve(t, pool, 4, 1, func(string, int) backend.Ending { return ending })
 				for i := range 4 {
@@ -117,41 +118,42 @@
 	}
 }
 
-// TestStalledInstanceIsPassedOver at once: before its first request has timed
-// out. It is back with its first sign.
-func TestStalledInstanceIsPassedOver(t *testing.T) {
-	at := newClock()
-	pool := newPool(at, 4)
-	serve(t, pool, 4, 10, usually)
+// TestStalledInstanceIsSkipped checks that an instance is skipped before its first request
+// times out, and used again once a part of the response arrives.
+func TestStalledInstanceIsSkipped(t *testing.T) {
+	clk := newClock()
+	pool := newPool(clk, 4)
+	serve(t, pool, 4, 10, respondFast)
 	waiting := acquireAt(t, pool, "i2", 4)
-	at.now = at.now.Add(240 * time.Millisecond)
-	assert.Assert(t, chosen(t, pool)["i2"] > 0, "it may still be reading a long prompt")
-	at.now = at.now.Add(20 * time.Millisecond)
-	assert.Equal(t, chosen(t, pool)["i2"], 0)
+	clk.now = clk.now.Add(240 * time.Millisecond)
+	assert.Assert(t, distribution(t, pool)["i2"] > 0, "a long prompt may take this long")
+	clk.now = clk.now.Add(20 * time.Millisecond)
+	assert.Equal(t, distribution(t, pool)["i2"], 0)
 	waiting.Heard()
-	assert.Assert(t, chosen(t, pool)["i2"] > 0)
+	assert.Assert(t, distribution(t, pool)["i2"] > 0)
 }
 
-// TestMostAreStalled: then the service is overloaded, and affinity holds.
-func TestMostAreStalled(t *testing.T) {
-	at := newClock()
-	pool := newPool(at, 4)
-	serve(t, pool, 4, 10, usually)
+// TestAffinityHoldsIfMostInstancesStall guards against shifting load in an overloaded
+// service.
+func TestAffinityHoldsIfMostInstancesStall(t *testing.T) {
+	clk := newClock()
+	pool := newPool(clk, 4)
+	serve(t, pool, 4, 10, respondFast)
 	for i := range 3 {
 		acquireAt(t, pool, fmt.Sprint("i", i), 4)
 	}
-	at.now = at.now.Add(time.Second)
-	counts := chosen(t, pool)
+	clk.now = clk.now.Add(time.Second)
+	counts := distribution(t, pool)
 	for i := range 4 {
 		assert.Assert(t, counts[fmt.Sprint("i", i)] > 0, "%v", counts)
 	}
 }
 
-// TestServicesAreJudgedApart: failures of a large service must not use up what
-// may be left out of a small one, nor the other way round.
-func TestServicesAreJudgedApart(t *testing.T) {
-	at := newClock()
-	pool := backend.NewPool(backend.EjectionPolicy(), func() time.Time { return at.now })
+// TestEjectionIsPerService guards against counting the instances of one service towards
+// the limit of ejected instances of another.
+func TestEjectionIsPerService(t *testing.T) {
+	clk := newClock()
+	pool := backend.NewPool(backend.EjectionPolicy(), func() time.Time { return clk.now })
 	var instances []backend.Instance
 	for i := range 12 {
 		instances = append(instances, backend.Instance{ID: fmt.Sprint("m", i), Service: "models"})
@@ -165,24 +167,24 @@
 			acquireAt(t, pool, fmt.Sprint("i", i), 3).Release(backend.Broken{})
 		}
 	}
-	out := 0
+	ejected := 0
 	for i := range 3 {
 		if acquireAt(t, pool, fmt.Sprint("i", i), 3).Release(backend.Unjudged{}) == limit.Ejected {
-			out++
+			ejected++
 		}
 	}
-	assert.Equal(t, out, 1, "at most half of three")
+	assert.Equal(t, ejected, 1, "at most half of three")
 }
 
-// TestPatienceFollowsTheService: under lasting load an instance may take as long
-// as is usual there.
-func TestPatienceFollowsTheService(t *testing.T) {
-	at := newClock()
-	pool := newPool(at, 4)
+// TestStallTimeoutFollowsBaseline checks that the stall timeout grows with the waits of a
+// slow service.
+func TestStallTimeoutFollowsBaseline(t *testing.T) {
+	clk := newClock()
+	pool := newPool(clk, 4)
 	serve(t, pool, 4, 100, func(string, int) backend.Ending { return backend.Answered{Wait: 400 * time.Millisecond} })
 	acquireAt(t, pool, "i2", 4)
-	at.now = at.now.Add(1500 * time.Millisecond)
-	assert.Assert(t, chosen(t, pool)["i2"] > 0)
-	at.now = at.now.Add(200 * time.Millisecond)
-	assert.Equal(t, chosen(t, pool)["i2"], 0)
+	clk.now = clk.now.Add(1500 * time.Millisecond)
+	assert.Assert(t, distribution(t, pool)["i2"] > 0)
+	clk.now = clk.now.Add(200 * time.Millisecond)
+	assert.Equal(t, distribution(t, pool)["i2"], 0)
 }
--- a/coordination/backend/pool_test.go
+++ b/coordination/backend/pool_test.go
@@ -12,12 +12,13 @@
 	"github.com/marblering/marblering/coordination/limit"
 )
 
+// clock is a manual clock.
 type clock struct{ now time.Time }
 
 func newClock() *clock { return &clock{now: time.Unix(1_000_000, 0)} }
 
-func newPool(at *clock, count int) *backend.Pool {
-	pool := backend.NewPool(backend.EjectionPolicy(), func() time.Time { return at.now })
+func newPool(clk *clock, count int) *backend.Pool {
+	pool := backend.NewPool(backend.EjectionPolicy(), func() time.Time { return clk.now })
 	var instances []backend.Instance
 	for index := range count {
 		instances = append(instances, backend.Instance{ID: fmt.Sprint("i", index), Service: "app", Address: "127.0.0.1:1"})
@@ -35,8 +36,9 @@
 	// Output: true true
 }
 
-// TestKeyStaysWhileOthersComeAndGo: a key moves only when its instance does.
-func TestKeyStaysWhileOthersComeAndGo(t *testing.T) {
+// TestKeyKeepsInstance checks that a key moves to another instance only if its own is
+// removed.
+func TestKeyKeepsInstance(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		key := rapid.String().Filter(func(text string) bool { return text != "" }).Draw(t, "key")
 		count := rapid.IntRange(2, 12).Draw(t, "count")
@@ -50,8 +52,7 @@
 	})
 }
 
-// TestLoadIsBounded: however the keys fall, no instance gets far more than the
-// others.
+// TestLoadIsBounded guards against overloading one instance by a hot key.
 func TestLoadIsBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		count := rapid.IntRange(1, 8).Draw(t, "count")
@@ -69,7 +70,7 @@
 	})
 }
 
-func TestLeavingAndTriedInstancesAreLeftOut(t *testing.T) {
+func TestLeavingAndTriedInstancesAreExcluded(t *testing.T) {
 	pool := newPool(newClock(), 2)
 	pool.Replace([]backend.Instance{{ID: "i0", Service: "app", Leaving: true}, {ID: "i1", Service: "app"}})
 	for range 10 {
@@ -83,17 +84,18 @@
 	assert.ErrorIs(t, err, backend.ErrNoInstance)
 }
 
-func TestReplaceTellsWhatIsGone(t *testing.T) {
+func TestReplaceReturnsRemovedInstances(t *testing.T) {
 	pool := newPool(newClock(), 2)
-	gone, kept := pool.Replace([]backend.Instance{{ID: "i1", Service: "app"}})
-	assert.DeepEqual(t, gone, []string{"i0"})
+	removed, kept := pool.Replace([]backend.Instance{{ID: "i1", Service: "app"}})
+	assert.DeepEqual(t, removed, []string{"i0"})
 	assert.Equal(t, kept, 0)
 }
 
-// TestFailingInstanceIsEjectedAndReturns by single requests.
+// TestFailingInstanceIsEjectedAndReturns checks that an ejected instance is probed by one
+// request at a time.
 func TestFailingInstanceIsEjectedAndReturns(t *testing.T) {
-	at := newClock()
-	pool := newPool(at, 3)
+	clk := newClock()
+	pool := newPool(clk, 3)
 	fail := func() {
 		choice, err := pool.Acquire(backend.Query{Service: "app", Tried: []string{"i1", "i2"}})
 		assert.NilError(t, err)
@@ -108,17 +110,17 @@
 		assert.Assert(t, choice.Instance.ID != "i0")
 		choice.Release(backend.Answered{})
 	}
-	at.now = at.now.Add(1100 * time.Millisecond)
+	clk.now = clk.now.Add(1100 * time.Millisecond)
 	probe, err := pool.Acquire(backend.Query{Service: "app"})
 	assert.NilError(t, err)
-	assert.Equal(t, probe.Instance.ID, "i0", "one request probes it")
+	assert.Equal(t, probe.Instance.ID, "i0", "the first request after the ejection is a probe")
 	other, err := pool.Acquire(backend.Query{Service: "app"})
 	assert.NilError(t, err)
-	assert.Assert(t, other.Instance.ID != "i0", "only one at a time")
+	assert.Assert(t, other.Instance.ID != "i0", "one probe at a time")
 	assert.Equal(t, probe.Release(backend.Answered{}), limit.Probed)
 }
 
-// TestAllEjected: instances that fail are better than none.
+// TestAllEjected checks that failing instances are used if there are no others.
 func TestAllEjected(t *testing.T) {
 	pool := newPool(newClock(), 1)
 	for range 5 {
@@ -128,7 +130,7 @@
 	}
 }
 
-func TestReleaseCountsOnce(t *testing.T) {
+func TestReleaseIsIdempotent(t *testing.T) {
 	pool := newPool(newClock(), 1)
 	choice, err := pool.Acquire(backend.Query{Service: "app"})
 	assert.NilError(t, err)
@@ -139,9 +141,9 @@
 	assert.Equal(t, next.Outstanding, int64(0))
 }
 
-// TestGoneInstance gets nothing new from the first sign on, as long as others
-// are there.
-func TestGoneInstance(t *testing.T) {
+// TestInstanceWithoutAddress checks that an instance that lost its address gets requests
+// only if no other instance is left.
+func TestInstanceWithoutAddress(t *testing.T) {
 	pool := newPool(newClock(), 2)
 	pool.Gone(backend.Life{ID: "i0"})
 	pool.Gone(backend.Life{ID: "unknown"})
