--- a/coordination/backend/rules_test.go
+++ b/coordination/backend/rules_test.go
@@ -11,10 +11,10 @@
 	"github.com/marblering/marblering/coordination/limit"
 )
 
-func TestStandingOf(t *testing.T) {
+func TestEligibilityOf(t *testing.T) {
 	cases := []struct {
 		name  string
-		facts eligibilityInput
+		input eligibilityInput
 		want  eligibility
 	}{
 		{"healthy", eligibilityInput{health: limit.Healthy}, eligible},
@@ -29,12 +29,12 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			assert.Equal(t, eligibilityOf(c.facts), c.want)
+			assert.Equal(t, eligibilityOf(c.input), c.want)
 		})
 	}
 }
 
-// TestChoose has instances a, b and so on, of which a is the first in the key's order.
+// TestChoose uses the instances a, b and so on, ranked in this order for the key.
 func TestChoose(t *testing.T) {
 	cases := []struct {
 		name        string
@@ -44,15 +44,15 @@
 		want        string
 		preferred   bool
 	}{
-		{"first in the key's order", []int64{0, 0, 0}, true, "", "a", true},
-		{"a little more than its share", []int64{4, 0, 0}, true, "", "a", true},
-		{"too much more than its share", []int64{9, 0, 0}, true, "", "b", false},
-		{"one instance takes all", []int64{9}, true, "", "a", true},
-		{"without a key", []int64{3, 2, 1}, false, "", "c", false},
-		{"equals without a key, from a random place on", []int64{1, 1, 1}, false, "", "b", false},
+		{"highest-ranked", []int64{0, 0, 0}, true, "", "a", true},
+		{"above the mean, within the load bound", []int64{4, 0, 0}, true, "", "a", true},
+		{"above the load bound", []int64{9, 0, 0}, true, "", "b", false},
+		{"single instance", []int64{9}, true, "", "a", true},
+		{"least loaded without a key", []int64{3, 2, 1}, false, "", "c", false},
+		{"equally loaded without a key, from a random start", []int64{1, 1, 1}, false, "", "b", false},
 		{"stalled", []int64{0, 0, 0}, true, "a", "b", false},
 		{"stalled without a key", []int64{0, 1, 2}, false, "a", "b", false},
-		{"another one is stalled", []int64{0, 0, 0}, true, "b", "a", true},
+		{"another instance is stalled", []int64{0, 0, 0}, true, "b", "a", true},
 		{"half are stalled", []int64{0, 0, 0, 0}, true, "ab", "c", false},
 		{"most are stalled", []int64{0, 0, 0}, true, "ab", "a", true},
 		{"all are stalled", []int64{0, 0, 0}, true, "abc", "a", true},
@@ -62,7 +62,7 @@
 			chosen, preferred := choose(picker{
 				candidates: candidatesWith(c.outstanding),
 				hasKey:     c.hasKey,
-				isStalled:  func(of candidate) bool { return strings.Contains(c.stalled, of.member.ID) },
+				isStalled:  func(checked candidate) bool { return strings.Contains(c.stalled, checked.member.ID) },
 				random:     func(n int) int { return min(1, n-1) },
 			})
 			assert.Equal(t, chosen.member.ID, c.want)
@@ -71,8 +71,8 @@
 	}
 }
 
-// candidatesWith makes instances a, b and so on with such numbers of requests, whose
-// weights fall in this order.
+// candidatesWith returns the candidates a, b and so on with the given numbers of requests
+// and descending weights.
 func candidatesWith(outstanding []int64) []candidate {
 	var candidates []candidate
 	for index, count := range outstanding {
@@ -86,7 +86,7 @@
 	return candidates
 }
 
-func TestIsLapse(t *testing.T) {
+func TestIsMassExpiry(t *testing.T) {
 	cases := []struct {
 		vanished, known int
 		want            bool
@@ -105,7 +105,7 @@
 	}
 }
 
-func TestPatienceFor(t *testing.T) {
+func TestStallTimeoutFor(t *testing.T) {
 	cases := map[time.Duration]time.Duration{
 		0:                      time.Second,
 		10 * time.Millisecond:  250 * time.Millisecond,
@@ -113,14 +113,14 @@
 		100 * time.Millisecond: 400 * time.Millisecond,
 		2 * time.Second:        8 * time.Second,
 	}
-	for usual, want := range cases {
-		assert.Equal(t, stallTimeoutFor(usual), want, "%s", usual)
+	for baseline, want := range cases {
+		assert.Equal(t, stallTimeoutFor(baseline), want, "%s", baseline)
 	}
 }
 
-func TestNextUsual(t *testing.T) {
+func TestNextBaseline(t *testing.T) {
 	const ms = time.Millisecond
-	cases := []struct{ usual, wait, want time.Duration }{
+	cases := []struct{ baseline, wait, want time.Duration }{
 		{0, 100 * ms, 100 * ms},
 		{100 * ms, 100 * ms, 100 * ms},
 		{100 * ms, 200 * ms, 105 * ms},
@@ -129,6 +129,6 @@
 		{100 * ms, time.Minute, 115 * ms},
 	}
 	for _, c := range cases {
-		assert.Equal(t, nextBaseline(c.usual, c.wait), c.want, "%s after %s", c.wait, c.usual)
+		assert.Equal(t, nextBaseline(c.baseline, c.wait), c.want, "%s after %s", c.wait, c.baseline)
 	}
 }
--- a/coordination/backend/zones_test.go
+++ b/coordination/backend/zones_test.go
@@ -11,33 +11,33 @@
 	"github.com/marblering/marblering/coordination/backend"
 )
 
-// underWay is one request at a runner of the replay.
-type underWay struct {
+// inFlight is a request at a simulated instance.
+type inFlight struct {
 	choice *backend.Choice
 	ends   time.Time
 	waited time.Duration
 }
 
-// replayZones plays a day of high load: gateways in three zones, the first of which has
-// 37% of the callers, each gateway with a pool of its own, and 45 runners, 15 a zone. A
-// runner works on twelve requests at once, in the order of arrival. It returns how long
-// requests waited in the mean, by the zone of their runner.
-func replayZones(t *testing.T, busy float64) map[string]time.Duration {
+// simulateZones simulates gateways in three zones, each gateway with a pool of its own,
+// and 15 instances per zone. The first zone has 37% of the callers. An instance processes
+// twelve requests at once in the order of arrival. utilization is the load relative to the
+// capacity of all instances. It returns the mean queueing time by the instance's zone.
+func simulateZones(t *testing.T, utilization float64) map[string]time.Duration {
 	t.Helper()
 	const (
-		runners, slots = 45, 12
-		work           = 200 * time.Millisecond
-		step           = 2 * time.Millisecond
-		length         = 20 * time.Second
+		instanceCount, slots = 45, 12
+		work                 = 200 * time.Millisecond
+		step                 = 2 * time.Millisecond
+		length               = 20 * time.Second
 	)
 	zones := []string{"a", "b", "c"}
 	gateways := map[string]int{"a": 25, "b": 16, "c": 16}
 	shares := map[string]float64{"a": 0.37, "b": 0.30, "c": 0.33}
-	at := time.Unix(1000, 0)
-	began := at
+	now := time.Unix(1000, 0)
+	start := now
 	random := rand.New(rand.NewPCG(1, 1))
 	var instances []backend.Instance
-	for index := range runners {
+	for index := range instanceCount {
 		instances = append(instances, backend.Instance{
 			ID: fmt.Sprint("i-", index), Service: "s", Address: fmt.Sprint("10.0.0.", index, ":1"), Zone: zones[index%3], Capacity: slots,
 		})
@@ -45,56 +45,55 @@
 	pools := make(map[string][]*backend.Pool)
 	for zone, count := range gateways {
 		for range count {
-			pool := backend.NewPool(backend.EjectionPolicy(), func() time.Time { return at })
+			pool := backend.NewPool(backend.EjectionPolicy(), func() time.Time { return now })
 			pool.Replace(instances)
 			pools[zone] = append(pools[zone], pool)
 		}
 	}
-	perSecond := busy * runners * slots / work.Seconds()
-	atRunner := make(map[string][]underWay)
-	waited, counted := make(map[string]time.Duration), make(map[string]int)
-	due := make(map[string]float64)
-	for ; at.Sub(began) < length; at = at.Add(step) {
-		for id, requests := range atRunner {
-			var still []underWay
-			for _, one := range requests {
-				if at.Before(one.ends) {
-					still = append(still, one)
+	perSecond := utilization * instanceCount * slots / work.Seconds()
+	atInstance := make(map[string][]inFlight)
+	waited, requestCount := make(map[string]time.Duration), make(map[string]int)
+	arrivals := make(map[string]float64)
+	for ; now.Sub(start) < length; now = now.Add(step) {
+		for id, requests := range atInstance {
+			var remaining []inFlight
+			for _, request := range requests {
+				if now.Before(request.ends) {
+					remaining = append(remaining, request)
 					continue
 				}
-				one.choice.Release(backend.Answered{Wait: one.waited})
+				request.choice.Release(backend.Answered{Wait: request.waited})
 			}
-			atRunner[id] = still
+			atInstance[id] = remaining
 		}
 		for _, zone := range zones {
-			for due[zone] += perSecond * shares[zone] * step.Seconds(); due[zone] >= 1; due[zone]-- {
+			for arrivals[zone] += perSecond * shares[zone] * step.Seconds(); arrivals[zone] >= 1; arrivals[zone]-- {
 				pool := pools[zone][random.IntN(len(pools[zone]))]
 				choice, err := pool.Acquire(backend.Query{Service: "s", Route: "r", Key: fmt.Sprint(random.Uint64())})
 				assert.NilError(t, err)
-				requests := atRunner[choice.Instance.ID]
-				starts := at
+				requests := atInstance[choice.Instance.ID]
+				starts := now
 				if excess := len(requests) - slots; excess >= 0 {
 					starts = requests[excess].ends
 				}
-				wait := starts.Sub(at)
+				wait := starts.Sub(now)
 				waited[choice.Instance.Zone] += wait
-				counted[choice.Instance.Zone]++
-				atRunner[choice.Instance.ID] = append(requests, underWay{choice: choice, ends: starts.Add(work), waited: wait + 20*time.Millisecond})
+				requestCount[choice.Instance.Zone]++
+				atInstance[choice.Instance.ID] = append(requests, inFlight{choice: choice, ends: starts.Add(work), waited: wait + 20*time.Millisecond})
 			}
 		}
 	}
 	for zone := range waited {
-		waited[zone] /= time.Duration(counted[zone])
+		waited[zone] /= time.Duration(requestCount[zone])
 	}
 	return waited
 }
 
-// TestZonesShareTheLoad: at nine tenths of what all runners can do, requests at the
-// runners of the zone with the most callers wait no longer than twice those elsewhere, and
-// a fifth of a second at most.
+// TestZonesShareTheLoad guards against overloading the zone with the most callers. At 90%
+// of the capacity, requests there must not queue much longer than in the other zones.
 func TestZonesShareTheLoad(t *testing.T) {
-	waited := replayZones(t, 0.9)
-	t.Logf("mean waits by zone: %v", waited)
+	waited := simulateZones(t, 0.9)
+	t.Logf("mean queueing time by zone: %v", waited)
 	for _, zone := range []string{"b", "c"} {
 		assert.Assert(t, waited["a"] < 2*waited[zone]+10*time.Millisecond)
 	}
