--- a/coordination/routetable/configuration.go
+++ b/coordination/routetable/configuration.go
@@ -9,21 +9,21 @@
 	"github.com/marblering/marblering/coordination/tenant"
 )
 
-// Kind says how often a request of a route may be run.
+// Kind says how often a request of a route may be processed.
 type Kind int
 
 // Kinds of routes.
 const (
-	// Safe requests may run more than once.
+	// Safe requests may be processed more than once.
 	Safe Kind = iota
-	// Unsafe requests run at most once.
+	// Unsafe requests are processed at most once.
 	Unsafe
-	// Stream requests are answered by a series of events and run at most once,
+	// Stream requests get a stream of events as response and are processed at most once,
 	// unless the route is resumable.
 	Stream
 )
 
-// String names the kind in log lines.
+// String returns the name of the kind for log lines.
 func (k Kind) String() string {
 	switch k {
 	case Safe:
@@ -38,108 +38,108 @@
 
 // Target is one service of a route and its share of the route's requests.
 type Target struct {
-	// Service is the service's name.
+	// Service is the name of the service.
 	Service string
-	// Weight is relative to the sum of the route's weights.
+	// Weight is relative to the sum of the weights of the route.
 	Weight float64
 }
 
-// Route sends the requests of one host below one path to services.
+// Route maps requests of one host and path prefix to services.
 type Route struct {
 	Name string
-	// Host is compared without its port and without regard to case.
+	// Host is matched without the port and regardless of case.
 	Host string
-	// PathPrefix begins and ends with a slash.
+	// PathPrefix starts and ends with a slash.
 	PathPrefix string
 	Kind       Kind
-	// Timeout is the longest that a request may take; above zero.
+	// Timeout limits the duration of a request; always positive.
 	Timeout time.Duration
-	// TargetLatency is the time within which an answer is worth most.
+	// TargetLatency is the time within which a response has its full value.
 	TargetLatency time.Duration
-	// MaxGap is the longest pause between two events of a stream that callers
-	// find acceptable; zero where none is set.
+	// MaxGap is the longest acceptable pause between two events of a stream; zero if
+	// unset.
 	MaxGap time.Duration
-	// Priority ranks routes; 0 is the most urgent.
+	// Priority ranks routes; 0 is the highest.
 	Priority int
 	Targets  []Target
-	// Attempts is how many back ends one request may be sent to.
+	// Attempts is the maximum number of backends that a request is sent to.
 	Attempts int
-	// Affinity is set where a back end works faster on what it has seen lately.
+	// Affinity is set if backends are faster with context from recent requests.
 	Affinity bool
-	// Resumable streams may be continued by another back end.
+	// Resumable streams may be continued by another backend.
 	Resumable bool
-	// Retained routes have their turns kept for later ones.
+	// Retained routes store their turns as context for later ones.
 	Retained bool
-	// Retention is how long turns are kept.
+	// Retention is how long turns are stored.
 	Retention time.Duration
-	// Public routes need no key, also where there are tenants.
+	// Public routes need no key even if KeysRequired is set.
 	Public bool
 }
 
-// Repeatable tells whether a request that may have run may be run again.
+// Repeatable reports whether a request that may have been processed may be sent again.
 func (r *Route) Repeatable() bool { return r.Kind == Safe || r.Kind == Stream && r.Resumable }
 
-// Service is a pool of back ends that do the same work.
+// Service is a pool of equivalent backends.
 type Service struct {
 	Name string
-	// TokensPerEvent is how many tokens one event of a stream stands for; zero
-	// for back ends that generate none.
+	// TokensPerEvent is the number of tokens that one event of a stream stands for; zero
+	// for backends that generate no tokens.
 	TokensPerEvent uint64
 }
 
-// Limits bound what a client may send and how long it may take.
+// Limits restricts the size and duration of client input.
 type Limits struct {
-	// HeaderBytes and BodyBytes are the largest sizes taken; zero for no limit.
+	// HeaderBytes and BodyBytes are the maximum sizes; zero for no limit.
 	HeaderBytes int64
 	BodyBytes   int64
-	// HeaderTimeout bounds the arrival of a request's header.
+	// HeaderTimeout limits the time to read the header of a request.
 	HeaderTimeout time.Duration
-	// IdleTimeout is how long a connection may rest between two requests.
+	// IdleTimeout limits the time that a connection is idle between two requests.
 	IdleTimeout time.Duration
 }
 
-// Configuration is one version of everything that a gateway serves by.
+// Configuration is one version of the configuration of a gateway.
 type Configuration struct {
-	// Version rises with each change and never falls.
+	// Version increases with each change.
 	Version  int64
 	Routes   []Route
 	Services []Service
 	Limits   Limits
-	// KeysRequired is set where callers have to prove which tenant they belong to.
+	// KeysRequired is set if callers must authenticate with the key of a tenant.
 	KeysRequired bool
 	Tenants      []tenant.Tenant
 }
 
-// check returns the first contradiction.
-func (c *Configuration) check() error {
+// validate returns the first error in the configuration.
+func (c *Configuration) validate() error {
 	if c.Version <= 0 {
-		return merry.Errorf("version %d isn't above zero", c.Version)
+		return merry.Errorf("version %d must be positive", c.Version)
 	}
 	services := make(map[string]bool, len(c.Services))
 	for _, service := range c.Services {
 		services[service.Name] = true
 	}
 	for index := range c.Routes {
-		if err := c.Routes[index].check(services); err != nil {
+		if err := c.Routes[index].validate(services); err != nil {
 			return merry.Prependf(err, "route %q", c.Routes[index].Name)
 		}
 	}
 	return nil
 }
 
-// check returns the first contradiction in a route.
-func (r *Route) check(services map[string]bool) error {
+// validate returns the first error in the route.
+func (r *Route) validate(services map[string]bool) error {
 	switch {
 	case r.Host == "":
-		return merry.New("no host")
+		return merry.New("host is missing")
 	case !strings.HasPrefix(r.PathPrefix, "/") || !strings.HasSuffix(r.PathPrefix, "/"):
-		return merry.Errorf("path prefix %q doesn't begin and end with a slash", r.PathPrefix)
+		return merry.Errorf("path prefix %q must start and end with a slash", r.PathPrefix)
 	case r.Timeout <= 0:
-		return merry.Errorf("timeout %s isn't above zero", r.Timeout)
+		return merry.Errorf("timeout %s must be positive", r.Timeout)
 	case r.Attempts < 1:
-		return merry.Errorf("%d attempts", r.Attempts)
+		return merry.Errorf("attempts must be at least 1, got %d", r.Attempts)
 	case len(r.Targets) == 0:
-		return merry.New("no service")
+		return merry.New("no target service")
 	}
 	for _, target := range r.Targets {
 		if !services[target.Service] {
--- a/coordination/routetable/doc.go
+++ b/coordination/routetable/doc.go
@@ -1,7 +1,7 @@
-// Package routetable holds the routes, services, limits and tenants that a gateway serves
-// by, all of one version of the configuration.
+// Package routetable holds one version of a gateway's configuration: routes, services,
+// limits and tenants.
 //
-// A Table is checked once and never changes. An InForce owns the newest one, publishes it
-// to the path of requests, and never goes back to an older version. Both rely on nothing
-// outside the process: whoever follows the configuration decodes it and installs it.
+// A Table is validated once and immutable. An InForce holds the newest table, publishes it
+// to request handlers, and never returns to an older version. The package does no I/O: its
+// caller decodes the configuration and installs the table.
 package routetable
--- a/coordination/routetable/table.go
+++ b/coordination/routetable/table.go
@@ -11,19 +11,19 @@
 	"github.com/marblering/marblering/coordination/tenant"
 )
 
-// Table answers which route a request takes. It is only read.
+// Table finds the route of a request. It is immutable.
 type Table struct {
 	configuration Configuration
-	// hosts lists each host's routes, the longest prefix first.
+	// hosts holds the routes of each host, the longest prefix first.
 	hosts   map[string][]*Route
 	tenants tenant.Directory
 }
 
-// NewTable checks the configuration and builds its table. It fails with the first
-// contradiction: a route without a host, prefix, timeout or service, a service that isn't
-// configured, two tenants with one name or key.
+// NewTable validates the configuration and builds its table. It returns the first error,
+// such as a route without a host, prefix, timeout or service, an unknown service, or two
+// tenants with the same name or key.
 func NewTable(configuration Configuration) (*Table, error) {
-	if err := configuration.check(); err != nil {
+	if err := configuration.validate(); err != nil {
 		return nil, err
 	}
 	tenants, err := tenant.NewDirectory(configuration.Tenants)
@@ -44,16 +44,16 @@
 	return table, nil
 }
 
-// Version is the version of the configuration.
+// Version returns the version of the configuration.
 func (t *Table) Version() int64 { return t.configuration.Version }
 
-// Limits bound callers' requests.
+// Limits returns the limits of client input.
 func (t *Table) Limits() Limits { return t.configuration.Limits }
 
-// Routes is how many routes the table has.
+// Routes returns the number of routes.
 func (t *Table) Routes() int { return len(t.configuration.Routes) }
 
-// Service returns the service of the name; a zero one where there is none.
+// Service returns the service with the name, or the zero value if there is none.
 func (t *Table) Service(name string) Service {
 	for _, service := range t.configuration.Services {
 		if service.Name == name {
@@ -63,22 +63,21 @@
 	return Service{}
 }
 
-// NeedsKey tells that requests of the route have to carry a tenant's key.
+// NeedsKey reports whether requests of the route must carry the key of a tenant.
 func (t *Table) NeedsKey(route *Route) bool { return t.KeysRequired() && !route.Public }
 
-// KeysRequired tells that there are tenants.
+// KeysRequired reports whether callers must authenticate, except on public routes.
 func (t *Table) KeysRequired() bool { return t.configuration.KeysRequired }
 
-// Tenant returns the tenant that has the key; found is false where none has.
+// Tenant returns the tenant with the key.
 func (t *Table) Tenant(key tenant.Digest) (owner *tenant.Tenant, found bool) {
 	return t.tenants.Find(key)
 }
 
-// Match returns the route of the host with the longest prefix that the path begins with;
-// found is false where there is none. The path is as it was sent, still escaped and
-// without a query.
+// Match returns the route of the host with the longest prefix of the path. The path is
+// escaped, as it was received, and has no query.
 func (t *Table) Match(host, path string) (route *Route, found bool) {
-	for _, candidate := range t.hosts[hostName(host)] {
+	for _, candidate := range t.hosts[normalizeHost(host)] {
 		if strings.HasPrefix(path, candidate.PathPrefix) {
 			return candidate, true
 		}
@@ -86,44 +85,43 @@
 	return nil, false
 }
 
-// hostName strips the port and folds the case.
-func hostName(host string) string {
+// normalizeHost strips the port and converts the name to lower case.
+func normalizeHost(host string) string {
 	if name, _, err := net.SplitHostPort(host); err == nil {
 		host = name
 	}
 	return strings.ToLower(host)
 }
 
-// Pick returns the service for a request by the weights of the targets, given a number
-// from 0 (included) to 1 (excluded) that is drawn for it. Requests that belong together
-// bring the same number and so stay with one service.
-func (r *Route) Pick(draw float64) string {
+// Pick returns a service in proportion to the weights of the targets. fraction is a number
+// in [0, 1); requests with the same fraction get the same service.
+func (r *Route) Pick(fraction float64) string {
 	total := 0.0
 	for _, target := range r.Targets {
 		total += target.Weight
 	}
-	rest := draw * total
+	remaining := fraction * total
 	for _, target := range r.Targets {
-		if rest < target.Weight {
+		if remaining < target.Weight {
 			return target.Service
 		}
-		rest -= target.Weight
+		remaining -= target.Weight
 	}
 	return r.Targets[len(r.Targets)-1].Service
 }
 
-// InForce publishes the newest table. It is safe for concurrent use; reading takes no lock.
+// InForce holds the newest table. It is safe for concurrent use; reads take no lock.
 type InForce struct {
 	current atomic.Pointer[Table]
 	// mutex is held while a table is installed.
 	mutex sync.Mutex
 }
 
-// Table returns the table in force; nil before the first.
+// Table returns the newest table, or nil if none was installed.
 func (f *InForce) Table() *Table { return f.current.Load() }
 
-// Install puts the table in force unless its version is older than, or the same
-// as, the one in force, and tells whether it did.
+// Install replaces the table if the version of the new one is higher, and reports whether
+// it did.
 func (f *InForce) Install(table *Table) bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
