--- a/coordination/backend/life.go
+++ b/coordination/backend/life.go
@@ -35,8 +35,8 @@
 // endedIncarnation is the last incarnation of a removed instance.
 type endedIncarnation struct {
 	started time.Time
-	// detected is when the instance was removed.
-	detected time.Time
+	// removedAt is when the instance was removed.
+	removedAt time.Time
 }
 
 // resolveIncarnations returns the listed instances, each in its newest incarnation. An
@@ -67,7 +67,7 @@
 // recordEnded keeps the start time of a removed instance. The mutex must be held.
 func (p *Pool) recordEnded(removed *member) {
 	if !removed.Started.IsZero() {
-		p.ended[removed.ID] = endedIncarnation{started: removed.Started, detected: p.now()}
+		p.ended[removed.ID] = endedIncarnation{started: removed.Started, removedAt: p.now()}
 	}
 }
 
@@ -75,7 +75,7 @@
 // must be held.
 func (p *Pool) pruneEnded() {
 	for id, last := range p.ended {
-		if p.now().Sub(last.detected) >= endedRetention {
+		if p.now().Sub(last.removedAt) >= endedRetention {
 			delete(p.ended, id)
 		}
 	}
