--- a/coordination/backend/health.go
+++ b/coordination/backend/health.go
@@ -9,106 +9,102 @@
 )
 
 const (
-	// usualGain is the weight of a new wait in the usual one, a moving average: some 20
-	// requests make a change of the service the usual (chosen, not measured).
-	usualGain = 0.05
-	// usualClamp times the usual wait is the most that a single wait counts for (chosen,
-	// not measured).
-	usualClamp = 4
-	// patienceFactor times the usual wait is how long an instance may say nothing before
-	// it counts as stalled, but never less than minPatience, and firstPatience where
-	// nothing is known yet (chosen, not measured one by one; what passing over stalled
-	// instances and ejection bring together stands with the figures of ejection).
-	patienceFactor = 4
-	minPatience    = 250 * time.Millisecond
-	firstPatience  = time.Second
-	// usualIdle is how long the usual wait of a route without requests is kept (chosen,
-	// not measured).
-	usualIdle = time.Minute
+	// baselineSmoothing is the weight of a new sample in the moving average of waits.
+	baselineSmoothing = 0.05
+	// maxSampleRatio caps a single sample at this multiple of the baseline.
+	maxSampleRatio = 4
+	// stallFactor is the ratio of the stall timeout to the baseline wait.
+	stallFactor     = 4
+	minStallTimeout = 250 * time.Millisecond
+	// initialStallTimeout applies until the route has a baseline.
+	initialStallTimeout = time.Second
+	// baselineIdleTime is how long the baseline of a route without requests is kept.
+	baselineIdleTime = time.Minute
 )
 
-// health judges the instances of one service against each other. The usual wait
-// follows the service as a whole: where all instances are slow, the service is
-// overloaded and none of them is at fault. It is safe for concurrent use.
-type health struct {
+// serviceHealth compares the instances of one service with each other. The baselines
+// follow the whole service: if all instances are slow, the service is overloaded and none
+// of them is at fault. It is safe for concurrent use.
+type serviceHealth struct {
 	ejector *limit.Ejector
 
 	mutex sync.Mutex
-	// usual is the usual wait of each route; zero before its first answer.
-	usual *recent.Map[time.Duration]
+	// baselines holds the moving average of waits by route; zero before the first answer.
+	baselines *recent.Map[time.Duration]
 }
 
-func newHealth(policy limit.EjectionPolicy) *health {
-	unknown := func(time.Time) time.Duration { return 0 }
-	return &health{ejector: limit.NewEjector(policy), usual: recent.New(usualIdle, unknown)}
+func newServiceHealth(policy limit.EjectionPolicy) *serviceHealth {
+	noBaseline := func(time.Time) time.Duration { return 0 }
+	return &serviceHealth{ejector: limit.NewEjector(policy), baselines: recent.New(baselineIdleTime, noBaseline)}
 }
 
-// patienceFor decides how long an instance may say nothing about a request whose usual
-// wait is known; zero for not yet.
-func patienceFor(usual time.Duration) time.Duration {
-	if usual == 0 {
-		return firstPatience
+// stallTimeoutFor returns how long a request may make no progress before its instance
+// counts as stalled. The baseline is zero if none is known yet.
+func stallTimeoutFor(baseline time.Duration) time.Duration {
+	if baseline == 0 {
+		return initialStallTimeout
 	}
-	return max(patienceFactor*usual, minPatience)
+	return max(stallFactor*baseline, minStallTimeout)
 }
 
-// nextUsual returns the usual wait after a further wait. A single long wait counts for
-// little, so that a stalled instance doesn't make stalls the usual.
-func nextUsual(usual, wait time.Duration) time.Duration {
-	if usual == 0 {
+// nextBaseline adds a wait to the moving average. The wait is capped, so that a stalled
+// instance doesn't raise the baseline of its service.
+func nextBaseline(baseline, wait time.Duration) time.Duration {
+	if baseline == 0 {
 		return wait
 	}
-	bounded := min(wait, usualClamp*usual)
-	return usual + time.Duration(usualGain*float64(bounded-usual))
+	bounded := min(wait, maxSampleRatio*baseline)
+	return baseline + time.Duration(baselineSmoothing*float64(bounded-baseline))
 }
 
-// patience is how long an instance may say nothing about a request of the route.
-func (h *health) patience(route string, now time.Time) time.Duration {
+// stallTimeout returns the current stall timeout of the route.
+func (h *serviceHealth) stallTimeout(route string, now time.Time) time.Duration {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	return patienceFor(*h.usual.Get(route, now))
+	return stallTimeoutFor(*h.baselines.Get(route, now))
 }
 
-// expect takes a wait in, and returns what was the usual one of the route before it; the
-// wait itself where it is the first.
-func (h *health) expect(route string, wait time.Duration, now time.Time) time.Duration {
+// recordWait adds a wait to the route's baseline and returns the baseline before it, or
+// the wait itself if it is the first.
+func (h *serviceHealth) recordWait(route string, wait time.Duration, now time.Time) time.Duration {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	usual := h.usual.Get(route, now)
-	before := *usual
-	*usual = nextUsual(before, wait)
-	if before == 0 {
+	baseline := h.baselines.Get(route, now)
+	previous := *baseline
+	*baseline = nextBaseline(previous, wait)
+	if previous == 0 {
 		return wait
 	}
-	return before
+	return previous
 }
 
-// observe takes in how a request of the route ended, and returns the instance's health
-// after it. An error of the instance counts as a failure. A wait counts by how it
-// compares with the usual one of the route, also where the answer was given up.
-func (h *health) observe(instance, route string, ending Ending, now time.Time) limit.EngineHealth {
+// observe records how a request of the route ended and returns the instance's health
+// afterwards. Errors of the instance count as failures. Waits, including those of
+// abandoned requests, are compared with the baseline of the route.
+func (h *serviceHealth) observe(instance, route string, ending Ending, now time.Time) limit.EngineHealth {
 	switch e := ending.(type) {
 	case Answered:
 		outcome := limit.Outcome{Failed: e.Faulty, Took: e.Wait}
 		if !e.Faulty {
-			outcome.Expected = h.expect(route, e.Wait, now)
+			outcome.Expected = h.recordWait(route, e.Wait, now)
 		}
 		return h.ejector.Observe(instance, outcome, now)
 	case Broken:
 		return h.ejector.Observe(instance, limit.Outcome{Failed: true}, now)
 	case Waited:
-		return h.observeWait(instance, route, e.Wait, now)
+		return h.observeAbandoned(instance, route, e.Wait, now)
 	case Unjudged:
 	}
 	return h.ejector.Health(instance, now)
 }
 
-// observeWait takes in that an answer didn't come within the wait. A client that leaves
-// before the usual wait has passed says nothing of the instance.
-func (h *health) observeWait(instance, route string, wait time.Duration, now time.Time) limit.EngineHealth {
-	if wait < h.patience(route, now)/patienceFactor {
+// observeAbandoned records a request that was given up without an answer. A wait shorter
+// than stallTimeout/stallFactor, which is never below the baseline, is ignored: a client
+// that leaves early says nothing about the instance.
+func (h *serviceHealth) observeAbandoned(instance, route string, wait time.Duration, now time.Time) limit.EngineHealth {
+	if wait < h.stallTimeout(route, now)/stallFactor {
 		return h.ejector.Health(instance, now)
 	}
-	expected := h.expect(route, wait, now)
+	expected := h.recordWait(route, wait, now)
 	return h.ejector.Observe(instance, limit.Outcome{Expected: expected, Took: wait}, now)
 }
