--- a/transport/relay/authorize.go
+++ b/transport/relay/authorize.go
@@ -9,7 +9,7 @@
 // arrives, before its body is read, and again before each attempt: the request may have
 // waited, or the process may have been paused, and the key may have been revoked meanwhile.
 func (c *call) authorize() *result.Error {
-	if !c.basis.needsKey {
+	if !c.routing.needsKey {
 		return nil
 	}
 	if failure := c.checkProof(); failure != nil {
@@ -18,11 +18,11 @@
 	// The table is read after the proof, so that it is at least as new, however long the
 	// process is paused in between.
 	table := c.handler.options.Tables.Table()
-	owner, known := table.Tenant(c.asked.key)
+	owner, known := table.Tenant(c.input.key)
 	if !known {
 		return missingKey.refusal(table.Version(), c.handler.options.Certain())
 	}
-	c.granted.tenant = owner
+	c.grants.tenant = owner
 	return nil
 }
 
@@ -40,7 +40,7 @@
 // reauthorize calls authorize before an attempt. A request that is already being answered
 // goes on, since its key was valid when it began.
 func (c *call) reauthorize() *result.Error {
-	if c.reply.began {
+	if c.response.headerWritten {
 		return nil
 	}
 	return c.authorize()
@@ -48,14 +48,14 @@
 
 // tenantName is empty where the route needs no key.
 func (c *call) tenantName() string {
-	if c.granted.tenant == nil {
+	if c.grants.tenant == nil {
 		return ""
 	}
-	return c.granted.tenant.Name
+	return c.grants.tenant.Name
 }
 
 // takeKey replaces the key by its digest, so that the key can't be logged.
 func (c *call) takeKey() {
-	c.asked.key = tenant.DigestOf(c.asked.facts.APIKey)
-	c.asked.facts.APIKey = ""
+	c.input.key = tenant.DigestOf(c.input.facts.APIKey)
+	c.input.facts.APIKey = ""
 }
--- a/transport/relay/body.go
+++ b/transport/relay/body.go
@@ -25,10 +25,10 @@
 // Without either the server would wait for the rest of the body before it sends the
 // answer, as long as a slow client likes.
 func (c *call) discardBody(answer http.Header) {
-	if c.asked.bodyTaken || c.request.Body == nil || c.request.Body == http.NoBody {
+	if c.input.bodyRead || c.request.Body == nil || c.request.Body == http.NoBody {
 		return
 	}
-	c.asked.bodyTaken = true
+	c.input.bodyRead = true
 	controller := http.NewResponseController(c.writer)
 	// Only writers of tests have no deadlines; their bodies are there at once.
 	_ = controller.SetReadDeadline(c.handler.options.Now().Add(discardTime))
@@ -48,16 +48,16 @@
 	if limits.BodyBytes > 0 && c.request.ContentLength > limits.BodyBytes {
 		return result.Errorf(result.TooLarge, "the limit is %d bytes", limits.BodyBytes)
 	}
-	c.asked.bodyTaken = true
+	c.input.bodyRead = true
 	controller := http.NewResponseController(c.writer)
-	_ = controller.SetReadDeadline(c.times.deadline)
+	_ = controller.SetReadDeadline(c.timing.deadline)
 	reader := c.request.Body
 	if limits.BodyBytes > 0 {
 		reader = http.MaxBytesReader(c.writer, reader, limits.BodyBytes)
 	}
 	body, err := io.ReadAll(reader)
 	_ = controller.SetReadDeadline(time.Time{})
-	c.asked.body = body
+	c.input.body = body
 	return bodyFailure(err, limits)
 }
 
--- a/transport/relay/call.go
+++ b/transport/relay/call.go
@@ -17,16 +17,16 @@
 	writer  http.ResponseWriter
 	request *http.Request
 
-	asked   asked
-	basis   basis
-	granted granted
-	tried   tried
-	reply   reply
-	times   times
+	input    input
+	routing  routing
+	grants   grants
+	attempts attempts
+	response response
+	timing   timing
 }
 
-// asked is what the client asked for.
-type asked struct {
+// input is what the client input for.
+type input struct {
 	facts Facts
 	// key is the digest of the API key that the client showed.
 	key tenant.Digest
@@ -34,24 +34,24 @@
 	target string
 	// body is what back ends get: the request's own, or that of its turn.
 	body []byte
-	// bodyTaken tells that the request's own body was read, at least in part.
-	bodyTaken bool
+	// bodyRead tells that the request's own body was read, at least in part.
+	bodyRead bool
 }
 
-// basis is the part of the configuration that the request is decided by.
-type basis struct {
-	// version is that of the configuration, age how long before the request came the
+// routing is the part of the configuration that the request is decided by.
+type routing struct {
+	// configVersion is that of the configuration, age how long before the request came the
 	// store confirmed it.
-	version  int64
-	age      time.Duration
-	ageKnown bool
-	route    *routetable.Route
+	configVersion  int64
+	configAge      time.Duration
+	configAgeKnown bool
+	route          *routetable.Route
 	// needsKey tells that the route asks for a key.
 	needsKey bool
 }
 
-// granted is what the request may use.
-type granted struct {
+// grants is what the request may use.
+type grants struct {
 	// tenant is the owner of the key; nil where the route needs none.
 	tenant *tenant.Tenant
 	// permit is that of the tenant's quota.
@@ -60,21 +60,21 @@
 	turn *conversation.Turn
 }
 
-// tried is what the attempts have come to.
-type tried struct {
+// attempts is what the attempts have come to.
+type attempts struct {
 	// instances are the ids of those that were chosen, in order.
 	instances []string
 	// sends is to how many of them the request was sent, unsent to how many it wasn't.
 	sends, unsent int
-	// reached tells that a back end was sent the request and didn't promise that it
+	// reachedBackend tells that a back end was sent the request and didn't promise that it
 	// hadn't run it.
-	reached bool
+	reachedBackend bool
 	// mayHaveRun tells that no answer says whether a back end ran the request.
 	mayHaveRun bool
 }
 
-// count notes what the end of an attempt says about the request.
-func (t *tried) count(ended outcome) {
+// record notes what the end of an attempt says about the request.
+func (t *attempts) record(ended outcome) {
 	switch ended {
 	case unsent:
 		t.unsent++
@@ -82,42 +82,42 @@
 		t.sends++
 	case delivered, abandoned:
 		t.sends++
-		t.reached = true
+		t.reachedBackend = true
 	case lost, unstored:
 		t.sends++
-		t.reached, t.mayHaveRun = true, true
+		t.reachedBackend, t.mayHaveRun = true, true
 	}
 }
 
-// reply is what the client was answered.
-type reply struct {
-	// began tells that the head of the answer was written.
-	began bool
-	// lastEvent is the id of the last event that was passed on; empty for none.
-	lastEvent string
-	status    int
-	code      result.Code
+// response is what the client was answered.
+type response struct {
+	// headerWritten tells that the head of the answer was written.
+	headerWritten bool
+	// lastEventID is the id of the last event that was passed on; empty for none.
+	lastEventID string
+	status      int
+	code        result.Code
 	// reason says why the request has failed.
 	reason string
 }
 
-// times are for the deadline and the log.
-type times struct {
+// timing are for the deadline and the log.
+type timing struct {
 	arrived, deadline time.Time
-	// permitted is how long the permit was waited for.
-	permitted time.Duration
+	// permitWait is how long the permit was waited for.
+	permitWait time.Duration
 	// prepared is when the request could be sent to a back end, counted from its
 	// arrival: its body read and, for a turn, what came before it and its part of
 	// the budget there.
 	prepared time.Duration
 	// firstByte is when the head of the answer was written, counted from the arrival.
 	firstByte time.Duration
-	// stored is how long the end of a turn took to be kept.
-	stored time.Duration
+	// storeTime is how long the end of a turn took to be kept.
+	storeTime time.Duration
 }
 
-// allowed is the time that the request had; zero before its route was found.
-func (t *times) allowed() time.Duration {
+// timeout is the time that the request had; zero before its route was found.
+func (t *timing) timeout() time.Duration {
 	if t.deadline.IsZero() {
 		return 0
 	}
--- a/transport/relay/deliver.go
+++ b/transport/relay/deliver.go
@@ -29,7 +29,7 @@
 	if isEventStream(answer) {
 		return c.deliverEvents(ctx, answer, tried)
 	}
-	if c.reply.began {
+	if c.response.headerWritten {
 		return lost, errNotResumed
 	}
 	return c.deliverWhole(answer, tried)
@@ -97,7 +97,7 @@
 			return lost, err
 		}
 		tried.heard(c.handler.options.Now())
-		if event.isOld(c.reply.lastEvent) {
+		if event.isOld(c.response.lastEventID) {
 			continue
 		}
 		c.beginStream(answer)
@@ -109,7 +109,7 @@
 			return abandoned, err
 		}
 		if event.id != "" {
-			c.reply.lastEvent = event.id
+			c.response.lastEventID = event.id
 		}
 	}
 }
@@ -119,7 +119,7 @@
 func (c *call) endStream(ctx context.Context, answer *upstream.Answer) (outcome, error) {
 	began := c.handler.options.Now()
 	err := c.completeTurn(ctx)
-	c.times.stored = c.handler.options.Now().Sub(began)
+	c.timing.storeTime = c.handler.options.Now().Sub(began)
 	if err != nil {
 		return unstored, err
 	}
@@ -130,7 +130,7 @@
 // beginStream writes the head once: a resumed stream keeps the head of its first back
 // end.
 func (c *call) beginStream(answer *upstream.Answer) {
-	if c.reply.began {
+	if c.response.headerWritten {
 		return
 	}
 	setAnswerHeader(c.writer.Header(), answer.Header)
@@ -139,9 +139,9 @@
 
 // begin writes the head of the answer.
 func (c *call) begin(status int) {
-	c.reply.began = true
-	c.reply.status = status
-	c.times.firstByte = c.handler.options.Now().Sub(c.times.arrived)
+	c.response.headerWritten = true
+	c.response.status = status
+	c.timing.firstByte = c.handler.options.Now().Sub(c.timing.arrived)
 	if c.handler.options.Unready() {
 		c.writer.Header().Set("Connection", "close")
 	}
--- a/transport/relay/handler.go
+++ b/transport/relay/handler.go
@@ -71,7 +71,7 @@
 	arrived := h.options.Now()
 	underWay := h.inFlight.Add(1)
 	defer h.inFlight.Add(-1)
-	current := &call{handler: h, writer: writer, request: request, times: times{arrived: arrived}}
+	current := &call{handler: h, writer: writer, request: request, timing: timing{arrived: arrived}}
 	defer current.report()
 	if underWay > h.options.MaxInFlight {
 		current.fail(overload.refusal("%d requests are under way", underWay))
@@ -81,7 +81,7 @@
 		current.fail(failure)
 		return
 	}
-	ctx, cancel := context.WithDeadline(request.Context(), current.times.deadline)
+	ctx, cancel := context.WithDeadline(request.Context(), current.timing.deadline)
 	defer cancel()
 	if failure := current.takePermit(ctx); failure != nil {
 		current.fail(failure)
@@ -89,7 +89,7 @@
 	}
 	defer current.settlePermit()
 	failure := current.beginTurn(ctx, h.options.Tables.Table())
-	current.times.prepared = h.options.Now().Sub(arrived)
+	current.timing.prepared = h.options.Now().Sub(arrived)
 	if failure != nil {
 		current.fail(failure)
 		return
@@ -105,9 +105,9 @@
 	if table == nil {
 		return noConfiguration.refusal("no configuration yet")
 	}
-	c.basis.version = table.Version()
+	c.routing.configVersion = table.Version()
 	if options.TableAge != nil {
-		c.basis.age, c.basis.ageKnown = options.TableAge()
+		c.routing.configAge, c.routing.configAgeKnown = options.TableAge()
 	}
 	limits := table.Limits()
 	if limits.HeaderBytes > 0 && headerBytes(c.request) > limits.HeaderBytes {
@@ -117,16 +117,16 @@
 	if failure != nil {
 		return failure
 	}
-	c.asked.facts = facts
+	c.input.facts = facts
 	c.takeKey()
-	c.asked.target = originForm(c.request.RequestURI)
-	path, _, _ := strings.Cut(c.asked.target, "?")
+	c.input.target = originForm(c.request.RequestURI)
+	path, _, _ := strings.Cut(c.input.target, "?")
 	route, found := table.Match(c.request.Host, path)
 	if !found {
-		return missingRoute.refusal(c.basis.version, options.Certain())
+		return missingRoute.refusal(c.routing.configVersion, options.Certain())
 	}
 	c.setRoute(route)
-	c.basis.needsKey = table.NeedsKey(route)
+	c.routing.needsKey = table.NeedsKey(route)
 	if failure := c.authorize(); failure != nil {
 		return failure
 	}
@@ -135,10 +135,10 @@
 
 // setRoute notes the route and the deadline that follows from it.
 func (c *call) setRoute(route *routetable.Route) {
-	c.basis.route = route
+	c.routing.route = route
 	total := route.Timeout
-	if c.asked.facts.Remaining > 0 {
-		total = min(total, c.asked.facts.Remaining)
+	if c.input.facts.Remaining > 0 {
+		total = min(total, c.input.facts.Remaining)
 	}
-	c.times.deadline = c.times.arrived.Add(total)
+	c.timing.deadline = c.timing.arrived.Add(total)
 }
--- a/transport/relay/metrics.go
+++ b/transport/relay/metrics.go
@@ -43,12 +43,12 @@
 // observe counts a request that has ended.
 func (m *Metrics) observe(c *call, took time.Duration) {
 	kind := "none"
-	if c.basis.route != nil {
-		kind = c.basis.route.Kind.String()
+	if c.routing.route != nil {
+		kind = c.routing.route.Kind.String()
 	}
-	m.requests.WithLabelValues(kind, strconv.Itoa(int(c.reply.code))).Inc()
+	m.requests.WithLabelValues(kind, strconv.Itoa(int(c.response.code))).Inc()
 	m.duration.WithLabelValues(kind).Observe(took.Seconds())
-	if c.times.firstByte > 0 {
-		m.firstByte.WithLabelValues(kind).Observe(c.times.firstByte.Seconds())
+	if c.timing.firstByte > 0 {
+		m.firstByte.WithLabelValues(kind).Observe(c.timing.firstByte.Seconds())
 	}
 }
--- a/transport/relay/quota.go
+++ b/transport/relay/quota.go
@@ -10,23 +10,23 @@
 // takePermit asks for a permit of the tenant's quota. It is called before anything else
 // that causes work at other nodes.
 func (c *call) takePermit(ctx context.Context) *result.Error {
-	if c.granted.tenant == nil {
+	if c.grants.tenant == nil {
 		return nil
 	}
 	began := c.handler.options.Now()
 	permit, failure := c.handler.options.Quotas.Take(ctx, quota.Request{
-		Tenant: c.granted.tenant.Name, Rate: c.granted.tenant.Rate, Version: c.basis.version,
-		Program: c.asked.facts.Program, Kind: c.basis.route.Name,
+		Tenant: c.grants.tenant.Name, Rate: c.grants.tenant.Rate, Version: c.routing.configVersion,
+		Program: c.input.facts.Program, Kind: c.routing.route.Name,
 	})
-	c.times.permitted = c.handler.options.Now().Sub(began)
-	c.granted.permit = permit
+	c.timing.permitWait = c.handler.options.Now().Sub(began)
+	c.grants.permit = permit
 	return failure
 }
 
 // settlePermit returns the permit of a request that no back end ran, so that it doesn't
 // count.
 func (c *call) settlePermit() {
-	if !c.tried.reached {
-		c.granted.permit.Return()
+	if !c.attempts.reachedBackend {
+		c.grants.permit.Return()
 	}
 }
--- a/transport/relay/run.go
+++ b/transport/relay/run.go
@@ -12,7 +12,7 @@
 
 // run tries back ends until the request is answered or given up.
 func (c *call) run(ctx context.Context) {
-	c.handler.options.Retries.Attempted(c.basis.route.Name, c.handler.options.Now())
+	c.handler.options.Retries.Attempted(c.routing.route.Name, c.handler.options.Now())
 	for {
 		choice, err := c.acquire()
 		if err != nil {
@@ -40,21 +40,21 @@
 // acquire places the request at an instance that it hasn't tried.
 func (c *call) acquire() (*backend.Choice, error) {
 	return c.handler.options.Backends.Acquire(backend.Query{
-		Service: c.basis.route.Pick(backend.Draw(c.asked.facts.Key)), Route: c.basis.route.Name,
-		Key: c.asked.facts.Key, Tried: c.tried.instances,
+		Service: c.routing.route.Pick(backend.Draw(c.input.facts.Key)), Route: c.routing.route.Name,
+		Key: c.input.facts.Key, Tried: c.attempts.instances,
 	})
 }
 
 // attemptEnd gathers what decides about the next step.
 func (c *call) attemptEnd(ctx context.Context, ended outcome, cause error) attemptEnd {
-	route := c.basis.route
+	route := c.routing.route
 	return attemptEnd{
 		ended: ended, cause: cause,
 		clientGone: c.request.Context().Err() != nil, isOver: c.isOver(ctx),
-		began: c.reply.began, mayHaveRun: c.tried.mayHaveRun,
-		sends: c.tried.sends, unsent: c.tried.unsent,
+		began: c.response.headerWritten, mayHaveRun: c.attempts.mayHaveRun,
+		sends: c.attempts.sends, unsent: c.attempts.unsent,
 		attempts: route.Attempts, repeatable: route.Repeatable(), resumable: route.Resumable,
-		allowed: c.times.allowed(),
+		allowed: c.timing.timeout(),
 	}
 }
 
@@ -63,7 +63,7 @@
 func (c *call) nextStep(attempt attemptEnd) nextStep {
 	step := attempt.next()
 	again, isAnother := step.(tryAnother)
-	if !isAnother || !again.spends || c.handler.options.Retries.Retry(c.basis.route.Name, c.handler.options.Now()) {
+	if !isAnother || !again.spends || c.handler.options.Retries.Retry(c.routing.route.Name, c.handler.options.Now()) {
 		return step
 	}
 	return attempt.giveUp()
@@ -82,7 +82,7 @@
 // endRevoked ends a request whose key isn't accepted any more. Where an earlier attempt
 // may have run it, the answer mustn't promise that it hasn't.
 func (c *call) endRevoked(ctx context.Context, failure *result.Error) {
-	if c.tried.mayHaveRun {
+	if c.attempts.mayHaveRun {
 		c.end(c.attemptEnd(ctx, lost, failure).giveUp())
 		return
 	}
@@ -91,10 +91,10 @@
 
 // try sends the request to one instance.
 func (c *call) try(ctx context.Context, choice *backend.Choice) (outcome, error) {
-	c.tried.instances = append(c.tried.instances, choice.Instance.ID)
+	c.attempts.instances = append(c.attempts.instances, choice.Instance.ID)
 	current := &attempt{choice: choice, began: c.handler.options.Now()}
 	ended, cause := c.exchange(ctx, current)
-	c.tried.count(ended)
+	c.attempts.record(ended)
 	if c.isOver(ctx) && ended != delivered {
 		ended = abandoned
 	}
@@ -105,7 +105,7 @@
 // isOver tells that the client is gone or that the request's time is over. A
 // connection may notice the deadline a moment before the context does.
 func (c *call) isOver(ctx context.Context) bool {
-	return ctx.Err() != nil || !c.handler.options.Now().Before(c.times.deadline)
+	return ctx.Err() != nil || !c.handler.options.Now().Before(c.timing.deadline)
 }
 
 // exchange has one exchange with the instance, and judges its answer.
@@ -133,15 +133,15 @@
 func (c *call) upstreamRequest(choice *backend.Choice) *upstream.Request {
 	header := endToEnd(c.request.Header)
 	c.handler.options.Dialect.Write(header, Attempt{
-		ID: c.asked.facts.ID, Tenant: c.tenantName(),
-		Remaining: c.times.deadline.Sub(c.handler.options.Now()),
+		ID: c.input.facts.ID, Tenant: c.tenantName(),
+		Remaining: c.timing.deadline.Sub(c.handler.options.Now()),
 		Instance:  choice.Instance.ID,
-		LastEvent: c.reply.lastEvent,
+		LastEvent: c.response.lastEventID,
 	})
 	return &upstream.Request{
 		Address: choice.Instance.Address, Instance: choice.Instance.ID, Started: choice.Instance.Started,
-		Method: c.request.Method, Target: c.asked.target, Host: c.request.Host,
-		Header: header, Body: c.asked.body, ID: c.asked.facts.ID, Repeatable: c.basis.route.Repeatable(),
+		Method: c.request.Method, Target: c.input.target, Host: c.request.Host,
+		Header: header, Body: c.input.body, ID: c.input.facts.ID, Repeatable: c.routing.route.Repeatable(),
 	}
 }
 
@@ -149,8 +149,8 @@
 func (c *call) logRetry(choice *backend.Choice, ended outcome, cause error) {
 	c.handler.options.Metrics.retries.Inc()
 	c.handler.options.Logger.Info("trying another back end",
-		zap.String("request", c.asked.facts.ID), zap.String("route", c.basis.route.Name),
+		zap.String("request", c.input.facts.ID), zap.String("route", c.routing.route.Name),
 		zap.String("instance", choice.Instance.ID), zap.String("address", choice.Instance.Address),
-		zap.Int64("outstanding", choice.Outstanding), zap.Int("sends", c.tried.sends),
-		zap.Bool("refused", ended == refused), zap.Bool("began", c.reply.began), zap.Error(cause))
+		zap.Int64("outstanding", choice.Outstanding), zap.Int("sends", c.attempts.sends),
+		zap.Bool("refused", ended == refused), zap.Bool("began", c.response.headerWritten), zap.Error(cause))
 }
