--- a/transport/relay/answer.go
+++ b/transport/relay/answer.go
@@ -30,7 +30,7 @@
 	}
 	header.Set("Content-Length", strconv.Itoa(len(body)))
 	c.discardBody(header)
-	c.begin(failure.Code.Info().HTTP)
+	c.writeHeader(failure.Code.Info().HTTP)
 	// A failed write means that the client has left; nobody is there to be told.
 	_, _ = c.writer.Write(body)
 }
--- a/transport/relay/authorize.go
+++ b/transport/relay/authorize.go
@@ -12,7 +12,7 @@
 	if !c.routing.needsKey {
 		return nil
 	}
-	if failure := c.checkProof(); failure != nil {
+	if failure := c.checkFreshness(); failure != nil {
 		return failure
 	}
 	// The table is read after the proof, so that it is at least as new, however long the
@@ -26,9 +26,9 @@
 	return nil
 }
 
-// checkProof refuses requests with keys while nothing proves the configuration new
+// checkFreshness refuses requests with keys while nothing proves the configuration new
 // enough.
-func (c *call) checkProof() *result.Error {
+func (c *call) checkFreshness() *result.Error {
 	proof := c.handler.options.Proof
 	if proof == nil || proof.Limit() == 0 {
 		return nil
@@ -54,8 +54,8 @@
 	return c.grants.tenant.Name
 }
 
-// takeKey replaces the key by its digest, so that the key can't be logged.
-func (c *call) takeKey() {
+// digestKey replaces the key by its digest, so that the key can't be logged.
+func (c *call) digestKey() {
 	c.input.key = tenant.DigestOf(c.input.facts.APIKey)
 	c.input.facts.APIKey = ""
 }
--- a/transport/relay/body.go
+++ b/transport/relay/body.go
@@ -15,10 +15,10 @@
 // the connection can be kept: most bodies arrive together with their heads. Chosen, not
 // measured.
 const (
-	// discardTime bounds how long the answer waits for it.
-	discardTime = 20 * time.Millisecond
-	// maxDiscarded bounds how much of it is read, in bytes.
-	maxDiscarded = 256 << 10
+	// discardTimeout bounds how long the answer waits for it.
+	discardTimeout = 20 * time.Millisecond
+	// maxDiscardedBytes bounds how much of it is read, in bytes.
+	maxDiscardedBytes = 256 << 10
 )
 
 // discardBody reads what is left of the body, or has the answer close the connection.
@@ -31,8 +31,8 @@
 	c.input.bodyRead = true
 	controller := http.NewResponseController(c.writer)
 	// Only writers of tests have no deadlines; their bodies are there at once.
-	_ = controller.SetReadDeadline(c.handler.options.Now().Add(discardTime))
-	if _, err := io.CopyN(io.Discard, c.request.Body, maxDiscarded); err != io.EOF {
+	_ = controller.SetReadDeadline(c.handler.options.Now().Add(discardTimeout))
+	if _, err := io.CopyN(io.Discard, c.request.Body, maxDiscardedBytes); err != io.EOF {
 		answer.Set("Connection", "close")
 		return
 	}
--- a/transport/relay/deliver.go
+++ b/transport/relay/deliver.go
@@ -12,12 +12,12 @@
 
 // Sizes of answers, in bytes. Chosen, not measured.
 const (
-	// bufferedAnswer is the largest answer that is read whole before its head is passed
+	// maxBufferedBytes is the largest answer that is read whole before its head is passed
 	// on, so that another back end can be tried if it breaks off.
-	bufferedAnswer = 256 << 10
-	// drainedAnswer is how much of an unwanted answer is read so that its connection can
+	maxBufferedBytes = 256 << 10
+	// maxDrainedBytes is how much of an unwanted answer is read so that its connection can
 	// be used again.
-	drainedAnswer = 16 << 10
+	maxDrainedBytes = 16 << 10
 )
 
 // eventStream is the media type of streams (WHATWG HTML, section 9.2.4).
@@ -32,7 +32,7 @@
 	if c.response.headerWritten {
 		return lost, errNotResumed
 	}
-	return c.deliverWhole(answer, tried)
+	return c.deliverBuffered(answer, tried)
 }
 
 func isEventStream(answer *upstream.Answer) bool {
@@ -40,22 +40,22 @@
 	return err == nil && kind == eventStream && answer.Status == http.StatusOK
 }
 
-// deliverWhole passes on an answer that isn't a stream once all of it has arrived.
-func (c *call) deliverWhole(answer *upstream.Answer, tried *attempt) (outcome, error) {
-	body, err := io.ReadAll(io.LimitReader(answer, bufferedAnswer+1))
+// deliverBuffered passes on an answer that isn't a stream once all of it has arrived.
+func (c *call) deliverBuffered(answer *upstream.Answer, tried *attempt) (outcome, error) {
+	body, err := io.ReadAll(io.LimitReader(answer, maxBufferedBytes+1))
 	if err != nil {
 		return lost, err
 	}
 	tried.status = answer.Status
-	tried.heard(c.handler.options.Now())
-	if len(body) > bufferedAnswer {
+	tried.recordProgress(c.handler.options.Now())
+	if len(body) > maxBufferedBytes {
 		return c.deliverLarge(answer, body)
 	}
-	setAnswerHeader(c.writer.Header(), answer.Header)
+	copyResponseHeader(c.writer.Header(), answer.Header)
 	if c.request.Method != http.MethodHead && mayHaveBody(answer.Status) {
 		c.writer.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	}
-	c.begin(answer.Status)
+	c.writeHeader(answer.Status)
 	_, _ = c.writer.Write(body)
 	return delivered, nil
 }
@@ -69,11 +69,11 @@
 // deliverLarge passes a long answer on as it comes. If it breaks off, the client's
 // connection is broken as well.
 func (c *call) deliverLarge(answer *upstream.Answer, first []byte) (outcome, error) {
-	setAnswerHeader(c.writer.Header(), answer.Header)
+	copyResponseHeader(c.writer.Header(), answer.Header)
 	if length := answer.Header.Get("Content-Length"); length != "" {
 		c.writer.Header().Set("Content-Length", length)
 	}
-	c.begin(answer.Status)
+	c.writeHeader(answer.Status)
 	if _, err := c.writer.Write(first); err != nil {
 		return abandoned, err
 	}
@@ -96,11 +96,11 @@
 		if err != nil {
 			return lost, err
 		}
-		tried.heard(c.handler.options.Now())
-		if event.isOld(c.response.lastEventID) {
+		tried.recordProgress(c.handler.options.Now())
+		if event.isAlreadySent(c.response.lastEventID) {
 			continue
 		}
-		c.beginStream(answer)
+		c.writeStreamHeader(answer)
 		c.countEvent(event)
 		if _, err := c.writer.Write(event.raw); err != nil {
 			return abandoned, err
@@ -123,22 +123,22 @@
 	if err != nil {
 		return unstored, err
 	}
-	c.beginStream(answer)
+	c.writeStreamHeader(answer)
 	return delivered, nil
 }
 
-// beginStream writes the head once: a resumed stream keeps the head of its first back
+// writeStreamHeader writes the head once: a resumed stream keeps the head of its first back
 // end.
-func (c *call) beginStream(answer *upstream.Answer) {
+func (c *call) writeStreamHeader(answer *upstream.Answer) {
 	if c.response.headerWritten {
 		return
 	}
-	setAnswerHeader(c.writer.Header(), answer.Header)
-	c.begin(answer.Status)
+	copyResponseHeader(c.writer.Header(), answer.Header)
+	c.writeHeader(answer.Status)
 }
 
-// begin writes the head of the answer.
-func (c *call) begin(status int) {
+// writeHeader writes the head of the answer.
+func (c *call) writeHeader(status int) {
 	c.response.headerWritten = true
 	c.response.status = status
 	c.timing.firstByte = c.handler.options.Now().Sub(c.timing.arrived)
@@ -150,6 +150,6 @@
 
 // drain reads a short answer to its end, so that its connection can be used again.
 func drain(answer *upstream.Answer) {
-	_, _ = io.CopyN(io.Discard, answer, drainedAnswer)
+	_, _ = io.CopyN(io.Discard, answer, maxDrainedBytes)
 	answer.CloseBody()
 }
--- a/transport/relay/event.go
+++ b/transport/relay/event.go
@@ -15,9 +15,9 @@
 	id  string
 }
 
-// isOld tells whether the event was passed on before, by the id of the last that was.
+// isAlreadySent tells whether the event was passed on before, by the id of the last that was.
 // Ids that aren't numbers can't be compared.
-func (e event) isOld(last string) bool {
+func (e event) isAlreadySent(last string) bool {
 	if last == "" || e.id == "" {
 		return false
 	}
--- a/transport/relay/handler.go
+++ b/transport/relay/handler.go
@@ -87,7 +87,7 @@
 		current.fail(failure)
 		return
 	}
-	defer current.settlePermit()
+	defer current.returnUnusedPermit()
 	failure := current.beginTurn(ctx, h.options.Tables.Table())
 	current.timing.prepared = h.options.Now().Sub(arrived)
 	if failure != nil {
@@ -118,7 +118,7 @@
 		return failure
 	}
 	c.input.facts = facts
-	c.takeKey()
+	c.digestKey()
 	c.input.target = originForm(c.request.RequestURI)
 	path, _, _ := strings.Cut(c.input.target, "?")
 	route, found := table.Match(c.request.Host, path)
--- a/transport/relay/header.go
+++ b/transport/relay/header.go
@@ -5,24 +5,24 @@
 	"strings"
 )
 
-// connectionHeaders belong to a single connection (RFC 9110, section 7.6.1) or are set
+// hopByHopHeaders belong to a single connection (RFC 9110, section 7.6.1) or are set
 // anew for each message.
-func connectionHeaders() []string {
+func hopByHopHeaders() []string {
 	return []string{
 		"Connection", "Proxy-Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization",
 		"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length", "Expect",
 	}
 }
 
-// endToEnd copies the fields that aren't meant for this connection alone.
-func endToEnd(header http.Header) http.Header {
+// copyEndToEnd copies the fields that aren't meant for this connection alone.
+func copyEndToEnd(header http.Header) http.Header {
 	copied := header.Clone()
 	for _, line := range header.Values("Connection") {
 		for _, name := range strings.Split(line, ",") {
 			copied.Del(strings.TrimSpace(name))
 		}
 	}
-	for _, name := range connectionHeaders() {
+	for _, name := range hopByHopHeaders() {
 		copied.Del(name)
 	}
 	return copied
@@ -57,10 +57,10 @@
 	return int64(size)
 }
 
-// setAnswerHeader copies the header of a back end's answer. Fields that net/http would add
+// copyResponseHeader copies the header of a back end's answer. Fields that net/http would add
 // by itself are left out where the back end didn't set them.
-func setAnswerHeader(target, source http.Header) {
-	for name, values := range endToEnd(source) {
+func copyResponseHeader(target, source http.Header) {
+	for name, values := range copyEndToEnd(source) {
 		target[name] = values
 	}
 	for _, name := range []string{"Content-Type", "Date"} {
--- a/transport/relay/quota.go
+++ b/transport/relay/quota.go
@@ -23,9 +23,9 @@
 	return failure
 }
 
-// settlePermit returns the permit of a request that no back end ran, so that it doesn't
+// returnUnusedPermit returns the permit of a request that no back end ran, so that it doesn't
 // count.
-func (c *call) settlePermit() {
+func (c *call) returnUnusedPermit() {
 	if !c.attempts.reachedBackend {
 		c.grants.permit.Return()
 	}
--- a/transport/relay/run.go
+++ b/transport/relay/run.go
@@ -92,7 +92,7 @@
 // try sends the request to one instance.
 func (c *call) try(ctx context.Context, choice *backend.Choice) (outcome, error) {
 	c.attempts.instances = append(c.attempts.instances, choice.Instance.ID)
-	current := &attempt{choice: choice, began: c.handler.options.Now()}
+	current := &attempt{choice: choice, started: c.handler.options.Now()}
 	ended, cause := c.exchange(ctx, current)
 	c.attempts.record(ended)
 	if c.isOver(ctx) && ended != delivered {
@@ -131,7 +131,7 @@
 
 // upstreamRequest is what the instance is sent.
 func (c *call) upstreamRequest(choice *backend.Choice) *upstream.Request {
-	header := endToEnd(c.request.Header)
+	header := copyEndToEnd(c.request.Header)
 	c.handler.options.Dialect.Write(header, Attempt{
 		ID: c.input.facts.ID, Tenant: c.tenantName(),
 		Remaining: c.timing.deadline.Sub(c.handler.options.Now()),
