--- a/transport/relay/authorize.go
+++ b/transport/relay/authorize.go
@@ -20,7 +20,7 @@
 	table := c.handler.options.Tables.Table()
 	owner, known := table.Tenant(c.input.key)
 	if !known {
-		return missingKey.refusal(table.Version(), c.handler.options.Certain())
+		return missingKey.toError(table.Version(), c.handler.options.Certain())
 	}
 	c.grants.tenant = owner
 	return nil
@@ -34,7 +34,7 @@
 		return nil
 	}
 	staleness, isKnown := proof.Staleness()
-	return freshness{staleness, isKnown, proof.Limit()}.refusal(proof.Source)
+	return freshness{staleness, isKnown, proof.Limit()}.check(proof.Source)
 }
 
 // reauthorize calls authorize before an attempt. A request that is already being answered
--- a/transport/relay/body.go
+++ b/transport/relay/body.go
@@ -70,7 +70,7 @@
 	case errors.As(err, &tooLarge):
 		return result.Errorf(result.TooLarge, "the limit is %d bytes", limits.BodyBytes)
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return slowBody.refusal("the body wasn't whole in time")
+		return slowBody.errorf("the body wasn't whole in time")
 	}
 	return result.Errorf(result.BadRequest, "the body can't be read: %v", err)
 }
--- a/transport/relay/doc.go
+++ b/transport/relay/doc.go
@@ -1,15 +1,16 @@
-// Package relay takes requests of clients, finds their route and sends them to back ends
-// within the route's attempts and the time that is left. It owns the requests under way
-// and relies on the other packages for who may be served and by whom: routetable for
-// routes, tenant and quota for keys and rates, conversation for turns of programs, backend
-// for the choice of an instance, upstream for the exchange with it. What the headers of
-// a deployment mean is told by a Dialect.
+// Package relay is the reverse proxy of a gateway: it matches client requests to routes
+// and forwards them to backends within the attempts and the timeout of the route. It owns
+// the requests in flight. Other packages decide who is served and by which backend:
+// routetable matches routes, tenant and quota check keys and rates, conversation handles
+// turns of programs, backend selects an instance and upstream sends the request to it.
+// A Dialect maps the headers of a deployment.
 //
-// The decisions stand apart from the bytes: attemptEnd.next tries again or gives up
-// (retry.go), obstacle says when a client may come back (obstacle.go), missing and
-// freshness say what is refused for good (freshness.go).
+// Decisions are separate from I/O: attemptEnd.next decides whether to retry (retry.go),
+// unavailableReason sets the result code and retry delay of temporary errors
+// (unavailable.go), missingEntry and freshness tell permanent from temporary errors
+// (freshness.go).
 //
-// Two rules hold for every answer. A request that may have run is sent again only where
-// its route allows that. An answer that says "not run" (429, 503, 408) is given only to a
-// request that reached no back end, or only back ends that refused it.
+// Two rules hold for every response. A request that may have run is sent again only if its
+// route allows that. A response that says "not run" (429, 503, 408) is sent only if the
+// request reached no backend, or only backends that refused it.
 package relay
--- a/transport/relay/freshness_test.go
+++ b/transport/relay/freshness_test.go
@@ -9,12 +9,12 @@
 	"github.com/marblering/marblering/state/result"
 )
 
-func TestMissing(t *testing.T) {
+func TestMissingEntryErrors(t *testing.T) {
 	cases := []struct {
-		missing   missing
+		entry     missingEntry
 		isCertain bool
 		code      result.Code
-		pause     time.Duration
+		delay     time.Duration
 		message   string
 	}{
 		{missingRoute, true, result.UnknownRoute, 0, "version 7 has no route for this host and path"},
@@ -23,14 +23,14 @@
 		{missingKey, false, result.NotReady, 150 * time.Millisecond, "the key is unknown, and the configuration may be out of date"},
 	}
 	for _, c := range cases {
-		refusal := c.missing.refusal(7, c.isCertain)
-		assert.Equal(t, refusal.Code, c.code)
-		assert.Equal(t, refusal.RetryAfter, c.pause)
-		assert.Equal(t, refusal.Message, c.message)
+		failure := c.entry.toError(7, c.isCertain)
+		assert.Equal(t, failure.Code, c.code)
+		assert.Equal(t, failure.RetryAfter, c.delay)
+		assert.Equal(t, failure.Message, c.message)
 	}
 }
 
-func TestFreshness(t *testing.T) {
+func TestFreshnessCheck(t *testing.T) {
 	cases := []struct {
 		name      string
 		freshness freshness
@@ -46,14 +46,14 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			refusal := c.freshness.refusal(func() string { return "a test" })
+			failure := c.freshness.check(func() string { return "a test" })
 			if c.message == "" {
-				assert.Assert(t, refusal == nil)
+				assert.Assert(t, failure == nil)
 				return
 			}
-			assert.Equal(t, refusal.Code, result.ConfigurationStale)
-			assert.Equal(t, refusal.RetryAfter, 400*time.Millisecond)
-			assert.Equal(t, refusal.Message, c.message)
+			assert.Equal(t, failure.Code, result.ConfigurationStale)
+			assert.Equal(t, failure.RetryAfter, 400*time.Millisecond)
+			assert.Equal(t, failure.Message, c.message)
 		})
 	}
 }
--- a/transport/relay/handler.go
+++ b/transport/relay/handler.go
@@ -74,7 +74,7 @@
 	current := &call{handler: h, writer: writer, request: request, timing: timing{arrived: arrived}}
 	defer current.report()
 	if underWay > h.options.MaxInFlight {
-		current.fail(overload.refusal("%d requests are under way", underWay))
+		current.fail(overloaded.errorf("%d requests are under way", underWay))
 		return
 	}
 	if failure := current.prepare(); failure != nil {
@@ -103,7 +103,7 @@
 	options := &c.handler.options
 	table := options.Tables.Table()
 	if table == nil {
-		return noConfiguration.refusal("no configuration yet")
+		return noConfiguration.errorf("no configuration yet")
 	}
 	c.routing.configVersion = table.Version()
 	if options.TableAge != nil {
@@ -123,7 +123,7 @@
 	path, _, _ := strings.Cut(c.input.target, "?")
 	route, found := table.Match(c.request.Host, path)
 	if !found {
-		return missingRoute.refusal(c.routing.configVersion, options.Certain())
+		return missingRoute.toError(c.routing.configVersion, options.Certain())
 	}
 	c.setRoute(route)
 	c.routing.needsKey = table.NeedsKey(route)
--- a/transport/relay/retry.go
+++ b/transport/relay/retry.go
@@ -116,7 +116,7 @@
 	case e.mayHaveRun:
 		return refuse{result.Errorf(result.BackendFailed, "%v", e.cause)}
 	case e.ended == refused:
-		return refuse{busyBackEnd.refusal("%v", e.cause)}
+		return refuse{busyBackends.errorf("%v", e.cause)}
 	}
-	return refuse{noBackEnd.refusal("%v", e.cause)}
+	return refuse{noBackend.errorf("%v", e.cause)}
 }
--- a/transport/relay/turn.go
+++ b/transport/relay/turn.go
@@ -19,7 +19,7 @@
 	if c.routing.route.Retained && c.input.facts.LastEvent != "" {
 		// The part of the answer that the client already has isn't known here, so that
 		// the turn couldn't be stored whole.
-		return resumedTurn.refusal("a retained turn begins at its start")
+		return resumedRetainedTurn.errorf("a retained turn begins at its start")
 	}
 	service := table.Service(c.routing.route.Pick(backend.Draw(c.input.facts.Key)))
 	turn, failure := c.handler.options.Turns.Begin(ctx, conversation.Request{
