--- a/transport/relay/answer.go
+++ b/transport/relay/answer.go
@@ -11,9 +11,8 @@
 	"github.com/marblering/marblering/state/result"
 )
 
-// fail answers with the failure, in the form of docs/RESULT-CODES.md. The answer has no
-// header of a back end. Its pause stands in Retry-After alone, which has fractions of a
-// second.
+// fail responds with the failure, in the format of docs/RESULT-CODES.md, without any
+// backend header. The retry delay is only in Retry-After, with fractions of a second.
 func (c *call) fail(failure *result.Error) {
 	c.response.code = failure.Code
 	c.response.reason = failure.Message
@@ -25,24 +24,25 @@
 	}
 	body, err := json.Marshal(result.Body{Error: failure.Detail()})
 	if err != nil {
-		// Numbers and texts always have a JSON form. The status says the rest.
-		c.handler.options.Logger.Error("refusal has no body", zap.String("request", c.input.facts.ID), zap.Error(err))
+		// Can't happen: numbers and strings can always be encoded. The status is sent anyway.
+		c.handler.options.Logger.Error("cannot encode error response", zap.String("request", c.input.facts.ID), zap.Error(err))
 	}
 	header.Set("Content-Length", strconv.Itoa(len(body)))
 	c.discardBody(header)
 	c.writeHeader(failure.Code.Info().HTTP)
-	// A failed write means that the client has left; nobody is there to be told.
+	// A write error means that the client is gone.
 	_, _ = c.writer.Write(body)
 }
 
-// abort breaks the client's connection, so that what was written doesn't look whole.
+// abort closes the client's connection, so that a partial response isn't taken for a
+// complete one.
 func (c *call) abort(code result.Code, cause error) {
 	c.response.code = code
 	c.response.reason = cause.Error()
 	panic(http.ErrAbortHandler)
 }
 
-// report writes the log line of the request and counts it.
+// report logs the request and updates the metrics.
 func (c *call) report() {
 	took := c.handler.options.Now().Sub(c.timing.arrived)
 	c.handler.options.Metrics.observe(c, took)
@@ -63,7 +63,7 @@
 	c.handler.options.Logger.Info("not answered", append(fields, zap.String("reason", c.response.reason))...)
 }
 
-// ageField is the age of the configuration that the request was decided by.
+// ageField returns the log field with the age of the configuration used.
 func (c *call) ageField() zap.Field {
 	if !c.routing.configAgeKnown {
 		return zap.String("configuration_age", "unknown")
@@ -71,7 +71,7 @@
 	return zap.Duration("configuration_age", c.routing.configAge)
 }
 
-// routeName is empty before the route was found.
+// routeName returns the name of the route, or "" if none is set yet.
 func (c *call) routeName() string {
 	if c.routing.route == nil {
 		return ""
--- a/transport/relay/attempt.go
+++ b/transport/relay/attempt.go
@@ -7,17 +7,18 @@
 	"github.com/marblering/marblering/coordination/backend"
 )
 
-// attempt is the request at one instance.
+// attempt is one try of a request at an instance.
 type attempt struct {
 	choice  *backend.Choice
 	started time.Time
-	// timeToFirst is the time to the timeToFirst event, or to the whole of a plain answer; zero before.
+	// timeToFirst is the time to the first event of a stream, or to the complete body (or
+	// its buffered part) of another response; zero until then.
 	timeToFirst time.Duration
-	// status is that of a plain answer; zero before it came, and for streams.
+	// status is the status of a response that isn't a stream; zero until it has arrived.
 	status int
 }
 
-// recordProgress notes that an event, or a plain answer, came.
+// recordProgress records that an event, or a response that isn't a stream, has arrived.
 func (a *attempt) recordProgress(now time.Time) {
 	if a.timeToFirst == 0 {
 		a.timeToFirst = now.Sub(a.started)
@@ -25,7 +26,7 @@
 	a.choice.Heard()
 }
 
-// ending is what the attempt showed of the instance.
+// ending returns what the attempt tells about the health of the instance.
 func (a *attempt) ending(ended outcome, now time.Time) backend.Ending {
 	waited := now.Sub(a.started)
 	if a.status == http.StatusGatewayTimeout {
--- a/transport/relay/authorize.go
+++ b/transport/relay/authorize.go
@@ -5,9 +5,9 @@
 	"github.com/marblering/marblering/state/result"
 )
 
-// authorize finds the tenant that owns the client's key. It is called when a request
-// arrives, before its body is read, and again before each attempt: the request may have
-// waited, or the process may have been paused, and the key may have been revoked meanwhile.
+// authorize looks up the tenant of the client's key. It runs before the body is read and
+// again before each attempt, since the key may have been revoked while the request waited
+// or the process was paused.
 func (c *call) authorize() *result.Error {
 	if !c.routing.needsKey {
 		return nil
@@ -15,8 +15,8 @@
 	if failure := c.checkFreshness(); failure != nil {
 		return failure
 	}
-	// The table is read after the proof, so that it is at least as new, however long the
-	// process is paused in between.
+	// The table is read after the freshness check, so that it is at least as new as the
+	// configuration that was checked, even if the process is paused in between.
 	table := c.handler.options.Tables.Table()
 	owner, known := table.Tenant(c.input.key)
 	if !known {
@@ -26,8 +26,8 @@
 	return nil
 }
 
-// checkFreshness refuses requests with keys while nothing proves the configuration new
-// enough.
+// checkFreshness rejects requests with keys while the configuration isn't confirmed to be
+// recent enough.
 func (c *call) checkFreshness() *result.Error {
 	proof := c.handler.options.Proof
 	if proof == nil || proof.Limit() == 0 {
@@ -37,8 +37,8 @@
 	return freshness{staleness, isKnown, proof.Limit()}.check(proof.Source)
 }
 
-// reauthorize calls authorize before an attempt. A request that is already being answered
-// goes on, since its key was valid when it began.
+// reauthorize calls authorize before an attempt. A request whose response has begun
+// continues, since its key was valid at the time.
 func (c *call) reauthorize() *result.Error {
 	if c.response.headerWritten {
 		return nil
@@ -46,7 +46,7 @@
 	return c.authorize()
 }
 
-// tenantName is empty where the route needs no key.
+// tenantName returns the name of the tenant, or "" if the route needs no key.
 func (c *call) tenantName() string {
 	if c.grants.tenant == nil {
 		return ""
--- a/transport/relay/body.go
+++ b/transport/relay/body.go
@@ -11,36 +11,33 @@
 	"github.com/marblering/marblering/state/result"
 )
 
-// The rest of a body that isn't needed any more is read before the answer is sent, so that
-// the connection can be kept: most bodies arrive together with their heads. Chosen, not
-// measured.
+// Limits for discarding an unread request body before the response, so that the connection
+// can be reused. Most bodies arrive together with their headers.
 const (
-	// discardTimeout bounds how long the answer waits for it.
-	discardTimeout = 20 * time.Millisecond
-	// maxDiscardedBytes bounds how much of it is read, in bytes.
+	discardTimeout    = 20 * time.Millisecond
 	maxDiscardedBytes = 256 << 10
 )
 
-// discardBody reads what is left of the body, or has the answer close the connection.
-// Without either the server would wait for the rest of the body before it sends the
-// answer, as long as a slow client likes.
-func (c *call) discardBody(answer http.Header) {
+// discardBody reads the rest of the body or makes the response close the connection.
+// Otherwise net/http would wait for the rest of the body before it sends the response, and
+// a slow client could delay that without limit.
+func (c *call) discardBody(response http.Header) {
 	if c.input.bodyRead || c.request.Body == nil || c.request.Body == http.NoBody {
 		return
 	}
 	c.input.bodyRead = true
 	controller := http.NewResponseController(c.writer)
-	// Only writers of tests have no deadlines; their bodies are there at once.
+	// Only response writers of tests don't support deadlines.
 	_ = controller.SetReadDeadline(c.handler.options.Now().Add(discardTimeout))
 	if _, err := io.CopyN(io.Discard, c.request.Body, maxDiscardedBytes); err != io.EOF {
-		answer.Set("Connection", "close")
+		response.Set("Connection", "close")
 		return
 	}
 	_ = controller.SetReadDeadline(time.Time{})
 }
 
-// readBody reads the whole body, so that it can be sent more than once and no back end
-// has to wait for a slow client.
+// readBody buffers the whole body, so that it can be sent more than once and no backend
+// waits for a slow client.
 func (c *call) readBody(limits routetable.Limits) *result.Error {
 	if c.request.Body == nil || c.request.Body == http.NoBody {
 		return nil
@@ -61,7 +58,7 @@
 	return bodyFailure(err, limits)
 }
 
-// bodyFailure says why the body can't be used; nil where it can.
+// bodyFailure converts an error of reading the body.
 func bodyFailure(err error, limits routetable.Limits) *result.Error {
 	var tooLarge *http.MaxBytesError
 	switch {
--- a/transport/relay/call.go
+++ b/transport/relay/call.go
@@ -11,7 +11,7 @@
 	"github.com/marblering/marblering/state/result"
 )
 
-// call is one request under way.
+// call is the state of a request in flight.
 type call struct {
 	handler *Handler
 	writer  http.ResponseWriter
@@ -25,98 +25,97 @@
 	timing   timing
 }
 
-// input is what the client input for.
+// input is what the client sent.
 type input struct {
 	facts Facts
-	// key is the digest of the API key that the client showed.
+	// key is the digest of the client's API key.
 	key tenant.Digest
-	// target is the path and query, byte for byte as they came.
+	// target is the path and query, unchanged.
 	target string
-	// body is what back ends get: the request's own, or that of its turn.
+	// body is the body sent to backends: that of the request or, for a turn, the one built
+	// from it and the turns before.
 	body []byte
-	// bodyRead tells that the request's own body was read, at least in part.
+	// bodyRead tells that reading the body of the request has begun.
 	bodyRead bool
 }
 
-// routing is the part of the configuration that the request is decided by.
+// routing is the part of the configuration that applies to the request.
 type routing struct {
-	// configVersion is that of the configuration, age how long before the request came the
-	// store confirmed it.
-	configVersion  int64
+	configVersion int64
+	// configAge is the time between the store's last confirmation of the configuration and
+	// the arrival of the request.
 	configAge      time.Duration
 	configAgeKnown bool
 	route          *routetable.Route
-	// needsKey tells that the route asks for a key.
+	// needsKey tells that the route requires an API key.
 	needsKey bool
 }
 
-// grants is what the request may use.
+// grants holds what was acquired for the request.
 type grants struct {
-	// tenant is the owner of the key; nil where the route needs none.
+	// tenant is the owner of the key; nil if the route needs none.
 	tenant *tenant.Tenant
-	// permit is that of the tenant's quota.
+	// permit is taken from the tenant's quota.
 	permit quota.Permit
-	// turn is set for turns of programs whose state is kept.
+	// turn is set if the request is a turn with a token budget or retained history.
 	turn *conversation.Turn
 }
 
-// attempts is what the attempts have come to.
+// attempts sums up the attempts so far.
 type attempts struct {
-	// instances are the ids of those that were chosen, in order.
+	// instances are the ids of the selected instances, in order.
 	instances []string
-	// sends is to how many of them the request was sent, unsent to how many it wasn't.
+	// sends counts the attempts in which the request was sent, unsent the others.
 	sends, unsent int
-	// reachedBackend tells that a back end was sent the request and didn't promise that it
-	// hadn't run it.
+	// reachedBackend tells that the request was sent to a backend that didn't refuse it.
 	reachedBackend bool
-	// mayHaveRun tells that no answer says whether a back end ran the request.
+	// mayHaveRun tells that a backend may have run the request without delivering a complete
+	// response.
 	mayHaveRun bool
 }
 
-// record notes what the end of an attempt says about the request.
-func (t *attempts) record(ended outcome) {
+// record adds the outcome of an attempt.
+func (a *attempts) record(ended outcome) {
 	switch ended {
 	case unsent:
-		t.unsent++
+		a.unsent++
 	case refused:
-		t.sends++
+		a.sends++
 	case delivered, abandoned:
-		t.sends++
-		t.reachedBackend = true
+		a.sends++
+		a.reachedBackend = true
 	case incomplete, turnNotStored:
-		t.sends++
-		t.reachedBackend, t.mayHaveRun = true, true
+		a.sends++
+		a.reachedBackend, a.mayHaveRun = true, true
 	}
 }
 
-// response is what the client was answered.
+// response is the state of the response to the client.
 type response struct {
-	// headerWritten tells that the head of the answer was written.
 	headerWritten bool
-	// lastEventID is the id of the last event that was passed on; empty for none.
+	// lastEventID is the id of the last event sent to the client; empty for none.
 	lastEventID string
 	status      int
 	code        result.Code
-	// reason says why the request has failed.
+	// reason is the error message of a failed request.
 	reason string
 }
 
-// timing are for the deadline and the log.
+// timing holds the deadline of a request and the durations for its log line.
 type timing struct {
 	arrived, deadline time.Time
-	// permitWait is how long the permit was waited for.
+	// permitWait is the time to get a permit of the quota.
 	permitWait time.Duration
-	// prepared is when the request could be sent to a back end, counted from its
-	// arrival: its body read and, for a turn, what came before it and its part of
-	// the budget there.
+	// prepared is the time from the arrival until the request is ready to be sent to a
+	// backend: its body read and, for a turn, its history read and its tokens reserved.
 	prepared time.Duration
-	// firstByte is when the head of the answer was written, counted from the arrival.
+	// firstByte is the time from the arrival until the response header is written.
 	firstByte time.Duration
-	// storeTime is how long the end of a turn took to be kept.
+	// storeTime is the time to store a completed turn.
 	storeTime time.Duration
 }
 
-// timeout is the time that the request had; zero before its route was found.
+// timeout is the time allowed for the request; zero until its route is known.
 func (t *timing) timeout() time.Duration {
 	if t.deadline.IsZero() {
 		return 0
--- a/transport/relay/deliver.go
+++ b/transport/relay/deliver.go
@@ -10,20 +10,19 @@
 	"github.com/marblering/marblering/transport/upstream"
 )
 
-// Sizes of answers, in bytes. Chosen, not measured.
 const (
-	// maxBufferedBytes is the largest answer that is read whole before its head is passed
-	// on, so that another back end can be tried if it breaks off.
+	// maxBufferedBytes is the largest response that is buffered before its header is passed
+	// on, so that another backend can be tried if the connection breaks.
 	maxBufferedBytes = 256 << 10
-	// maxDrainedBytes is how much of an unwanted answer is read so that its connection can
-	// be used again.
+	// maxDrainedBytes is how much of a discarded response is read, so that its connection
+	// can be reused.
 	maxDrainedBytes = 16 << 10
 )
 
 // eventStream is the media type of streams (WHATWG HTML, section 9.2.4).
 const eventStream = "text/event-stream"
 
-// deliver passes a proper answer on to the client.
+// deliver passes a response on to the client.
 func (c *call) deliver(ctx context.Context, answer *upstream.Answer, current *attempt) (outcome, error) {
 	defer answer.CloseBody()
 	if isEventStream(answer) {
@@ -40,7 +39,8 @@
 	return err == nil && kind == eventStream && answer.Status == http.StatusOK
 }
 
-// deliverBuffered passes on an answer that isn't a stream once all of it has arrived.
+// deliverBuffered passes on a response that isn't a stream once it has arrived completely,
+// or hands it to deliverLarge if it is too large to buffer.
 func (c *call) deliverBuffered(answer *upstream.Answer, current *attempt) (outcome, error) {
 	body, err := io.ReadAll(io.LimitReader(answer, maxBufferedBytes+1))
 	if err != nil {
@@ -60,14 +60,14 @@
 	return delivered, nil
 }
 
-// mayHaveBody tells whether answers with the status have a body (RFC 9110, sections 15.3.5
-// and 15.4.5).
+// mayHaveBody tells whether responses with the status may have a body (RFC 9110, sections
+// 15.3.5 and 15.4.5).
 func mayHaveBody(status int) bool {
 	return status != http.StatusNoContent && status != http.StatusNotModified
 }
 
-// deliverLarge passes a long answer on as it comes. If it breaks off, the client's
-// connection is broken as well.
+// deliverLarge streams a response that is too large to buffer. If the backend's connection
+// breaks, the client's is closed as well.
 func (c *call) deliverLarge(answer *upstream.Answer, first []byte) (outcome, error) {
 	copyResponseHeader(c.writer.Header(), answer.Header)
 	if length := answer.Header.Get("Content-Length"); length != "" {
@@ -83,8 +83,8 @@
 	return delivered, nil
 }
 
-// deliverEvents passes whole events on as they come. The head is passed on with the first
-// of them, so that another back end can be tried if the stream breaks off before.
+// deliverEvents passes on complete events as they arrive. The header is written with the
+// first event, so that another backend can be tried if the stream breaks before it.
 func (c *call) deliverEvents(ctx context.Context, answer *upstream.Answer, current *attempt) (outcome, error) {
 	events := newEventReader(answer)
 	controller := http.NewResponseController(c.writer)
@@ -114,8 +114,8 @@
 	}
 }
 
-// endStream stores the turn, if the request is one, and passes on the head of a stream
-// without events. A stream whose turn can't be stored isn't ended as a whole one.
+// endStream stores the turn, if there is one, and writes the header of a stream without
+// events. If the turn can't be stored, the stream must not end normally.
 func (c *call) endStream(ctx context.Context, answer *upstream.Answer) (outcome, error) {
 	began := c.handler.options.Now()
 	err := c.completeTurn(ctx)
@@ -127,8 +127,8 @@
 	return delivered, nil
 }
 
-// writeStreamHeader writes the head once: a resumed stream keeps the head of its first back
-// end.
+// writeStreamHeader writes the response header unless it is written: a resumed stream keeps
+// the header of its first backend.
 func (c *call) writeStreamHeader(answer *upstream.Answer) {
 	if c.response.headerWritten {
 		return
@@ -137,7 +137,8 @@
 	c.writeHeader(answer.Status)
 }
 
-// writeHeader writes the head of the answer.
+// writeHeader writes the response header. It closes the connection after the response if
+// the gateway is unready.
 func (c *call) writeHeader(status int) {
 	c.response.headerWritten = true
 	c.response.status = status
@@ -148,7 +149,7 @@
 	c.writer.WriteHeader(status)
 }
 
-// drain reads a short answer to its end, so that its connection can be used again.
+// drain discards a short response, so that its connection can be reused.
 func drain(answer *upstream.Answer) {
 	_, _ = io.CopyN(io.Discard, answer, maxDrainedBytes)
 	answer.CloseBody()
