--- a/transport/relay/deliver.go
+++ b/transport/relay/deliver.go
@@ -23,39 +23,39 @@
 const eventStream = "text/event-stream"
 
 // deliver passes a response on to the client.
-func (c *call) deliver(ctx context.Context, answer *upstream.Answer, current *attempt) (outcome, error) {
-	defer answer.CloseBody()
-	if isEventStream(answer) {
-		return c.deliverEvents(ctx, answer, current)
+func (c *call) deliver(ctx context.Context, backendResponse *upstream.Answer, current *attempt) (outcome, error) {
+	defer backendResponse.CloseBody()
+	if isEventStream(backendResponse) {
+		return c.deliverEvents(ctx, backendResponse, current)
 	}
 	if c.response.headerWritten {
 		return incomplete, errNotResumed
 	}
-	return c.deliverBuffered(answer, current)
+	return c.deliverBuffered(backendResponse, current)
 }
 
-func isEventStream(answer *upstream.Answer) bool {
-	kind, _, err := mime.ParseMediaType(answer.Header.Get("Content-Type"))
-	return err == nil && kind == eventStream && answer.Status == http.StatusOK
+func isEventStream(backendResponse *upstream.Answer) bool {
+	kind, _, err := mime.ParseMediaType(backendResponse.Header.Get("Content-Type"))
+	return err == nil && kind == eventStream && backendResponse.Status == http.StatusOK
 }
 
 // deliverBuffered passes on a response that isn't a stream once it has arrived completely,
 // or hands it to deliverLarge if it is too large to buffer.
-func (c *call) deliverBuffered(answer *upstream.Answer, current *attempt) (outcome, error) {
-	body, err := io.ReadAll(io.LimitReader(answer, maxBufferedBytes+1))
+func (c *call) deliverBuffered(backendResponse *upstream.Answer, current *attempt) (outcome, error) {
+	body, err := io.ReadAll(io.LimitReader(backendResponse, maxBufferedBytes+1))
 	if err != nil {
 		return incomplete, err
 	}
-	current.status = answer.Status
+	current.status = backendResponse.Status
 	current.recordProgress(c.handler.options.Now())
 	if len(body) > maxBufferedBytes {
-		return c.deliverLarge(answer, body)
+		return c.deliverLarge(backendResponse, body)
 	}
-	copyResponseHeader(c.writer.Header(), answer.Header)
-	if c.request.Method != http.MethodHead && mayHaveBody(answer.Status) {
+	copyResponseHeader(c.writer.Header(), backendResponse.Header)
+	if c.request.Method != http.MethodHead && mayHaveBody(backendResponse.Status) {
 		c.writer.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	}
-	c.writeHeader(answer.Status)
+	c.writeHeader(backendResponse.Status)
 	_, _ = c.writer.Write(body)
 	return delivered, nil
 }
@@ -68,16 +68,16 @@
 
 // deliverLarge streams a response that is too large to buffer. If the backend's connection
 // breaks, the client's is closed as well.
-func (c *call) deliverLarge(answer *upstream.Answer, first []byte) (outcome, error) {
-	copyResponseHeader(c.writer.Header(), answer.Header)
-	if length := answer.Header.Get("Content-Length"); length != "" {
+func (c *call) deliverLarge(backendResponse *upstream.Answer, first []byte) (outcome, error) {
+	copyResponseHeader(c.writer.Header(), backendResponse.Header)
+	if length := backendResponse.Header.Get("Content-Length"); length != "" {
 		c.writer.Header().Set("Content-Length", length)
 	}
-	c.writeHeader(answer.Status)
+	c.writeHeader(backendResponse.Status)
 	if _, err := c.writer.Write(first); err != nil {
 		return abandoned, err
 	}
-	if _, err := io.Copy(c.writer, answer); err != nil {
+	if _, err := io.Copy(c.writer, backendResponse); err != nil {
 		return incomplete, err
 	}
 	return delivered, nil
@@ -85,13 +85,13 @@
 
 // deliverEvents passes on complete events as they arrive. The header is written with the
 // first event, so that another backend can be tried if the stream breaks before it.
-func (c *call) deliverEvents(ctx context.Context, answer *upstream.Answer, current *attempt) (outcome, error) {
-	events := newEventReader(answer)
+func (c *call) deliverEvents(ctx context.Context, backendResponse *upstream.Answer, current *attempt) (outcome, error) {
+	events := newEventReader(backendResponse)
 	controller := http.NewResponseController(c.writer)
 	for {
 		event, err := events.next()
 		if err == io.EOF {
-			return c.endStream(ctx, answer)
+			return c.endStream(ctx, backendResponse)
 		}
 		if err != nil {
 			return incomplete, err
@@ -100,7 +100,7 @@
 		if event.isAlreadySent(c.response.lastEventID) {
 			continue
 		}
-		c.writeStreamHeader(answer)
+		c.writeStreamHeader(backendResponse)
 		c.countEvent(event)
 		if _, err := c.writer.Write(event.raw); err != nil {
 			return abandoned, err
@@ -116,25 +116,25 @@
 
 // endStream stores the turn, if there is one, and writes the header of a stream without
 // events. If the turn can't be stored, the stream must not end normally.
-func (c *call) endStream(ctx context.Context, answer *upstream.Answer) (outcome, error) {
+func (c *call) endStream(ctx context.Context, backendResponse *upstream.Answer) (outcome, error) {
 	began := c.handler.options.Now()
 	err := c.completeTurn(ctx)
 	c.timing.storeTime = c.handler.options.Now().Sub(began)
 	if err != nil {
 		return turnNotStored, err
 	}
-	c.writeStreamHeader(answer)
+	c.writeStreamHeader(backendResponse)
 	return delivered, nil
 }
 
 // writeStreamHeader writes the response header unless it is written: a resumed stream keeps
 // the header of its first backend.
-func (c *call) writeStreamHeader(answer *upstream.Answer) {
+func (c *call) writeStreamHeader(backendResponse *upstream.Answer) {
 	if c.response.headerWritten {
 		return
 	}
-	copyResponseHeader(c.writer.Header(), answer.Header)
-	c.writeHeader(answer.Status)
+	copyResponseHeader(c.writer.Header(), backendResponse.Header)
+	c.writeHeader(backendResponse.Status)
 }
 
 // writeHeader writes the response header. It closes the connection after the response if
@@ -150,7 +150,7 @@
 }
 
 // drain discards a short response, so that its connection can be reused.
-func drain(answer *upstream.Answer) {
-	_, _ = io.CopyN(io.Discard, answer, maxDrainedBytes)
-	answer.CloseBody()
+func drain(backendResponse *upstream.Answer) {
+	_, _ = io.CopyN(io.Discard, backendResponse, maxDrainedBytes)
+	backendResponse.CloseBody()
 }
--- a/transport/relay/event.go
+++ b/transport/relay/event.go
@@ -9,44 +9,42 @@
 	"strings"
 )
 
-// event is one event of a stream, with the empty line that ends it.
+// event is a server-sent event, including the empty line that ends it.
 type event struct {
 	raw []byte
 	id  string
 }
 
-// isAlreadySent tells whether the event was passed on before, by the id of the last that was.
-// Ids that aren't numbers can't be compared.
-func (e event) isAlreadySent(last string) bool {
-	if last == "" || e.id == "" {
+// isAlreadySent tells whether the event isn't newer than the last one sent, given its id.
+// Only numeric ids can be compared.
+func (e event) isAlreadySent(lastID string) bool {
+	if lastID == "" || e.id == "" {
 		return false
 	}
 	number, err := strconv.ParseUint(e.id, 10, 64)
 	if err != nil {
 		return false
 	}
-	known, err := strconv.ParseUint(last, 10, 64)
-	return err == nil && number <= known
+	lastNumber, err := strconv.ParseUint(lastID, 10, 64)
+	return err == nil && number <= lastNumber
 }
 
-// eventReader splits a stream into events without changing a byte.
+// eventReader splits a stream into events without changing any bytes.
 type eventReader struct {
 	reader *bufio.Reader
 }
 
-// Sizes in bytes. Chosen, not measured.
 const (
 	eventBufferBytes = 4 << 10
-	// maxEventBytes bounds one event.
-	maxEventBytes = 1 << 20
+	maxEventBytes    = 1 << 20
 )
 
 func newEventReader(source io.Reader) *eventReader {
 	return &eventReader{reader: bufio.NewReaderSize(source, eventBufferBytes)}
 }
 
-// next returns the next whole event. The error is io.EOF where the stream ended between two
-// events, errCutEvent where it ended within one.
+// next returns the next complete event. The error is io.EOF if the stream ended between two
+// events, errTruncatedEvent if it ended within one.
 func (r *eventReader) next() (event, error) {
 	var current event
 	for {
@@ -87,7 +85,7 @@
 	return data, found
 }
 
-// isBlank tells whether a line is empty, which ends an event.
+// isBlank tells whether a line is empty and thus ends an event.
 func isBlank(line []byte) bool {
 	return string(line) == "\n" || string(line) == "\r\n"
 }
--- a/transport/relay/handler.go
+++ b/transport/relay/handler.go
@@ -23,58 +23,56 @@
 	Dialect   Dialect
 	Turns     Turns
 	Quotas    Quotas
-	// Certain tells whether the configuration in force is known to be the newest, so that
-	// a missing route or an unknown key may be refused for good.
+	// Certain tells whether the configuration in force is known to be the newest. Only then
+	// are the errors for a missing route and an unknown key permanent.
 	Certain func() bool
-	// TableAge is how long ago the store confirmed the configuration in force, for the
-	// log; ok is false before it first did. nil where that isn't known.
+	// TableAge is the time since the store confirmed the configuration in force, for the
+	// log; ok is false if it hasn't yet. It may be nil.
 	TableAge func() (age time.Duration, ok bool)
-	// Proof tells how fresh the configuration in force is; nil where keys are accepted
-	// whatever its age.
+	// Proof tells how recently the configuration in force was confirmed; nil if keys are
+	// accepted at any age.
 	Proof Proof
-	// Unready tells that clients do better at another gateway, because this one is being
-	// stopped or can't serve turns: each answer then closes its connection, so that the
-	// client's next request goes elsewhere.
+	// Unready tells that this gateway is stopping or can't serve turns. Each response then
+	// closes its connection, so that the client's next request goes to another gateway.
 	Unready func() bool
-	// MaxInFlight is how many requests may be under way.
+	// MaxInFlight is the maximum number of requests in flight.
 	MaxInFlight int64
-	// Gone is called with an instance whose address another one has.
+	// Gone is called for an instance whose address now belongs to another one.
 	Gone func(backend.Life)
-	// Retries is the retry budget of all requests; RetryPolicy sizes it.
+	// Retries is the retry budget of all requests. See RetryPolicy.
 	Retries *limit.RetryBudget
 	Metrics *Metrics
-	// Logger gets a line for each failed request and each retry, Answered one for each
-	// request that was answered; both should limit their rate.
+	// Logger logs each failed request and each retry, Answered each request with a complete
+	// response. Both should be rate limited.
 	Logger   *zap.Logger
 	Answered *zap.Logger
 	Now      func() time.Time
 }
 
-// Handler is the http.Handler of a gateway's clients. It is safe for concurrent use.
+// Handler serves the clients of a gateway. It is safe for concurrent use.
 type Handler struct {
 	options  Options
 	inFlight atomic.Int64
 }
 
-// New makes a handler.
+// New returns a handler.
 func New(options Options) *Handler { return &Handler{options: options} }
 
-// InFlight is how many requests are under way.
+// InFlight returns the number of requests in flight.
 func (h *Handler) InFlight() int64 { return h.inFlight.Load() }
 
-// ServeHTTP serves one request. Whether it is taken is decided in this order, each step
-// cheaper for the deployment than those after it: room for another request, a
-// configuration, the size of the head, what the headers say, the route, the key (before
-// the body is read), the body, the tenant's quota, the turn. The first step that fails
-// ends the request.
+// ServeHTTP serves one request. It checks, from the cheapest check to the most expensive
+// one, the number of requests in flight, the configuration, the size and the content of the
+// headers, the route, the API key (before the body is read), the body, the tenant's quota
+// and the turn. The first check that fails ends the request.
 func (h *Handler) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	arrived := h.options.Now()
-	underWay := h.inFlight.Add(1)
+	inFlight := h.inFlight.Add(1)
 	defer h.inFlight.Add(-1)
 	current := &call{handler: h, writer: writer, request: request, timing: timing{arrived: arrived}}
 	defer current.report()
-	if underWay > h.options.MaxInFlight {
-		current.fail(overloaded.errorf("%d requests are under way", underWay))
+	if inFlight > h.options.MaxInFlight {
+		current.fail(overloaded.errorf("%d requests are under way", inFlight))
 		return
 	}
 	if failure := current.prepare(); failure != nil {
@@ -98,7 +96,7 @@
 	current.run(ctx)
 }
 
-// prepare finds the route, checks the key and reads the whole request.
+// prepare matches the route, checks the key and reads the request.
 func (c *call) prepare() *result.Error {
 	options := &c.handler.options
 	table := options.Tables.Table()
@@ -133,7 +131,7 @@
 	return c.readBody(limits)
 }
 
-// setRoute notes the route and the deadline that follows from it.
+// setRoute sets the route and the deadline.
 func (c *call) setRoute(route *routetable.Route) {
 	c.routing.route = route
 	total := route.Timeout
--- a/transport/relay/header.go
+++ b/transport/relay/header.go
@@ -5,8 +5,8 @@
 	"strings"
 )
 
-// hopByHopHeaders belong to a single connection (RFC 9110, section 7.6.1) or are set
-// anew for each message.
+// hopByHopHeaders returns the names of headers that apply to a single connection (RFC 9110,
+// section 7.6.1) or are set anew for each message.
 func hopByHopHeaders() []string {
 	return []string{
 		"Connection", "Proxy-Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization",
@@ -14,7 +14,7 @@
 	}
 }
 
-// copyEndToEnd copies the fields that aren't meant for this connection alone.
+// copyEndToEnd copies a header without its hop-by-hop fields.
 func copyEndToEnd(header http.Header) http.Header {
 	copied := header.Clone()
 	for _, line := range header.Values("Connection") {
@@ -28,8 +28,8 @@
 	return copied
 }
 
-// originForm drops scheme and authority from a target in absolute form, which servers have
-// to accept (RFC 9112, section 3.2.2). Path and query stay as they are.
+// originForm removes scheme and authority from a target in absolute form, which servers
+// must accept (RFC 9112, section 3.2.2). Path and query are unchanged.
 func originForm(target string) string {
 	_, rest, ok := strings.Cut(target, "://")
 	if !ok || strings.HasPrefix(target, "/") {
@@ -45,7 +45,7 @@
 	return rest[start:]
 }
 
-// headerBytes is about the size of a request's head as it was received, in bytes.
+// headerBytes returns the approximate size of a request's line and header as received.
 func headerBytes(request *http.Request) int64 {
 	const separators = len(": \r\n")
 	size := len(request.Method) + len(request.RequestURI) + len(request.Host)
@@ -57,8 +57,8 @@
 	return int64(size)
 }
 
-// copyResponseHeader copies the header of a back end's answer. Fields that net/http would add
-// by itself are left out where the back end didn't set them.
+// copyResponseHeader copies the header of a backend's response. It keeps net/http from
+// adding fields that the backend didn't set.
 func copyResponseHeader(target, source http.Header) {
 	for name, values := range copyEndToEnd(source) {
 		target[name] = values
--- a/transport/relay/metrics.go
+++ b/transport/relay/metrics.go
@@ -7,7 +7,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// Metrics are the counters and histograms of a Handler.
+// Metrics holds the Prometheus metrics of a Handler.
 type Metrics struct {
 	requests  *prometheus.CounterVec
 	retries   prometheus.Counter
@@ -15,7 +15,7 @@
 	duration  *prometheus.HistogramVec
 }
 
-// NewMetrics makes the metrics and registers them.
+// NewMetrics creates and registers the metrics.
 func NewMetrics(registry prometheus.Registerer) *Metrics {
 	buckets := []float64{.005, .01, .025, .05, .1, .2, .4, .8, 1.6, 3.2, 6.4}
 	m := &Metrics{
@@ -40,7 +40,7 @@
 	return m
 }
 
-// observe counts a request that has ended.
+// observe records a finished request.
 func (m *Metrics) observe(c *call, took time.Duration) {
 	kind := "none"
 	if c.routing.route != nil {
--- a/transport/relay/quota.go
+++ b/transport/relay/quota.go
@@ -7,8 +7,8 @@
 	"github.com/marblering/marblering/state/result"
 )
 
-// takePermit asks for a permit of the tenant's quota. It is called before anything else
-// that causes work at other nodes.
+// takePermit takes a permit from the tenant's quota. It precedes all other steps that cause
+// work on other nodes.
 func (c *call) takePermit(ctx context.Context) *result.Error {
 	if c.grants.tenant == nil {
 		return nil
@@ -23,8 +23,8 @@
 	return failure
 }
 
-// returnUnusedPermit returns the permit of a request that no back end ran, so that it doesn't
-// count.
+// returnUnusedPermit returns the permit of a request that no backend ran, so that it doesn't
+// count against the quota.
 func (c *call) returnUnusedPermit() {
 	if !c.attempts.reachedBackend {
 		c.grants.permit.Return()
--- a/transport/relay/run.go
+++ b/transport/relay/run.go
@@ -110,23 +110,23 @@
 
 // exchange sends the request to the instance and handles the response by its judgement.
 func (c *call) exchange(ctx context.Context, current *attempt) (outcome, error) {
-	answer, err := c.handler.options.Exchanger.Do(ctx, c.upstreamRequest(current.choice))
+	backendResponse, err := c.handler.options.Exchanger.Do(ctx, c.upstreamRequest(current.choice))
 	if err != nil {
 		return outcomeOfError(err), err
 	}
-	switch c.handler.options.Dialect.Judge(answer) {
+	switch c.handler.options.Dialect.Judge(backendResponse) {
 	case Refused:
-		drain(answer)
+		drain(backendResponse)
 		return refused, errRefused
 	case Misdirected:
-		drain(answer)
+		drain(backendResponse)
 		c.handler.options.Gone(current.choice.Instance.Life())
 		return unsent, errMisdirected
 	case Improper:
-		answer.CloseBody()
+		backendResponse.CloseBody()
 		return incomplete, errInvalidResponse
 	}
-	return c.deliver(ctx, answer, current)
+	return c.deliver(ctx, backendResponse, current)
 }
 
 // upstreamRequest builds the request to the instance.
--- a/transport/relay/turn.go
+++ b/transport/relay/turn.go
@@ -9,16 +9,15 @@
 	"github.com/marblering/marblering/state/result"
 )
 
-// beginTurn prepares a request that is a turn of a program: the turns before it are put in
-// front of its body, and the tokens that it may generate are reserved. It does nothing
-// for other requests.
+// beginTurn prepares a request that is a turn of a program: it prepends the previous turns
+// to the body and reserves tokens from the budget. It does nothing for other requests.
 func (c *call) beginTurn(ctx context.Context, table *routetable.Table) *result.Error {
 	if c.routing.route.Kind != routetable.Stream || c.input.facts.Budget == 0 && !c.routing.route.Retained {
 		return nil
 	}
 	if c.routing.route.Retained && c.input.facts.LastEvent != "" {
-		// The part of the answer that the client already has isn't known here, so that
-		// the turn couldn't be stored whole.
+		// The events that the client already received are unknown here, so the turn
+		// couldn't be stored completely.
 		return resumedRetainedTurn.errorf("a retained turn begins at its start")
 	}
 	service := table.Service(c.routing.route.Pick(backend.Draw(c.input.facts.Key)))
@@ -35,18 +34,17 @@
 	return nil
 }
 
-// countEvent counts an event of a turn before it is passed on.
-func (c *call) countEvent(passed event) {
+// countEvent counts an event against the budget of the turn before it is sent.
+func (c *call) countEvent(sent event) {
 	if c.grants.turn == nil {
 		return
 	}
-	if data, found := passed.data(); found {
+	if data, found := sent.data(); found {
 		c.grants.turn.Event(data)
 	}
 }
 
-// completeTurn stores the turn, which has to be done before its answer may end as a whole
-// one.
+// completeTurn stores the turn. It must succeed before the response may end normally.
 func (c *call) completeTurn(ctx context.Context) error {
 	if c.grants.turn == nil {
 		return nil
@@ -54,7 +52,7 @@
 	return c.grants.turn.Complete(ctx)
 }
 
-// endTurn settles the budget of the turn by what was passed on.
+// endTurn charges the budget for the tokens sent to the client.
 func (c *call) endTurn() {
 	if c.grants.turn != nil {
 		c.grants.turn.End()
