--- a/transport/relay/authorize_test.go
+++ b/transport/relay/authorize_test.go
@@ -21,151 +21,153 @@
 	"github.com/marblering/marblering/transport/relay"
 )
 
-// keyDialect reads the one key that tests show.
+// keyDialect returns a fixed API key.
 type keyDialect struct{ plainDialect }
 
 func (keyDialect) Read(*http.Request) (relay.Facts, *result.Error) {
 	return relay.Facts{ID: "id", APIKey: "key"}, nil
 }
 
-// freeQuotas let everything in.
-type freeQuotas struct{}
+// unlimitedQuotas grants every permit.
+type unlimitedQuotas struct{}
 
-func (freeQuotas) Take(context.Context, quota.Request) (quota.Permit, *result.Error) {
+func (unlimitedQuotas) Take(context.Context, quota.Request) (quota.Permit, *result.Error) {
 	return quota.Permit{}, nil
 }
 
-// scriptedProof runs a step each time it is asked.
+// scriptedProof calls onCall with the number of calls of Staleness so far.
 type scriptedProof struct {
 	staleness time.Duration
-	asked     int
-	step      func(asked int)
+	calls     int
+	onCall    func(call int)
 }
 
 func (p *scriptedProof) Staleness() (time.Duration, bool) {
-	p.asked++
-	p.step(p.asked)
+	p.calls++
+	p.onCall(p.calls)
 	return p.staleness, true
 }
 func (*scriptedProof) Limit() time.Duration { return time.Second }
 func (*scriptedProof) Source() string       { return "a test" }
 
-// keyWorld is a handler whose callers show a key.
-type keyWorld struct {
+// keyFixture is a handler whose clients send an API key.
+type keyFixture struct {
 	tables    *routetable.InForce
 	proof     *scriptedProof
-	exchanger *brokenExchanger
+	exchanger *failingExchanger
 	handler   http.Handler
 	version   int64
 }
 
-func newKeyWorld(t *testing.T, kind routetable.Kind) *keyWorld {
+func newKeyFixture(t *testing.T, kind routetable.Kind) *keyFixture {
 	t.Helper()
-	w := &keyWorld{tables: &routetable.InForce{}, proof: &scriptedProof{step: func(int) {}}, exchanger: &brokenExchanger{after: func() {}}}
-	w.install(t, kind, "key")
+	f := &keyFixture{tables: &routetable.InForce{}, proof: &scriptedProof{onCall: func(int) {}}, exchanger: &failingExchanger{afterAttempt: func() {}}}
+	f.install(t, kind, "key")
 	pool := backend.NewPool(backend.EjectionPolicy(), time.Now)
 	pool.Replace([]backend.Instance{{ID: "i-1", Service: "app"}, {ID: "i-2", Service: "app"}})
-	w.handler = relay.New(relay.Options{
-		Tables: w.tables, Backends: pool, Exchanger: w.exchanger, Dialect: keyDialect{}, Quotas: freeQuotas{}, Proof: w.proof,
+	f.handler = relay.New(relay.Options{
+		Tables: f.tables, Backends: pool, Exchanger: f.exchanger, Dialect: keyDialect{}, Quotas: unlimitedQuotas{}, Proof: f.proof,
 		Certain: func() bool { return true }, Unready: func() bool { return false }, MaxInFlight: 10,
 		Retries: limit.NewRetryBudget(relay.RetryPolicy(), time.Now()),
 		Metrics: relay.NewMetrics(prometheus.NewRegistry()), Logger: zap.NewNop(), Answered: zap.NewNop(), Now: time.Now,
 	})
-	return w
+	return f
 }
 
-// install puts a configuration in force in which the tenant has the keys.
-func (w *keyWorld) install(t *testing.T, kind routetable.Kind, keys ...string) {
+// install puts a configuration into force in which the tenant has the given keys.
+func (f *keyFixture) install(t *testing.T, kind routetable.Kind, keys ...string) {
 	t.Helper()
-	w.version++
+	f.version++
 	owner := tenant.Tenant{Name: "north"}
 	for _, key := range keys {
 		owner.Keys = append(owner.Keys, tenant.DigestOf(key))
 	}
 	table, err := routetable.NewTable(routetable.Configuration{
-		Version: w.version, Services: []routetable.Service{{Name: "app"}}, KeysRequired: true, Tenants: []tenant.Tenant{owner},
+		Version: f.version, Services: []routetable.Service{{Name: "app"}}, KeysRequired: true, Tenants: []tenant.Tenant{owner},
 		Routes: []routetable.Route{{
 			Name: "r", Host: "shop.example", PathPrefix: "/", Kind: kind, Timeout: time.Minute, Attempts: 3,
 			Targets: []routetable.Target{{Service: "app", Weight: 1}},
 		}},
 	})
 	assert.NilError(t, err)
-	w.tables.Install(table)
+	f.tables.Install(table)
 }
 
-func (w *keyWorld) ask() int {
+func (f *keyFixture) serve() int {
 	request := httptest.NewRequest(http.MethodGet, "/x", nil)
 	request.Host = "shop.example"
 	recorder := httptest.NewRecorder()
-	w.handler.ServeHTTP(recorder, request)
+	f.handler.ServeHTTP(recorder, request)
 	return recorder.Code
 }
 
-// TestProofIsOfTheTableThatIsAsked: a configuration without the key comes into force, and
-// is proved new, while a request is looked at. It is refused, whenever that happens.
-func TestProofIsOfTheTableThatIsAsked(t *testing.T) {
-	w := newKeyWorld(t, routetable.Safe)
-	w.proof.step = func(asked int) {
-		if asked == 1 {
-			w.install(t, routetable.Safe)
+// TestTableIsReadAfterFreshnessCheck guards against accepting a key by an older table than
+// the configuration whose freshness was checked.
+func TestTableIsReadAfterFreshnessCheck(t *testing.T) {
+	f := newKeyFixture(t, routetable.Safe)
+	f.proof.onCall = func(call int) {
+		if call == 1 {
+			f.install(t, routetable.Safe)
 		}
 	}
-	assert.Equal(t, w.ask(), http.StatusUnauthorized)
-	assert.Equal(t, w.exchanger.tries.Load(), int64(0))
+	assert.Equal(t, f.serve(), http.StatusUnauthorized)
+	assert.Equal(t, f.exchanger.attempts.Load(), int64(0))
 }
 
-// TestKeyTakenAwayBeforeARequestLeaves: what waited here under the key isn't sent.
-func TestKeyTakenAwayBeforeARequestLeaves(t *testing.T) {
-	w := newKeyWorld(t, routetable.Safe)
-	w.proof.step = func(asked int) {
-		if asked == 2 {
-			w.install(t, routetable.Safe)
+// TestKeyRevokedBeforeSend guards against sending a request whose key was revoked while it
+// waited.
+func TestKeyRevokedBeforeSend(t *testing.T) {
+	f := newKeyFixture(t, routetable.Safe)
+	f.proof.onCall = func(call int) {
+		if call == 2 {
+			f.install(t, routetable.Safe)
 		}
 	}
-	assert.Equal(t, w.ask(), http.StatusUnauthorized)
-	assert.Equal(t, w.exchanger.tries.Load(), int64(0))
+	assert.Equal(t, f.serve(), http.StatusUnauthorized)
+	assert.Equal(t, f.exchanger.attempts.Load(), int64(0))
 }
 
-// TestProofTooOldBeforeARequestLeaves, as after a pause of the process.
-func TestProofTooOldBeforeARequestLeaves(t *testing.T) {
-	w := newKeyWorld(t, routetable.Safe)
-	w.proof.step = func(asked int) {
-		if asked == 2 {
-			w.proof.staleness = 2 * time.Second
+// TestStaleConfigurationBeforeSend guards against sending a request after the process was
+// paused for longer than the staleness limit.
+func TestStaleConfigurationBeforeSend(t *testing.T) {
+	f := newKeyFixture(t, routetable.Safe)
+	f.proof.onCall = func(call int) {
+		if call == 2 {
+			f.proof.staleness = 2 * time.Second
 		}
 	}
-	assert.Equal(t, w.ask(), http.StatusServiceUnavailable)
-	assert.Equal(t, w.exchanger.tries.Load(), int64(0))
+	assert.Equal(t, f.serve(), http.StatusServiceUnavailable)
+	assert.Equal(t, f.exchanger.attempts.Load(), int64(0))
 }
 
-// TestKeyTakenAwayBetweenTries: a request that may have run isn't tried again, and its
-// answer doesn't promise that it hasn't.
-func TestKeyTakenAwayBetweenTries(t *testing.T) {
-	w := newKeyWorld(t, routetable.Safe)
-	w.exchanger.after = func() { w.install(t, routetable.Safe) }
-	assert.Equal(t, w.ask(), http.StatusBadGateway)
-	assert.Equal(t, w.exchanger.tries.Load(), int64(1))
+// TestKeyRevokedBetweenAttempts guards against retrying a request with a revoked key, and
+// against a response that claims that it hasn't run.
+func TestKeyRevokedBetweenAttempts(t *testing.T) {
+	f := newKeyFixture(t, routetable.Safe)
+	f.exchanger.afterAttempt = func() { f.install(t, routetable.Safe) }
+	assert.Equal(t, f.serve(), http.StatusBadGateway)
+	assert.Equal(t, f.exchanger.attempts.Load(), int64(1))
 }
 
-// TestLineOfARefusalTellsHowOldItsConfigurationIs: without it a route that isn't known
-// yet and one that is really none look alike.
-func TestLineOfARefusalTellsHowOldItsConfigurationIs(t *testing.T) {
+// TestFailureLogHasConfigurationAge checks the log field that tells a route not known yet
+// from one that doesn't exist.
+func TestFailureLogHasConfigurationAge(t *testing.T) {
 	for name, c := range map[string]struct {
 		known bool
 		want  any
 	}{"known": {true, 2200 * time.Millisecond}, "unknown": {false, "unknown"}} {
 		t.Run(name, func(t *testing.T) {
 			core, lines := observer.New(zap.InfoLevel)
-			w := newKeyWorld(t, routetable.Safe)
-			w.handler = relay.New(relay.Options{
-				Tables: w.tables, Dialect: keyDialect{}, Certain: func() bool { return true }, MaxInFlight: 10,
+			f := newKeyFixture(t, routetable.Safe)
+			f.handler = relay.New(relay.Options{
+				Tables: f.tables, Dialect: keyDialect{}, Certain: func() bool { return true }, MaxInFlight: 10,
 				TableAge: func() (time.Duration, bool) { return 2200 * time.Millisecond, c.known },
 				Unready:  func() bool { return false },
 				Metrics:  relay.NewMetrics(prometheus.NewRegistry()), Logger: zap.New(core), Answered: zap.NewNop(), Now: time.Now,
 			})
 			request := httptest.NewRequest(http.MethodGet, "/x", nil)
 			request.Host = "unknown.example"
-			w.handler.ServeHTTP(httptest.NewRecorder(), request)
+			f.handler.ServeHTTP(httptest.NewRecorder(), request)
 			refused := lines.FilterMessage("not answered").All()
 			assert.Equal(t, len(refused), 1)
 			assert.Equal(t, refused[0].ContextMap()["configuration_age"], c.want)
--- a/transport/relay/deadline_test.go
+++ b/transport/relay/deadline_test.go
@@ -20,7 +20,7 @@
 	"github.com/marblering/marblering/transport/upstream"
 )
 
-// plainDialect reads nothing of a request.
+// plainDialect ignores all headers.
 type plainDialect struct{}
 
 func (plainDialect) Read(*http.Request) (relay.Facts, *result.Error) {
@@ -29,27 +29,27 @@
 func (plainDialect) Write(http.Header, relay.Attempt)       {}
 func (plainDialect) Judge(*upstream.Answer) relay.Judgement { return relay.Proper }
 
-// brokenExchanger loses every answer and counts the tries.
-type brokenExchanger struct {
-	tries atomic.Int64
-	after func()
-	// unsent has requests fail before they are sent.
+// failingExchanger fails and counts all attempts.
+type failingExchanger struct {
+	attempts     atomic.Int64
+	afterAttempt func()
+	// unsent makes requests fail before they are sent.
 	unsent bool
-	// unready is what the node says of itself meanwhile.
+	// unready is the result of Options.Unready.
 	unready bool
 }
 
-func (e *brokenExchanger) Do(context.Context, *upstream.Request) (*upstream.Answer, error) {
-	e.tries.Add(1)
-	e.after()
+func (e *failingExchanger) Do(context.Context, *upstream.Request) (*upstream.Answer, error) {
+	e.attempts.Add(1)
+	e.afterAttempt()
 	if e.unsent {
 		return nil, &upstream.Error{Stage: upstream.StageDial, Cause: context.DeadlineExceeded}
 	}
 	return nil, &upstream.Error{Sent: true, Stage: upstream.StageHead, Cause: context.DeadlineExceeded}
 }
 
-// answerAfterTime has a request's time be over while its first back end is tried.
-func answerAfterTime(t *testing.T, kind routetable.Kind, exchanger *brokenExchanger) *httptest.ResponseRecorder {
+// serveUntilDeadline serves a request whose deadline passes during its first attempt.
+func serveUntilDeadline(t *testing.T, kind routetable.Kind, exchanger *failingExchanger) *httptest.ResponseRecorder {
 	t.Helper()
 	table, err := routetable.NewTable(routetable.Configuration{
 		Version: 1, Services: []routetable.Service{{Name: "app"}},
@@ -64,7 +64,7 @@
 	pool := backend.NewPool(backend.EjectionPolicy(), time.Now)
 	pool.Replace([]backend.Instance{{ID: "i-1", Service: "app"}, {ID: "i-2", Service: "app"}})
 	var passed atomic.Int64
-	exchanger.after = func() { passed.Store(int64(time.Minute)) }
+	exchanger.afterAttempt = func() { passed.Store(int64(time.Minute)) }
 	handler := relay.New(relay.Options{
 		Tables: tables, Backends: pool, Exchanger: exchanger, Dialect: plainDialect{},
 		Certain: func() bool { return true }, Unready: func() bool { return exchanger.unready }, MaxInFlight: 10,
@@ -79,34 +79,34 @@
 	return recorder
 }
 
-// TestTimeIsOverBeforeTheContextSaysSo: a connection notices the deadline a moment
-// before the request's context does. The answer is that of a request whose time is
-// over, and no other back end is tried.
-func TestTimeIsOverBeforeTheContextSaysSo(t *testing.T) {
+// TestDeadlinePassedBeforeContextExpires guards against a retry if an attempt fails at the
+// deadline just before the context expires.
+func TestDeadlinePassedBeforeContextExpires(t *testing.T) {
 	for name, kind := range map[string]routetable.Kind{"safe": routetable.Safe, "unsafe": routetable.Unsafe} {
-		exchanger := &brokenExchanger{}
-		recorder := answerAfterTime(t, kind, exchanger)
+		exchanger := &failingExchanger{}
+		recorder := serveUntilDeadline(t, kind, exchanger)
 		assert.Equal(t, recorder.Code, http.StatusGatewayTimeout, name)
-		assert.Equal(t, exchanger.tries.Load(), int64(1), name)
+		assert.Equal(t, exchanger.attempts.Load(), int64(1), name)
 	}
 }
 
-// TestUnreadyNodeSendsCallersElsewhere: its answers end their connections.
-func TestUnreadyNodeSendsCallersElsewhere(t *testing.T) {
+// TestUnreadyHandlerClosesConnections checks that clients of an unready gateway reconnect
+// elsewhere.
+func TestUnreadyHandlerClosesConnections(t *testing.T) {
 	for _, unready := range []bool{false, true} {
-		recorder := answerAfterTime(t, routetable.Safe, &brokenExchanger{unsent: true, unready: unready})
+		recorder := serveUntilDeadline(t, routetable.Safe, &failingExchanger{unsent: true, unready: unready})
 		assert.Equal(t, recorder.Header().Get("Connection") == "close", unready)
 	}
 }
 
-// TestTimeThatIsOverBeforeTheRequestWasSent: the answer says that it hasn't run, so
-// that a caller may ask again also for what must not run twice.
-func TestTimeThatIsOverBeforeTheRequestWasSent(t *testing.T) {
+// TestDeadlinePassedBeforeSend checks that a request that was never sent is reported as not
+// run, so that a client may repeat one that must not run twice.
+func TestDeadlinePassedBeforeSend(t *testing.T) {
 	for name, kind := range map[string]routetable.Kind{"safe": routetable.Safe, "unsafe": routetable.Unsafe} {
-		exchanger := &brokenExchanger{unsent: true}
-		recorder := answerAfterTime(t, kind, exchanger)
+		exchanger := &failingExchanger{unsent: true}
+		recorder := serveUntilDeadline(t, kind, exchanger)
 		assert.Equal(t, recorder.Code, http.StatusServiceUnavailable, name)
 		assert.Assert(t, recorder.Header().Get("Retry-After") != "", name)
-		assert.Equal(t, exchanger.tries.Load(), int64(1), name)
+		assert.Equal(t, exchanger.attempts.Load(), int64(1), name)
 	}
 }
