--- a/transport/socket/socket.go
+++ b/transport/socket/socket.go
@@ -1,6 +1,5 @@
-// Package socket has the dialers of this program. They set the options of TCP that bound
-// how long a connection to a machine that went dark goes unnoticed: without them it hangs
-// for many minutes. It keeps no state and relies on Linux.
+// Package socket provides dialers that set TCP options to detect unreachable hosts. Without
+// them a connection to a host that disappeared hangs for many minutes. It requires Linux.
 package socket
 
 import (
@@ -12,39 +11,36 @@
 // tcpUserTimeout is TCP_USER_TIMEOUT of tcp(7), which the syscall package lacks.
 const tcpUserTimeout = 0x12
 
-// Keep-alive probes of an idle connection (tcp(7)): the machine of a peer that is only slow
-// answers them, one that is dark, or whose connection a firewall has forgotten, doesn't.
-// Both times are the shortest that Linux takes, in whole seconds; the count is chosen, not
-// measured.
+// Parameters of TCP keep-alive (tcp(7)). The kernel of a peer that is merely slow answers
+// the probes; an unreachable host, or a firewall that has dropped the connection, doesn't.
+// One second is the shortest time that Linux supports.
 const (
-	probeIdle     = time.Second
-	probeInterval = time.Second
-	probeCount    = 2
+	keepAliveIdle     = time.Second
+	keepAliveInterval = time.Second
+	keepAliveCount    = 2
 )
 
-// Dialer returns a dialer that gives up connecting after the first time, and whose
-// connections fail once sent bytes have been unacknowledged for the second, in whole
-// milliseconds. It suits protocols that check themselves whether a silent peer lives.
-func Dialer(connect, unacknowledged time.Duration) *net.Dialer {
-	return &net.Dialer{Timeout: connect, KeepAlive: -1, Control: bound(unacknowledged)}
+// Dialer returns a dialer with a connect timeout. Its connections fail once sent data has
+// been unacknowledged for the user timeout, in whole milliseconds. It has no keep-alive and
+// suits protocols that detect dead peers themselves.
+func Dialer(connectTimeout, userTimeout time.Duration) *net.Dialer {
+	return &net.Dialer{Timeout: connectTimeout, KeepAlive: -1, Control: setUserTimeout(userTimeout)}
 }
 
-// ProbingDialer returns a Dialer whose connections also fail when the peer's machine
-// doesn't answer keep-alive probes. A connection that waits for an answer needs them, since
-// all that it sent may have been acknowledged long before. No gain is measured: with these
-// probes alone, streams of back ends that went dark weren't given up within 2.4 s, when their
-// callers left.
-func ProbingDialer(connect, unacknowledged time.Duration) *net.Dialer {
-	dialer := Dialer(connect, unacknowledged)
+// ProbingDialer returns a Dialer whose connections also fail if the peer's host doesn't
+// answer keep-alive probes. Connections that wait for a response need them, since all sent
+// data may have been acknowledged long before.
+func ProbingDialer(connectTimeout, userTimeout time.Duration) *net.Dialer {
+	dialer := Dialer(connectTimeout, userTimeout)
 	dialer.KeepAliveConfig = net.KeepAliveConfig{
-		Enable: true, Idle: probeIdle, Interval: probeInterval, Count: probeCount,
+		Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveCount,
 	}
 	return dialer
 }
 
-// bound sets TCP_USER_TIMEOUT of a socket before it connects.
-func bound(unacknowledged time.Duration) func(network, address string, raw syscall.RawConn) error {
-	milliseconds := int(unacknowledged.Milliseconds())
+// setUserTimeout returns a function that sets TCP_USER_TIMEOUT before a socket connects.
+func setUserTimeout(userTimeout time.Duration) func(network, address string, raw syscall.RawConn) error {
+	milliseconds := int(userTimeout.Milliseconds())
 	return func(_, _ string, raw syscall.RawConn) error {
 		var failure error
 		err := raw.Control(func(descriptor uintptr) {
--- a/transport/socket/socket_test.go
+++ b/transport/socket/socket_test.go
@@ -11,8 +11,8 @@
 	"github.com/marblering/marblering/transport/socket"
 )
 
-// options reads options of the TCP connection that the dialer opens.
-func options(t *testing.T, dialer *net.Dialer) (keepAlive, idle, interval, count int) {
+// keepAliveOptions returns the keep-alive options of a connection opened by the dialer.
+func keepAliveOptions(t *testing.T, dialer *net.Dialer) (keepAlive, idle, interval, count int) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -36,13 +36,13 @@
 	return keepAlive, idle, interval, count
 }
 
-// TestProbingDialerAsksSilentPeers, and Dialer leaves that to the protocol.
-func TestProbingDialerAsksSilentPeers(t *testing.T) {
-	keepAlive, idle, interval, count := options(t, socket.ProbingDialer(time.Second, time.Second))
+// TestProbingDialerEnablesKeepAlive also checks that Dialer disables it.
+func TestProbingDialerEnablesKeepAlive(t *testing.T) {
+	keepAlive, idle, interval, count := keepAliveOptions(t, socket.ProbingDialer(time.Second, time.Second))
 	assert.Equal(t, keepAlive, 1)
 	assert.Equal(t, idle, 1)
 	assert.Equal(t, interval, 1)
 	assert.Equal(t, count, 2)
-	keepAlive, _, _, _ = options(t, socket.Dialer(time.Second, time.Second))
+	keepAlive, _, _, _ = keepAliveOptions(t, socket.Dialer(time.Second, time.Second))
 	assert.Equal(t, keepAlive, 0)
 }
