--- a/transport/relay/call.go
+++ b/transport/relay/call.go
@@ -69,8 +69,8 @@
 	sends, unsent int
 	// reachedBackend tells that the request was sent to a backend that didn't refuse it.
 	reachedBackend bool
-	// mayHaveRun tells that a backend may have run the request without delivering a complete
-	// response.
+	// mayHaveRun tells that a backend may have run the request and no complete response was
+	// delivered.
 	mayHaveRun bool
 }
 
--- a/transport/relay/deliver.go
+++ b/transport/relay/deliver.go
@@ -35,8 +35,8 @@
 }
 
 func isEventStream(backendResponse *upstream.Answer) bool {
-	kind, _, err := mime.ParseMediaType(backendResponse.Header.Get("Content-Type"))
-	return err == nil && kind == eventStream && backendResponse.Status == http.StatusOK
+	mediaType, _, err := mime.ParseMediaType(backendResponse.Header.Get("Content-Type"))
+	return err == nil && mediaType == eventStream && backendResponse.Status == http.StatusOK
 }
 
 // deliverBuffered passes on a response that isn't a stream once it has arrived completely,
@@ -117,9 +117,9 @@
 // endStream stores the turn, if there is one, and writes the header of a stream without
 // events. If the turn can't be stored, the stream must not end normally.
 func (c *call) endStream(ctx context.Context, backendResponse *upstream.Answer) (outcome, error) {
-	began := c.handler.options.Now()
+	started := c.handler.options.Now()
 	err := c.completeTurn(ctx)
-	c.timing.storeTime = c.handler.options.Now().Sub(began)
+	c.timing.storeTime = c.handler.options.Now().Sub(started)
 	if err != nil {
 		return turnNotStored, err
 	}
--- a/transport/relay/handler.go
+++ b/transport/relay/handler.go
@@ -15,7 +15,7 @@
 	"github.com/marblering/marblering/state/result"
 )
 
-// Options are the parts of a Handler.
+// Options configures a Handler.
 type Options struct {
 	Tables    *routetable.InForce
 	Backends  Backends
--- a/transport/relay/quota.go
+++ b/transport/relay/quota.go
@@ -13,12 +13,12 @@
 	if c.grants.tenant == nil {
 		return nil
 	}
-	began := c.handler.options.Now()
+	started := c.handler.options.Now()
 	permit, failure := c.handler.options.Quotas.Take(ctx, quota.Request{
 		Tenant: c.grants.tenant.Name, Rate: c.grants.tenant.Rate, Version: c.routing.configVersion,
 		Program: c.input.facts.Program, Kind: c.routing.route.Name,
 	})
-	c.timing.permitWait = c.handler.options.Now().Sub(began)
+	c.timing.permitWait = c.handler.options.Now().Sub(started)
 	c.grants.permit = permit
 	return failure
 }
