--- a/transport/relay/doc.go
+++ b/transport/relay/doc.go
@@ -5,7 +5,7 @@
 // turns of programs, backend selects an instance and upstream sends the request to it.
 // A Dialect maps the headers of a deployment.
 //
-// Decisions are separate from I/O: attemptEnd.next decides whether to retry (retry.go),
+// Decisions are separate from I/O: attemptResult.next decides whether to retry (retry.go),
 // unavailableReason sets the result code and retry delay of temporary errors
 // (unavailable.go), missingEntry and freshness tell permanent from temporary errors
 // (freshness.go).
