--- a/transport/relay/attempt.go
+++ b/transport/relay/attempt.go
@@ -7,40 +7,41 @@
 	"github.com/marblering/marblering/coordination/backend"
 )
 
-// attempt is the request at one instance.
+// attempt is one try of a request at an instance.
 type attempt struct {
-	choice *backend.Choice
-	began  time.Time
-	// first is the time to the first event, or to the whole of a plain answer; zero before.
-	first time.Duration
-	// status is that of a plain answer; zero before it came, and for streams.
+	choice  *backend.Choice
+	started time.Time
+	// timeToFirst is the time to the first event of a stream, or to the complete body (or
+	// its buffered part) of another response; zero until then.
+	timeToFirst time.Duration
+	// status is the status of a response that isn't a stream; zero until it has arrived.
 	status int
 }
 
-// heard notes that an event, or a plain answer, came.
-func (a *attempt) heard(now time.Time) {
-	if a.first == 0 {
-		a.first = now.Sub(a.began)
+// recordProgress records that an event, or a response that isn't a stream, has arrived.
+func (a *attempt) recordProgress(now time.Time) {
+	if a.timeToFirst == 0 {
+		a.timeToFirst = now.Sub(a.started)
 	}
 	a.choice.Heard()
 }
 
-// ending is what the attempt showed of the instance.
+// ending returns what the attempt tells about the health of the instance.
 func (a *attempt) ending(ended outcome, now time.Time) backend.Ending {
-	waited := now.Sub(a.began)
+	waited := now.Sub(a.started)
 	if a.status == http.StatusGatewayTimeout {
 		return backend.Waited{Wait: waited}
 	}
 	switch ended {
-	case delivered, unstored:
-		if a.first == 0 {
-			a.first = waited
+	case delivered, turnNotStored:
+		if a.timeToFirst == 0 {
+			a.timeToFirst = waited
 		}
-		return backend.Answered{Wait: a.first, Faulty: a.status >= http.StatusInternalServerError}
-	case unsent, lost:
+		return backend.Answered{Wait: a.timeToFirst, Faulty: a.status >= http.StatusInternalServerError}
+	case unsent, incomplete:
 		return backend.Broken{}
 	case abandoned:
-		if a.first == 0 {
+		if a.timeToFirst == 0 {
 			return backend.Waited{Wait: waited}
 		}
 	case refused:
--- a/transport/relay/authorize.go
+++ b/transport/relay/authorize.go
@@ -5,57 +5,57 @@
 	"github.com/marblering/marblering/state/result"
 )
 
-// authorize finds the tenant that owns the client's key. It is called when a request
-// arrives, before its body is read, and again before each attempt: the request may have
-// waited, or the process may have been paused, and the key may have been revoked meanwhile.
+// authorize looks up the tenant of the client's key. It runs before the body is read and
+// again before each attempt, since the key may have been revoked while the request waited
+// or the process was paused.
 func (c *call) authorize() *result.Error {
-	if !c.basis.needsKey {
+	if !c.routing.needsKey {
 		return nil
 	}
-	if failure := c.checkProof(); failure != nil {
+	if failure := c.checkFreshness(); failure != nil {
 		return failure
 	}
-	// The table is read after the proof, so that it is at least as new, however long the
-	// process is paused in between.
+	// The table is read after the freshness check, so that it is at least as new as the
+	// configuration that was checked, even if the process is paused in between.
 	table := c.handler.options.Tables.Table()
-	owner, known := table.Tenant(c.asked.key)
+	owner, known := table.Tenant(c.input.key)
 	if !known {
-		return missingKey.refusal(table.Version(), c.handler.options.Certain())
+		return missingKey.toError(table.Version(), c.handler.options.Certain())
 	}
-	c.granted.tenant = owner
+	c.grants.tenant = owner
 	return nil
 }
 
-// checkProof refuses requests with keys while nothing proves the configuration new
-// enough.
-func (c *call) checkProof() *result.Error {
+// checkFreshness rejects requests with keys while the configuration isn't confirmed to be
+// recent enough.
+func (c *call) checkFreshness() *result.Error {
 	proof := c.handler.options.Proof
 	if proof == nil || proof.Limit() == 0 {
 		return nil
 	}
 	staleness, isKnown := proof.Staleness()
-	return freshness{staleness, isKnown, proof.Limit()}.refusal(proof.Source)
+	return freshness{staleness, isKnown, proof.Limit()}.check(proof.Source)
 }
 
-// reauthorize calls authorize before an attempt. A request that is already being answered
-// goes on, since its key was valid when it began.
+// reauthorize calls authorize before an attempt. A request whose response has begun
+// continues, since its key was valid at the time.
 func (c *call) reauthorize() *result.Error {
-	if c.reply.began {
+	if c.response.headerWritten {
 		return nil
 	}
 	return c.authorize()
 }
 
-// tenantName is empty where the route needs no key.
+// tenantName returns the name of the tenant, or "" if the route needs no key.
 func (c *call) tenantName() string {
-	if c.granted.tenant == nil {
+	if c.grants.tenant == nil {
 		return ""
 	}
-	return c.granted.tenant.Name
+	return c.grants.tenant.Name
 }
 
-// takeKey replaces the key by its digest, so that the key can't be logged.
-func (c *call) takeKey() {
-	c.asked.key = tenant.DigestOf(c.asked.facts.APIKey)
-	c.asked.facts.APIKey = ""
+// digestKey replaces the key by its digest, so that the key can't be logged.
+func (c *call) digestKey() {
+	c.input.key = tenant.DigestOf(c.input.facts.APIKey)
+	c.input.facts.APIKey = ""
 }
--- a/transport/relay/call.go
+++ b/transport/relay/call.go
@@ -11,113 +11,112 @@
 	"github.com/marblering/marblering/state/result"
 )
 
-// call is one request under way.
+// call is the state of a request in flight.
 type call struct {
 	handler *Handler
 	writer  http.ResponseWriter
 	request *http.Request
 
-	asked   asked
-	basis   basis
-	granted granted
-	tried   tried
-	reply   reply
-	times   times
+	input    input
+	routing  routing
+	grants   grants
+	attempts attempts
+	response response
+	timing   timing
 }
 
-// asked is what the client asked for.
-type asked struct {
+// input is what the client sent.
+type input struct {
 	facts Facts
-	// key is the digest of the API key that the client showed.
+	// key is the digest of the client's API key.
 	key tenant.Digest
-	// target is the path and query, byte for byte as they came.
+	// target is the path and query, unchanged.
 	target string
-	// body is what back ends get: the request's own, or that of its turn.
+	// body is the body sent to backends: that of the request or, for a turn, the one built
+	// from it and the turns before.
 	body []byte
-	// bodyTaken tells that the request's own body was read, at least in part.
-	bodyTaken bool
+	// bodyRead tells that reading the body of the request has begun.
+	bodyRead bool
 }
 
-// basis is the part of the configuration that the request is decided by.
-type basis struct {
-	// version is that of the configuration, age how long before the request came the
-	// store confirmed it.
-	version  int64
-	age      time.Duration
-	ageKnown bool
-	route    *routetable.Route
-	// needsKey tells that the route asks for a key.
+// routing is the part of the configuration that applies to the request.
+type routing struct {
+	configVersion int64
+	// configAge is the time between the store's last confirmation of the configuration and
+	// the arrival of the request.
+	configAge      time.Duration
+	configAgeKnown bool
+	route          *routetable.Route
+	// needsKey tells that the route requires an API key.
 	needsKey bool
 }
 
-// granted is what the request may use.
-type granted struct {
-	// tenant is the owner of the key; nil where the route needs none.
+// grants holds what was acquired for the request.
+type grants struct {
+	// tenant is the owner of the key; nil if the route needs none.
 	tenant *tenant.Tenant
-	// permit is that of the tenant's quota.
+	// permit is taken from the tenant's quota.
 	permit quota.Permit
-	// turn is set for turns of programs whose state is kept.
+	// turn is set if the request is a turn with a token budget or retained history.
 	turn *conversation.Turn
 }
 
-// tried is what the attempts have come to.
-type tried struct {
-	// instances are the ids of those that were chosen, in order.
+// attempts sums up the attempts so far.
+type attempts struct {
+	// instances are the ids of the selected instances, in order.
 	instances []string
-	// sends is to how many of them the request was sent, unsent to how many it wasn't.
+	// sends counts the attempts in which the request was sent, unsent the others.
 	sends, unsent int
-	// reached tells that a back end was sent the request and didn't promise that it
-	// hadn't run it.
-	reached bool
-	// mayHaveRun tells that no answer says whether a back end ran the request.
+	// reachedBackend tells that the request was sent to a backend that didn't refuse it.
+	reachedBackend bool
+	// mayHaveRun tells that a backend may have run the request and no complete response was
+	// delivered.
 	mayHaveRun bool
 }
 
-// count notes what the end of an attempt says about the request.
-func (t *tried) count(ended outcome) {
+// record adds the outcome of an attempt.
+func (a *attempts) record(ended outcome) {
 	switch ended {
 	case unsent:
-		t.unsent++
+		a.unsent++
 	case refused:
-		t.sends++
+		a.sends++
 	case delivered, abandoned:
-		t.sends++
-		t.reached = true
-	case lost, unstored:
-		t.sends++
-		t.reached, t.mayHaveRun = true, true
+		a.sends++
+		a.reachedBackend = true
+	case incomplete, turnNotStored:
+		a.sends++
+		a.reachedBackend, a.mayHaveRun = true, true
 	}
 }
 
-// reply is what the client was answered.
-type reply struct {
-	// began tells that the head of the answer was written.
-	began bool
-	// lastEvent is the id of the last event that was passed on; empty for none.
-	lastEvent string
-	status    int
-	code      result.Code
-	// reason says why the request has failed.
+// response is the state of the response to the client.
+type response struct {
+	headerWritten bool
+	// lastEventID is the id of the last event sent to the client; empty for none.
+	lastEventID string
+	status      int
+	code        result.Code
+	// reason is the error message of a failed request.
 	reason string
 }
 
-// times are for the deadline and the log.
-type times struct {
+// timing holds the deadline of a request and the durations for its log line.
+type timing struct {
 	arrived, deadline time.Time
-	// permitted is how long the permit was waited for.
-	permitted time.Duration
-	// prepared is when the request could be sent to a back end, counted from its
-	// arrival: its body read and, for a turn, what came before it and its part of
-	// the budget there.
+	// permitWait is the time to get a permit of the quota.
+	permitWait time.Duration
+	// prepared is the time from the arrival until the request is ready to be sent to a
+	// backend: its body read and, for a turn, its history read and its tokens reserved.
 	prepared time.Duration
-	// firstByte is when the head of the answer was written, counted from the arrival.
+	// firstByte is the time from the arrival until the response header is written.
 	firstByte time.Duration
-	// stored is how long the end of a turn took to be kept.
-	stored time.Duration
+	// storeTime is the time to store a completed turn.
+	storeTime time.Duration
 }
 
-// allowed is the time that the request had; zero before its route was found.
-func (t *times) allowed() time.Duration {
+// timeout is the time allowed for the request; zero until its route is known.
+func (t *timing) timeout() time.Duration {
 	if t.deadline.IsZero() {
 		return 0
 	}
--- a/transport/relay/metrics.go
+++ b/transport/relay/metrics.go
@@ -7,7 +7,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// Metrics are the counters and histograms of a Handler.
+// Metrics holds the Prometheus metrics of a Handler.
 type Metrics struct {
 	requests  *prometheus.CounterVec
 	retries   prometheus.Counter
@@ -15,7 +15,7 @@
 	duration  *prometheus.HistogramVec
 }
 
-// NewMetrics makes the metrics and registers them.
+// NewMetrics creates and registers the metrics.
 func NewMetrics(registry prometheus.Registerer) *Metrics {
 	buckets := []float64{.005, .01, .025, .05, .1, .2, .4, .8, 1.6, 3.2, 6.4}
 	m := &Metrics{
@@ -40,15 +40,15 @@
 	return m
 }
 
-// observe counts a request that has ended.
+// observe records a finished request.
 func (m *Metrics) observe(c *call, took time.Duration) {
 	kind := "none"
-	if c.basis.route != nil {
-		kind = c.basis.route.Kind.String()
+	if c.routing.route != nil {
+		kind = c.routing.route.Kind.String()
 	}
-	m.requests.WithLabelValues(kind, strconv.Itoa(int(c.reply.code))).Inc()
+	m.requests.WithLabelValues(kind, strconv.Itoa(int(c.response.code))).Inc()
 	m.duration.WithLabelValues(kind).Observe(took.Seconds())
-	if c.times.firstByte > 0 {
-		m.firstByte.WithLabelValues(kind).Observe(c.times.firstByte.Seconds())
+	if c.timing.firstByte > 0 {
+		m.firstByte.WithLabelValues(kind).Observe(c.timing.firstByte.Seconds())
 	}
 }
