--- a/coordination/tokenbudget/admission.go
+++ b/coordination/tokenbudget/admission.go
@@ -12,29 +12,29 @@
 )
 
 const (
-	// runningTime is how long after its last turn a program counts as running: a
+	// runningProgramWindow is how long after its last turn a program counts as running: a
 	// few times the pause in which programs call their tools. Chosen, not measured.
-	runningTime = 10 * time.Second
-	// crowdedAfter is how long a change may take before this host refuses programs
+	runningProgramWindow = 10 * time.Second
+	// slowChangeThreshold is how long a change may take before this host refuses programs
 	// that begin: a few times what a change takes on an idle host, and well below
 	// tryTimeout, which a gateway waits for it. Chosen, not measured.
-	crowdedAfter = 100 * time.Millisecond
-	// cutOffAfter is how long all changes must have failed before this host counts
+	slowChangeThreshold = 100 * time.Millisecond
+	// isolationThreshold is how long all changes must have failed before this host counts
 	// as cut off rather than overloaded: longer than tryTimeout, so that one slow
 	// round doesn't count. Chosen, not measured.
-	cutOffAfter = 500 * time.Millisecond
+	isolationThreshold = 500 * time.Millisecond
 )
 
-// urgency says which changes of records go first where there are too many.
-type urgency int
+// priority says which changes of records go first where there are too many.
+type priority int
 
 const (
-	// deferrable changes begin a program or give a reserve back: nothing is lost if
+	// lowPriority changes begin a program or give a reserve back: nothing is lost if
 	// they come later.
-	deferrable urgency = iota
-	// running changes let a program go on. A program that is refused in its middle
+	lowPriority priority = iota
+	// highPriority changes let a program go on. A program that is refused in its middle
 	// has computed its earlier turns in vain.
-	running
+	highPriority
 )
 
 // admission decides whether this host begins another change of a record:
@@ -56,73 +56,73 @@
 // It is safe for concurrent use.
 type admission struct {
 	now func() time.Time
-	// all bounds every change, crowd the deferrable ones.
-	all   *limit.Adaptive
-	crowd *limit.Adaptive
-	// decided is when a record was last changed, in nanoseconds since 1970.
-	decided atomic.Int64
+	// allChanges bounds every change, crowd the deferrable ones.
+	allChanges   *limit.Adaptive
+	lowPriorityChanges *limit.Adaptive
+	// lastSuccess is when a record was last changed, in nanoseconds since 1970.
+	lastSuccess atomic.Int64
 
 	mutex sync.Mutex
-	// programs are those that had a turn here within runningTime.
-	programs *recent.Map[struct{}]
+	// runningPrograms are those that had a turn here within runningTime.
+	runningPrograms *recent.Map[struct{}]
 }
 
 func newAdmission(all, crowd limit.AdaptivePolicy, now func() time.Time) *admission {
 	return &admission{
-		now: now, all: limit.NewAdaptive(all, now), crowd: limit.NewAdaptive(crowd, now),
-		programs: recent.New(runningTime, func(time.Time) struct{} { return struct{}{} }),
+		now: now, allChanges: limit.NewAdaptive(all, now), lowPriorityChanges: limit.NewAdaptive(crowd, now),
+		runningPrograms: recent.New(runningProgramWindow, func(time.Time) struct{} { return struct{}{} }),
 	}
 }
 
-// urgencyOf says whether the reservation lets a program go on or begins one.
-func (a *admission) urgencyOf(wanted Reservation) urgency {
+// priorityOf says whether the reservation lets a program go on or begins one.
+func (a *admission) priorityOf(wanted Reservation) priority {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	if wanted.Running || a.programs.Has(wanted.Program) {
-		return running
+	if wanted.Running || a.runningPrograms.Has(wanted.Program) {
+		return highPriority
 	}
-	return deferrable
+	return lowPriority
 }
 
-// began records that a turn of the program has begun.
-func (a *admission) began(program string) {
+// recordTurn records that a turn of the program has begun.
+func (a *admission) recordTurn(program string) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	a.programs.Get(program, a.now())
+	a.runningPrograms.Get(program, a.now())
 }
 
-// begin lets a change begin or returns why it is refused. After success, end must
+// beginChange lets a change beginChange or returns why it is refused. After success, end must
 // be called with the time at which the change began.
-func (a *admission) begin(wanted urgency) error {
-	if wanted == running {
-		a.crowd.Enter()
-	} else if !a.crowd.Begin() {
-		return merry.Wrap(ErrOverloaded, merry.AppendMessagef("%d changes of budgets are under way, no program begins", a.crowd.Limit()))
+func (a *admission) beginChange(wanted priority) error {
+	if wanted == highPriority {
+		a.lowPriorityChanges.Enter()
+	} else if !a.lowPriorityChanges.Begin() {
+		return merry.Wrap(ErrOverloaded, merry.AppendMessagef("%d changes of budgets are under way, no program begins", a.lowPriorityChanges.Limit()))
 	}
-	if a.all.Begin() {
+	if a.allChanges.Begin() {
 		return nil
 	}
-	a.crowd.End(true)
-	return a.refusal()
+	a.lowPriorityChanges.End(true)
+	return a.refusalError()
 }
 
-// end records how a change ended.
-func (a *admission) end(began time.Time, err error) {
+// endChange records how a change ended.
+func (a *admission) endChange(began time.Time, err error) {
 	now := a.now()
-	a.all.End(err != nil)
-	a.crowd.End(err != nil || now.Sub(began) > crowdedAfter)
+	a.allChanges.End(err != nil)
+	a.lowPriorityChanges.End(err != nil || now.Sub(began) > slowChangeThreshold)
 	if err == nil {
-		a.decided.Store(now.UnixNano())
+		a.lastSuccess.Store(now.UnixNano())
 	}
 }
 
-// refusal is the error of a change that the limit refuses. A host that changes other
+// refusalError is the error of a change that the limit refuses. A host that changes other
 // records is overloaded; one that changes none is cut off, and another host may
 // succeed.
-func (a *admission) refusal() error {
-	idle := a.now().Sub(time.Unix(0, a.decided.Load()))
-	if idle > cutOffAfter {
+func (a *admission) refusalError() error {
+	idle := a.now().Sub(time.Unix(0, a.lastSuccess.Load()))
+	if idle > isolationThreshold {
 		return merry.Errorf("no record was changed for %s", idle)
 	}
-	return merry.Wrap(ErrOverloaded, merry.AppendMessagef("%d changes of budgets are under way", a.all.Limit()))
+	return merry.Wrap(ErrOverloaded, merry.AppendMessagef("%d changes of budgets are under way", a.allChanges.Limit()))
 }
--- a/coordination/tokenbudget/flush.go
+++ b/coordination/tokenbudget/flush.go
@@ -70,7 +70,7 @@
 	// A turn that waits to begin must not use what is given back.
 	current.reserved = min(current.reserved, underWay)
 	l.mutex.Unlock()
-	_, err := l.apply(ctx, program, deferrable, func(record *statev1.TokenBudget) {
+	_, err := l.apply(ctx, program, lowPriority, func(record *statev1.TokenBudget) {
 		budget.Trim(record, current.holder, spent, underWay)
 	})
 	if err != nil {
--- a/coordination/tokenbudget/ledger.go
+++ b/coordination/tokenbudget/ledger.go
@@ -121,7 +121,7 @@
 		l.leave(wanted.Program, current)
 		return err
 	}
-	l.admission.began(wanted.Program)
+	l.admission.recordTurn(wanted.Program)
 	return nil
 }
 
@@ -210,7 +210,7 @@
 	l.mutex.Lock()
 	wish := budget.Draw{Holder: current.holder, Spent: current.spent, UnderWay: current.underWay, Turn: wanted.Most}
 	l.mutex.Unlock()
-	record, err := l.apply(ctx, wanted.Program, l.admission.urgencyOf(wanted), func(record *statev1.TokenBudget) {
+	record, err := l.apply(ctx, wanted.Program, l.admission.priorityOf(wanted), func(record *statev1.TokenBudget) {
 		budget.SettleEnded(record, l.isEarlierLife)
 		// Whether the turn may begin is read from the record that was chosen.
 		_ = budget.Reserve(record, wanted.Limit, wish)
@@ -298,7 +298,7 @@
 	defer func() { <-l.releasing }()
 	ctx, cancel := context.WithTimeout(context.Background(), l.settings.ReleaseTimeout)
 	defer cancel()
-	_, err := l.apply(ctx, program, deferrable, func(record *statev1.TokenBudget) {
+	_, err := l.apply(ctx, program, lowPriority, func(record *statev1.TokenBudget) {
 		budget.Release(record, current.holder, current.spent)
 	})
 	return err
@@ -310,8 +310,8 @@
 // may find that an earlier try was chosen. So whatever the change finds out is read from
 // the record that is returned. A ledger that kept what the last call found let turns begin
 // that no record knew (TestTurnBeginsByTheRecordThatWasChosen).
-func (l *Ledger) apply(ctx context.Context, program string, wanted urgency, change func(*statev1.TokenBudget)) (*statev1.TokenBudget, error) {
-	if err := l.admission.begin(wanted); err != nil {
+func (l *Ledger) apply(ctx context.Context, program string, wanted priority, change func(*statev1.TokenBudget)) (*statev1.TokenBudget, error) {
+	if err := l.admission.beginChange(wanted); err != nil {
 		return nil, err
 	}
 	began := l.now()
@@ -323,7 +323,7 @@
 		change(record)
 		return budget.Encode(record)
 	})
-	l.admission.end(began, err)
+	l.admission.endChange(began, err)
 	if err != nil {
 		return nil, err
 	}
