--- a/coordination/tokenbudget/breaker.go
+++ b/coordination/tokenbudget/breaker.go
@@ -3,58 +3,58 @@
 import "time"
 
 const (
-	// failuresToOpen is how many reservations in a row, each tried at several hosts,
+	// failureThreshold is how many reservations in a row, each tried at several hosts,
 	// must fail before the breaker opens. Chosen, not measured.
-	failuresToOpen = 3
-	// openTime is how long the breaker is open at first. It doubles with each trial
+	failureThreshold = 3
+	// initialOpenTime is how long the breaker is open at first. It doubles with each trial
 	// that fails, up to longestOpen. Chosen, not measured.
-	openTime    = 250 * time.Millisecond
-	longestOpen = 2 * time.Second
-	// trialTime is how long a trial keeps other requests away: what two slow hosts
+	initialOpenTime    = 250 * time.Millisecond
+	maxOpenTime = 2 * time.Second
+	// probeTime is how long a trial keeps other requests away: what two slow hosts
 	// take.
-	trialTime = slowTries * tryTimeout
+	probeTime = maxSlowAttempts * tryTimeout
 )
 
-// breaker is a shard's circuit breaker: it opens after failuresToOpen reservations in
+// circuitBreaker is a shard's circuit circuitBreaker: it opens after failuresToOpen reservations in
 // a row that no host of the shard decided, and requests are then refused at once,
 // since they would only wait. When its time is over, a single request tries the shard
 // while others are still refused: otherwise each pause would end with as many
 // requests as it was to keep away. A reservation that a host decides closes it.
 //
 // With the bound of admission it raised the requests served after an overload from
-// 0.32 to 0.66 of all; without any breaker it was 0.33 (simulated deployment of 61
+// 0.32 to 0.66 of all; without any circuitBreaker it was 0.33 (simulated deployment of 61
 // machines, processor time counted, one run each).
-type breaker struct {
-	failures int
-	until    time.Time
+type circuitBreaker struct {
+	consecutiveFailures int
+	openUntil    time.Time
 }
 
 // allow says whether a reservation may ask the shard. After the open time it admits
 // one, the trial.
-func (b *breaker) allow(now time.Time) bool {
-	if b.failures < failuresToOpen {
+func (b *circuitBreaker) allow(now time.Time) bool {
+	if b.consecutiveFailures < failureThreshold {
 		return true
 	}
-	if now.Before(b.until) {
+	if now.Before(b.openUntil) {
 		return false
 	}
-	b.until = now.Add(trialTime)
+	b.openUntil = now.Add(probeTime)
 	return true
 }
 
-// note records whether a host decided a reservation.
-func (b *breaker) note(decided bool, now time.Time) {
+// record records whether a host decided a reservation.
+func (b *circuitBreaker) record(decided bool, now time.Time) {
 	if decided {
-		*b = breaker{}
+		*b = circuitBreaker{}
 		return
 	}
-	b.failures++
-	if b.failures < failuresToOpen {
+	b.consecutiveFailures++
+	if b.consecutiveFailures < failureThreshold {
 		return
 	}
-	pause := openTime
-	for i := failuresToOpen; i < b.failures && pause < longestOpen; i++ {
+	pause := initialOpenTime
+	for i := failureThreshold; i < b.consecutiveFailures && pause < maxOpenTime; i++ {
 		pause *= 2
 	}
-	b.until = now.Add(min(pause, longestOpen))
+	b.openUntil = now.Add(min(pause, maxOpenTime))
 }
--- a/coordination/tokenbudget/client.go
+++ b/coordination/tokenbudget/client.go
@@ -67,7 +67,7 @@
 	// ended are, by address, the turns that their hosts weren't told of yet.
 	ended map[string][]Ended
 	// breakers are those of the shards that were asked.
-	breakers map[uint32]*breaker
+	breakers map[uint32]*circuitBreaker
 }
 
 // NewClient makes a client without turns. The client tells the tracker which hosts
@@ -76,7 +76,7 @@
 	return &Client{
 		hosts: hosts, views: views, reach: tracker, now: now, logger: logger,
 		hostOf: make(map[string]string), ended: make(map[string][]Ended),
-		breakers: make(map[uint32]*breaker),
+		breakers: make(map[uint32]*circuitBreaker),
 	}
 }
 
@@ -107,19 +107,19 @@
 		if ended.isSlow() {
 			slow++
 		}
-		switch step := next(ended, slow).(type) {
-		case settled:
+		switch step := nextStep(ended, slow).(type) {
+		case decided:
 			c.note(shard, true)
 			return step.err
-		case refusedByHost:
+		case hostOverloaded:
 			return cmp.Or(reserved, step.err)
-		case askHolder:
+		case tryReserveHolder:
 			reserved = step.err
 			continue
-		case askNext:
+		case tryNextHost:
 			last = ended.err
 			continue
-		case unreachable:
+		case giveUp:
 			last = ended.err
 		}
 		break
@@ -135,7 +135,7 @@
 func (c *Client) attempt(ctx context.Context, address string, wanted Reservation) attempt {
 	began := c.now()
 	err := c.try(ctx, address, wanted)
-	return attempt{err: err, took: c.now().Sub(began), givenUp: ctx.Err() != nil}
+	return attempt{err: err, duration: c.now().Sub(began), callerGone: ctx.Err() != nil}
 }
 
 // mayTry asks the shard's breaker whether a reservation may ask its hosts.
@@ -152,10 +152,10 @@
 	defer c.mutex.Unlock()
 	known := c.breakers[shard]
 	if known == nil {
-		known = &breaker{}
+		known = &circuitBreaker{}
 		c.breakers[shard] = known
 	}
-	known.note(decided, c.now())
+	known.record(decided, c.now())
 }
 
 // try asks one host, and tells it of turns that have ended there.
