--- a/coordination/tokenbudget/attempt.go
+++ b/coordination/tokenbudget/attempt.go
@@ -14,7 +14,7 @@
 	maxSlowAttempts = 2
 	// slowAttemptThreshold is how long a failed try must have taken to count as slow. A host
 	// that refuses connections fails much sooner.
-	slowAttemptThreshold = tryTimeout / 2
+	slowAttemptThreshold = attemptTimeout / 2
 )
 
 // attempt is how one request to one host ended.
--- a/coordination/tokenbudget/attempt_test.go
+++ b/coordination/tokenbudget/attempt_test.go
@@ -28,8 +28,8 @@
 		{"overloaded", attempt{err: crowded}, 0, hostOverloaded{crowded}},
 		{"overloaded after two slow hosts", attempt{err: crowded}, maxSlowAttempts, hostOverloaded{crowded}},
 		{"lost", attempt{err: lost}, 0, tryNextHost{}},
-		{"first slow host", attempt{err: lost, duration: tryTimeout}, 1, tryNextHost{}},
-		{"second slow host", attempt{err: lost, duration: tryTimeout}, maxSlowAttempts, giveUp{}},
+		{"first slow host", attempt{err: lost, duration: attemptTimeout}, 1, tryNextHost{}},
+		{"second slow host", attempt{err: lost, duration: attemptTimeout}, maxSlowAttempts, giveUp{}},
 		{"caller left", attempt{err: lost, callerGone: true}, 0, giveUp{}},
 	}
 	for _, c := range cases {
--- a/coordination/tokenbudget/breaker.go
+++ b/coordination/tokenbudget/breaker.go
@@ -12,7 +12,7 @@
 	maxOpenTime = 2 * time.Second
 	// probeTime is how long a trial keeps other requests away: what two slow hosts
 	// take.
-	probeTime = maxSlowAttempts * tryTimeout
+	probeTime = maxSlowAttempts * attemptTimeout
 )
 
 // circuitBreaker is a shard's circuit circuitBreaker: it opens after failuresToOpen reservations in
--- a/coordination/tokenbudget/client.go
+++ b/coordination/tokenbudget/client.go
@@ -36,20 +36,20 @@
 }
 
 const (
-	// tryTimeout bounds one request to one host: a few times what a round of a
+	// attemptTimeout bounds one request to one host: a few times what a round of a
 	// register takes, so that two hosts can be tried within a request's time for
 	// state. Chosen, not measured.
-	tryTimeout = 350 * time.Millisecond
-	// endDelay is how long an ended turn waits for the next reservation at its
+	attemptTimeout = 350 * time.Millisecond
+	// endReportDelay is how long an ended turn waits for the next reservation at its
 	// host, which carries it along and saves a request. Chosen, not measured.
-	endDelay = 300 * time.Millisecond
-	// endTries bounds the tries to tell a host of ended turns. The host charges
+	endReportDelay = 300 * time.Millisecond
+	// maxEndReports bounds the tries to tell a host of ended turns. The host charges
 	// turns that it isn't told of with the most that they reserved. Chosen, not
 	// measured.
-	endTries = 5
-	// lifetimeSlack is added to a turn's time, for clocks that differ in speed.
+	maxEndReports = 5
+	// lifetimeMargin is added to a turn's time, for clocks that differ in speed.
 	// Chosen, not measured.
-	lifetimeSlack = 5 * time.Second
+	lifetimeMargin = 5 * time.Second
 )
 
 // Client is a gateway's side: it reserves for turns at the hosts of their programs.
@@ -57,15 +57,15 @@
 type Client struct {
 	hosts  Hosts
 	views  Views
-	reach  *reach.Tracker
+	tracker  *reach.Tracker
 	now    func() time.Time
 	logger *zap.Logger
 
 	mutex sync.Mutex
-	// hostOf is the address of the host that granted each reservation under way.
-	hostOf map[string]string
-	// ended are, by address, the turns that their hosts weren't told of yet.
-	ended map[string][]Ended
+	// grantedBy is the address of the host that granted each reservation under way.
+	grantedBy map[string]string
+	// pendingEnds are, by address, the turns that their hosts weren't told of yet.
+	pendingEnds map[string][]Ended
 	// breakers are those of the shards that were asked.
 	breakers map[uint32]*circuitBreaker
 }
@@ -74,8 +74,8 @@
 // answer.
 func NewClient(hosts Hosts, views Views, tracker *reach.Tracker, now func() time.Time, logger *zap.Logger) *Client {
 	return &Client{
-		hosts: hosts, views: views, reach: tracker, now: now, logger: logger,
-		hostOf: make(map[string]string), ended: make(map[string][]Ended),
+		hosts: hosts, views: views, tracker: tracker, now: now, logger: logger,
+		grantedBy: make(map[string]string), pendingEnds: make(map[string][]Ended),
 		breakers: make(map[uint32]*circuitBreaker),
 	}
 }
@@ -89,11 +89,11 @@
 	if !known {
 		return merry.Prepend(ErrUnavailable, "no replica set is known")
 	}
-	if !c.mayTry(shard) {
+	if !c.allowShard(shard) {
 		return merry.Prependf(ErrUnavailable, "shard %d was out of reach a moment ago", shard)
 	}
-	wanted.Lifetime += lifetimeSlack
-	return c.askHosts(ctx, shard, c.order(view, wanted.Program), wanted)
+	wanted.Lifetime += lifetimeMargin
+	return c.askHosts(ctx, shard, c.orderHosts(view, wanted.Program), wanted)
 }
 
 // askHosts asks the hosts at the addresses until one decides or the rule gives up. Where
@@ -109,7 +109,7 @@
 		}
 		switch step := nextStep(ended, slow).(type) {
 		case decided:
-			c.note(shard, true)
+			c.recordOutcome(shard, true)
 			return step.err
 		case hostOverloaded:
 			return cmp.Or(reserved, step.err)
@@ -124,7 +124,7 @@
 		}
 		break
 	}
-	c.note(shard, reserved != nil)
+	c.recordOutcome(shard, reserved != nil)
 	if reserved != nil {
 		return reserved
 	}
@@ -134,20 +134,20 @@
 // attempt asks one host and notes how long that took.
 func (c *Client) attempt(ctx context.Context, address string, wanted Reservation) attempt {
 	began := c.now()
-	err := c.try(ctx, address, wanted)
+	err := c.requestReservation(ctx, address, wanted)
 	return attempt{err: err, duration: c.now().Sub(began), callerGone: ctx.Err() != nil}
 }
 
-// mayTry asks the shard's breaker whether a reservation may ask its hosts.
-func (c *Client) mayTry(shard uint32) bool {
+// allowShard asks the shard's breaker whether a reservation may ask its hosts.
+func (c *Client) allowShard(shard uint32) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	known := c.breakers[shard]
 	return known == nil || known.allow(c.now())
 }
 
-// note tells the shard's breaker whether a host decided.
-func (c *Client) note(shard uint32, decided bool) {
+// recordOutcome tells the shard's breaker whether a host decided.
+func (c *Client) recordOutcome(shard uint32, decided bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	known := c.breakers[shard]
@@ -158,39 +158,39 @@
 	known.record(decided, c.now())
 }
 
-// try asks one host, and tells it of turns that have ended there.
-func (c *Client) try(ctx context.Context, address string, wanted Reservation) error {
-	ctx, cancel := context.WithTimeout(ctx, tryTimeout)
+// requestReservation asks one host, and tells it of turns that have ended there.
+func (c *Client) requestReservation(ctx context.Context, address string, wanted Reservation) error {
+	ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
-	along := c.takeEnded(address)
+	along := c.takePendingEnds(address)
 	err := c.hosts.Reserve(ctx, address, wanted, along)
 	if err == nil {
-		c.reach.Heard(address)
+		c.tracker.Heard(address)
 		c.mutex.Lock()
-		c.hostOf[wanted.Name] = address
+		c.grantedBy[wanted.Name] = address
 		c.mutex.Unlock()
 		return nil
 	}
 	if IsRefusal(err) || errors.Is(err, ErrOverloaded) {
-		c.reach.Heard(address)
+		c.tracker.Heard(address)
 		return err
 	}
 	if !errors.Is(ctx.Err(), context.Canceled) {
-		c.reach.Failed(address)
+		c.tracker.Failed(address)
 	}
 	c.logger.Info("budget host failed", zap.String("address", address), zap.String("program", wanted.Program),
 		zap.String("reservation", wanted.Name), zap.Error(err))
 	// The host may have reserved all the same, and may not have taken in the turns
 	// that were told along: both are told again.
-	c.tell(address, append(along, Ended{Program: wanted.Program, Reservation: wanted.Name}))
+	c.queueEnds(address, append(along, Ended{Program: wanted.Program, Reservation: wanted.Name}))
 	return err
 }
 
-// order puts the members in the program's order, those that failed lately last.
-func (c *Client) order(view register.View, program string) []string {
+// orderHosts puts the members in the program's orderHosts, those that failed lately last.
+func (c *Client) orderHosts(view register.View, program string) []string {
 	members := slices.Clone(view.Members)
 	slices.SortFunc(members, func(a, b register.Member) int {
-		return cmp.Or(c.reach.Compare(a.Address, b.Address),
+		return cmp.Or(c.tracker.Compare(a.Address, b.Address),
 			cmp.Compare(register.Rank(b.Node, program), register.Rank(a.Node, program)))
 	})
 	addresses := make([]string, 0, len(members))
@@ -203,49 +203,49 @@
 // End tells the turn's host what it has handed out. It doesn't wait.
 func (c *Client) End(ended Ended) {
 	c.mutex.Lock()
-	address, found := c.hostOf[ended.Reservation]
-	delete(c.hostOf, ended.Reservation)
+	address, found := c.grantedBy[ended.Reservation]
+	delete(c.grantedBy, ended.Reservation)
 	c.mutex.Unlock()
 	if found {
-		c.tell(address, []Ended{ended})
+		c.queueEnds(address, []Ended{ended})
 	}
 }
 
-// tell keeps ended turns for the next reservation at their host, or sends them alone
+// queueEnds keeps ended turns for the next reservation at their host, or sends them alone
 // after endDelay.
-func (c *Client) tell(address string, ended []Ended) {
+func (c *Client) queueEnds(address string, ended []Ended) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	waiting := len(c.ended[address]) > 0
-	c.ended[address] = append(c.ended[address], ended...)
+	waiting := len(c.pendingEnds[address]) > 0
+	c.pendingEnds[address] = append(c.pendingEnds[address], ended...)
 	if !waiting {
-		time.AfterFunc(endDelay, func() { c.tellAlone(address) })
+		time.AfterFunc(endReportDelay, func() { c.sendPendingEnds(address) })
 	}
 }
 
-// takeEnded returns and forgets the ended turns of the host at the address.
-func (c *Client) takeEnded(address string) []Ended {
+// takePendingEnds returns and forgets the ended turns of the host at the address.
+func (c *Client) takePendingEnds(address string) []Ended {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	ended := c.ended[address]
-	delete(c.ended, address)
+	ended := c.pendingEnds[address]
+	delete(c.pendingEnds, address)
 	return ended
 }
 
-// tellAlone tells the host of ended turns that no reservation has carried along.
-func (c *Client) tellAlone(address string) {
-	ended := c.takeEnded(address)
+// sendPendingEnds tells the host of ended turns that no reservation has carried along.
+func (c *Client) sendPendingEnds(address string) {
+	ended := c.takePendingEnds(address)
 	if len(ended) == 0 {
 		return
 	}
-	for range endTries {
-		ctx, cancel := context.WithTimeout(context.Background(), tryTimeout)
+	for range maxEndReports {
+		ctx, cancel := context.WithTimeout(context.Background(), attemptTimeout)
 		err := c.hosts.End(ctx, address, ended)
 		cancel()
 		if err == nil {
 			return
 		}
-		time.Sleep(endDelay)
+		time.Sleep(endReportDelay)
 	}
 	c.logger.Warn("budget host not told of ended turns", zap.String("address", address), zap.Int("turns", len(ended)))
 }
@@ -253,8 +253,8 @@
 // Flush tells all hosts of ended turns, until the context ends.
 func (c *Client) Flush(ctx context.Context) {
 	c.mutex.Lock()
-	pending := c.ended
-	c.ended = make(map[string][]Ended)
+	pending := c.pendingEnds
+	c.pendingEnds = make(map[string][]Ended)
 	c.mutex.Unlock()
 	for address, ended := range pending {
 		if err := c.hosts.End(ctx, address, ended); err != nil {
