--- a/coordination/tokenbudget/flush.go
+++ b/coordination/tokenbudget/flush.go
@@ -11,9 +11,9 @@
 	"github.com/marblering/marblering/state/budget"
 )
 
-// flushLook is the pause between two looks whether all reserves are given back: short
+// flushPollInterval is the pause between two looks whether all reserves are given back: short
 // beside the time in which gateways tell of ended turns (endDelay).
-const flushLook = 10 * time.Millisecond
+const flushPollInterval = 10 * time.Millisecond
 
 // Flush lets no turn begin any more, gives back what no turn needs, at once, and the rest
 // as turns end, until all is given back or the context ends. What isn't given back by then
@@ -28,7 +28,7 @@
 	for program, current := range inUse {
 		go l.trim(ctx, program, current)
 	}
-	for l.hasUnreleased() && sleep.For(ctx, flushLook) == nil {
+	for l.hasUnreleased() && sleep.For(ctx, flushPollInterval) == nil {
 	}
 }
 
--- a/coordination/tokenbudget/host.go
+++ b/coordination/tokenbudget/host.go
@@ -13,14 +13,14 @@
 	// expiryInterval is the pause between two searches for turns that never ended.
 	// Chosen, not measured.
 	expiryInterval = time.Second
-	// earlyEndMemory is how long the end of a reservation is remembered that hasn't
+	// earlyEndRetention is how long the end of a reservation is remembered that hasn't
 	// arrived. It is longer than a reservation is under way: a connection that says
 	// nothing is given up after 4 s (peer.pingTimeout twice). Chosen, not measured.
-	earlyEndMemory = 10 * time.Second
+	earlyEndRetention = 10 * time.Second
 )
 
-// errEnded means that the gateway ended the reservation before it was granted.
-var errEnded = errors.New("the reservation was ended before it was granted")
+// errEndedBeforeGrant means that the gateway ended the reservation before it was granted.
+var errEndedBeforeGrant = errors.New("the reservation was ended before it was granted")
 
 // Reservation is a turn that wants to begin.
 type Reservation struct {
@@ -59,28 +59,28 @@
 	now    func() time.Time
 
 	mutex        sync.Mutex
-	reservations map[string]*hosted
+	reservations map[string]*hostReservation
 	// endedEarly is when reservations were ended that weren't granted here, or haven't
 	// arrived: a host that was paused takes in both at once, in any order.
 	endedEarly map[string]time.Time
 }
 
-// hosted is a reservation that is asked for or granted. The host's mutex guards it.
-type hosted struct {
+// hostReservation is a reservation that is asked for or granted. The host's mutex guards it.
+type hostReservation struct {
 	program string
 	most    uint64
 	expires time.Time
-	// decided is closed once err says whether the reservation is granted.
-	decided chan struct{}
+	// done is closed once err says whether the reservation is granted.
+	done chan struct{}
 	err     error
 	// isEnded is set where the reservation was ended before it was decided.
 	isEnded bool
 }
 
-// isDecided tells that the ledger has granted or refused the reservation.
-func (r *hosted) isDecided() bool {
+// isDone tells that the ledger has granted or refused the reservation.
+func (r *hostReservation) isDone() bool {
 	select {
-	case <-r.decided:
+	case <-r.done:
 		return true
 	default:
 		return false
@@ -90,7 +90,7 @@
 // NewHost makes a host without turns.
 func NewHost(ledger *Ledger, now func() time.Time) *Host {
 	return &Host{
-		ledger: ledger, now: now, reservations: make(map[string]*hosted), endedEarly: make(map[string]time.Time),
+		ledger: ledger, now: now, reservations: make(map[string]*hostReservation), endedEarly: make(map[string]time.Time),
 	}
 }
 
@@ -104,55 +104,55 @@
 // than they had generated in 126 of 200 simulated runs with late messages, and in none
 // since (conversation.TestBudgetIsCountedThoughMessagesAreLate, virtual time).
 func (h *Host) Reserve(ctx context.Context, wanted Reservation) error {
-	asked, isRepeated, err := h.enter(wanted)
+	asked, isRepeated, err := h.findOrAdd(wanted)
 	if err != nil {
 		return err
 	}
 	if isRepeated {
 		return asked.await(ctx)
 	}
-	return h.decide(wanted.Name, asked, h.ledger.Reserve(ctx, wanted))
+	return h.complete(wanted.Name, asked, h.ledger.Reserve(ctx, wanted))
 }
 
-// enter notes a reservation that is asked for, or returns the one of its name.
-func (h *Host) enter(wanted Reservation) (asked *hosted, isRepeated bool, err error) {
+// findOrAdd notes a reservation that is asked for, or returns the one of its name.
+func (h *Host) findOrAdd(wanted Reservation) (asked *hostReservation, isRepeated bool, err error) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	if known, found := h.reservations[wanted.Name]; found {
 		return known, true, nil
 	}
 	if _, ended := h.endedEarly[wanted.Name]; ended {
-		return nil, false, errEnded
+		return nil, false, errEndedBeforeGrant
 	}
-	asked = &hosted{
-		program: wanted.Program, most: wanted.Most, expires: h.now().Add(wanted.Lifetime), decided: make(chan struct{}),
+	asked = &hostReservation{
+		program: wanted.Program, most: wanted.Most, expires: h.now().Add(wanted.Lifetime), done: make(chan struct{}),
 	}
 	h.reservations[wanted.Name] = asked
 	return asked, false, nil
 }
 
 // await waits until the reservation is decided.
-func (r *hosted) await(ctx context.Context) error {
+func (r *hostReservation) await(ctx context.Context) error {
 	select {
-	case <-r.decided:
+	case <-r.done:
 		return r.err
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 }
 
-// decide takes the ledger's answer and returns that of the host.
-func (h *Host) decide(name string, asked *hosted, err error) error {
+// complete takes the ledger's answer and returns that of the host.
+func (h *Host) complete(name string, asked *hostReservation, err error) error {
 	h.mutex.Lock()
 	isGivenBack := asked.isEnded && err == nil
 	if isGivenBack {
-		err = errEnded
+		err = errEndedBeforeGrant
 	}
 	if err != nil {
 		delete(h.reservations, name)
 	}
 	asked.err = err
-	close(asked.decided)
+	close(asked.done)
 	h.mutex.Unlock()
 	if isGivenBack {
 		h.ledger.End(asked.program, asked.most, 0)
@@ -165,18 +165,18 @@
 // way.
 func (h *Host) End(ended []Ended) {
 	for _, one := range ended {
-		if granted := h.take(one); granted != nil {
+		if granted := h.end(one); granted != nil {
 			h.ledger.End(granted.program, granted.most, one.HandedOut)
 		}
 	}
 }
 
-// take removes the reservation and returns it where it was granted.
-func (h *Host) take(ended Ended) (granted *hosted) {
+// end removes the reservation and returns it where it was granted.
+func (h *Host) end(ended Ended) (granted *hostReservation) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	known, found := h.reservations[ended.Reservation]
-	isGranted := found && known.isDecided()
+	isGranted := found && known.isDone()
 	if !isGranted && !ended.MayRecur {
 		h.endedEarly[ended.Reservation] = h.now()
 	}
@@ -214,13 +214,13 @@
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	for name, ended := range h.endedEarly {
-		if now.Sub(ended) > earlyEndMemory {
+		if now.Sub(ended) > earlyEndRetention {
 			delete(h.endedEarly, name)
 		}
 	}
 	var expired []Ended
 	for name, known := range h.reservations {
-		if known.isDecided() && now.After(known.expires) {
+		if known.isDone() && now.After(known.expires) {
 			expired = append(expired, Ended{Program: known.program, Reservation: name, HandedOut: known.most})
 		}
 	}
--- a/coordination/tokenbudget/ledger.go
+++ b/coordination/tokenbudget/ledger.go
@@ -155,7 +155,7 @@
 	if current == nil {
 		l.opened++
 		l.unreleased++
-		current = &account{holder: accountName(l.holder, l.opened), drawing: make(chan struct{}, 1)}
+		current = &account{holder: holderName(l.holder, l.opened), drawing: make(chan struct{}, 1)}
 		l.accounts[program] = current
 	}
 	current.users++
@@ -211,7 +211,7 @@
 	wish := budget.Draw{Holder: current.holder, Spent: current.spent, UnderWay: current.underWay, Turn: wanted.Most}
 	l.mutex.Unlock()
 	record, err := l.apply(ctx, wanted.Program, l.admission.priorityOf(wanted), func(record *statev1.TokenBudget) {
-		budget.SettleEnded(record, l.isEarlierLife)
+		budget.SettleEnded(record, l.isEarlierIncarnation)
 		// Whether the turn may begin is read from the record that was chosen.
 		_ = budget.Reserve(record, wanted.Limit, wish)
 	})
