--- a/coordination/tokenbudget/flush.go
+++ b/coordination/tokenbudget/flush.go
@@ -60,11 +60,11 @@
 // turn begin any more.
 func (l *Ledger) trim(ctx context.Context, program string, current *account) {
 	select {
-	case current.drawing <- struct{}{}:
+	case current.drawLock <- struct{}{}:
 	case <-ctx.Done():
 		return
 	}
-	defer func() { <-current.drawing }()
+	defer func() { <-current.drawLock }()
 	l.mutex.Lock()
 	spent, underWay := current.spent, current.underWay
 	// A turn that waits to begin must not use what is given back.
--- a/coordination/tokenbudget/ledger.go
+++ b/coordination/tokenbudget/ledger.go
@@ -47,12 +47,12 @@
 }
 
 const (
-	// longestRelease is the longest pause between two tries to give a reserve back,
+	// maxReleasePauseFactor is the longest pause between two tries to give a reserve back,
 	// as a multiple of Settings.ReleasePause. Chosen, not measured.
-	longestRelease = 16
-	// releasesAtOnce bounds the returns of reserves under way: while a record can't
+	maxReleasePauseFactor = 16
+	// maxConcurrentReleases bounds the returns of reserves under way: while a record can't
 	// be reached, many accounts become idle. Chosen, not measured.
-	releasesAtOnce = 16
+	maxConcurrentReleases = 16
 )
 
 // Ledger lets turns begin and counts what they generate. It is safe for
@@ -64,14 +64,14 @@
 	settings  Settings
 	logger    *zap.Logger
 
-	// releasing has a place for each return of a reserve under way.
-	releasing chan struct{}
+	// releaseSlots has a place for each return of a reserve under way.
+	releaseSlots chan struct{}
 	admission *admission
 	now       func() time.Time
 
 	mutex    sync.Mutex
 	accounts map[string]*account
-	opened   uint64
+	accountsOpened   uint64
 	// flushing is set once no turn begins and no account waits for its idle time any
 	// more.
 	flushing bool
@@ -86,7 +86,7 @@
 func New(holder string, registers Register, locate func(program string) uint32, settings Settings, now func() time.Time, logger *zap.Logger) *Ledger {
 	return &Ledger{
 		holder: holder, registers: registers, locate: locate, settings: settings, logger: logger,
-		accounts: make(map[string]*account), releasing: make(chan struct{}, releasesAtOnce),
+		accounts: make(map[string]*account), releaseSlots: make(chan struct{}, maxConcurrentReleases),
 		admission: newAdmission(settings.Draws, settings.Crowd, now), now: now,
 	}
 }
@@ -95,7 +95,7 @@
 // drawing is held by the turn that changes the record.
 type account struct {
 	holder  string
-	drawing chan struct{}
+	drawLock chan struct{}
 	// Tokens: spent is what ended turns have generated, underWay the most that
 	// turns under way may generate, and reserved what the record grants this host.
 	spent    uint64
@@ -113,12 +113,12 @@
 // error that says that the record can't be reached or that this node stops. After
 // success, End must be called.
 func (l *Ledger) Reserve(ctx context.Context, wanted Reservation) error {
-	current := l.open(wanted.Program)
+	current := l.openAccount(wanted.Program)
 	if current == nil {
 		return errStopping
 	}
 	if err := l.begin(ctx, current, wanted); err != nil {
-		l.leave(wanted.Program, current)
+		l.leaveAccount(wanted.Program, current)
 		return err
 	}
 	l.admission.recordTurn(wanted.Program)
@@ -136,16 +136,16 @@
 	}
 	l.mutex.Unlock()
 	if current != nil {
-		l.leave(program, current)
+		l.leaveAccount(program, current)
 	}
 }
 
 // errStopping means that this node stops. Another host may let the turn begin.
 var errStopping = errors.New("the budget's host stops")
 
-// open returns the program's account and keeps it from being released; nil where this
+// openAccount returns the program's account and keeps it from being released; nil where this
 // node stops.
-func (l *Ledger) open(program string) *account {
+func (l *Ledger) openAccount(program string) *account {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if l.flushing {
@@ -153,9 +153,9 @@
 	}
 	current := l.accounts[program]
 	if current == nil {
-		l.opened++
+		l.accountsOpened++
 		l.unreleased++
-		current = &account{holder: holderName(l.holder, l.opened), drawing: make(chan struct{}, 1)}
+		current = &account{holder: holderName(l.holder, l.accountsOpened), drawLock: make(chan struct{}, 1)}
 		l.accounts[program] = current
 	}
 	current.users++
@@ -165,8 +165,8 @@
 	return current
 }
 
-// leave ends one use. The last one starts the idle time.
-func (l *Ledger) leave(program string, current *account) {
+// leaveAccount ends one use. The last one starts the idle time.
+func (l *Ledger) leaveAccount(program string, current *account) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	current.users--
@@ -183,11 +183,11 @@
 // begin takes the turn's tokens from the reserve, or draws more first.
 func (l *Ledger) begin(ctx context.Context, current *account, wanted Reservation) error {
 	select {
-	case current.drawing <- struct{}{}:
+	case current.drawLock <- struct{}{}:
 	case <-ctx.Done():
 		return ctx.Err()
 	}
-	defer func() { <-current.drawing }()
+	defer func() { <-current.drawLock }()
 	if l.takeReserved(current, wanted.Most) {
 		return nil
 	}
@@ -216,7 +216,7 @@
 		_ = budget.Reserve(record, wanted.Limit, wish)
 	})
 	if errors.Is(err, register.ErrUnknownOutcome) {
-		l.keepCertain(current, wish)
+		l.keepGuaranteed(current, wish)
 	}
 	if err != nil {
 		return err
@@ -236,10 +236,10 @@
 	return nil
 }
 
-// keepCertain leaves the account what the record grants it however a draw ended: what its
+// keepGuaranteed leaves the account what the record grants it however a draw ended: what its
 // turns under way need. A refused draw gives back whatever was reserved beyond that, and
 // a smaller turn that began from it afterwards was in no record.
-func (l *Ledger) keepCertain(current *account, wish budget.Draw) {
+func (l *Ledger) keepGuaranteed(current *account, wish budget.Draw) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	// Turns that ended meanwhile have used a part of it.
@@ -253,22 +253,22 @@
 func (l *Ledger) release(program string, current *account) {
 	pause := l.settings.ReleasePause
 	for range l.settings.ReleaseTries {
-		if !l.mayRelease(program, current) {
+		if !l.retire(program, current) {
 			return
 		}
-		if l.tryToRelease(program, current) == nil {
-			l.forget(program, current)
+		if l.releaseOnce(program, current) == nil {
+			l.removeAccount(program, current)
 			return
 		}
 		time.Sleep(pause)
-		pause = min(2*pause, longestRelease*l.settings.ReleasePause)
+		pause = min(2*pause, maxReleasePauseFactor*l.settings.ReleasePause)
 	}
 	l.logger.Warn("token reserve not released", zap.String("program", program), zap.Uint64("reserved", current.reserved))
-	l.forget(program, current)
+	l.removeAccount(program, current)
 }
 
-// forget ends an account whose reserve was given back, or can't be.
-func (l *Ledger) forget(program string, current *account) {
+// removeAccount ends an account whose reserve was given back, or can't be.
+func (l *Ledger) removeAccount(program string, current *account) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if current.users == 0 && l.accounts[program] == current {
@@ -280,8 +280,8 @@
 	}
 }
 
-// mayRelease takes the account out of use: a turn that comes now opens another.
-func (l *Ledger) mayRelease(program string, current *account) bool {
+// retire takes the account out of use: a turn that comes now opens another.
+func (l *Ledger) retire(program string, current *account) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if current.users > 0 {
@@ -293,9 +293,9 @@
 	return true
 }
 
-func (l *Ledger) tryToRelease(program string, current *account) error {
-	l.releasing <- struct{}{}
-	defer func() { <-l.releasing }()
+func (l *Ledger) releaseOnce(program string, current *account) error {
+	l.releaseSlots <- struct{}{}
+	defer func() { <-l.releaseSlots }()
 	ctx, cancel := context.WithTimeout(context.Background(), l.settings.ReleaseTimeout)
 	defer cancel()
 	_, err := l.apply(ctx, program, lowPriority, func(record *statev1.TokenBudget) {
