--- a/coordination/tokenbudget/admission.go
+++ b/coordination/tokenbudget/admission.go
@@ -12,73 +12,67 @@
 )
 
 const (
-	// runningProgramWindow is how long after its last turn a program counts as running: a
-	// few times the pause in which programs call their tools. Chosen, not measured.
+	// runningProgramWindow is how long after its last turn a program counts as running.
+	// It covers the pauses in which programs call their tools.
 	runningProgramWindow = 10 * time.Second
-	// slowChangeThreshold is how long a change may take before this host refuses programs
-	// that begin: a few times what a change takes on an idle host, and well below
-	// tryTimeout, which a gateway waits for it. Chosen, not measured.
+	// slowChangeThreshold is the duration above which a change lowers the limit for
+	// low-priority changes. It is below attemptTimeout, after which the gateway has given
+	// the attempt up.
 	slowChangeThreshold = 100 * time.Millisecond
-	// isolationThreshold is how long all changes must have failed before this host counts
-	// as cut off rather than overloaded: longer than tryTimeout, so that one slow
-	// round doesn't count. Chosen, not measured.
+	// isolationThreshold is how long all changes must have failed before the host reports
+	// that it can't reach records rather than that it is overloaded. It is longer than
+	// attemptTimeout, so that a single slow change doesn't exceed it.
 	isolationThreshold = 500 * time.Millisecond
 )
 
-// priority says which changes of records go first where there are too many.
+// priority tells which changes of records are admitted first under load.
 type priority int
 
 const (
-	// lowPriority changes begin a program or give a reserve back: nothing is lost if
-	// they come later.
+	// lowPriority changes begin a program or release a reserve. They can be repeated later
+	// without loss.
 	lowPriority priority = iota
-	// highPriority changes let a program go on. A program that is refused in its middle
-	// has computed its earlier turns in vain.
+	// highPriority changes let a running program continue. Refusing one wastes the
+	// program's earlier turns.
 	highPriority
 )
 
 // admission decides whether this host begins another change of a record:
 //
-//   - A change is refused while as many are under way as the adaptive limit allows.
-//     The limit falls with each change that fails, so that under overload most of
-//     what begins also ends in time. Without it, hosts finished 7 of 5,000 changes
-//     at four times the load that they can do (virtual time,
-//     limit.TestOverloadFinishesWhatItBegins).
-//   - A deferrable change is refused by a second limit, which also falls with each
-//     change that takes longer than crowdedAfter. So programs that run go first:
-//     hosts offered 80, 160 and 320 programs a second finish 80.0, 89.2 and 88.8 of
-//     them a second, and 80.0, 39.8 and 8.8 without it (virtual time,
-//     TestOverloadFinishesPrograms).
-//   - A host that refuses says ErrOverloaded, which keeps gateways from asking
-//     another host; after cutOffAfter without any change that succeeded it says
-//     that it can't reach the record, so that they do ask another.
+//   - An adaptive limit bounds all changes in progress. It falls with each change that
+//     fails, so that under overload most of the changes that begin also finish in time.
+//   - A second adaptive limit bounds low-priority changes. It also falls with each change
+//     that takes longer than slowChangeThreshold, so that running programs go first.
+//   - A refusal is ErrOverloaded, which keeps gateways from asking another host. If no
+//     change has succeeded for isolationThreshold, the refusal says instead that records
+//     can't be reached, so that gateways do ask another host.
 //
 // It is safe for concurrent use.
 type admission struct {
 	now func() time.Time
-	// allChanges bounds every change, crowd the deferrable ones.
-	allChanges   *limit.Adaptive
+	// allChanges bounds every change, lowPriorityChanges those of low priority.
+	allChanges         *limit.Adaptive
 	lowPriorityChanges *limit.Adaptive
-	// lastSuccess is when a record was last changed, in nanoseconds since 1970.
+	// lastSuccess is when a record was last changed, in Unix nanoseconds.
 	lastSuccess atomic.Int64
 
 	mutex sync.Mutex
-	// runningPrograms are those that had a turn here within runningTime.
+	// runningPrograms holds the programs that had a turn here within runningProgramWindow.
 	runningPrograms *recent.Map[struct{}]
 }
 
-func newAdmission(all, crowd limit.AdaptivePolicy, now func() time.Time) *admission {
+func newAdmission(allPolicy, lowPriorityPolicy limit.AdaptivePolicy, now func() time.Time) *admission {
 	return &admission{
-		now: now, allChanges: limit.NewAdaptive(all, now), lowPriorityChanges: limit.NewAdaptive(crowd, now),
+		now: now, allChanges: limit.NewAdaptive(allPolicy, now), lowPriorityChanges: limit.NewAdaptive(lowPriorityPolicy, now),
 		runningPrograms: recent.New(runningProgramWindow, func(time.Time) struct{} { return struct{}{} }),
 	}
 }
 
-// priorityOf says whether the reservation lets a program go on or begins one.
-func (a *admission) priorityOf(wanted Reservation) priority {
+// priorityOf returns highPriority for a turn of a running program, lowPriority otherwise.
+func (a *admission) priorityOf(reservation Reservation) priority {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	if wanted.Running || a.runningPrograms.Has(wanted.Program) {
+	if reservation.Running || a.runningPrograms.Has(reservation.Program) {
 		return highPriority
 	}
 	return lowPriority
@@ -91,13 +85,13 @@
 	a.runningPrograms.Get(program, a.now())
 }
 
-// beginChange lets a change beginChange or returns why it is refused. After success, end must
-// be called with the time at which the change began.
-func (a *admission) beginChange(wanted priority) error {
-	if wanted == highPriority {
+// beginChange admits a change or returns why it is refused. Each admitted change must be
+// ended by endChange, with the time at which it began.
+func (a *admission) beginChange(level priority) error {
+	if level == highPriority {
 		a.lowPriorityChanges.Enter()
 	} else if !a.lowPriorityChanges.Begin() {
-		return merry.Wrap(ErrOverloaded, merry.AppendMessagef("%d changes of budgets are under way, no program begins", a.lowPriorityChanges.Limit()))
+		return merry.Wrap(ErrOverloaded, merry.AppendMessagef("the limit of %d budget changes in progress is reached for new programs", a.lowPriorityChanges.Limit()))
 	}
 	if a.allChanges.Begin() {
 		return nil
@@ -106,7 +100,7 @@
 	return a.refusalError()
 }
 
-// endChange records how a change ended.
+// endChange records the result of a change.
 func (a *admission) endChange(began time.Time, err error) {
 	now := a.now()
 	a.allChanges.End(err != nil)
@@ -116,13 +110,12 @@
 	}
 }
 
-// refusalError is the error of a change that the limit refuses. A host that changes other
-// records is overloaded; one that changes none is cut off, and another host may
-// succeed.
+// refusalError returns the error of a change that the limit refuses: ErrOverloaded while
+// other changes succeed, otherwise an error that sends gateways to another host.
 func (a *admission) refusalError() error {
 	idle := a.now().Sub(time.Unix(0, a.lastSuccess.Load()))
 	if idle > isolationThreshold {
-		return merry.Errorf("no record was changed for %s", idle)
+		return merry.Errorf("no budget record was changed for %s", idle)
 	}
-	return merry.Wrap(ErrOverloaded, merry.AppendMessagef("%d changes of budgets are under way", a.allChanges.Limit()))
+	return merry.Wrap(ErrOverloaded, merry.AppendMessagef("the limit of %d budget changes in progress is reached", a.allChanges.Limit()))
 }
