--- a/coordination/tokenbudget/breaker.go
+++ b/coordination/tokenbudget/breaker.go
@@ -3,34 +3,29 @@
 import "time"
 
 const (
-	// failureThreshold is how many reservations in a row, each tried at several hosts,
-	// must fail before the breaker opens. Chosen, not measured.
+	// failureThreshold is the number of failed reservations in a row, each of which may have
+	// tried several hosts, that opens the breaker.
 	failureThreshold = 3
-	// initialOpenTime is how long the breaker is open at first. It doubles with each trial
-	// that fails, up to longestOpen. Chosen, not measured.
-	initialOpenTime    = 250 * time.Millisecond
-	maxOpenTime = 2 * time.Second
-	// probeTime is how long a trial keeps other requests away: what two slow hosts
-	// take.
+	// initialOpenTime is how long the breaker stays open at first. It doubles with each
+	// failed probe, up to maxOpenTime.
+	initialOpenTime = 250 * time.Millisecond
+	maxOpenTime     = 2 * time.Second
+	// probeTime is how long a probe keeps other requests away: the time of the slow
+	// attempts that one reservation may make.
 	probeTime = maxSlowAttempts * attemptTimeout
 )
 
-// circuitBreaker is a shard's circuit circuitBreaker: it opens after failuresToOpen reservations in
-// a row that no host of the shard decided, and requests are then refused at once,
-// since they would only wait. When its time is over, a single request tries the shard
-// while others are still refused: otherwise each pause would end with as many
-// requests as it was to keep away. A reservation that a host decides closes it.
-//
-// With the bound of admission it raised the requests served after an overload from
-// 0.32 to 0.66 of all; without any circuitBreaker it was 0.33 (simulated deployment of 61
-// machines, processor time counted, one run each).
+// circuitBreaker protects the hosts of a shard. It opens after failureThreshold
+// reservations in a row that no host decided; while it is open, reservations fail at once
+// instead of waiting. After the open time a single probe is admitted, so that requests
+// don't all return at once. A reservation that a host decides closes the breaker.
 type circuitBreaker struct {
 	consecutiveFailures int
-	openUntil    time.Time
+	openUntil           time.Time
 }
 
-// allow says whether a reservation may ask the shard. After the open time it admits
-// one, the trial.
+// allow reports whether a reservation may ask the shard's hosts. After the open time it
+// admits one reservation as a probe.
 func (b *circuitBreaker) allow(now time.Time) bool {
 	if b.consecutiveFailures < failureThreshold {
 		return true
@@ -42,7 +37,7 @@
 	return true
 }
 
-// record records whether a host decided a reservation.
+// record counts a reservation as decided by a host or as failed.
 func (b *circuitBreaker) record(decided bool, now time.Time) {
 	if decided {
 		*b = circuitBreaker{}
