--- a/coordination/tokenbudget/client.go
+++ b/coordination/tokenbudget/client.go
@@ -15,62 +15,60 @@
 	"github.com/marblering/marblering/coordination/register"
 )
 
-// ErrUnavailable means that no host could reach the program's record.
-var ErrUnavailable = errors.New("no host of the program's budget answers")
+// ErrUnavailable means that no host could change the program's record.
+var ErrUnavailable = errors.New("no host of the program's budget answered")
 
-// ErrOverloaded means that the host has too many records to ask for already. It
+// ErrOverloaded means that the host already changes as many records as it can. It
 // reserved nothing.
-var ErrOverloaded = errors.New("the budget's host is overloaded")
+var ErrOverloaded = errors.New("the budget host is overloaded")
 
-// Hosts sends requests to the hosts. peer.Client is one. Reserve returns what
-// the host answered, or an error that says nothing about what it did.
+// Hosts sends requests to hosts; peer.BudgetClient implements it. Reserve returns the
+// host's decision, or an error after which it is unknown whether the host reserved
+// anything.
 type Hosts interface {
-	Reserve(ctx context.Context, address string, wanted Reservation, ended []Ended) error
+	Reserve(ctx context.Context, address string, reservation Reservation, ended []Ended) error
 	End(ctx context.Context, address string, ended []Ended) error
 }
 
-// Views gives the replica sets.
+// Views provides the replica sets of shards and the shard of each program.
 type Views interface {
 	View(shard uint32) (register.View, bool)
 	Locate(program string) uint32
 }
 
 const (
-	// attemptTimeout bounds one request to one host: a few times what a round of a
-	// register takes, so that two hosts can be tried within a request's time for
-	// state. Chosen, not measured.
+	// attemptTimeout bounds one request to one host. It is a few times the duration of a
+	// change of a register, and short enough to try two hosts for one reservation.
 	attemptTimeout = 350 * time.Millisecond
-	// endReportDelay is how long an ended turn waits for the next reservation at its
-	// host, which carries it along and saves a request. Chosen, not measured.
+	// endReportDelay is how long an ended turn waits for a reservation at its host that can
+	// carry it, which saves a request.
 	endReportDelay = 300 * time.Millisecond
-	// maxEndReports bounds the tries to tell a host of ended turns. The host charges
-	// turns that it isn't told of with the most that they reserved. Chosen, not
-	// measured.
+	// maxEndReports bounds the requests that report the same ended turns. A host charges
+	// turns whose end isn't reported with the most that they reserved.
 	maxEndReports = 5
-	// lifetimeMargin is added to a turn's time, for clocks that differ in speed.
-	// Chosen, not measured.
+	// lifetimeMargin is added to the lifetime of a turn, for clocks that differ in speed.
 	lifetimeMargin = 5 * time.Second
 )
 
-// Client is a gateway's side: it reserves for turns at the hosts of their programs.
-// It is safe for concurrent use.
+// Client reserves tokens for a gateway's turns at the hosts of their programs. It is safe
+// for concurrent use.
 type Client struct {
-	hosts  Hosts
-	views  Views
-	tracker  *reach.Tracker
-	now    func() time.Time
-	logger *zap.Logger
+	hosts   Hosts
+	views   Views
+	tracker *reach.Tracker
+	now     func() time.Time
+	logger  *zap.Logger
 
 	mutex sync.Mutex
-	// grantedBy is the address of the host that granted each reservation under way.
+	// grantedBy maps the reservations in progress to the addresses of their hosts.
 	grantedBy map[string]string
-	// pendingEnds are, by address, the turns that their hosts weren't told of yet.
+	// pendingEnds holds, by address, the ended turns that their hosts don't know of yet.
 	pendingEnds map[string][]Ended
-	// breakers are those of the shards that were asked.
+	// breakers holds the circuit breakers by shard.
 	breakers map[uint32]*circuitBreaker
 }
 
-// NewClient makes a client without turns. The client tells the tracker which hosts
+// NewClient returns a client without reservations. It records in the tracker which hosts
 // answer.
 func NewClient(hosts Hosts, views Views, tracker *reach.Tracker, now func() time.Time, logger *zap.Logger) *Client {
 	return &Client{
@@ -80,94 +78,95 @@
 	}
 }
 
-// Reserve asks the program's hosts one after the other until one decides, by the rule
-// of next. It returns a refusal of the budget, ErrUnavailable or ErrOverloaded.
-// After success, End must be called.
-func (c *Client) Reserve(ctx context.Context, wanted Reservation) error {
-	shard := c.views.Locate(wanted.Program)
+// Reserve asks the program's hosts one after the other until one decides, by the rules of
+// nextStep. It returns a refusal of the budget, ErrUnavailable or ErrOverloaded. After
+// success, End must be called.
+func (c *Client) Reserve(ctx context.Context, reservation Reservation) error {
+	shard := c.views.Locate(reservation.Program)
 	view, known := c.views.View(shard)
 	if !known {
-		return merry.Prepend(ErrUnavailable, "no replica set is known")
+		return merry.Prependf(ErrUnavailable, "no replica set is known for shard %d", shard)
 	}
 	if !c.allowShard(shard) {
-		return merry.Prependf(ErrUnavailable, "shard %d was out of reach a moment ago", shard)
+		return merry.Prependf(ErrUnavailable, "the circuit breaker of shard %d is open", shard)
 	}
-	wanted.Lifetime += lifetimeMargin
-	return c.askHosts(ctx, shard, c.orderHosts(view, wanted.Program), wanted)
+	reservation.Lifetime += lifetimeMargin
+	return c.askHosts(ctx, shard, c.orderHosts(view, reservation.Program), reservation)
 }
 
-// askHosts asks the hosts at the addresses until one decides or the rule gives up. Where
-// some say that others reserve the rest of the budget, and none grants the turn or knows
-// it as spent, that is the answer.
-func (c *Client) askHosts(ctx context.Context, shard uint32, addresses []string, wanted Reservation) error {
-	var last, reserved error
+// askHosts asks the hosts until one decides or nextStep gives up. If a host refused the
+// turn with budget.ErrReserved and no later one grants it or reports the budget as spent,
+// that refusal is the result.
+func (c *Client) askHosts(ctx context.Context, shard uint32, addresses []string, reservation Reservation) error {
+	var lastErr, reservedErr error
 	slow := 0
 	for _, address := range addresses {
-		ended := c.attempt(ctx, address, wanted)
-		if ended.isSlow() {
+		current := c.attempt(ctx, address, reservation)
+		if current.isSlow() {
 			slow++
 		}
-		switch step := nextStep(ended, slow).(type) {
-		case decided:
+		switch step := nextStep(current, slow).(type) {
+		case finish:
 			c.recordOutcome(shard, true)
 			return step.err
 		case hostOverloaded:
-			return cmp.Or(reserved, step.err)
+			return cmp.Or(reservedErr, step.err)
 		case tryReserveHolder:
-			reserved = step.err
+			reservedErr = step.err
 			continue
 		case tryNextHost:
-			last = ended.err
+			lastErr = current.err
 			continue
 		case giveUp:
-			last = ended.err
+			lastErr = current.err
 		}
 		break
 	}
-	c.recordOutcome(shard, reserved != nil)
-	if reserved != nil {
-		return reserved
+	c.recordOutcome(shard, reservedErr != nil)
+	if reservedErr != nil {
+		return reservedErr
 	}
-	return merry.Wrap(ErrUnavailable, merry.WithCause(last), merry.AppendMessagef("%v", last))
+	return merry.Wrap(ErrUnavailable, merry.WithCause(lastErr), merry.AppendMessagef("%v", lastErr))
 }
 
-// attempt asks one host and notes how long that took.
-func (c *Client) attempt(ctx context.Context, address string, wanted Reservation) attempt {
+// attempt asks one host and measures how long that took.
+func (c *Client) attempt(ctx context.Context, address string, reservation Reservation) attempt {
 	began := c.now()
-	err := c.requestReservation(ctx, address, wanted)
+	err := c.requestReservation(ctx, address, reservation)
 	return attempt{err: err, duration: c.now().Sub(began), callerGone: ctx.Err() != nil}
 }
 
-// allowShard asks the shard's breaker whether a reservation may ask its hosts.
+// allowShard reports whether the shard's circuit breaker admits a reservation.
 func (c *Client) allowShard(shard uint32) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	known := c.breakers[shard]
-	return known == nil || known.allow(c.now())
+	breaker := c.breakers[shard]
+	return breaker == nil || breaker.allow(c.now())
 }
 
-// recordOutcome tells the shard's breaker whether a host decided.
+// recordOutcome records in the shard's circuit breaker whether a host decided.
 func (c *Client) recordOutcome(shard uint32, decided bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	known := c.breakers[shard]
-	if known == nil {
-		known = &circuitBreaker{}
-		c.breakers[shard] = known
+	breaker := c.breakers[shard]
+	if breaker == nil {
+		breaker = &circuitBreaker{}
+		c.breakers[shard] = breaker
 	}
-	known.record(decided, c.now())
+	breaker.record(decided, c.now())
 }
 
-// requestReservation asks one host, and tells it of turns that have ended there.
-func (c *Client) requestReservation(ctx context.Context, address string, wanted Reservation) error {
+// requestReservation asks one host. The request also reports the turns that have ended
+// there.
+func (c *Client) requestReservation(ctx context.Context, address string, reservation Reservation) error {
 	ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
-	along := c.takePendingEnds(address)
-	err := c.hosts.Reserve(ctx, address, wanted, along)
+	reported := c.takePendingEnds(address)
+	err := c.hosts.Reserve(ctx, address, reservation, reported)
 	if err == nil {
 		c.tracker.Heard(address)
 		c.mutex.Lock()
-		c.grantedBy[wanted.Name] = address
+		c.grantedBy[reservation.Name] = address
 		c.mutex.Unlock()
 		return nil
 	}
@@ -178,15 +177,16 @@
 	if !errors.Is(ctx.Err(), context.Canceled) {
 		c.tracker.Failed(address)
 	}
-	c.logger.Info("budget host failed", zap.String("address", address), zap.String("program", wanted.Program),
-		zap.String("reservation", wanted.Name), zap.Error(err))
-	// The host may have reserved all the same, and may not have taken in the turns
-	// that were told along: both are told again.
-	c.queueEnds(address, append(along, Ended{Program: wanted.Program, Reservation: wanted.Name}))
+	c.logger.Info("budget host failed", zap.String("address", address), zap.String("program", reservation.Program),
+		zap.String("reservation", reservation.Name), zap.Error(err))
+	// The host may have reserved the tokens without having recorded the ended turns, so
+	// both are reported again.
+	c.queueEnds(address, append(reported, Ended{Program: reservation.Program, Reservation: reservation.Name}))
 	return err
 }
 
-// orderHosts puts the members in the program's orderHosts, those that failed lately last.
+// orderHosts returns the addresses of the members by their rank for the program; those
+// that failed lately come last.
 func (c *Client) orderHosts(view register.View, program string) []string {
 	members := slices.Clone(view.Members)
 	slices.SortFunc(members, func(a, b register.Member) int {
@@ -200,7 +200,8 @@
 	return addresses
 }
 
-// End tells the turn's host what it has handed out. It doesn't wait.
+// End reports to the turn's host how many tokens the turn handed out. It doesn't wait for
+// the host.
 func (c *Client) End(ended Ended) {
 	c.mutex.Lock()
 	address, found := c.grantedBy[ended.Reservation]
@@ -211,8 +212,8 @@
 	}
 }
 
-// queueEnds keeps ended turns for the next reservation at their host, or sends them alone
-// after endDelay.
+// queueEnds keeps ended turns for the next reservation at their host, or sends them in a
+// request of their own after endReportDelay.
 func (c *Client) queueEnds(address string, ended []Ended) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -223,7 +224,7 @@
 	}
 }
 
-// takePendingEnds returns and forgets the ended turns of the host at the address.
+// takePendingEnds returns and forgets the pending ended turns of a host.
 func (c *Client) takePendingEnds(address string) []Ended {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -232,7 +233,7 @@
 	return ended
 }
 
-// sendPendingEnds tells the host of ended turns that no reservation has carried along.
+// sendPendingEnds reports the ended turns that no reservation has carried to the host.
 func (c *Client) sendPendingEnds(address string) {
 	ended := c.takePendingEnds(address)
 	if len(ended) == 0 {
@@ -247,10 +248,10 @@
 		}
 		time.Sleep(endReportDelay)
 	}
-	c.logger.Warn("budget host not told of ended turns", zap.String("address", address), zap.Int("turns", len(ended)))
+	c.logger.Warn("ended turns not reported to budget host", zap.String("address", address), zap.Int("turns", len(ended)))
 }
 
-// Flush tells all hosts of ended turns, until the context ends.
+// Flush reports all pending ended turns, until the context ends.
 func (c *Client) Flush(ctx context.Context) {
 	c.mutex.Lock()
 	pending := c.pendingEnds
@@ -258,7 +259,7 @@
 	c.mutex.Unlock()
 	for address, ended := range pending {
 		if err := c.hosts.End(ctx, address, ended); err != nil {
-			c.logger.Warn("budget host not told of ended turns", zap.String("address", address), zap.Error(err))
+			c.logger.Warn("ended turns not reported to budget host", zap.String("address", address), zap.Error(err))
 		}
 	}
 }
