--- a/coordination/tokenbudget/flush.go
+++ b/coordination/tokenbudget/flush.go
@@ -11,15 +11,14 @@
 	"github.com/marblering/marblering/state/budget"
 )
 
-// flushPollInterval is the pause between two looks whether all reserves are given back: short
-// beside the time in which gateways tell of ended turns (endDelay).
+// flushPollInterval is the interval at which Flush checks whether all reserves are
+// released. It is short relative to endReportDelay, after which gateways report ended turns.
 const flushPollInterval = 10 * time.Millisecond
 
-// Flush lets no turn begin any more, gives back what no turn needs, at once, and the rest
-// as turns end, until all is given back or the context ends. What isn't given back by then
-// is lost to its program: nobody knows later what its turns have generated. A host that
-// didn't wait, and gave nothing back for programs with a turn under way, took up to 200 of
-// 1,000 tokens from them (TestFlushWaitsForTurns).
+// Flush refuses new turns and releases all reserves: what no turn needs at once, and the
+// rest as turns end. It returns once everything is released or the context ends. A reserve
+// that isn't released by then stays charged to its program, since nobody can tell later how
+// much of it was used.
 func (l *Ledger) Flush(ctx context.Context) {
 	idle, inUse := l.beginFlush()
 	for program, current := range idle {
@@ -32,8 +31,8 @@
 	}
 }
 
-// beginFlush returns the accounts without a turn, which wait for their idle time no
-// longer, and the others.
+// beginFlush returns the accounts without turns, whose idle timers it stops, and those
+// with turns.
 func (l *Ledger) beginFlush() (idle, inUse map[string]*account) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -56,8 +55,8 @@
 	return l.unreleased > 0
 }
 
-// trim gives back what the account's turns under way don't need. The account must let no
-// turn begin any more.
+// trim releases the part of the account's reserve that its turns don't need. The ledger must
+// already refuse new turns.
 func (l *Ledger) trim(ctx context.Context, program string, current *account) {
 	select {
 	case current.drawLock <- struct{}{}:
@@ -67,14 +66,14 @@
 	defer func() { <-current.drawLock }()
 	l.mutex.Lock()
 	spent, underWay := current.spent, current.underWay
-	// A turn that waits to begin must not use what is given back.
+	// A turn that waits to begin must not use what is released.
 	current.reserved = min(current.reserved, underWay)
 	l.mutex.Unlock()
 	_, err := l.apply(ctx, program, lowPriority, func(record *statev1.TokenBudget) {
 		budget.Trim(record, current.holder, spent, underWay)
 	})
 	if err != nil {
-		// It is given back when the last turn ends, if that is in time.
+		// The reserve is released when the last turn ends, if that is before the stop.
 		l.logger.Info("token reserve not trimmed", zap.String("program", program), zap.Error(err))
 	}
 }
--- a/coordination/tokenbudget/holder.go
+++ b/coordination/tokenbudget/holder.go
@@ -5,27 +5,29 @@
 	"strings"
 )
 
-// Names of holders in a record: "node/life#account". A node makes a life at each start
-// and an account for each program that it draws for, anew after a pause.
+// A record names its holders "node/incarnation#account". A node has a new incarnation after
+// each start. It opens an account for each program whose turns it admits, and a new one
+// after the last was released.
 const (
-	incarnationSeparator    = "/"
-	accountSeparator = "#"
+	incarnationSeparator = "/"
+	accountSeparator     = "#"
 )
 
-// holderName names the ledger's account with the number.
-func holderName(ledger string, number uint64) string {
-	return fmt.Sprintf("%s%s%d", ledger, accountSeparator, number)
+// holderName returns the name under which a record keeps the ledger's account with the
+// number.
+func holderName(ledgerHolder string, number uint64) string {
+	return fmt.Sprintf("%s%s%d", ledgerHolder, accountSeparator, number)
 }
 
-// isEarlierIncarnation tells that the holder is an account of this node from before its last
-// start.
+// isEarlierIncarnation reports whether the holder is an account of this node from before its
+// last start.
 func (l *Ledger) isEarlierIncarnation(holder string) bool {
 	node, isNamed := nodeOf(l.holder)
-	its, _ := nodeOf(holder)
-	return isNamed && node == its && !strings.HasPrefix(holder, l.holder+accountSeparator)
+	otherNode, _ := nodeOf(holder)
+	return isNamed && node == otherNode && !strings.HasPrefix(holder, l.holder+accountSeparator)
 }
 
-// nodeOf returns the node that a holder's name begins with.
+// nodeOf returns the node part of a holder's name.
 func nodeOf(holder string) (node string, isNamed bool) {
 	end := strings.LastIndex(holder, incarnationSeparator)
 	if end < 0 {
