--- a/coordination/tokenbudget/host.go
+++ b/coordination/tokenbudget/host.go
@@ -10,74 +10,74 @@
 )
 
 const (
-	// expiryInterval is the pause between two searches for turns that never ended.
-	// Chosen, not measured.
+	// expiryInterval is the pause between two checks for turns whose lifetime is over.
 	expiryInterval = time.Second
-	// earlyEndRetention is how long the end of a reservation is remembered that hasn't
-	// arrived. It is longer than a reservation is under way: a connection that says
-	// nothing is given up after 4 s (peer.pingTimeout twice). Chosen, not measured.
+	// earlyEndRetention is how long the end of a reservation that hasn't arrived is
+	// remembered. It exceeds the time after which a silent connection is closed, twice
+	// peer.pingTimeout, so that the reservation can't arrive later.
 	earlyEndRetention = 10 * time.Second
 )
 
 // errEndedBeforeGrant means that the gateway ended the reservation before it was granted.
 var errEndedBeforeGrant = errors.New("the reservation was ended before it was granted")
 
-// Reservation is a turn that wants to begin.
+// Reservation asks for the tokens of one turn.
 type Reservation struct {
 	Program string
-	// Name names this reservation. It is unique over all turns and all attempts at
-	// them, so that the end of one attempt can't be taken for that of another.
+	// Name identifies the reservation. It is unique over all turns and all attempts at them,
+	// so that the end of one attempt isn't taken for the end of another.
 	Name string
 	// Limit is the budget of the whole program, in tokens.
 	Limit uint64
 	// Most is the most that the turn may generate, in tokens.
 	Most uint64
-	// Lifetime is how long the turn may be under way.
+	// Lifetime bounds the duration of the turn.
 	Lifetime time.Duration
-	// Running is set where the gateway knows that the program had turns before. The
-	// host may know of others.
+	// Running is set if the gateway knows that the program had earlier turns. The host may
+	// know of others.
 	Running bool
 }
 
-// Ended is a reservation whose turn generates no more.
+// Ended reports that the turn of a reservation generates no more tokens.
 type Ended struct {
 	Program string
 	// Reservation is the name of the reservation.
 	Reservation string
-	// HandedOut is what the turn's caller was given, in tokens.
+	// HandedOut is the number of tokens that the turn's caller received.
 	HandedOut uint64
-	// MayRecur is set where another reservation may have the same name: gateways of
-	// earlier versions name all attempts at a turn alike.
+	// MayRecur is set if another reservation may have the same name: gateways of earlier
+	// versions give all attempts at a turn the same name.
 	MayRecur bool
 }
 
-// Host serves a ledger to gateways. All gateways ask the same host for a program as
-// long as it answers, so that most turns begin from its reserve. It is a suture
-// service and safe for concurrent use.
+// Host serves a ledger to gateways. All gateways ask the same host for a program as long as
+// it answers, so that most turns begin from its reserve. It is a suture service and safe for
+// concurrent use.
 type Host struct {
 	ledger *Ledger
 	now    func() time.Time
 
 	mutex        sync.Mutex
 	reservations map[string]*hostReservation
-	// endedEarly is when reservations were ended that weren't granted here, or haven't
-	// arrived: a host that was paused takes in both at once, in any order.
+	// endedEarly maps the reservations that ended before they were granted, or before they
+	// arrived, to the time of their end. A host that resumes after a pause may receive the
+	// end first.
 	endedEarly map[string]time.Time
 }
 
-// hostReservation is a reservation that is asked for or granted. The host's mutex guards it.
+// hostReservation is a reservation that is pending or granted. The host's mutex guards it.
 type hostReservation struct {
 	program string
 	most    uint64
 	expires time.Time
 	// done is closed once err says whether the reservation is granted.
 	done chan struct{}
-	err     error
-	// isEnded is set where the reservation was ended before it was decided.
+	err  error
+	// isEnded is set if the reservation ended while it was pending.
 	isEnded bool
 }
 
-// isDone tells that the ledger has granted or refused the reservation.
+// isDone reports whether the reservation was granted or refused.
 func (r *hostReservation) isDone() bool {
 	select {
 	case <-r.done:
@@ -87,7 +87,7 @@
 	}
 }
 
-// NewHost makes a host without turns.
+// NewHost returns a host without reservations.
 func NewHost(ledger *Ledger, now func() time.Time) *Host {
 	return &Host{
 		ledger: ledger, now: now, reservations: make(map[string]*hostReservation), endedEarly: make(map[string]time.Time),
@@ -97,41 +97,39 @@
 // String names the service in the supervisor's messages.
 func (h *Host) String() string { return "host of budgets" }
 
-// Reserve lets the turn begin, as Ledger.Reserve does. A repeated reservation is
-// answered as the first one. One that was ended meanwhile, or before it arrived, isn't
-// granted: its gateway has given it up and won't end it again, so that it would stay
-// charged with its most, for tokens that nobody generates. Programs were charged with more
-// than they had generated in 126 of 200 simulated runs with late messages, and in none
-// since (conversation.TestBudgetIsCountedThoughMessagesAreLate, virtual time).
-func (h *Host) Reserve(ctx context.Context, wanted Reservation) error {
-	asked, isRepeated, err := h.findOrAdd(wanted)
+// Reserve lets the turn begin, as Ledger.Reserve does. A repeated reservation gets the answer
+// of the first one. A reservation that has ended before it was granted is refused: its
+// gateway won't end it again, and the program would be charged for tokens that no turn
+// generates.
+func (h *Host) Reserve(ctx context.Context, reservation Reservation) error {
+	pending, isRepeat, err := h.findOrAdd(reservation)
 	if err != nil {
 		return err
 	}
-	if isRepeated {
-		return asked.await(ctx)
+	if isRepeat {
+		return pending.await(ctx)
 	}
-	return h.complete(wanted.Name, asked, h.ledger.Reserve(ctx, wanted))
+	return h.complete(reservation.Name, pending, h.ledger.Reserve(ctx, reservation))
 }
 
-// findOrAdd notes a reservation that is asked for, or returns the one of its name.
-func (h *Host) findOrAdd(wanted Reservation) (asked *hostReservation, isRepeated bool, err error) {
+// findOrAdd returns the reservation of the same name or adds a pending one.
+func (h *Host) findOrAdd(reservation Reservation) (pending *hostReservation, isRepeat bool, err error) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	if known, found := h.reservations[wanted.Name]; found {
+	if known, found := h.reservations[reservation.Name]; found {
 		return known, true, nil
 	}
-	if _, ended := h.endedEarly[wanted.Name]; ended {
+	if _, ended := h.endedEarly[reservation.Name]; ended {
 		return nil, false, errEndedBeforeGrant
 	}
-	asked = &hostReservation{
-		program: wanted.Program, most: wanted.Most, expires: h.now().Add(wanted.Lifetime), done: make(chan struct{}),
+	pending = &hostReservation{
+		program: reservation.Program, most: reservation.Most, expires: h.now().Add(reservation.Lifetime), done: make(chan struct{}),
 	}
-	h.reservations[wanted.Name] = asked
-	return asked, false, nil
+	h.reservations[reservation.Name] = pending
+	return pending, false, nil
 }
 
-// await waits until the reservation is decided.
+// await waits until the reservation is granted or refused.
 func (r *hostReservation) await(ctx context.Context) error {
 	select {
 	case <-r.done:
@@ -141,38 +139,39 @@
 	}
 }
 
-// complete takes the ledger's answer and returns that of the host.
-func (h *Host) complete(name string, asked *hostReservation, err error) error {
+// complete records the ledger's decision and returns the host's. They differ for a
+// reservation that ended meanwhile, whose tokens are returned to the ledger.
+func (h *Host) complete(name string, pending *hostReservation, err error) error {
 	h.mutex.Lock()
-	isGivenBack := asked.isEnded && err == nil
-	if isGivenBack {
+	mustRelease := pending.isEnded && err == nil
+	if mustRelease {
 		err = errEndedBeforeGrant
 	}
 	if err != nil {
 		delete(h.reservations, name)
 	}
-	asked.err = err
-	close(asked.done)
+	pending.err = err
+	close(pending.done)
 	h.mutex.Unlock()
-	if isGivenBack {
-		h.ledger.End(asked.program, asked.most, 0)
+	if mustRelease {
+		h.ledger.End(pending.program, pending.most, 0)
 	}
 	return err
 }
 
-// End counts what turns have handed out. A reservation that is still asked for won't be
-// granted. One that isn't known was refused, or has ended before, or is still on its
-// way.
+// End counts the tokens that turns have handed out. A pending reservation won't be granted
+// any more. An unknown one was refused, has ended before, or hasn't arrived yet.
 func (h *Host) End(ended []Ended) {
-	for _, one := range ended {
-		if granted := h.end(one); granted != nil {
-			h.ledger.End(granted.program, granted.most, one.HandedOut)
+	for _, end := range ended {
+		if granted := h.removeGranted(end); granted != nil {
+			h.ledger.End(granted.program, granted.most, end.HandedOut)
 		}
 	}
 }
 
-// end removes the reservation and returns it where it was granted.
-func (h *Host) end(ended Ended) (granted *hostReservation) {
+// removeGranted removes the reservation and returns it if it was granted. Otherwise it
+// records the early end and returns nil.
+func (h *Host) removeGranted(ended Ended) (granted *hostReservation) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	known, found := h.reservations[ended.Reservation]
@@ -193,7 +192,7 @@
 	return known
 }
 
-// Serve charges turns that their gateway never ended with the most that they
+// Serve charges turns whose lifetime is over without an end with the most that they
 // reserved.
 func (h *Host) Serve(ctx context.Context) error {
 	ticker := time.NewTicker(expiryInterval)
@@ -208,13 +207,14 @@
 	}
 }
 
-// expired returns the reservations whose lifetime is over, and forgets old early ends.
+// expired returns the granted reservations whose lifetime is over, and forgets early ends
+// after earlyEndRetention.
 func (h *Host) expired() []Ended {
 	now := h.now()
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	for name, ended := range h.endedEarly {
-		if now.Sub(ended) > earlyEndRetention {
+	for name, endedAt := range h.endedEarly {
+		if now.Sub(endedAt) > earlyEndRetention {
 			delete(h.endedEarly, name)
 		}
 	}
