--- a/coordination/tokenbudget/ledger.go
+++ b/coordination/tokenbudget/ledger.go
@@ -14,30 +14,29 @@
 	"github.com/marblering/marblering/state/budget"
 )
 
-// Register changes a value by compare-and-swap and returns it. register.Client is one.
+// Register changes a value by compare-and-swap and returns the new one. register.Client
+// implements it.
 type Register interface {
 	Apply(ctx context.Context, shard uint32, key string, change register.Change) ([]byte, error)
 }
 
 // Settings are the bounds of a Ledger.
 type Settings struct {
-	// IdleTime is how long a program may have no turn before its account is
-	// closed, which gives its reserve back.
+	// IdleTime is how long a program may be without turns before its account is closed and
+	// its reserve released.
 	IdleTime time.Duration
-	// ReleaseTimeout bounds one try to give a reserve back. ReleasePause follows
-	// the first try that failed and doubles with each. ReleaseTries is the number
-	// of tries. What can't be given back stays charged.
+	// ReleaseTimeout bounds one attempt to release a reserve. ReleasePause follows the first
+	// failed attempt and doubles with each. ReleaseTries is the number of attempts. A
+	// reserve that can't be released stays charged to its program.
 	ReleaseTimeout time.Duration
 	ReleasePause   time.Duration
 	ReleaseTries   int
-	// Draws bounds the changes of records under way: more would make each other
-	// late. Crowd bounds the deferrable ones among them.
+	// Draws bounds all changes of records in progress, Crowd those of low priority.
 	Draws limit.AdaptivePolicy
 	Crowd limit.AdaptivePolicy
 }
 
-// DefaultSettings give reserves back about a second after a program's last turn.
-// The times are chosen, not measured.
+// DefaultSettings releases a reserve about a second after the program's last turn.
 func DefaultSettings() Settings {
 	return Settings{
 		IdleTime: 700 * time.Millisecond, ReleaseTimeout: 2 * time.Second,
@@ -47,16 +46,16 @@
 }
 
 const (
-	// maxReleasePauseFactor is the longest pause between two tries to give a reserve back,
-	// as a multiple of Settings.ReleasePause. Chosen, not measured.
+	// maxReleasePauseFactor is the longest pause between two attempts to release a reserve, as
+	// a multiple of Settings.ReleasePause.
 	maxReleasePauseFactor = 16
-	// maxConcurrentReleases bounds the returns of reserves under way: while a record can't
-	// be reached, many accounts become idle. Chosen, not measured.
+	// maxConcurrentReleases bounds the releases in progress, as many accounts become idle
+	// while a record can't be reached.
 	maxConcurrentReleases = 16
 )
 
-// Ledger lets turns begin and counts what they generate. It is safe for
-// concurrent use.
+// Ledger admits turns against the budgets of their programs and counts what they generate.
+// It is safe for concurrent use.
 type Ledger struct {
 	holder    string
 	registers Register
@@ -64,25 +63,24 @@
 	settings  Settings
 	logger    *zap.Logger
 
-	// releaseSlots has a place for each return of a reserve under way.
+	// releaseSlots has a place for each release in progress.
 	releaseSlots chan struct{}
-	admission *admission
-	now       func() time.Time
+	admission    *admission
+	now          func() time.Time
 
-	mutex    sync.Mutex
-	accounts map[string]*account
-	accountsOpened   uint64
-	// flushing is set once no turn begins and no account waits for its idle time any
-	// more.
+	mutex          sync.Mutex
+	accounts       map[string]*account
+	accountsOpened uint64
+	// flushing is set once new turns are refused and accounts are released without waiting
+	// for IdleTime.
 	flushing bool
-	// unreleased counts the accounts whose reserve wasn't given back yet.
+	// unreleased counts the accounts whose reserve isn't released yet.
 	unreleased int
 }
 
-// New makes a ledger. The holder is the name under which records keep its
-// reserves; it must be unique over all hosts and all restarts of each. It is the name of
-// a node, a slash and what names this life of the node. A node must not run twice at
-// once.
+// New returns a ledger. Records keep its reserves under the holder's name, "node/incarnation",
+// which must be unique over all hosts and their restarts. A node must not run twice at the
+// same time.
 func New(holder string, registers Register, locate func(program string) uint32, settings Settings, now func() time.Time, logger *zap.Logger) *Ledger {
 	return &Ledger{
 		holder: holder, registers: registers, locate: locate, settings: settings, logger: logger,
@@ -91,41 +89,40 @@
 	}
 }
 
-// account is one program's reserve at this host. The ledger's mutex guards it;
-// drawing is held by the turn that changes the record.
+// account is the reserve of one program at this host. The ledger's mutex guards it. The turn
+// that changes the record holds drawLock.
 type account struct {
-	holder  string
+	holder   string
 	drawLock chan struct{}
-	// Tokens: spent is what ended turns have generated, underWay the most that
-	// turns under way may generate, and reserved what the record grants this host.
+	// The amounts are in tokens: spent is what ended turns have generated, underWay the most
+	// that turns in progress may generate, and reserved what the record grants this host.
 	spent    uint64
 	underWay uint64
 	reserved uint64
-	// users are the turns that are under way or want to begin.
+	// users counts the turns that are in progress or waiting to begin.
 	users int
 	timer *time.Timer
-	// isReleased is set once the reserve was given back, or can't be.
+	// isReleased is set once the reserve was released or all attempts to do so have failed.
 	isReleased bool
 }
 
-// Reserve lets a turn of the program begin that generates at most wanted.Most
-// tokens. It returns budget.ErrSpent, budget.ErrReserved, ErrOverloaded, or an
-// error that says that the record can't be reached or that this node stops. After
-// success, End must be called.
-func (l *Ledger) Reserve(ctx context.Context, wanted Reservation) error {
-	current := l.openAccount(wanted.Program)
+// Reserve lets a turn of the program begin that generates at most reservation.Most tokens. It
+// returns budget.ErrSpent, budget.ErrReserved, ErrOverloaded, or an error that says that the
+// record can't be reached or that this node is stopping. After success, End must be called.
+func (l *Ledger) Reserve(ctx context.Context, reservation Reservation) error {
+	current := l.openAccount(reservation.Program)
 	if current == nil {
 		return errStopping
 	}
-	if err := l.begin(ctx, current, wanted); err != nil {
-		l.leaveAccount(wanted.Program, current)
+	if err := l.begin(ctx, current, reservation); err != nil {
+		l.leaveAccount(reservation.Program, current)
 		return err
 	}
-	l.admission.recordTurn(wanted.Program)
+	l.admission.recordTurn(reservation.Program)
 	return nil
 }
 
-// End counts the tokens that the turn has handed out, of the most that it reserved.
+// End counts the tokens that a turn has handed out. most is what the turn reserved.
 func (l *Ledger) End(program string, most, handedOut uint64) {
 	l.mutex.Lock()
 	current := l.accounts[program]
@@ -140,11 +137,11 @@
 	}
 }
 
-// errStopping means that this node stops. Another host may let the turn begin.
-var errStopping = errors.New("the budget's host stops")
+// errStopping means that this node is stopping. Another host may let the turn begin.
+var errStopping = errors.New("the budget host is stopping")
 
-// openAccount returns the program's account and keeps it from being released; nil where this
-// node stops.
+// openAccount returns the program's account and keeps it from being released. It returns nil
+// if this node is stopping.
 func (l *Ledger) openAccount(program string) *account {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -165,7 +162,7 @@
 	return current
 }
 
-// leaveAccount ends one use. The last one starts the idle time.
+// leaveAccount ends one use of the account. The last one starts the idle time.
 func (l *Ledger) leaveAccount(program string, current *account) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -181,17 +178,17 @@
 }
 
 // begin takes the turn's tokens from the reserve, or draws more first.
-func (l *Ledger) begin(ctx context.Context, current *account, wanted Reservation) error {
+func (l *Ledger) begin(ctx context.Context, current *account, reservation Reservation) error {
 	select {
 	case current.drawLock <- struct{}{}:
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 	defer func() { <-current.drawLock }()
-	if l.takeReserved(current, wanted.Most) {
+	if l.takeReserved(current, reservation.Most) {
 		return nil
 	}
-	return l.draw(ctx, current, wanted)
+	return l.draw(ctx, current, reservation)
 }
 
 func (l *Ledger) takeReserved(current *account, most uint64) bool {
@@ -204,52 +201,51 @@
 	return true
 }
 
-// draw asks the record for a reserve that covers the turn. Turns may end
-// meanwhile; none begins.
-func (l *Ledger) draw(ctx context.Context, current *account, wanted Reservation) error {
+// draw asks the record for a reserve that covers the turn. Other turns of the account may end
+// meanwhile, but none begins.
+func (l *Ledger) draw(ctx context.Context, current *account, reservation Reservation) error {
 	l.mutex.Lock()
-	wish := budget.Draw{Holder: current.holder, Spent: current.spent, UnderWay: current.underWay, Turn: wanted.Most}
+	request := budget.Draw{Holder: current.holder, Spent: current.spent, UnderWay: current.underWay, Turn: reservation.Most}
 	l.mutex.Unlock()
-	record, err := l.apply(ctx, wanted.Program, l.admission.priorityOf(wanted), func(record *statev1.TokenBudget) {
+	record, err := l.apply(ctx, reservation.Program, l.admission.priorityOf(reservation), func(record *statev1.TokenBudget) {
 		budget.SettleEnded(record, l.isEarlierIncarnation)
-		// Whether the turn may begin is read from the record that was chosen.
-		_ = budget.Reserve(record, wanted.Limit, wish)
+		// The decision is read from the record that the register chose.
+		_ = budget.Reserve(record, reservation.Limit, request)
 	})
 	if errors.Is(err, register.ErrUnknownOutcome) {
-		l.keepGuaranteed(current, wish)
+		l.keepGuaranteed(current, request)
 	}
 	if err != nil {
 		return err
 	}
-	granted, refusal := budget.Decided(record, wish)
+	granted, refusal := budget.Decided(record, request)
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	// Turns that ended meanwhile have used a part of it.
-	current.reserved = granted - min(granted, current.spent-wish.Spent)
+	// Turns that ended meanwhile have used a part of the reserve.
+	current.reserved = granted - min(granted, current.spent-request.Spent)
 	if refusal != nil {
-		l.logger.Info("budget refused", zap.String("program", wanted.Program), zap.String("reservation", wanted.Name),
-			zap.Uint64("most", wanted.Most), zap.Uint64("under_way", current.underWay),
+		l.logger.Info("budget refused", zap.String("program", reservation.Program), zap.String("reservation", reservation.Name),
+			zap.Uint64("most", reservation.Most), zap.Uint64("under_way", current.underWay),
 			zap.String("record", budget.Standing(record)), zap.Error(refusal))
 		return refusal
 	}
-	current.underWay += wanted.Most
+	current.underWay += reservation.Most
 	return nil
 }
 
-// keepGuaranteed leaves the account what the record grants it however a draw ended: what its
-// turns under way need. A refused draw gives back whatever was reserved beyond that, and
-// a smaller turn that began from it afterwards was in no record.
-func (l *Ledger) keepGuaranteed(current *account, wish budget.Draw) {
+// keepGuaranteed reduces the reserve to what the record grants whether or not a draw took
+// effect: what turns in progress need. A refused draw releases the rest, which must not be
+// used for other turns.
+func (l *Ledger) keepGuaranteed(current *account, request budget.Draw) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	// Turns that ended meanwhile have used a part of it.
-	used := current.spent - wish.Spent
-	certain := wish.UnderWay - min(wish.UnderWay, used)
-	current.reserved = min(current.reserved, certain)
+	// Turns that ended meanwhile have used a part of the reserve.
+	used := current.spent - request.Spent
+	guaranteed := request.UnderWay - min(request.UnderWay, used)
+	current.reserved = min(current.reserved, guaranteed)
 }
 
-// release gives the account's reserve back and forgets it, unless another turn
-// came.
+// release releases the account's reserve and removes the account, unless another turn uses it.
 func (l *Ledger) release(program string, current *account) {
 	pause := l.settings.ReleasePause
 	for range l.settings.ReleaseTries {
@@ -267,7 +263,7 @@
 	l.removeAccount(program, current)
 }
 
-// removeAccount ends an account whose reserve was given back, or can't be.
+// removeAccount removes an account whose reserve was released or can't be released.
 func (l *Ledger) removeAccount(program string, current *account) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -280,7 +276,8 @@
 	}
 }
 
-// retire takes the account out of use: a turn that comes now opens another.
+// retire removes an unused account, so that a later turn opens another one. It returns false
+// if a turn uses the account.
 func (l *Ledger) retire(program string, current *account) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -304,14 +301,12 @@
 	return err
 }
 
-// apply makes one change of the program's record and returns the record that it left. The
-// change may be called several times, each time with a record of its own, and what it
-// left may be that of any of its calls: a register that gets no answer tries again and
-// may find that an earlier try was chosen. So whatever the change finds out is read from
-// the record that is returned. A ledger that kept what the last call found let turns begin
-// that no record knew (TestTurnBeginsByTheRecordThatWasChosen).
-func (l *Ledger) apply(ctx context.Context, program string, wanted priority, change func(*statev1.TokenBudget)) (*statev1.TokenBudget, error) {
-	if err := l.admission.beginChange(wanted); err != nil {
+// apply changes the program's record and returns the record that the register chose. The
+// register may call change several times, on different records, and choose the result of an
+// earlier call. A decision must therefore be read from the returned record, never kept by
+// change.
+func (l *Ledger) apply(ctx context.Context, program string, level priority, change func(*statev1.TokenBudget)) (*statev1.TokenBudget, error) {
+	if err := l.admission.beginChange(level); err != nil {
 		return nil, err
 	}
 	began := l.now()
@@ -330,7 +325,8 @@
 	return budget.Decode(program, chosen)
 }
 
-// IsRefusal tells an answer about the budget from a failure to reach it.
+// IsRefusal reports whether the error is a decision of the budget rather than a failure to
+// reach it.
 func IsRefusal(err error) bool {
 	return errors.Is(err, budget.ErrSpent) || errors.Is(err, budget.ErrReserved)
 }
