--- a/coordination/tokenbudget/flush_test.go
+++ b/coordination/tokenbudget/flush_test.go
@@ -26,7 +26,7 @@
 // that their budget is spent with 100 to 300 of 1,000 tokens left.
 func TestFlushWaitsForTurns(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
-		shared := newRegister()
+		shared := newSharedRegister()
 		ledger := newLedger("a", shared)
 		wanted := tokenbudget.Reservation{Program: "p", Limit: 1000, Most: 100}
 		assert.NilError(t, ledger.Reserve(t.Context(), wanted))
@@ -39,11 +39,11 @@
 	})
 }
 
-// TestFlushGivesBackWhatTurnsDontNeed: a turn that lasts longer than the stop keeps its
+// TestFlushReleasesUnneededReserve: a turn that lasts longer than the stop keeps its
 // most, and the program gets the rest.
-func TestFlushGivesBackWhatTurnsDontNeed(t *testing.T) {
+func TestFlushReleasesUnneededReserve(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
-		shared := newRegister()
+		shared := newSharedRegister()
 		ledger := newLedger("a", shared)
 		wanted := tokenbudget.Reservation{Program: "p", Limit: 1000, Most: 100}
 		assert.NilError(t, ledger.Reserve(t.Context(), wanted))
@@ -52,9 +52,9 @@
 	})
 }
 
-// TestStoppingHostLetsNoTurnBegin: the next host of the program does.
-func TestStoppingHostLetsNoTurnBegin(t *testing.T) {
-	shared := newRegister()
+// TestFlushedLedgerRefusesTurns: the next host of the program does.
+func TestFlushedLedgerRefusesTurns(t *testing.T) {
+	shared := newSharedRegister()
 	ledger := newLedger("a", shared)
 	ledger.Flush(t.Context())
 	assert.Assert(t, ledger.Reserve(t.Context(), tokenbudget.Reservation{Program: "p", Limit: 1000, Most: 100}) != nil)
--- a/coordination/tokenbudget/host_test.go
+++ b/coordination/tokenbudget/host_test.go
@@ -40,7 +40,7 @@
 		n.onAsk(address)
 	}
 	if n.down[address] {
-		return nil, false, errLost
+		return nil, false, errAnswerLost
 	}
 	return n.hosts[address], n.lossy[address], nil
 }
@@ -56,7 +56,7 @@
 	host.End(ended)
 	err = host.Reserve(ctx, wanted)
 	if lossy {
-		return errLost
+		return errAnswerLost
 	}
 	return err
 }
@@ -69,23 +69,23 @@
 	return err
 }
 
-// count is how often any host was asked for a reservation.
-func (n *network) count() int {
+// reservationCount is how often any host was asked for a reservation.
+func (n *network) reservationCount() int {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	return n.reservations
 }
 
-type oneView struct{ members []register.Member }
+type staticViews struct{ members []register.Member }
 
-func (v oneView) View(uint32) (register.View, bool) {
+func (v staticViews) View(uint32) (register.View, bool) {
 	return register.View{Epoch: 1, Members: v.members}, len(v.members) > 0
 }
-func (oneView) Locate(string) uint32 { return 0 }
+func (staticViews) Locate(string) uint32 { return 0 }
 
-func newNetwork(shared *sharedRegister, count int) (*network, oneView) {
+func newNetwork(shared *sharedRegister, count int) (*network, staticViews) {
 	carried := &network{hosts: make(map[string]*tokenbudget.Host), down: make(map[string]bool), lossy: make(map[string]bool)}
-	var view oneView
+	var view staticViews
 	for index := range count {
 		name := fmt.Sprint("host", index)
 		carried.hosts[name] = tokenbudget.NewHost(newLedger(name, shared), time.Now)
@@ -94,110 +94,110 @@
 	return carried, view
 }
 
-func newClient(carried *network, view oneView) *tokenbudget.Client {
+func newClient(carried *network, view staticViews) *tokenbudget.Client {
 	return tokenbudget.NewClient(carried, view, reach.New(time.Now), time.Now, zap.NewNop())
 }
 
-func turnOf(id string) tokenbudget.Reservation {
+func newReservation(id string) tokenbudget.Reservation {
 	return tokenbudget.Reservation{Program: "p", Name: id, Limit: 1000, Most: 100, Lifetime: time.Minute}
 }
 
 // TestClientsAskTheSameHost while it answers.
 func TestClientsAskTheSameHost(t *testing.T) {
-	carried, view := newNetwork(newRegister(), 3)
+	carried, view := newNetwork(newSharedRegister(), 3)
 	for index := range 4 {
 		client := newClient(carried, view)
-		assert.NilError(t, client.Reserve(context.Background(), turnOf(fmt.Sprint(index))))
+		assert.NilError(t, client.Reserve(context.Background(), newReservation(fmt.Sprint(index))))
 	}
 	for _, address := range carried.asked {
 		assert.Equal(t, address, carried.asked[0])
 	}
 }
 
-// TestNextHostDecidesWhereOneFails, and what the failed one may have reserved is
+// TestFailoverToNextHost, and what the failed one may have reserved is
 // ended there.
-func TestNextHostDecidesWhereOneFails(t *testing.T) {
+func TestFailoverToNextHost(t *testing.T) {
 	for _, lossy := range []bool{false, true} {
-		shared := newRegister()
+		shared := newSharedRegister()
 		carried, view := newNetwork(shared, 3)
 		client := newClient(carried, view)
-		assert.NilError(t, client.Reserve(context.Background(), turnOf("first")))
+		assert.NilError(t, client.Reserve(context.Background(), newReservation("first")))
 		home := carried.asked[0]
 		client.End(tokenbudget.Ended{Program: "p", Reservation: "first", HandedOut: 100})
 		client.Flush(context.Background())
 		carried.down[home], carried.lossy[home] = !lossy, lossy
-		assert.NilError(t, client.Reserve(context.Background(), turnOf("second")))
+		assert.NilError(t, client.Reserve(context.Background(), newReservation("second")))
 		assert.Assert(t, carried.asked[len(carried.asked)-1] != home)
 		carried.down[home], carried.lossy[home] = false, false
 		client.Flush(context.Background())
-		assert.NilError(t, client.Reserve(context.Background(), turnOf("third")))
+		assert.NilError(t, client.Reserve(context.Background(), newReservation("third")))
 		assert.Assert(t, carried.asked[len(carried.asked)-1] != home, "a host that failed is asked last for a while")
 	}
 }
 
 func TestNoHostAnswers(t *testing.T) {
-	carried, view := newNetwork(newRegister(), 2)
+	carried, view := newNetwork(newSharedRegister(), 2)
 	carried.down["host0"], carried.down["host1"] = true, true
-	assert.ErrorIs(t, newClient(carried, view).Reserve(context.Background(), turnOf("t")), tokenbudget.ErrUnavailable)
-	assert.ErrorIs(t, newClient(carried, oneView{}).Reserve(context.Background(), turnOf("t")), tokenbudget.ErrUnavailable)
+	assert.ErrorIs(t, newClient(carried, view).Reserve(context.Background(), newReservation("t")), tokenbudget.ErrUnavailable)
+	assert.ErrorIs(t, newClient(carried, staticViews{}).Reserve(context.Background(), newReservation("t")), tokenbudget.ErrUnavailable)
 }
 
-// TestShardOutOfReachIsRefusedAtOnce after some tries, and asked again soon.
-func TestShardOutOfReachIsRefusedAtOnce(t *testing.T) {
-	carried, view := newNetwork(newRegister(), 2)
+// TestBreakerRefusesUnreachableShard after some tries, and asked again soon.
+func TestBreakerRefusesUnreachableShard(t *testing.T) {
+	carried, view := newNetwork(newSharedRegister(), 2)
 	carried.down["host0"], carried.down["host1"] = true, true
 	now := time.Now()
 	client := tokenbudget.NewClient(carried, view, reach.New(func() time.Time { return now }), func() time.Time { return now }, zap.NewNop())
 	for i := range 10 {
-		assert.ErrorIs(t, client.Reserve(context.Background(), turnOf(fmt.Sprint("t", i))), tokenbudget.ErrUnavailable)
+		assert.ErrorIs(t, client.Reserve(context.Background(), newReservation(fmt.Sprint("t", i))), tokenbudget.ErrUnavailable)
 	}
-	assert.Equal(t, carried.count(), 6, "three tries at two hosts")
+	assert.Equal(t, carried.reservationCount(), 6, "three tries at two hosts")
 	carried.down["host0"], carried.down["host1"] = false, false
 	now = now.Add(time.Second)
-	assert.NilError(t, client.Reserve(context.Background(), turnOf("t")))
-	assert.NilError(t, client.Reserve(context.Background(), turnOf("u")))
+	assert.NilError(t, client.Reserve(context.Background(), newReservation("t")))
+	assert.NilError(t, client.Reserve(context.Background(), newReservation("u")))
 }
 
-// TestClosedShardIsTriedByOneRequest: when its time is over, a single request
+// TestOpenBreakerAdmitsOneProbe: when its time is over, a single request
 // tries it, and each failed trial closes it for longer.
-func TestClosedShardIsTriedByOneRequest(t *testing.T) {
-	carried, view := newNetwork(newRegister(), 2)
+func TestOpenBreakerAdmitsOneProbe(t *testing.T) {
+	carried, view := newNetwork(newSharedRegister(), 2)
 	carried.down["host0"], carried.down["host1"] = true, true
 	now := time.Now()
 	client := tokenbudget.NewClient(carried, view, reach.New(func() time.Time { return now }), func() time.Time { return now }, zap.NewNop())
 	ask := func(times int) int {
-		before := carried.count()
+		before := carried.reservationCount()
 		for i := range times {
-			assert.ErrorIs(t, client.Reserve(context.Background(), turnOf(fmt.Sprint("t", i))), tokenbudget.ErrUnavailable)
+			assert.ErrorIs(t, client.Reserve(context.Background(), newReservation(fmt.Sprint("t", i))), tokenbudget.ErrUnavailable)
 		}
-		return carried.count() - before
+		return carried.reservationCount() - before
 	}
 	ask(3)
 	for range 20 {
 		now = now.Add(300 * time.Millisecond)
 		ask(50)
 	}
-	assert.Assert(t, carried.count() <= 2*(3+7), "%d requests to hosts in 6 s", carried.count())
+	assert.Assert(t, carried.reservationCount() <= 2*(3+7), "%d requests to hosts in 6 s", carried.reservationCount())
 	carried.down["host0"], carried.down["host1"] = false, false
 	now = now.Add(2 * time.Second)
-	assert.NilError(t, client.Reserve(context.Background(), turnOf("t")))
-	assert.NilError(t, client.Reserve(context.Background(), turnOf("u")), "open again")
+	assert.NilError(t, client.Reserve(context.Background(), newReservation("t")))
+	assert.NilError(t, client.Reserve(context.Background(), newReservation("u")), "open again")
 }
 
-// TestFewSlowHostsAreWaitedFor: hosts that are slow together are overloaded.
-func TestFewSlowHostsAreWaitedFor(t *testing.T) {
-	carried, view := newNetwork(newRegister(), 5)
+// TestSlowAttemptsAreBounded: hosts that are slow together are overloaded.
+func TestSlowAttemptsAreBounded(t *testing.T) {
+	carried, view := newNetwork(newSharedRegister(), 5)
 	now := time.Now()
 	carried.onAsk = func(string) { now = now.Add(350 * time.Millisecond) }
 	for i := range 5 {
 		carried.down[fmt.Sprint("host", i)] = true
 	}
 	client := tokenbudget.NewClient(carried, view, reach.New(func() time.Time { return now }), func() time.Time { return now }, zap.NewNop())
-	assert.ErrorIs(t, client.Reserve(context.Background(), turnOf("t")), tokenbudget.ErrUnavailable)
-	assert.Equal(t, carried.count(), 2)
+	assert.ErrorIs(t, client.Reserve(context.Background(), newReservation("t")), tokenbudget.ErrUnavailable)
+	assert.Equal(t, carried.reservationCount(), 2)
 	carried.onAsk = nil
-	assert.ErrorIs(t, client.Reserve(context.Background(), turnOf("u")), tokenbudget.ErrUnavailable)
-	assert.Equal(t, carried.count(), 7, "those that fail at once cost nothing")
+	assert.ErrorIs(t, client.Reserve(context.Background(), newReservation("u")), tokenbudget.ErrUnavailable)
+	assert.Equal(t, carried.reservationCount(), 7, "those that fail at once cost nothing")
 }
 
 // hangingRegister answers nothing until its caller gives up.
@@ -217,17 +217,17 @@
 	return nil, register.ErrNoQuorum
 }
 
-// TestOverloadedHostIsNotPassedOn: its requests would only overload the next.
-func TestOverloadedHostIsNotPassedOn(t *testing.T) {
-	carried, view := newNetwork(newRegister(), 5)
-	hanging := &hangingRegister{sharedRegister: newRegister(), served: "served"}
+// TestOverloadedHostIsNotRetriedElsewhere: its requests would only overload the next.
+func TestOverloadedHostIsNotRetriedElsewhere(t *testing.T) {
+	carried, view := newNetwork(newSharedRegister(), 5)
+	hanging := &hangingRegister{sharedRegister: newSharedRegister(), served: "served"}
 	settings := tokenbudget.DefaultSettings()
 	settings.Draws = limit.AdaptivePolicy{Start: 2, Min: 2, Max: 2}
 	fixed := time.Now()
 	clock := func() time.Time { return fixed }
-	host := tokenbudget.NewHost(tokenbudget.New("host", hanging, oneView{}.Locate, settings, clock, zap.NewNop()), time.Now)
+	host := tokenbudget.NewHost(tokenbudget.New("host", hanging, staticViews{}.Locate, settings, clock, zap.NewNop()), time.Now)
 	client := newClient(carried, view)
-	assert.NilError(t, client.Reserve(context.Background(), turnOf("before")))
+	assert.NilError(t, client.Reserve(context.Background(), newReservation("before")))
 	for address := range carried.hosts {
 		carried.hosts[address] = host
 	}
@@ -235,35 +235,35 @@
 	defer cancel()
 	assert.NilError(t, host.Reserve(ctx, tokenbudget.Reservation{Program: "served", Name: "s", Limit: 10, Most: 1}))
 	for i := range 2 {
-		wanted := turnOf(fmt.Sprint("t", i))
+		wanted := newReservation(fmt.Sprint("t", i))
 		wanted.Program = fmt.Sprint("p", i)
 		go func() { _ = host.Reserve(ctx, wanted) }()
 	}
 	harness.Eventually(t, func() (bool, string) { return hanging.asked.Load() == 2, "no draw is under way" })
-	before := carried.count()
-	assert.ErrorIs(t, client.Reserve(ctx, turnOf("t")), tokenbudget.ErrOverloaded)
-	assert.Equal(t, carried.count(), before+1)
-	fresh := turnOf("u")
+	before := carried.reservationCount()
+	assert.ErrorIs(t, client.Reserve(ctx, newReservation("t")), tokenbudget.ErrOverloaded)
+	assert.Equal(t, carried.reservationCount(), before+1)
+	fresh := newReservation("u")
 	fresh.Program = "fresh"
 	for range 5 {
 		assert.ErrorIs(t, client.Reserve(ctx, fresh), tokenbudget.ErrOverloaded)
 	}
-	assert.Equal(t, carried.count(), before+6, "one host is asked for each")
+	assert.Equal(t, carried.reservationCount(), before+6, "one host is asked for each")
 	for range 5 {
-		assert.ErrorIs(t, client.Reserve(ctx, turnOf("t")), tokenbudget.ErrOverloaded)
+		assert.ErrorIs(t, client.Reserve(ctx, newReservation("t")), tokenbudget.ErrOverloaded)
 	}
-	assert.Equal(t, carried.count(), before+11, "running programs are asked for")
+	assert.Equal(t, carried.reservationCount(), before+11, "running programs are asked for")
 }
 
-// TestRunningProgramsGoFirst: a crowded host keeps programs away that begin,
+// TestRunningProgramsHavePriority: a crowded host keeps programs away that begin,
 // without a change of their records, whichever gateways they come through, and
 // lets those go on that it or a gateway knows.
-func TestRunningProgramsGoFirst(t *testing.T) {
-	hanging := &hangingRegister{sharedRegister: newRegister(), served: "known"}
+func TestRunningProgramsHavePriority(t *testing.T) {
+	hanging := &hangingRegister{sharedRegister: newSharedRegister(), served: "known"}
 	settings := tokenbudget.DefaultSettings()
 	settings.IdleTime = time.Hour
 	settings.Crowd = limit.AdaptivePolicy{Start: 2, Min: 2, Max: 2}
-	host := tokenbudget.NewHost(tokenbudget.New("host", hanging, oneView{}.Locate, settings, time.Now, zap.NewNop()), time.Now)
+	host := tokenbudget.NewHost(tokenbudget.New("host", hanging, staticViews{}.Locate, settings, time.Now, zap.NewNop()), time.Now)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	reserve := func(program, turn string, isRunning bool) error {
@@ -284,30 +284,30 @@
 	assert.NilError(t, reserve("told", "t", true))
 }
 
-// TestCutOffHostIsPassedOver: a host that can change no record refuses at once
+// TestIsolatedHostIsSkipped: a host that can change no record refuses at once
 // after some time, and the next one decides.
-func TestCutOffHostIsPassedOver(t *testing.T) {
-	carried, view := newNetwork(newRegister(), 3)
+func TestIsolatedHostIsSkipped(t *testing.T) {
+	carried, view := newNetwork(newSharedRegister(), 3)
 	client := newClient(carried, view)
-	assert.NilError(t, client.Reserve(context.Background(), turnOf("t")))
+	assert.NilError(t, client.Reserve(context.Background(), newReservation("t")))
 	first := carried.asked[0]
 	settings := tokenbudget.DefaultSettings()
 	settings.Draws = limit.AdaptivePolicy{Start: 1, Min: 1, Max: 1}
 	hanging := &hangingRegister{}
-	carried.hosts[first] = tokenbudget.NewHost(tokenbudget.New("cut", hanging, oneView{}.Locate, settings, time.Now, zap.NewNop()), time.Now)
+	carried.hosts[first] = tokenbudget.NewHost(tokenbudget.New("cut", hanging, staticViews{}.Locate, settings, time.Now, zap.NewNop()), time.Now)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	go func() { _ = carried.hosts[first].Reserve(ctx, turnOf("waits")) }()
+	go func() { _ = carried.hosts[first].Reserve(ctx, newReservation("waits")) }()
 	harness.Eventually(t, func() (bool, string) { return hanging.asked.Load() == 1, "no draw is under way" })
-	assert.NilError(t, client.Reserve(ctx, turnOf("u")))
-	assert.Equal(t, carried.count(), 3, "the host that is cut off and the next")
+	assert.NilError(t, client.Reserve(ctx, newReservation("u")))
+	assert.Equal(t, carried.reservationCount(), 3, "the host that is cut off and the next")
 }
 
 // TestSpentIsFinal: no other host is asked.
 func TestSpentIsFinal(t *testing.T) {
-	carried, view := newNetwork(newRegister(), 3)
+	carried, view := newNetwork(newSharedRegister(), 3)
 	client := newClient(carried, view)
-	wanted := turnOf("t")
+	wanted := newReservation("t")
 	wanted.Limit, wanted.Most = 50, 50
 	assert.NilError(t, client.Reserve(context.Background(), wanted))
 	client.End(tokenbudget.Ended{Program: "p", Reservation: "t", HandedOut: 50})
@@ -318,12 +318,12 @@
 	assert.Equal(t, len(carried.asked), before+1)
 }
 
-// TestEndedTurnsAreToldWithoutAnotherTurn.
-func TestEndedTurnsAreToldWithoutAnotherTurn(t *testing.T) {
-	shared := newRegister()
+// TestEndedTurnsAreSentWithoutReservation.
+func TestEndedTurnsAreSentWithoutReservation(t *testing.T) {
+	shared := newSharedRegister()
 	carried, view := newNetwork(shared, 1)
 	client := newClient(carried, view)
-	wanted := turnOf("t")
+	wanted := newReservation("t")
 	wanted.Limit = 100
 	assert.NilError(t, client.Reserve(context.Background(), wanted))
 	client.End(tokenbudget.Ended{Program: "p", Reservation: "t", HandedOut: 10})
@@ -335,9 +335,9 @@
 	})
 }
 
-// TestTurnThatNeverEndsIsChargedWithItsMost once its time is over.
-func TestTurnThatNeverEndsIsChargedWithItsMost(t *testing.T) {
-	shared := newRegister()
+// TestUnendedTurnIsChargedItsMost once its time is over.
+func TestUnendedTurnIsChargedItsMost(t *testing.T) {
+	shared := newSharedRegister()
 	now := time.Now()
 	var mutex sync.Mutex
 	host := tokenbudget.NewHost(newLedger("host", shared), func() time.Time {
@@ -348,7 +348,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go func() { _ = host.Serve(ctx) }()
-	wanted := turnOf("t")
+	wanted := newReservation("t")
 	wanted.Limit = 100
 	assert.NilError(t, host.Reserve(ctx, wanted))
 	assert.NilError(t, host.Reserve(ctx, wanted), "a repeated reservation is the same turn")
--- a/coordination/tokenbudget/ledger_test.go
+++ b/coordination/tokenbudget/ledger_test.go
@@ -19,7 +19,7 @@
 	"github.com/marblering/marblering/test/harness"
 )
 
-var errLost = errors.New("the answer was lost")
+var errAnswerLost = errors.New("the answer was lost")
 
 // sharedRegister is one register that all ledgers change. It may lose answers
 // after a change, or refuse to change.
@@ -32,7 +32,7 @@
 	lose, fail int
 }
 
-func newRegister() *sharedRegister { return &sharedRegister{values: make(map[string][]byte)} }
+func newSharedRegister() *sharedRegister { return &sharedRegister{values: make(map[string][]byte)} }
 
 func (r *sharedRegister) Apply(_ context.Context, _ uint32, key string, change register.Change) ([]byte, error) {
 	r.mutex.Lock()
@@ -53,7 +53,7 @@
 	r.changes++
 	if r.lose > 0 {
 		r.lose--
-		return nil, errLost
+		return nil, errAnswerLost
 	}
 	return next, nil
 }
@@ -68,17 +68,17 @@
 }
 
 func newLedger(holder string, shared *sharedRegister) *tokenbudget.Ledger {
-	return ledgerOver(holder, shared)
+	return newLedgerOver(holder, shared)
 }
 
-// ledgerOver makes a ledger that gives reserves back only when it is flushed.
-func ledgerOver(holder string, registers tokenbudget.Register) *tokenbudget.Ledger {
+// newLedgerOver makes a ledger that gives reserves back only when it is flushed.
+func newLedgerOver(holder string, registers tokenbudget.Register) *tokenbudget.Ledger {
 	settings := tokenbudget.Settings{IdleTime: time.Hour, ReleaseTimeout: time.Second, ReleasePause: time.Millisecond, ReleaseTries: 50, Draws: limit.DefaultAdaptivePolicy(), Crowd: limit.DefaultAdaptivePolicy()}
 	return tokenbudget.New(holder, registers, func(string) uint32 { return 0 }, settings, time.Now, zap.NewNop())
 }
 
 func Example() {
-	ledger := newLedger("host", newRegister())
+	ledger := newLedger("host", newSharedRegister())
 	ctx := context.Background()
 	fmt.Println(ledger.Reserve(ctx, tokenbudget.Reservation{Program: "program", Limit: 100, Most: 60}))
 	ledger.End("program", 60, 60)
@@ -91,11 +91,11 @@
 	// the program's budget is spent
 }
 
-// TestBudgetHoldsOverHosts lets hosts serve turns of one program while answers of
+// TestLimitHoldsAcrossHosts lets hosts serve turns of one program while answers of
 // its record are lost and hosts vanish.
-func TestBudgetHoldsOverHosts(t *testing.T) {
+func TestLimitHoldsAcrossHosts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		shared := newRegister()
+		shared := newSharedRegister()
 		limit := rapid.Uint64Range(1, 6000).Draw(t, "limit")
 		most := rapid.Uint64Range(1, 600).Draw(t, "most")
 		hosts := []*tokenbudget.Ledger{newLedger("a", shared), newLedger("b", shared)}
@@ -131,10 +131,10 @@
 	})
 }
 
-// TestReserveIsGivenBack after the program's last turn, also where the record
+// TestIdleReserveIsReleased after the program's last turn, also where the record
 // can't be reached at first.
-func TestReserveIsGivenBack(t *testing.T) {
-	shared := newRegister()
+func TestIdleReserveIsReleased(t *testing.T) {
+	shared := newSharedRegister()
 	settings := tokenbudget.Settings{IdleTime: time.Millisecond, ReleaseTimeout: time.Second, ReleasePause: time.Millisecond, ReleaseTries: 50, Draws: limit.DefaultAdaptivePolicy(), Crowd: limit.DefaultAdaptivePolicy()}
 	ledger := tokenbudget.New("host", shared, func(string) uint32 { return 0 }, settings, time.Now, zap.NewNop())
 	assert.NilError(t, ledger.Reserve(context.Background(), tokenbudget.Reservation{Program: "p", Limit: 10_000, Most: 100}))
@@ -151,7 +151,7 @@
 
 // TestFlush gives reserves back at a planned stop.
 func TestFlush(t *testing.T) {
-	shared := newRegister()
+	shared := newSharedRegister()
 	ledger := newLedger("host", shared)
 	assert.NilError(t, ledger.Reserve(context.Background(), tokenbudget.Reservation{Program: "p", Limit: 10_000, Most: 100}))
 	ledger.End("p", 100, 100)
@@ -159,9 +159,9 @@
 	assert.Equal(t, shared.committed(t, "p"), uint64(100))
 }
 
-// TestMostTurnsBeginWithoutAsking.
-func TestMostTurnsBeginWithoutAsking(t *testing.T) {
-	shared := newRegister()
+// TestFewChangesForManyTurns.
+func TestFewChangesForManyTurns(t *testing.T) {
+	shared := newSharedRegister()
 	ledger := newLedger("host", shared)
 	for range 12 {
 		assert.NilError(t, ledger.Reserve(context.Background(), tokenbudget.Reservation{Program: "p", Limit: 100_000, Most: 500}))
@@ -172,7 +172,7 @@
 
 // TestReservedElsewhere isn't told as spent.
 func TestReservedElsewhere(t *testing.T) {
-	shared := newRegister()
+	shared := newSharedRegister()
 	first, second := newLedger("a", shared), newLedger("b", shared)
 	assert.NilError(t, first.Reserve(context.Background(), tokenbudget.Reservation{Program: "p", Limit: 100, Most: 100}))
 	assert.ErrorIs(t, second.Reserve(context.Background(), tokenbudget.Reservation{Program: "p", Limit: 100, Most: 100}), budget.ErrReserved)
@@ -181,14 +181,14 @@
 	assert.ErrorIs(t, second.Reserve(context.Background(), tokenbudget.Reservation{Program: "p", Limit: 100, Most: 100}), budget.ErrSpent)
 }
 
-// slowRegister is one that can't be reached: each try takes its time.
-type slowRegister struct {
+// failingRegister is one that can't be reached: each try takes its time.
+type failingRegister struct {
 	mutex        sync.Mutex
 	running      int
 	most, failed int
 }
 
-func (r *slowRegister) Apply(ctx context.Context, _ uint32, _ string, _ register.Change) ([]byte, error) {
+func (r *failingRegister) Apply(ctx context.Context, _ uint32, _ string, _ register.Change) ([]byte, error) {
 	r.mutex.Lock()
 	r.running++
 	r.most = max(r.most, r.running)
@@ -201,9 +201,9 @@
 	return nil, register.ErrNoQuorum
 }
 
-// TestFewReleasesAtOnce while the record can't be reached.
-func TestFewReleasesAtOnce(t *testing.T) {
-	unreachable := &slowRegister{}
+// TestConcurrentReleasesAreBounded while the record can't be reached.
+func TestConcurrentReleasesAreBounded(t *testing.T) {
+	unreachable := &failingRegister{}
 	settings := tokenbudget.Settings{IdleTime: time.Millisecond, ReleaseTimeout: time.Second, ReleasePause: time.Millisecond, ReleaseTries: 3}
 	settings.Draws = limit.AdaptivePolicy{Start: 1000, Min: 1000, Max: 1000}
 	settings.Crowd = settings.Draws
--- a/coordination/tokenbudget/overload_test.go
+++ b/coordination/tokenbudget/overload_test.go
@@ -32,8 +32,8 @@
 	// waits in between.
 	turnTries    = 3
 	refusalPause = 300 * time.Millisecond
-	// gatewaysOfTest are so many that a turn seldom enters where the one before did.
-	gatewaysOfTest = 40
+	// gatewayCount are so many that a turn seldom enters where the one before did.
+	gatewayCount = 40
 	// offeredTime is how long programs begin.
 	offeredTime = 12 * time.Second
 )
@@ -64,10 +64,10 @@
 	interrupted atomic.Int64
 }
 
-func (l *load) program(name string, random *rand.Rand) {
+func (l *load) runProgram(name string, random *rand.Rand) {
 	began := time.Now()
 	for turn := range programTurns {
-		if !l.turn(name, fmt.Sprint(name, "-", turn), random) {
+		if !l.runTurn(name, fmt.Sprint(name, "-", turn), random) {
 			if turn > 0 {
 				l.interrupted.Add(1)
 			}
@@ -80,7 +80,7 @@
 	}
 }
 
-func (l *load) turn(program, id string, random *rand.Rand) bool {
+func (l *load) runTurn(program, id string, random *rand.Rand) bool {
 	for try := range turnTries {
 		client := l.gateways[random.IntN(len(l.gateways))]
 		wanted := tokenbudget.Reservation{
@@ -103,9 +103,9 @@
 func goodput(t *testing.T, offered float64) (finished, interrupted float64) {
 	t.Helper()
 	bubble.Test(t, func(*testing.T) {
-		shared := processor{sharedRegister: newRegister(), busy: make(chan struct{}, 1)}
+		shared := processor{sharedRegister: newSharedRegister(), busy: make(chan struct{}, 1)}
 		carried := &network{hosts: make(map[string]*tokenbudget.Host), down: make(map[string]bool), lossy: make(map[string]bool)}
-		var view oneView
+		var view staticViews
 		for i := range 5 {
 			name := fmt.Sprint("host", i)
 			ledger := tokenbudget.New(name, shared, func(string) uint32 { return 0 }, tokenbudget.DefaultSettings(), time.Now, zap.NewNop())
@@ -113,7 +113,7 @@
 			view.members = append(view.members, register.Member{Node: name, Address: name})
 		}
 		l := &load{}
-		for range gatewaysOfTest {
+		for range gatewayCount {
 			l.gateways = append(l.gateways, tokenbudget.NewClient(carried, view, reach.New(time.Now), time.Now, zap.NewNop()))
 		}
 		random := rand.New(rand.NewPCG(1, 2))
@@ -121,7 +121,7 @@
 		pause := time.Duration(float64(time.Second) / offered)
 		for i := range int(offered * offeredTime.Seconds()) {
 			source := rand.New(rand.NewPCG(random.Uint64(), uint64(i)))
-			running.Go(func() { l.program(fmt.Sprint("p", i), source) })
+			running.Go(func() { l.runProgram(fmt.Sprint("p", i), source) })
 			time.Sleep(pause)
 		}
 		running.Wait()
@@ -133,10 +133,10 @@
 	return finished, interrupted
 }
 
-// TestOverloadFinishesPrograms: where more programs come than the hosts can take,
+// TestGoodputUnderOverload: where more programs come than the hosts can take,
 // those that have begun are finished and others are refused. A program whose
 // later turns are refused has used what it has used for nothing.
-func TestOverloadFinishesPrograms(t *testing.T) {
+func TestGoodputUnderOverload(t *testing.T) {
 	best := 0.0
 	finished := make(map[float64]float64)
 	for _, offered := range []float64{20, 40, 80, 160, 320} {
--- a/coordination/tokenbudget/reserved_test.go
+++ b/coordination/tokenbudget/reserved_elsewhere_test.go
@@ -13,19 +13,19 @@
 	"github.com/marblering/marblering/state/budget"
 )
 
-// TestReservedTokensAreNeverCalledSpent: the rest of a program's budget is reserved for a
+// TestReservedTokensAreNotReportedSpent: the rest of a program's budget is reserved for a
 // turn at another host. The host that was asked called it spent 1.5 s after its first
 // refusal, whatever the other one did, and the program ended though the turn then
 // generated nothing. In the log of such a run a turn was refused with "the rest of the
 // program's budget is reserved elsewhere" from 45.734 to 47.223 s, and at 47.259 s with
 // "the program's budget is spent", after 300 of 350 tokens.
-func TestReservedTokensAreNeverCalledSpent(t *testing.T) {
-	shared := newRegister()
+func TestReservedTokensAreNotReportedSpent(t *testing.T) {
+	shared := newSharedRegister()
 	now := time.Now()
 	clock := func() time.Time { return now }
 	ledger := newLedger("a", shared)
 	first, second := tokenbudget.NewHost(ledger, clock), tokenbudget.NewHost(newLedger("b", shared), clock)
-	wanted := turnOf("t1")
+	wanted := newReservation("t1")
 	wanted.Limit = 100
 	assert.NilError(t, first.Reserve(t.Context(), wanted))
 	wanted.Name = "t2"
@@ -38,15 +38,15 @@
 	assert.NilError(t, second.Reserve(t.Context(), wanted))
 }
 
-// TestHolderOfTheReserveIsAsked: a program moves to another host, since its first one
+// TestReserveHolderIsAsked: a program moves to another host, since its first one
 // failed, and uses its budget up there but for what the first one reserves. That one is
 // asked at once and lets the turns begin, though it is asked last.
-func TestHolderOfTheReserveIsAsked(t *testing.T) {
-	carried, view := newNetwork(newRegister(), 3)
+func TestReserveHolderIsAsked(t *testing.T) {
+	carried, view := newNetwork(newSharedRegister(), 3)
 	client := newClient(carried, view)
 	granted := 0
 	serve := func() {
-		assert.NilError(t, client.Reserve(t.Context(), turnOf(fmt.Sprint("t", granted))), "turn %d", granted)
+		assert.NilError(t, client.Reserve(t.Context(), newReservation(fmt.Sprint("t", granted))), "turn %d", granted)
 		client.End(tokenbudget.Ended{Program: "p", Reservation: fmt.Sprint("t", granted), HandedOut: 100})
 		client.Flush(t.Context())
 		granted++
@@ -59,29 +59,29 @@
 	for granted < 10 {
 		serve()
 	}
-	assert.ErrorIs(t, client.Reserve(t.Context(), turnOf("beyond")), budget.ErrSpent)
+	assert.ErrorIs(t, client.Reserve(t.Context(), newReservation("beyond")), budget.ErrSpent)
 }
 
-// TestReservedByHostThatFails: what it reserves may come back, so that nobody may call it
+// TestReserveOfFailedHostIsNotSpent: what it reserves may come back, so that nobody may call it
 // spent, and the others are asked once.
-func TestReservedByHostThatFails(t *testing.T) {
-	carried, view := newNetwork(newRegister(), 3)
+func TestReserveOfFailedHostIsNotSpent(t *testing.T) {
+	carried, view := newNetwork(newSharedRegister(), 3)
 	client := newClient(carried, view)
-	wanted := turnOf("t1")
+	wanted := newReservation("t1")
 	wanted.Limit = 100
 	assert.NilError(t, client.Reserve(t.Context(), wanted))
 	carried.down[carried.asked[0]] = true
 	wanted.Name = "t2"
-	before := carried.count()
+	before := carried.reservationCount()
 	assert.ErrorIs(t, client.Reserve(t.Context(), wanted), budget.ErrReserved)
-	assert.Equal(t, carried.count(), before+3)
+	assert.Equal(t, carried.reservationCount(), before+3)
 }
 
-// TestReserveOfAnEarlierLifeIsSpent: a host that was started again knows that nobody gives
+// TestReserveOfEarlierIncarnationIsSpent: a host that was started again knows that nobody gives
 // back what it reserved before, and the program is told so at once.
-func TestReserveOfAnEarlierLifeIsSpent(t *testing.T) {
-	shared := newRegister()
-	wanted := turnOf("t1")
+func TestReserveOfEarlierIncarnationIsSpent(t *testing.T) {
+	shared := newSharedRegister()
+	wanted := newReservation("t1")
 	wanted.Limit = 100
 	assert.NilError(t, newLedger("rack/a/1", shared).Reserve(t.Context(), wanted))
 	for _, other := range []string{"a/2", "rack/b/1", "rack/a/1/x", "1"} {
@@ -91,12 +91,12 @@
 	assert.Equal(t, shared.committed(t, "p"), uint64(100))
 }
 
-// TestProgramIsToldByTheHostThatKnows: the host that was started again is the one that
+// TestRestartedHostReportsSpentBudget: the host that was started again is the one that
 // can tell, and is asked where another one can't.
-func TestProgramIsToldByTheHostThatKnows(t *testing.T) {
-	shared := newRegister()
+func TestRestartedHostReportsSpentBudget(t *testing.T) {
+	shared := newSharedRegister()
 	carried, view := newNetwork(shared, 3)
-	wanted := turnOf("t1")
+	wanted := newReservation("t1")
 	wanted.Limit = 100
 	tracker := reach.New(time.Now)
 	client := tokenbudget.NewClient(carried, view, tracker, time.Now, zap.NewNop())
