--- a/coordination/tenant/doc.go
+++ b/coordination/tenant/doc.go
@@ -1,8 +1,8 @@
-// Package tenant holds the customers of a deployment: the keys by which callers prove to
-// be one of them, and the rate at which each may be served. It relies on nothing outside
-// the process: tenants come with the configuration (package routetable).
+// Package tenant holds the tenants of a deployment: the keys that identify their callers and
+// the rate limits of their requests. It uses nothing outside the process; package routetable
+// builds the tenants from the configuration.
 //
-// A key is known by its SHA-256 digest only. Digests are found by a lookup in a map: how
-// long that takes depends on digests, of which nobody can choose one that is close to
-// another. What is logged or counted is a tenant's name, never a key or a digest.
+// Keys are kept as SHA-256 digests only and looked up in a map. The time of a lookup may depend
+// on the digest, which doesn't help to guess a key, since nobody can choose a key whose digest
+// is close to another. Logs and metrics contain the names of tenants, never keys or digests.
 package tenant
--- a/coordination/tenant/tenant.go
+++ b/coordination/tenant/tenant.go
@@ -9,33 +9,33 @@
 	"github.com/marblering/marblering/coordination/limit"
 )
 
-// Digest stands for a key.
+// Digest is the SHA-256 digest of a key.
 type Digest [sha256.Size]byte
 
 // DigestOf returns the digest of a key.
 func DigestOf(key string) Digest { return sha256.Sum256([]byte(key)) }
 
-// String is the digest in lower case hexadecimal.
+// String returns the digest in lower-case hexadecimal.
 func (d Digest) String() string { return hex.EncodeToString(d[:]) }
 
-// Tenant is one customer.
+// Tenant is a customer with its keys and its rate limit.
 type Tenant struct {
-	// Name is unique among tenants; logs and metrics go by it.
+	// Name is unique among tenants and identifies the tenant in logs and metrics.
 	Name string
-	// Keys stand for the keys that its callers may use.
+	// Keys are the digests of the keys that the tenant's callers may use.
 	Keys []Digest
-	// Rate bounds its requests at all nodes together, in requests a second with a burst;
-	// the zero value is no limit.
+	// Rate limits the tenant's requests over all nodes, in requests per second with a burst.
+	// The zero value is unlimited.
 	Rate limit.Rate
 }
 
-// Directory finds tenants by their keys. It is only read.
+// Directory finds tenants by their keys. It is read-only once created.
 type Directory struct {
 	byKey map[Digest]*Tenant
 }
 
-// NewDirectory makes a directory. It fails where a tenant has no name, or two tenants have
-// the same name or key.
+// NewDirectory returns a directory of the tenants. It returns an error if a tenant has no name,
+// or if two tenants have the same name or key.
 func NewDirectory(tenants []Tenant) (Directory, error) {
 	d := Directory{byKey: make(map[Digest]*Tenant)}
 	names := make(map[string]bool, len(tenants))
@@ -55,7 +55,7 @@
 	return d, nil
 }
 
-// Find returns the tenant that has the key; found is false where none has.
+// Find returns the tenant that has the key. found is false if no tenant has it.
 func (d Directory) Find(key Digest) (owner *Tenant, found bool) {
 	owner, found = d.byKey[key]
 	return owner, found
--- a/coordination/tenant/tenant_test.go
+++ b/coordination/tenant/tenant_test.go
@@ -10,33 +10,33 @@
 )
 
 func Example() {
-	known, err := tenant.NewDirectory([]tenant.Tenant{{Name: "north", Keys: []tenant.Digest{tenant.DigestOf("k1")}}})
+	directory, err := tenant.NewDirectory([]tenant.Tenant{{Name: "north", Keys: []tenant.Digest{tenant.DigestOf("k1")}}})
 	if err != nil {
 		fmt.Println(err)
 		return
 	}
-	found, ok := known.Find(tenant.DigestOf("k1"))
+	found, ok := directory.Find(tenant.DigestOf("k1"))
 	fmt.Println(found.Name, ok)
 	// Output: north true
 }
 
 func TestDirectory(t *testing.T) {
-	keys := func(named ...string) (digests []tenant.Digest) {
-		for _, key := range named {
+	keys := func(plain ...string) (digests []tenant.Digest) {
+		for _, key := range plain {
 			digests = append(digests, tenant.DigestOf(key))
 		}
 		return digests
 	}
-	known, err := tenant.NewDirectory([]tenant.Tenant{{Name: "a", Keys: keys("1", "2")}, {Name: "b", Keys: keys("3", "3")}})
+	directory, err := tenant.NewDirectory([]tenant.Tenant{{Name: "a", Keys: keys("1", "2")}, {Name: "b", Keys: keys("3", "3")}})
 	assert.NilError(t, err)
 	for key, want := range map[string]string{"1": "a", "2": "a", "3": "b"} {
-		found, ok := known.Find(tenant.DigestOf(key))
+		found, ok := directory.Find(tenant.DigestOf(key))
 		assert.Assert(t, ok, key)
 		assert.Equal(t, found.Name, want)
 	}
 	for _, key := range []string{"", "4", "a", tenant.DigestOf("1").String()} {
-		_, ok := known.Find(tenant.DigestOf(key))
-		assert.Assert(t, !ok, "%q is no key", key)
+		_, ok := directory.Find(tenant.DigestOf(key))
+		assert.Assert(t, !ok, "%q isn't a key", key)
 	}
 	empty, err := tenant.NewDirectory(nil)
 	assert.NilError(t, err)
@@ -44,7 +44,7 @@
 	assert.Assert(t, !ok)
 }
 
-func TestContradictionsAreRefused(t *testing.T) {
+func TestInvalidTenantsAreRejected(t *testing.T) {
 	shared := []tenant.Digest{tenant.DigestOf("1")}
 	for want, tenants := range map[string][]tenant.Tenant{
 		"have the same key": {{Name: "a", Keys: shared}, {Name: "b", Keys: shared}},
