--- a/coordination/tokenbudget/ledger_test.go
+++ b/coordination/tokenbudget/ledger_test.go
@@ -21,14 +21,13 @@
 
 var errAnswerLost = errors.New("the answer was lost")
 
-// sharedRegister is one register that all ledgers change. It may lose answers
-// after a change, or refuse to change.
+// sharedRegister is a register that several ledgers change. It may lose answers or fail.
 type sharedRegister struct {
 	mutex   sync.Mutex
 	values  map[string][]byte
 	changes int
-	// lose makes the next changes and loses their answers, fail doesn't make
-	// them.
+	// lose is the number of next changes that are made without an answer, fail the number of
+	// those that aren't made.
 	lose, fail int
 }
 
@@ -45,7 +44,7 @@
 	if err != nil {
 		return nil, err
 	}
-	// A change may be called again on what it made itself.
+	// A register may evaluate the change again on its own result.
 	if next, err = change(next); err != nil {
 		return nil, err
 	}
@@ -71,7 +70,7 @@
 	return newLedgerOver(holder, shared)
 }
 
-// newLedgerOver makes a ledger that gives reserves back only when it is flushed.
+// newLedgerOver returns a ledger that releases reserves only when it is flushed.
 func newLedgerOver(holder string, registers tokenbudget.Register) *tokenbudget.Ledger {
 	settings := tokenbudget.Settings{IdleTime: time.Hour, ReleaseTimeout: time.Second, ReleasePause: time.Millisecond, ReleaseTries: 50, Draws: limit.DefaultAdaptivePolicy(), Crowd: limit.DefaultAdaptivePolicy()}
 	return tokenbudget.New(holder, registers, func(string) uint32 { return 0 }, settings, time.Now, zap.NewNop())
@@ -91,8 +90,8 @@
 	// the program's budget is spent
 }
 
-// TestLimitHoldsAcrossHosts lets hosts serve turns of one program while answers of
-// its record are lost and hosts vanish.
+// TestLimitHoldsAcrossHosts: hosts never hand out more than the limit and one turn, though
+// answers are lost, changes fail and hosts restart.
 func TestLimitHoldsAcrossHosts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		shared := newSharedRegister()
@@ -121,35 +120,35 @@
 			case 5:
 				handedOut += uint64(underWay[index]) * most
 				underWay[index] = 0
-				hosts[index] = newLedger(fmt.Sprint("life", step), shared)
+				hosts[index] = newLedger(fmt.Sprint("restarted", step), shared)
 			}
 		}
 		for _, count := range underWay {
 			handedOut += uint64(count) * most
 		}
-		assert.Assert(t, handedOut < limit+most, "%d handed out of %d and %d", handedOut, limit, most)
+		assert.Assert(t, handedOut < limit+most, "%d tokens handed out, the limit is %d, the most per turn %d", handedOut, limit, most)
 	})
 }
 
-// TestIdleReserveIsReleased after the program's last turn, also where the record
-// can't be reached at first.
+// TestIdleReserveIsReleased: the reserve is released after the program's last turn, also if
+// the record can't be reached at first.
 func TestIdleReserveIsReleased(t *testing.T) {
 	shared := newSharedRegister()
 	settings := tokenbudget.Settings{IdleTime: time.Millisecond, ReleaseTimeout: time.Second, ReleasePause: time.Millisecond, ReleaseTries: 50, Draws: limit.DefaultAdaptivePolicy(), Crowd: limit.DefaultAdaptivePolicy()}
 	ledger := tokenbudget.New("host", shared, func(string) uint32 { return 0 }, settings, time.Now, zap.NewNop())
 	assert.NilError(t, ledger.Reserve(context.Background(), tokenbudget.Reservation{Program: "p", Limit: 10_000, Most: 100}))
-	assert.Equal(t, shared.committed(t, "p"), uint64(400), "the turn and three more")
+	assert.Equal(t, shared.committed(t, "p"), uint64(400), "one turn and three turns ahead")
 	shared.mutex.Lock()
 	shared.fail = 3
 	shared.mutex.Unlock()
 	ledger.End("p", 100, 70)
 	harness.Eventually(t, func() (bool, string) {
 		committed := shared.committed(t, "p")
-		return committed == 70, fmt.Sprintf("%d are committed, 70 are spent", committed)
+		return committed == 70, fmt.Sprintf("%d tokens are committed, 70 are spent", committed)
 	})
 }
 
-// TestFlush gives reserves back at a planned stop.
+// TestFlush: flushing releases the reserves of programs without turns.
 func TestFlush(t *testing.T) {
 	shared := newSharedRegister()
 	ledger := newLedger("host", shared)
@@ -159,7 +158,7 @@
 	assert.Equal(t, shared.committed(t, "p"), uint64(100))
 }
 
-// TestFewChangesForManyTurns.
+// TestFewChangesForManyTurns: most turns begin from the reserve, without a change of the record.
 func TestFewChangesForManyTurns(t *testing.T) {
 	shared := newSharedRegister()
 	ledger := newLedger("host", shared)
@@ -170,7 +169,7 @@
 	assert.Assert(t, shared.changes <= 3, "%d changes for 12 turns", shared.changes)
 }
 
-// TestReservedElsewhere isn't told as spent.
+// TestReservedElsewhere: tokens that another host reserves aren't reported as spent.
 func TestReservedElsewhere(t *testing.T) {
 	shared := newSharedRegister()
 	first, second := newLedger("a", shared), newLedger("b", shared)
@@ -181,41 +180,42 @@
 	assert.ErrorIs(t, second.Reserve(context.Background(), tokenbudget.Reservation{Program: "p", Limit: 100, Most: 100}), budget.ErrSpent)
 }
 
-// failingRegister is one that can't be reached: each try takes its time.
+// failingRegister fails each change after a pause.
 type failingRegister struct {
-	mutex        sync.Mutex
-	running      int
-	most, failed int
+	mutex                 sync.Mutex
+	inProgress            int
+	maxInProgress, failed int
 }
 
 func (r *failingRegister) Apply(ctx context.Context, _ uint32, _ string, _ register.Change) ([]byte, error) {
 	r.mutex.Lock()
-	r.running++
-	r.most = max(r.most, r.running)
+	r.inProgress++
+	r.maxInProgress = max(r.maxInProgress, r.inProgress)
 	r.mutex.Unlock()
 	time.Sleep(time.Millisecond)
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.running--
+	r.inProgress--
 	r.failed++
 	return nil, register.ErrNoQuorum
 }
 
-// TestConcurrentReleasesAreBounded while the record can't be reached.
+// TestConcurrentReleasesAreBounded: while the record can't be reached, few releases are in
+// progress at the same time.
 func TestConcurrentReleasesAreBounded(t *testing.T) {
-	unreachable := &failingRegister{}
+	failing := &failingRegister{}
 	settings := tokenbudget.Settings{IdleTime: time.Millisecond, ReleaseTimeout: time.Second, ReleasePause: time.Millisecond, ReleaseTries: 3}
 	settings.Draws = limit.AdaptivePolicy{Start: 1000, Min: 1000, Max: 1000}
 	settings.Crowd = settings.Draws
-	ledger := tokenbudget.New("host", unreachable, func(string) uint32 { return 0 }, settings, time.Now, zap.NewNop())
+	ledger := tokenbudget.New("host", failing, func(string) uint32 { return 0 }, settings, time.Now, zap.NewNop())
 	const programs = 200
 	for index := range programs {
 		_ = ledger.Reserve(context.Background(), tokenbudget.Reservation{Program: fmt.Sprint(index), Limit: 100, Most: 10})
 	}
 	harness.Eventually(t, func() (bool, string) {
-		unreachable.mutex.Lock()
-		defer unreachable.mutex.Unlock()
-		return unreachable.failed >= programs*(1+settings.ReleaseTries), fmt.Sprintf("%d tries", unreachable.failed)
+		failing.mutex.Lock()
+		defer failing.mutex.Unlock()
+		return failing.failed >= programs*(1+settings.ReleaseTries), fmt.Sprintf("%d attempts", failing.failed)
 	})
-	assert.Assert(t, unreachable.most <= 17, "%d tries at once", unreachable.most)
+	assert.Assert(t, failing.maxInProgress <= 17, "%d concurrent attempts", failing.maxInProgress)
 }
--- a/coordination/tokenbudget/uncertain_outcome_test.go
+++ b/coordination/tokenbudget/uncertain_outcome_test.go
@@ -12,9 +12,9 @@
 	"github.com/marblering/marblering/state/budget"
 )
 
-// retryingRegister calls each change on one record and then, as if that try had found no
-// answer, on another one; the first try turns out to be chosen.
-// register.TestEarlierEvaluationMayStand has an order of messages that does this.
+// retryingRegister evaluates each change on one record and then on another, and chooses the
+// result of the first evaluation. A register does so if it retries without an answer and the
+// earlier attempt was chosen.
 type retryingRegister struct{ first, second []byte }
 
 func (r *retryingRegister) Apply(_ context.Context, _ uint32, _ string, change register.Change) ([]byte, error) {
@@ -29,27 +29,25 @@
 	return chosen, nil
 }
 
-// TestDrawUsesChosenRecord: a draw is tried twice, and each try finds another
-// record. The ledger took the word of the last one: where that granted the turn and the
-// chosen one refused it, the turn ran though no record knew of its tokens, and the next
-// one was let begin beyond the budget; the other way round a turn was refused and its
-// tokens stayed reserved.
+// TestDrawUsesChosenRecord guards against taking a draw's decision from a record that wasn't
+// chosen: turns then run without a reserve in any record, or are refused with their tokens
+// reserved.
 func TestDrawUsesChosenRecord(t *testing.T) {
 	encode := func(settled uint64) []byte {
 		encoded, err := budget.Encode(&statev1.TokenBudget{Program: "p", Limit: 100, Settled: settled})
 		assert.NilError(t, err)
 		return encoded
 	}
-	wanted := tokenbudget.Reservation{Program: "p", Limit: 100, Most: 100}
+	reservation := tokenbudget.Reservation{Program: "p", Limit: 100, Most: 100}
 
 	refused := newLedgerOver("a", &retryingRegister{first: encode(100), second: encode(0)})
-	assert.ErrorIs(t, refused.Reserve(t.Context(), wanted), budget.ErrSpent)
+	assert.ErrorIs(t, refused.Reserve(t.Context(), reservation), budget.ErrSpent)
 
 	granted := newLedgerOver("a", &retryingRegister{first: encode(0), second: encode(100)})
-	assert.NilError(t, granted.Reserve(t.Context(), wanted))
+	assert.NilError(t, granted.Reserve(t.Context(), reservation))
 }
 
-// lossyRegister makes a change and doesn't say so.
+// lossyRegister makes each change and reports an unknown outcome while isLossy is set.
 type lossyRegister struct {
 	*sharedRegister
 	isLossy bool
@@ -63,24 +61,23 @@
 	return value, err
 }
 
-// TestUnknownOutcomeKeepsOnlyGuaranteedReserve: a draw is refused, which gives back what the host had left, and the
-// answer is lost. The host went on with what it had before, 260 tokens, and let a smaller
-// turn begin from them, which no record knew.
+// TestUnknownOutcomeKeepsOnlyGuaranteedReserve guards against turns that begin from a reserve
+// that a refused draw, whose answer was lost, has already released.
 func TestUnknownOutcomeKeepsOnlyGuaranteedReserve(t *testing.T) {
 	shared := newSharedRegister()
-	lost := &lossyRegister{sharedRegister: shared}
-	first, second := newLedgerOver("a", lost), newLedger("b", shared)
-	wanted := tokenbudget.Reservation{Program: "p", Limit: 1000, Most: 100}
-	assert.NilError(t, first.Reserve(t.Context(), wanted))
+	lossy := &lossyRegister{sharedRegister: shared}
+	first, second := newLedgerOver("a", lossy), newLedger("b", shared)
+	reservation := tokenbudget.Reservation{Program: "p", Limit: 1000, Most: 100}
+	assert.NilError(t, first.Reserve(t.Context(), reservation))
 	first.End("p", 100, 40)
 	other := tokenbudget.Reservation{Program: "p", Limit: 1000, Most: 960}
 	assert.NilError(t, second.Reserve(t.Context(), other))
 	assert.Equal(t, shared.committed(t, "p"), uint64(1260))
 
-	lost.isLossy = true
-	wanted.Most = 300
-	assert.ErrorIs(t, first.Reserve(t.Context(), wanted), register.ErrUnknownOutcome)
-	assert.Equal(t, shared.committed(t, "p"), uint64(1000), "the refused draw has given 260 back")
-	wanted.Most = 260
-	assert.Assert(t, first.Reserve(t.Context(), wanted) != nil, "they aren't this host's any more")
+	lossy.isLossy = true
+	reservation.Most = 300
+	assert.ErrorIs(t, first.Reserve(t.Context(), reservation), register.ErrUnknownOutcome)
+	assert.Equal(t, shared.committed(t, "p"), uint64(1000), "the refused draw has released 260 tokens")
+	reservation.Most = 260
+	assert.Assert(t, first.Reserve(t.Context(), reservation) != nil, "the released tokens aren't available to this host any more")
 }
