--- a/coordination/tokenbudget/host_test.go
+++ b/coordination/tokenbudget/host_test.go
@@ -19,20 +19,20 @@
 	"github.com/marblering/marblering/test/harness"
 )
 
-// network carries requests to hosts by their addresses.
+// network routes requests to hosts by their addresses.
 type network struct {
 	mutex sync.Mutex
 	hosts map[string]*tokenbudget.Host
-	// down hosts don't answer; lossy ones act and lose the answer.
+	// down hosts don't answer; lossy ones act but lose the answer.
 	down, lossy map[string]bool
 	asked       []string
-	// reservations counts the requests that were no ends.
+	// reservations counts the calls of Reserve.
 	reservations int
 	// onAsk is called for each request.
 	onAsk func(address string)
 }
 
-func (n *network) host(address string) (*tokenbudget.Host, bool, error) {
+func (n *network) route(address string) (*tokenbudget.Host, bool, error) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	n.asked = append(n.asked, address)
@@ -45,16 +45,16 @@
 	return n.hosts[address], n.lossy[address], nil
 }
 
-func (n *network) Reserve(ctx context.Context, address string, wanted tokenbudget.Reservation, ended []tokenbudget.Ended) error {
+func (n *network) Reserve(ctx context.Context, address string, reservation tokenbudget.Reservation, ended []tokenbudget.Ended) error {
 	n.mutex.Lock()
 	n.reservations++
 	n.mutex.Unlock()
-	host, lossy, err := n.host(address)
+	host, lossy, err := n.route(address)
 	if err != nil {
 		return err
 	}
 	host.End(ended)
-	err = host.Reserve(ctx, wanted)
+	err = host.Reserve(ctx, reservation)
 	if lossy {
 		return errAnswerLost
 	}
@@ -62,14 +62,14 @@
 }
 
 func (n *network) End(_ context.Context, address string, ended []tokenbudget.Ended) error {
-	host, _, err := n.host(address)
+	host, _, err := n.route(address)
 	if err == nil {
 		host.End(ended)
 	}
 	return err
 }
 
-// reservationCount is how often any host was asked for a reservation.
+// reservationCount returns how often any host was asked for a reservation.
 func (n *network) reservationCount() int {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -84,126 +84,128 @@
 func (staticViews) Locate(string) uint32 { return 0 }
 
 func newNetwork(shared *sharedRegister, count int) (*network, staticViews) {
-	carried := &network{hosts: make(map[string]*tokenbudget.Host), down: make(map[string]bool), lossy: make(map[string]bool)}
-	var view staticViews
+	transport := &network{hosts: make(map[string]*tokenbudget.Host), down: make(map[string]bool), lossy: make(map[string]bool)}
+	var views staticViews
 	for index := range count {
 		name := fmt.Sprint("host", index)
-		carried.hosts[name] = tokenbudget.NewHost(newLedger(name, shared), time.Now)
-		view.members = append(view.members, register.Member{Node: name, Address: name})
+		transport.hosts[name] = tokenbudget.NewHost(newLedger(name, shared), time.Now)
+		views.members = append(views.members, register.Member{Node: name, Address: name})
 	}
-	return carried, view
+	return transport, views
 }
 
-func newClient(carried *network, view staticViews) *tokenbudget.Client {
-	return tokenbudget.NewClient(carried, view, reach.New(time.Now), time.Now, zap.NewNop())
+func newClient(transport *network, views staticViews) *tokenbudget.Client {
+	return tokenbudget.NewClient(transport, views, reach.New(time.Now), time.Now, zap.NewNop())
 }
 
 func newReservation(id string) tokenbudget.Reservation {
 	return tokenbudget.Reservation{Program: "p", Name: id, Limit: 1000, Most: 100, Lifetime: time.Minute}
 }
 
-// TestClientsAskTheSameHost while it answers.
+// TestClientsAskTheSameHost: clients ask the same host for a program while it answers.
 func TestClientsAskTheSameHost(t *testing.T) {
-	carried, view := newNetwork(newSharedRegister(), 3)
+	transport, views := newNetwork(newSharedRegister(), 3)
 	for index := range 4 {
-		client := newClient(carried, view)
+		client := newClient(transport, views)
 		assert.NilError(t, client.Reserve(context.Background(), newReservation(fmt.Sprint(index))))
 	}
-	for _, address := range carried.asked {
-		assert.Equal(t, address, carried.asked[0])
+	for _, address := range transport.asked {
+		assert.Equal(t, address, transport.asked[0])
 	}
 }
 
-// TestFailoverToNextHost, and what the failed one may have reserved is
-// ended there.
+// TestFailoverToNextHost: if a host fails, the next one decides, and the reservation is ended
+// at the failed one.
 func TestFailoverToNextHost(t *testing.T) {
 	for _, lossy := range []bool{false, true} {
 		shared := newSharedRegister()
-		carried, view := newNetwork(shared, 3)
-		client := newClient(carried, view)
+		transport, views := newNetwork(shared, 3)
+		client := newClient(transport, views)
 		assert.NilError(t, client.Reserve(context.Background(), newReservation("first")))
-		home := carried.asked[0]
+		primary := transport.asked[0]
 		client.End(tokenbudget.Ended{Program: "p", Reservation: "first", HandedOut: 100})
 		client.Flush(context.Background())
-		carried.down[home], carried.lossy[home] = !lossy, lossy
+		transport.down[primary], transport.lossy[primary] = !lossy, lossy
 		assert.NilError(t, client.Reserve(context.Background(), newReservation("second")))
-		assert.Assert(t, carried.asked[len(carried.asked)-1] != home)
-		carried.down[home], carried.lossy[home] = false, false
+		assert.Assert(t, transport.asked[len(transport.asked)-1] != primary)
+		transport.down[primary], transport.lossy[primary] = false, false
 		client.Flush(context.Background())
 		assert.NilError(t, client.Reserve(context.Background(), newReservation("third")))
-		assert.Assert(t, carried.asked[len(carried.asked)-1] != home, "a host that failed is asked last for a while")
+		assert.Assert(t, transport.asked[len(transport.asked)-1] != primary, "a host that failed is asked last for a while")
 	}
 }
 
 func TestNoHostAnswers(t *testing.T) {
-	carried, view := newNetwork(newSharedRegister(), 2)
-	carried.down["host0"], carried.down["host1"] = true, true
-	assert.ErrorIs(t, newClient(carried, view).Reserve(context.Background(), newReservation("t")), tokenbudget.ErrUnavailable)
-	assert.ErrorIs(t, newClient(carried, staticViews{}).Reserve(context.Background(), newReservation("t")), tokenbudget.ErrUnavailable)
+	transport, views := newNetwork(newSharedRegister(), 2)
+	transport.down["host0"], transport.down["host1"] = true, true
+	assert.ErrorIs(t, newClient(transport, views).Reserve(context.Background(), newReservation("t")), tokenbudget.ErrUnavailable)
+	assert.ErrorIs(t, newClient(transport, staticViews{}).Reserve(context.Background(), newReservation("t")), tokenbudget.ErrUnavailable)
 }
 
-// TestBreakerRefusesUnreachableShard after some tries, and asked again soon.
+// TestBreakerRefusesUnreachableShard: the breaker of a shard whose hosts don't answer opens
+// after some reservations, and closes once a host decides again.
 func TestBreakerRefusesUnreachableShard(t *testing.T) {
-	carried, view := newNetwork(newSharedRegister(), 2)
-	carried.down["host0"], carried.down["host1"] = true, true
+	transport, views := newNetwork(newSharedRegister(), 2)
+	transport.down["host0"], transport.down["host1"] = true, true
 	now := time.Now()
-	client := tokenbudget.NewClient(carried, view, reach.New(func() time.Time { return now }), func() time.Time { return now }, zap.NewNop())
+	client := tokenbudget.NewClient(transport, views, reach.New(func() time.Time { return now }), func() time.Time { return now }, zap.NewNop())
 	for i := range 10 {
 		assert.ErrorIs(t, client.Reserve(context.Background(), newReservation(fmt.Sprint("t", i))), tokenbudget.ErrUnavailable)
 	}
-	assert.Equal(t, carried.reservationCount(), 6, "three tries at two hosts")
-	carried.down["host0"], carried.down["host1"] = false, false
+	assert.Equal(t, transport.reservationCount(), 6, "three attempts at two hosts")
+	transport.down["host0"], transport.down["host1"] = false, false
 	now = now.Add(time.Second)
 	assert.NilError(t, client.Reserve(context.Background(), newReservation("t")))
 	assert.NilError(t, client.Reserve(context.Background(), newReservation("u")))
 }
 
-// TestOpenBreakerAdmitsOneProbe: when its time is over, a single request
-// tries it, and each failed trial closes it for longer.
+// TestOpenBreakerAdmitsOneProbe: after the open time a single request probes the shard, and
+// each failed probe extends the open time.
 func TestOpenBreakerAdmitsOneProbe(t *testing.T) {
-	carried, view := newNetwork(newSharedRegister(), 2)
-	carried.down["host0"], carried.down["host1"] = true, true
+	transport, views := newNetwork(newSharedRegister(), 2)
+	transport.down["host0"], transport.down["host1"] = true, true
 	now := time.Now()
-	client := tokenbudget.NewClient(carried, view, reach.New(func() time.Time { return now }), func() time.Time { return now }, zap.NewNop())
+	client := tokenbudget.NewClient(transport, views, reach.New(func() time.Time { return now }), func() time.Time { return now }, zap.NewNop())
 	ask := func(times int) int {
-		before := carried.reservationCount()
+		before := transport.reservationCount()
 		for i := range times {
 			assert.ErrorIs(t, client.Reserve(context.Background(), newReservation(fmt.Sprint("t", i))), tokenbudget.ErrUnavailable)
 		}
-		return carried.reservationCount() - before
+		return transport.reservationCount() - before
 	}
 	ask(3)
 	for range 20 {
 		now = now.Add(300 * time.Millisecond)
 		ask(50)
 	}
-	assert.Assert(t, carried.reservationCount() <= 2*(3+7), "%d requests to hosts in 6 s", carried.reservationCount())
-	carried.down["host0"], carried.down["host1"] = false, false
+	assert.Assert(t, transport.reservationCount() <= 2*(3+7), "%d requests to hosts in 6 s", transport.reservationCount())
+	transport.down["host0"], transport.down["host1"] = false, false
 	now = now.Add(2 * time.Second)
 	assert.NilError(t, client.Reserve(context.Background(), newReservation("t")))
-	assert.NilError(t, client.Reserve(context.Background(), newReservation("u")), "open again")
+	assert.NilError(t, client.Reserve(context.Background(), newReservation("u")), "the breaker is closed")
 }
 
-// TestSlowAttemptsAreBounded: hosts that are slow together are overloaded.
+// TestSlowAttemptsAreBounded: a reservation waits for few slow hosts, as hosts that are slow
+// together are overloaded.
 func TestSlowAttemptsAreBounded(t *testing.T) {
-	carried, view := newNetwork(newSharedRegister(), 5)
+	transport, views := newNetwork(newSharedRegister(), 5)
 	now := time.Now()
-	carried.onAsk = func(string) { now = now.Add(350 * time.Millisecond) }
+	transport.onAsk = func(string) { now = now.Add(350 * time.Millisecond) }
 	for i := range 5 {
-		carried.down[fmt.Sprint("host", i)] = true
+		transport.down[fmt.Sprint("host", i)] = true
 	}
-	client := tokenbudget.NewClient(carried, view, reach.New(func() time.Time { return now }), func() time.Time { return now }, zap.NewNop())
+	client := tokenbudget.NewClient(transport, views, reach.New(func() time.Time { return now }), func() time.Time { return now }, zap.NewNop())
 	assert.ErrorIs(t, client.Reserve(context.Background(), newReservation("t")), tokenbudget.ErrUnavailable)
-	assert.Equal(t, carried.reservationCount(), 2)
-	carried.onAsk = nil
+	assert.Equal(t, transport.reservationCount(), 2)
+	transport.onAsk = nil
 	assert.ErrorIs(t, client.Reserve(context.Background(), newReservation("u")), tokenbudget.ErrUnavailable)
-	assert.Equal(t, carried.reservationCount(), 7, "those that fail at once cost nothing")
+	assert.Equal(t, transport.reservationCount(), 7, "hosts that fail at once don't count as slow")
 }
 
-// hangingRegister answers nothing until its caller gives up.
+// hangingRegister answers for one program only; other changes wait until their caller gives up.
 type hangingRegister struct {
 	asked atomic.Int64
-	// sharedRegister answers for the programs that are served.
+	// sharedRegister answers for the served program.
 	*sharedRegister
 	served string
 }
@@ -217,47 +219,47 @@
 	return nil, register.ErrNoQuorum
 }
 
-// TestOverloadedHostIsNotRetriedElsewhere: its requests would only overload the next.
+// TestOverloadedHostIsNotRetriedElsewhere guards against passing the requests of an overloaded
+// host on to the others, which would overload them too.
 func TestOverloadedHostIsNotRetriedElsewhere(t *testing.T) {
-	carried, view := newNetwork(newSharedRegister(), 5)
+	transport, views := newNetwork(newSharedRegister(), 5)
 	hanging := &hangingRegister{sharedRegister: newSharedRegister(), served: "served"}
 	settings := tokenbudget.DefaultSettings()
 	settings.Draws = limit.AdaptivePolicy{Start: 2, Min: 2, Max: 2}
 	fixed := time.Now()
 	clock := func() time.Time { return fixed }
 	host := tokenbudget.NewHost(tokenbudget.New("host", hanging, staticViews{}.Locate, settings, clock, zap.NewNop()), time.Now)
-	client := newClient(carried, view)
+	client := newClient(transport, views)
 	assert.NilError(t, client.Reserve(context.Background(), newReservation("before")))
-	for address := range carried.hosts {
-		carried.hosts[address] = host
+	for address := range transport.hosts {
+		transport.hosts[address] = host
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	assert.NilError(t, host.Reserve(ctx, tokenbudget.Reservation{Program: "served", Name: "s", Limit: 10, Most: 1}))
 	for i := range 2 {
-		wanted := newReservation(fmt.Sprint("t", i))
-		wanted.Program = fmt.Sprint("p", i)
-		go func() { _ = host.Reserve(ctx, wanted) }()
+		reservation := newReservation(fmt.Sprint("t", i))
+		reservation.Program = fmt.Sprint("p", i)
+		go func() { _ = host.Reserve(ctx, reservation) }()
 	}
-	harness.Eventually(t, func() (bool, string) { return hanging.asked.Load() == 2, "no draw is under way" })
-	before := carried.reservationCount()
+	harness.Eventually(t, func() (bool, string) { return hanging.asked.Load() == 2, "no draw is in progress" })
+	before := transport.reservationCount()
 	assert.ErrorIs(t, client.Reserve(ctx, newReservation("t")), tokenbudget.ErrOverloaded)
-	assert.Equal(t, carried.reservationCount(), before+1)
+	assert.Equal(t, transport.reservationCount(), before+1)
 	fresh := newReservation("u")
 	fresh.Program = "fresh"
 	for range 5 {
 		assert.ErrorIs(t, client.Reserve(ctx, fresh), tokenbudget.ErrOverloaded)
 	}
-	assert.Equal(t, carried.reservationCount(), before+6, "one host is asked for each")
+	assert.Equal(t, transport.reservationCount(), before+6, "each reservation asks one host")
 	for range 5 {
 		assert.ErrorIs(t, client.Reserve(ctx, newReservation("t")), tokenbudget.ErrOverloaded)
 	}
-	assert.Equal(t, carried.reservationCount(), before+11, "running programs are asked for")
+	assert.Equal(t, transport.reservationCount(), before+11, "reservations of running programs ask one host too")
 }
 
-// TestRunningProgramsHavePriority: a crowded host keeps programs away that begin,
-// without a change of their records, whichever gateways they come through, and
-// lets those go on that it or a gateway knows.
+// TestRunningProgramsHavePriority: a loaded host refuses new programs without changing their
+// records, and admits the turns of programs that it or the gateway knows to be running.
 func TestRunningProgramsHavePriority(t *testing.T) {
 	hanging := &hangingRegister{sharedRegister: newSharedRegister(), served: "known"}
 	settings := tokenbudget.DefaultSettings()
@@ -275,67 +277,69 @@
 	for i := range 2 {
 		go func() { _ = reserve(fmt.Sprint("p", i), fmt.Sprint("p", i), false) }()
 	}
-	harness.Eventually(t, func() (bool, string) { return hanging.asked.Load() == 2, "no draw is under way" })
+	harness.Eventually(t, func() (bool, string) { return hanging.asked.Load() == 2, "no draw is in progress" })
 	assert.ErrorIs(t, reserve("fresh", "f", false), tokenbudget.ErrOverloaded)
-	assert.Equal(t, hanging.asked.Load(), int64(2), "nothing was asked for a program that may not begin")
+	assert.Equal(t, hanging.asked.Load(), int64(2), "a refused program doesn't reach the register")
 	assert.NilError(t, reserve("known", "k1", false))
 	assert.NilError(t, reserve("known", "k2", false))
 	hanging.served = "told"
 	assert.NilError(t, reserve("told", "t", true))
 }
 
-// TestIsolatedHostIsSkipped: a host that can change no record refuses at once
-// after some time, and the next one decides.
+// TestIsolatedHostIsSkipped: a host that can't change any record refuses at once after some
+// time, and the next host decides.
 func TestIsolatedHostIsSkipped(t *testing.T) {
-	carried, view := newNetwork(newSharedRegister(), 3)
-	client := newClient(carried, view)
+	transport, views := newNetwork(newSharedRegister(), 3)
+	client := newClient(transport, views)
 	assert.NilError(t, client.Reserve(context.Background(), newReservation("t")))
-	first := carried.asked[0]
+	first := transport.asked[0]
 	settings := tokenbudget.DefaultSettings()
 	settings.Draws = limit.AdaptivePolicy{Start: 1, Min: 1, Max: 1}
 	hanging := &hangingRegister{}
-	carried.hosts[first] = tokenbudget.NewHost(tokenbudget.New("cut", hanging, staticViews{}.Locate, settings, time.Now, zap.NewNop()), time.Now)
+	transport.hosts[first] = tokenbudget.NewHost(tokenbudget.New("isolated", hanging, staticViews{}.Locate, settings, time.Now, zap.NewNop()), time.Now)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	go func() { _ = carried.hosts[first].Reserve(ctx, newReservation("waits")) }()
-	harness.Eventually(t, func() (bool, string) { return hanging.asked.Load() == 1, "no draw is under way" })
+	go func() { _ = transport.hosts[first].Reserve(ctx, newReservation("waits")) }()
+	harness.Eventually(t, func() (bool, string) { return hanging.asked.Load() == 1, "no draw is in progress" })
 	assert.NilError(t, client.Reserve(ctx, newReservation("u")))
-	assert.Equal(t, carried.reservationCount(), 3, "the host that is cut off and the next")
+	assert.Equal(t, transport.reservationCount(), 3, "the isolated host and the next one")
 }
 
-// TestSpentIsFinal: no other host is asked.
+// TestSpentIsFinal: if the budget is spent, no other host is asked.
 func TestSpentIsFinal(t *testing.T) {
-	carried, view := newNetwork(newSharedRegister(), 3)
-	client := newClient(carried, view)
-	wanted := newReservation("t")
-	wanted.Limit, wanted.Most = 50, 50
-	assert.NilError(t, client.Reserve(context.Background(), wanted))
+	transport, views := newNetwork(newSharedRegister(), 3)
+	client := newClient(transport, views)
+	reservation := newReservation("t")
+	reservation.Limit, reservation.Most = 50, 50
+	assert.NilError(t, client.Reserve(context.Background(), reservation))
 	client.End(tokenbudget.Ended{Program: "p", Reservation: "t", HandedOut: 50})
 	client.Flush(context.Background())
-	wanted.Name = "u"
-	before := len(carried.asked)
-	assert.ErrorIs(t, client.Reserve(context.Background(), wanted), budget.ErrSpent)
-	assert.Equal(t, len(carried.asked), before+1)
+	reservation.Name = "u"
+	before := len(transport.asked)
+	assert.ErrorIs(t, client.Reserve(context.Background(), reservation), budget.ErrSpent)
+	assert.Equal(t, len(transport.asked), before+1)
 }
 
-// TestEndedTurnsAreSentWithoutReservation.
+// TestEndedTurnsAreSentWithoutReservation: ended turns are reported even if no reservation
+// follows that could carry them.
 func TestEndedTurnsAreSentWithoutReservation(t *testing.T) {
 	shared := newSharedRegister()
-	carried, view := newNetwork(shared, 1)
-	client := newClient(carried, view)
-	wanted := newReservation("t")
-	wanted.Limit = 100
-	assert.NilError(t, client.Reserve(context.Background(), wanted))
+	transport, views := newNetwork(shared, 1)
+	client := newClient(transport, views)
+	reservation := newReservation("t")
+	reservation.Limit = 100
+	assert.NilError(t, client.Reserve(context.Background(), reservation))
 	client.End(tokenbudget.Ended{Program: "p", Reservation: "t", HandedOut: 10})
-	wanted.Name = "u"
+	reservation.Name = "u"
 	harness.Eventually(t, func() (bool, string) {
-		// The host itself knows once that 90 are left.
-		other := newClient(carried, view)
-		return other.Reserve(context.Background(), wanted) == nil, "the first turn isn't ended"
+		// The end has arrived once the host grants the 90 tokens that are left.
+		other := newClient(transport, views)
+		return other.Reserve(context.Background(), reservation) == nil, "the first turn isn't ended"
 	})
 }
 
-// TestUnendedTurnIsChargedItsMost once its time is over.
+// TestUnendedTurnIsChargedItsMost: a turn without an end is charged its most once its lifetime
+// is over.
 func TestUnendedTurnIsChargedItsMost(t *testing.T) {
 	shared := newSharedRegister()
 	now := time.Now()
@@ -348,16 +352,16 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go func() { _ = host.Serve(ctx) }()
-	wanted := newReservation("t")
-	wanted.Limit = 100
-	assert.NilError(t, host.Reserve(ctx, wanted))
-	assert.NilError(t, host.Reserve(ctx, wanted), "a repeated reservation is the same turn")
+	reservation := newReservation("t")
+	reservation.Limit = 100
+	assert.NilError(t, host.Reserve(ctx, reservation))
+	assert.NilError(t, host.Reserve(ctx, reservation), "a repeated reservation is the same turn")
 	mutex.Lock()
 	now = now.Add(2 * time.Minute)
 	mutex.Unlock()
-	wanted.Name = "u"
+	reservation.Name = "u"
 	harness.Eventually(t, func() (bool, string) {
-		err := host.Reserve(ctx, wanted)
+		err := host.Reserve(ctx, reservation)
 		return err == budget.ErrSpent, fmt.Sprint(err)
 	})
 }
--- a/coordination/tokenbudget/overload_test.go
+++ b/coordination/tokenbudget/overload_test.go
@@ -19,27 +19,27 @@
 )
 
 const (
-	// changeWork is the processor time of one change of a record, which all hosts
-	// of the test share: a set's members do each change together.
+	// changeWork is the processor time of one change of a record. All hosts share the
+	// processor, as the members of a replica set make each change together.
 	changeWork = 4 * time.Millisecond
-	// programTurns, turnTime and turnPause are those of each program; programTime
-	// is what it may take in all.
+	// Each program has programTurns turns of turnTime with pauses of turnPause, and must finish
+	// within programTime.
 	programTurns = 6
 	turnTime     = 150 * time.Millisecond
 	turnPause    = 150 * time.Millisecond
 	programTime  = 4 * time.Second
-	// turnTries is how often a client asks for one turn, refusalPause how long it
-	// waits in between.
-	turnTries    = 3
-	refusalPause = 300 * time.Millisecond
-	// gatewayCount are so many that a turn seldom enters where the one before did.
+	// maxTurnAttempts is the number of attempts at one turn, refusalPause the pause after each
+	// refusal.
+	maxTurnAttempts = 3
+	refusalPause    = 300 * time.Millisecond
+	// gatewayCount is high, so that consecutive turns seldom use the same gateway.
 	gatewayCount = 40
-	// offeredTime is how long programs begin.
+	// offeredTime is the period in which programs begin.
 	offeredTime = 12 * time.Second
 )
 
-// processor makes changes one after the other. What its caller has given up by
-// the time that its turn comes costs nothing.
+// processor makes one change at a time. A change whose caller gives up while waiting takes no
+// processor time.
 type processor struct {
 	*sharedRegister
 	busy chan struct{}
@@ -56,11 +56,11 @@
 	return p.sharedRegister.Apply(ctx, shard, key, change)
 }
 
-// load takes programs through gateways that are chosen anew for each turn.
+// load runs programs through gateways that are chosen at random for each turn.
 type load struct {
 	gateways []*tokenbudget.Client
 	finished atomic.Int64
-	// interrupted programs failed after a turn of theirs had been served.
+	// interrupted counts the programs that failed after their first turn.
 	interrupted atomic.Int64
 }
 
@@ -81,17 +81,17 @@
 }
 
 func (l *load) runTurn(program, id string, random *rand.Rand) bool {
-	for try := range turnTries {
+	for attempt := range maxTurnAttempts {
 		client := l.gateways[random.IntN(len(l.gateways))]
-		wanted := tokenbudget.Reservation{
-			Program: program, Name: fmt.Sprint(id, "/", try), Limit: 1200, Most: 100, Lifetime: 10 * time.Second,
+		reservation := tokenbudget.Reservation{
+			Program: program, Name: fmt.Sprint(id, "/", attempt), Limit: 1200, Most: 100, Lifetime: 10 * time.Second,
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
-		err := client.Reserve(ctx, wanted)
+		err := client.Reserve(ctx, reservation)
 		cancel()
 		if err == nil {
 			time.Sleep(turnTime)
-			client.End(tokenbudget.Ended{Program: program, Reservation: wanted.Name, HandedOut: 80})
+			client.End(tokenbudget.Ended{Program: program, Reservation: reservation.Name, HandedOut: 80})
 			return true
 		}
 		time.Sleep(refusalPause)
@@ -99,43 +99,43 @@
 	return false
 }
 
-// goodput is how many programs a second are finished in time where so many begin.
+// goodput returns the programs per second that finish in time, and those that are interrupted,
+// at an offered load of programs per second.
 func goodput(t *testing.T, offered float64) (finished, interrupted float64) {
 	t.Helper()
 	bubble.Test(t, func(*testing.T) {
 		shared := processor{sharedRegister: newSharedRegister(), busy: make(chan struct{}, 1)}
-		carried := &network{hosts: make(map[string]*tokenbudget.Host), down: make(map[string]bool), lossy: make(map[string]bool)}
-		var view staticViews
+		transport := &network{hosts: make(map[string]*tokenbudget.Host), down: make(map[string]bool), lossy: make(map[string]bool)}
+		var views staticViews
 		for i := range 5 {
 			name := fmt.Sprint("host", i)
 			ledger := tokenbudget.New(name, shared, func(string) uint32 { return 0 }, tokenbudget.DefaultSettings(), time.Now, zap.NewNop())
-			carried.hosts[name] = tokenbudget.NewHost(ledger, time.Now)
-			view.members = append(view.members, register.Member{Node: name, Address: name})
+			transport.hosts[name] = tokenbudget.NewHost(ledger, time.Now)
+			views.members = append(views.members, register.Member{Node: name, Address: name})
 		}
-		l := &load{}
+		simulated := &load{}
 		for range gatewayCount {
-			l.gateways = append(l.gateways, tokenbudget.NewClient(carried, view, reach.New(time.Now), time.Now, zap.NewNop()))
+			simulated.gateways = append(simulated.gateways, tokenbudget.NewClient(transport, views, reach.New(time.Now), time.Now, zap.NewNop()))
 		}
 		random := rand.New(rand.NewPCG(1, 2))
 		var running sync.WaitGroup
 		pause := time.Duration(float64(time.Second) / offered)
 		for i := range int(offered * offeredTime.Seconds()) {
 			source := rand.New(rand.NewPCG(random.Uint64(), uint64(i)))
-			running.Go(func() { l.runProgram(fmt.Sprint("p", i), source) })
+			running.Go(func() { simulated.runProgram(fmt.Sprint("p", i), source) })
 			time.Sleep(pause)
 		}
 		running.Wait()
-		// What is given back late ends before the test does.
+		// Wait for pending releases.
 		time.Sleep(time.Minute)
-		finished = float64(l.finished.Load()) / offeredTime.Seconds()
-		interrupted = float64(l.interrupted.Load()) / offeredTime.Seconds()
+		finished = float64(simulated.finished.Load()) / offeredTime.Seconds()
+		interrupted = float64(simulated.interrupted.Load()) / offeredTime.Seconds()
 	})
 	return finished, interrupted
 }
 
-// TestGoodputUnderOverload: where more programs come than the hosts can take,
-// those that have begun are finished and others are refused. A program whose
-// later turns are refused has used what it has used for nothing.
+// TestGoodputUnderOverload guards against hosts that admit more programs under overload than
+// they can finish: running programs must finish, and new ones are refused.
 func TestGoodputUnderOverload(t *testing.T) {
 	best := 0.0
 	finished := make(map[float64]float64)
@@ -148,7 +148,7 @@
 	assert.Assert(t, finished[20] >= 19, "%.1f of 20 finished without overload", finished[20])
 	for offered, programs := range finished {
 		if offered > best {
-			assert.Assert(t, programs >= 0.9*best, "%.1f finished of %.0f, %.1f at best", programs, offered, best)
+			assert.Assert(t, programs >= 0.9*best, "%.1f of %.0f programs a second finished, %.1f at best", programs, offered, best)
 		}
 	}
 }
