--- a/coordination/tokenbudget/client.go
+++ b/coordination/tokenbudget/client.go
@@ -15,7 +15,7 @@
 	"github.com/marblering/marblering/coordination/register"
 )
 
-// ErrUnavailable means that no host could change the program's record.
+// ErrUnavailable means that no host decided the reservation.
 var ErrUnavailable = errors.New("no host of the program's budget answered")
 
 // ErrOverloaded means that the host already changes as many records as it can. It
@@ -44,7 +44,7 @@
 	// carry it, which saves a request.
 	endReportDelay = 300 * time.Millisecond
 	// maxEndReports bounds the requests that report the same ended turns. A host charges
-	// turns whose end isn't reported with the most that they reserved.
+	// turns whose end isn't reported with all the tokens that they reserved.
 	maxEndReports = 5
 	// lifetimeMargin is added to the lifetime of a turn, for clocks that differ in speed.
 	lifetimeMargin = 5 * time.Second
--- a/coordination/tokenbudget/flush_test.go
+++ b/coordination/tokenbudget/flush_test.go
@@ -35,8 +35,8 @@
 	})
 }
 
-// TestFlushReleasesUnneededReserve: a turn that outlasts the stop keeps its most, and the rest
-// of the reserve is released.
+// TestFlushReleasesUnneededReserve: a turn that outlasts the stop keeps the tokens that it
+// may generate, and the rest of the reserve is released.
 func TestFlushReleasesUnneededReserve(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		shared := newSharedRegister()
--- a/coordination/tokenbudget/host.go
+++ b/coordination/tokenbudget/host.go
@@ -192,7 +192,7 @@
 	return known
 }
 
-// Serve charges turns whose lifetime is over without an end with the most that they
+// Serve ends turns whose lifetime is over and charges them with all the tokens that they
 // reserved.
 func (h *Host) Serve(ctx context.Context) error {
 	ticker := time.NewTicker(expiryInterval)
--- a/coordination/tokenbudget/host_test.go
+++ b/coordination/tokenbudget/host_test.go
@@ -338,9 +338,9 @@
 	})
 }
 
-// TestUnendedTurnIsChargedItsMost: a turn without an end is charged its most once its lifetime
-// is over.
-func TestUnendedTurnIsChargedItsMost(t *testing.T) {
+// TestUnendedTurnIsChargedItsMaximum: a turn that isn't ended is charged with all the tokens
+// that it reserved once its lifetime is over.
+func TestUnendedTurnIsChargedItsMaximum(t *testing.T) {
 	shared := newSharedRegister()
 	now := time.Now()
 	var mutex sync.Mutex
--- a/coordination/tokenbudget/ledger.go
+++ b/coordination/tokenbudget/ledger.go
@@ -89,8 +89,8 @@
 	}
 }
 
-// account is the reserve of one program at this host. The ledger's mutex guards it. The turn
-// that changes the record holds drawLock.
+// account is the reserve of one program at this host. The ledger's mutex guards it. A turn
+// holds drawLock while it takes tokens from the reserve or draws more.
 type account struct {
 	holder   string
 	drawLock chan struct{}
