--- a/coordination/tokenbudget/client.go
+++ b/coordination/tokenbudget/client.go
@@ -15,182 +15,182 @@
 	"github.com/marblering/marblering/coordination/register"
 )
 
-// ErrUnavailable means that no host could reach the program's record.
-var ErrUnavailable = errors.New("no host of the program's budget answers")
+// ErrUnavailable means that no host decided the reservation.
+var ErrUnavailable = errors.New("no host of the program's budget answered")
 
-// ErrOverloaded means that the host has too many records to ask for already. It
+// ErrOverloaded means that the host already changes as many records as it can. It
 // reserved nothing.
-var ErrOverloaded = errors.New("the budget's host is overloaded")
+var ErrOverloaded = errors.New("the budget host is overloaded")
 
-// Hosts sends requests to the hosts. peer.Client is one. Reserve returns what
-// the host answered, or an error that says nothing about what it did.
+// Hosts sends requests to hosts; peer.BudgetClient implements it. Reserve returns the
+// host's decision, or an error after which it is unknown whether the host reserved
+// anything.
 type Hosts interface {
-	Reserve(ctx context.Context, address string, wanted Reservation, ended []Ended) error
+	Reserve(ctx context.Context, address string, reservation Reservation, ended []Ended) error
 	End(ctx context.Context, address string, ended []Ended) error
 }
 
-// Views gives the replica sets.
+// Views provides the replica sets of shards and the shard of each program.
 type Views interface {
 	View(shard uint32) (register.View, bool)
 	Locate(program string) uint32
 }
 
 const (
-	// tryTimeout bounds one request to one host: a few times what a round of a
-	// register takes, so that two hosts can be tried within a request's time for
-	// state. Chosen, not measured.
-	tryTimeout = 350 * time.Millisecond
-	// endDelay is how long an ended turn waits for the next reservation at its
-	// host, which carries it along and saves a request. Chosen, not measured.
-	endDelay = 300 * time.Millisecond
-	// endTries bounds the tries to tell a host of ended turns. The host charges
-	// turns that it isn't told of with the most that they reserved. Chosen, not
-	// measured.
-	endTries = 5
-	// lifetimeSlack is added to a turn's time, for clocks that differ in speed.
-	// Chosen, not measured.
-	lifetimeSlack = 5 * time.Second
+	// attemptTimeout bounds one request to one host. It is a few times the duration of a
+	// change of a register, and short enough to try two hosts for one reservation.
+	attemptTimeout = 350 * time.Millisecond
+	// endReportDelay is how long an ended turn waits for a reservation at its host that can
+	// carry it, which saves a request.
+	endReportDelay = 300 * time.Millisecond
+	// maxEndReports bounds the requests that report the same ended turns. A host charges
+	// turns whose end isn't reported with all the tokens that they reserved.
+	maxEndReports = 5
+	// lifetimeMargin is added to the lifetime of a turn, for clocks that differ in speed.
+	lifetimeMargin = 5 * time.Second
 )
 
-// Client is a gateway's side: it reserves for turns at the hosts of their programs.
-// It is safe for concurrent use.
+// Client reserves tokens for a gateway's turns at the hosts of their programs. It is safe
+// for concurrent use.
 type Client struct {
-	hosts  Hosts
-	views  Views
-	reach  *reach.Tracker
-	now    func() time.Time
-	logger *zap.Logger
+	hosts   Hosts
+	views   Views
+	tracker *reach.Tracker
+	now     func() time.Time
+	logger  *zap.Logger
 
 	mutex sync.Mutex
-	// hostOf is the address of the host that granted each reservation under way.
-	hostOf map[string]string
-	// ended are, by address, the turns that their hosts weren't told of yet.
-	ended map[string][]Ended
-	// breakers are those of the shards that were asked.
-	breakers map[uint32]*breaker
+	// grantedBy maps the reservations in progress to the addresses of their hosts.
+	grantedBy map[string]string
+	// pendingEnds holds, by address, the ended turns that their hosts don't know of yet.
+	pendingEnds map[string][]Ended
+	// breakers holds the circuit breakers by shard.
+	breakers map[uint32]*circuitBreaker
 }
 
-// NewClient makes a client without turns. The client tells the tracker which hosts
+// NewClient returns a client without reservations. It records in the tracker which hosts
 // answer.
 func NewClient(hosts Hosts, views Views, tracker *reach.Tracker, now func() time.Time, logger *zap.Logger) *Client {
 	return &Client{
-		hosts: hosts, views: views, reach: tracker, now: now, logger: logger,
-		hostOf: make(map[string]string), ended: make(map[string][]Ended),
-		breakers: make(map[uint32]*breaker),
+		hosts: hosts, views: views, tracker: tracker, now: now, logger: logger,
+		grantedBy: make(map[string]string), pendingEnds: make(map[string][]Ended),
+		breakers: make(map[uint32]*circuitBreaker),
 	}
 }
 
-// Reserve asks the program's hosts one after the other until one decides, by the rule
-// of next. It returns a refusal of the budget, ErrUnavailable or ErrOverloaded.
-// After success, End must be called.
-func (c *Client) Reserve(ctx context.Context, wanted Reservation) error {
-	shard := c.views.Locate(wanted.Program)
+// Reserve asks the program's hosts one after the other until one decides, by the rules of
+// nextStep. It returns a refusal of the budget, ErrUnavailable or ErrOverloaded. After
+// success, End must be called.
+func (c *Client) Reserve(ctx context.Context, reservation Reservation) error {
+	shard := c.views.Locate(reservation.Program)
 	view, known := c.views.View(shard)
 	if !known {
-		return merry.Prepend(ErrUnavailable, "no replica set is known")
+		return merry.Prependf(ErrUnavailable, "no replica set is known for shard %d", shard)
 	}
-	if !c.mayTry(shard) {
-		return merry.Prependf(ErrUnavailable, "shard %d was out of reach a moment ago", shard)
+	if !c.allowShard(shard) {
+		return merry.Prependf(ErrUnavailable, "the circuit breaker of shard %d is open", shard)
 	}
-	wanted.Lifetime += lifetimeSlack
-	return c.askHosts(ctx, shard, c.order(view, wanted.Program), wanted)
+	reservation.Lifetime += lifetimeMargin
+	return c.askHosts(ctx, shard, c.orderHosts(view, reservation.Program), reservation)
 }
 
-// askHosts asks the hosts at the addresses until one decides or the rule gives up. Where
-// some say that others reserve the rest of the budget, and none grants the turn or knows
-// it as spent, that is the answer.
-func (c *Client) askHosts(ctx context.Context, shard uint32, addresses []string, wanted Reservation) error {
-	var last, reserved error
+// askHosts asks the hosts until one decides or nextStep gives up. If a host refused the
+// turn with budget.ErrReserved and no later one grants it or reports the budget as spent,
+// that refusal is the result.
+func (c *Client) askHosts(ctx context.Context, shard uint32, addresses []string, reservation Reservation) error {
+	var lastErr, reservedErr error
 	slow := 0
 	for _, address := range addresses {
-		ended := c.attempt(ctx, address, wanted)
-		if ended.isSlow() {
+		current := c.attempt(ctx, address, reservation)
+		if current.isSlow() {
 			slow++
 		}
-		switch step := next(ended, slow).(type) {
-		case settled:
-			c.note(shard, true)
+		switch step := nextStep(current, slow).(type) {
+		case finish:
+			c.recordOutcome(shard, true)
 			return step.err
-		case refusedByHost:
-			return cmp.Or(reserved, step.err)
-		case askHolder:
-			reserved = step.err
+		case hostOverloaded:
+			return cmp.Or(reservedErr, step.err)
+		case tryReserveHolder:
+			reservedErr = step.err
 			continue
-		case askNext:
-			last = ended.err
+		case tryNextHost:
+			lastErr = current.err
 			continue
-		case unreachable:
-			last = ended.err
+		case giveUp:
+			lastErr = current.err
 		}
 		break
 	}
-	c.note(shard, reserved != nil)
-	if reserved != nil {
-		return reserved
+	c.recordOutcome(shard, reservedErr != nil)
+	if reservedErr != nil {
+		return reservedErr
 	}
-	return merry.Wrap(ErrUnavailable, merry.WithCause(last), merry.AppendMessagef("%v", last))
+	return merry.Wrap(ErrUnavailable, merry.WithCause(lastErr), merry.AppendMessagef("%v", lastErr))
 }
 
-// attempt asks one host and notes how long that took.
-func (c *Client) attempt(ctx context.Context, address string, wanted Reservation) attempt {
+// attempt asks one host and measures how long that took.
+func (c *Client) attempt(ctx context.Context, address string, reservation Reservation) attempt {
 	began := c.now()
-	err := c.try(ctx, address, wanted)
-	return attempt{err: err, took: c.now().Sub(began), givenUp: ctx.Err() != nil}
+	err := c.requestReservation(ctx, address, reservation)
+	return attempt{err: err, duration: c.now().Sub(began), callerGone: ctx.Err() != nil}
 }
 
-// mayTry asks the shard's breaker whether a reservation may ask its hosts.
-func (c *Client) mayTry(shard uint32) bool {
+// allowShard reports whether the shard's circuit breaker admits a reservation.
+func (c *Client) allowShard(shard uint32) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	known := c.breakers[shard]
-	return known == nil || known.allow(c.now())
+	breaker := c.breakers[shard]
+	return breaker == nil || breaker.allow(c.now())
 }
 
-// note tells the shard's breaker whether a host decided.
-func (c *Client) note(shard uint32, decided bool) {
+// recordOutcome records in the shard's circuit breaker whether a host decided.
+func (c *Client) recordOutcome(shard uint32, decided bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	known := c.breakers[shard]
-	if known == nil {
-		known = &breaker{}
-		c.breakers[shard] = known
+	breaker := c.breakers[shard]
+	if breaker == nil {
+		breaker = &circuitBreaker{}
+		c.breakers[shard] = breaker
 	}
-	known.note(decided, c.now())
+	breaker.record(decided, c.now())
 }
 
-// try asks one host, and tells it of turns that have ended there.
-func (c *Client) try(ctx context.Context, address string, wanted Reservation) error {
-	ctx, cancel := context.WithTimeout(ctx, tryTimeout)
+// requestReservation asks one host. The request also reports the turns that have ended
+// there.
+func (c *Client) requestReservation(ctx context.Context, address string, reservation Reservation) error {
+	ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
-	along := c.takeEnded(address)
-	err := c.hosts.Reserve(ctx, address, wanted, along)
+	reported := c.takePendingEnds(address)
+	err := c.hosts.Reserve(ctx, address, reservation, reported)
 	if err == nil {
-		c.reach.Heard(address)
+		c.tracker.Heard(address)
 		c.mutex.Lock()
-		c.hostOf[wanted.Name] = address
+		c.grantedBy[reservation.Name] = address
 		c.mutex.Unlock()
 		return nil
 	}
 	if IsRefusal(err) || errors.Is(err, ErrOverloaded) {
-		c.reach.Heard(address)
+		c.tracker.Heard(address)
 		return err
 	}
 	if !errors.Is(ctx.Err(), context.Canceled) {
-		c.reach.Failed(address)
+		c.tracker.Failed(address)
 	}
-	c.logger.Info("budget host failed", zap.String("address", address), zap.String("program", wanted.Program),
-		zap.String("reservation", wanted.Name), zap.Error(err))
-	// The host may have reserved all the same, and may not have taken in the turns
-	// that were told along: both are told again.
-	c.tell(address, append(along, Ended{Program: wanted.Program, Reservation: wanted.Name}))
+	c.logger.Info("budget host failed", zap.String("address", address), zap.String("program", reservation.Program),
+		zap.String("reservation", reservation.Name), zap.Error(err))
+	// The host may have reserved the tokens without having recorded the ended turns, so
+	// both are reported again.
+	c.queueEnds(address, append(reported, Ended{Program: reservation.Program, Reservation: reservation.Name}))
 	return err
 }
 
-// order puts the members in the program's order, those that failed lately last.
-func (c *Client) order(view register.View, program string) []string {
+// orderHosts returns the addresses of the members by their rank for the program; those
+// that failed lately come last.
+func (c *Client) orderHosts(view register.View, program string) []string {
 	members := slices.Clone(view.Members)
 	slices.SortFunc(members, func(a, b register.Member) int {
-		return cmp.Or(c.reach.Compare(a.Address, b.Address),
+		return cmp.Or(c.tracker.Compare(a.Address, b.Address),
 			cmp.Compare(register.Rank(b.Node, program), register.Rank(a.Node, program)))
 	})
 	addresses := make([]string, 0, len(members))
@@ -200,65 +200,66 @@
 	return addresses
 }
 
-// End tells the turn's host what it has handed out. It doesn't wait.
+// End reports to the turn's host how many tokens the turn handed out. It doesn't wait for
+// the host.
 func (c *Client) End(ended Ended) {
 	c.mutex.Lock()
-	address, found := c.hostOf[ended.Reservation]
-	delete(c.hostOf, ended.Reservation)
+	address, found := c.grantedBy[ended.Reservation]
+	delete(c.grantedBy, ended.Reservation)
 	c.mutex.Unlock()
 	if found {
-		c.tell(address, []Ended{ended})
+		c.queueEnds(address, []Ended{ended})
 	}
 }
 
-// tell keeps ended turns for the next reservation at their host, or sends them alone
-// after endDelay.
-func (c *Client) tell(address string, ended []Ended) {
+// queueEnds keeps ended turns for the next reservation at their host, or sends them in a
+// request of their own after endReportDelay.
+func (c *Client) queueEnds(address string, ended []Ended) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	waiting := len(c.ended[address]) > 0
-	c.ended[address] = append(c.ended[address], ended...)
+	waiting := len(c.pendingEnds[address]) > 0
+	c.pendingEnds[address] = append(c.pendingEnds[address], ended...)
 	if !waiting {
-		time.AfterFunc(endDelay, func() { c.tellAlone(address) })
+		time.AfterFunc(endReportDelay, func() { c.sendPendingEnds(address) })
 	}
 }
 
-// takeEnded returns and forgets the ended turns of the host at the address.
-func (c *Client) takeEnded(address string) []Ended {
+// takePendingEnds returns and forgets the pending ended turns of a host.
+func (c *Client) takePendingEnds(address string) []Ended {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	ended := c.ended[address]
-	delete(c.ended, address)
+	ended := c.pendingEnds[address]
+	delete(c.pendingEnds, address)
 	return ended
 }
 
-// tellAlone tells the host of ended turns that no reservation has carried along.
-func (c *Client) tellAlone(address string) {
-	ended := c.takeEnded(address)
+// sendPendingEnds reports the ended turns that no reservation has carried to the host.
+func (c *Client) sendPendingEnds(address string) {
+	ended := c.takePendingEnds(address)
 	if len(ended) == 0 {
 		return
 	}
-	for range endTries {
-		ctx, cancel := context.WithTimeout(context.Background(), tryTimeout)
+	for range maxEndReports {
+		ctx, cancel := context.WithTimeout(context.Background(), attemptTimeout)
 		err := c.hosts.End(ctx, address, ended)
 		cancel()
 		if err == nil {
 			return
 		}
-		time.Sleep(endDelay)
+		time.Sleep(endReportDelay)
 	}
-	c.logger.Warn("budget host not told of ended turns", zap.String("address", address), zap.Int("turns", len(ended)))
+	c.logger.Warn("ended turns not reported to budget host", zap.String("address", address), zap.Int("turns", len(ended)))
 }
 
-// Flush tells all hosts of ended turns, until the context ends.
+// Flush reports all pending ended turns, until the context ends.
 func (c *Client) Flush(ctx context.Context) {
 	c.mutex.Lock()
-	pending := c.ended
-	c.ended = make(map[string][]Ended)
+	pending := c.pendingEnds
+	c.pendingEnds = make(map[string][]Ended)
 	c.mutex.Unlock()
 	for address, ended := range pending {
 		if err := c.hosts.End(ctx, address, ended); err != nil {
-			c.logger.Warn("budget host not told of ended turns", zap.String("address", address), zap.Error(err))
+			c.logger.Warn("ended turns not reported to budget host", zap.String("address", address), zap.Error(err))
 		}
 	}
 }
