--- a/transport/upstream/client.go
+++ b/transport/upstream/client.go
@@ -7,28 +7,28 @@
 	"time"
 )
 
-// Client sends requests and keeps connections for later ones. It is safe for
+// Client sends requests to backends and pools the connections. It is safe for
 // concurrent use.
 type Client struct {
 	settings Settings
 	now      func() time.Time
 	dials    atomic.Uint64
-	// heardAt is when bytes last came from any back end, in nanoseconds since the
-	// Unix epoch.
-	heardAt atomic.Int64
-	// reachable probes the machines of silent back ends.
-	reachable *reachability
+	// lastReceived is when bytes were last received from any backend, in nanoseconds
+	// since the Unix epoch.
+	lastReceived atomic.Int64
+	// hosts probes the hosts of backends that stopped sending.
+	hosts *reachability
 
 	mutex sync.Mutex
 	idle  map[endpoint][]*connection
 }
 
-// endpoint is one life of a back end.
+// endpoint identifies one process of a backend instance.
 type endpoint struct {
 	address  string
 	instance string
 	// started is when the process started, in nanoseconds since the Unix epoch; zero
-	// where that isn't known.
+	// if unknown.
 	started int64
 }
 
@@ -40,63 +40,64 @@
 	return to
 }
 
-// NewClient makes a client without connections.
+// NewClient returns a client without connections.
 func NewClient(settings Settings, now func() time.Time) *Client {
 	return &Client{
-		settings: settings, now: now, idle: make(map[endpoint][]*connection), reachable: newReachability(settings, now),
+		settings: settings, now: now, idle: make(map[endpoint][]*connection), hosts: newReachability(settings, now),
 	}
 }
 
-// Dials is how many connections were made.
+// Dials returns the number of connection attempts.
 func (c *Client) Dials() uint64 { return c.dials.Load() }
 
-// Probes is how often the machine of a silent back end was probed.
-func (c *Client) Probes() uint64 { return c.reachable.dials.Load() }
+// Probes returns the number of host probes.
+func (c *Client) Probes() uint64 { return c.hosts.dials.Load() }
 
-// heard notes that bytes came on the connection.
-func (c *Client) heard(on *connection) {
+// noteReceived records that bytes were received on the connection.
+func (c *Client) noteReceived(on *connection) {
 	now := c.now().UnixNano()
-	on.heard.Store(now)
-	c.heardAt.Store(now)
+	on.lastReceived.Store(now)
+	c.lastReceived.Store(now)
 }
 
-// heardSince tells whether bytes came from any back end since then.
-func (c *Client) heardSince(then time.Time) bool { return c.heardAt.Load() >= then.UnixNano() }
+// hasReceivedSince reports whether bytes were received from any backend since then.
+func (c *Client) hasReceivedSince(then time.Time) bool {
+	return c.lastReceived.Load() >= then.UnixNano()
+}
 
-// connect returns an idle connection that is still usable, or a new one.
+// connect returns a reusable idle connection or dials a new one.
 func (c *Client) connect(ctx context.Context, to endpoint) (*connection, error) {
 	for {
-		kept := c.take(to)
+		kept := c.takeIdle(to)
 		if kept == nil {
 			break
 		}
-		if kept.isFresh(c.now()) {
+		if kept.isReusable(c.now()) {
 			return kept, nil
 		}
 		kept.close()
 	}
 	c.dials.Add(1)
-	return dial(ctx, to.address, c.settings, c.heard)
+	return dial(ctx, to.address, c.settings, c.noteReceived)
 }
 
-// take removes an idle connection to the back end and returns it, nil where none is idle.
-// One that was made before the start of the process was known may be to the same process:
-// one that has ended since has closed it. Without it the first request after the start
-// becomes known makes a connection beside one that rests (platform,
-// TestConnectionsEndWithTheirLife).
-func (c *Client) take(to endpoint) *connection {
+// takeIdle removes an idle connection to the backend from the pool and returns it, or nil
+// if none is idle. It falls back to connections that were made before the process's
+// start time was known: they lead to the same process, or are closed already because
+// their process has ended.
+func (c *Client) takeIdle(to endpoint) *connection {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if newest := c.takeNewest(to); newest != nil {
+	if newest := c.takeNewestIdle(to); newest != nil {
 		return newest
 	}
 	to.started = 0
-	return c.takeNewest(to)
+	return c.takeNewestIdle(to)
 }
 
-// takeNewest removes the connection that became idle last, so that a few stay in use and
-// the others time out. The mutex must be held.
-func (c *Client) takeNewest(to endpoint) *connection {
+// takeNewestIdle removes and returns the most recently used idle connection, so that
+// surplus connections time out. The mutex must be held.
+func (c *Client) takeNewestIdle(to endpoint) *connection {
 	idle := c.idle[to]
 	if len(idle) == 0 {
 		return nil
@@ -106,8 +107,9 @@
 	return newest
 }
 
-// keep makes the connection available to later requests.
-func (c *Client) keep(to endpoint, kept *connection) {
+// putIdle returns the connection to the pool, or closes it if the pool is full or the
+// backend allows no idle time.
+func (c *Client) putIdle(to endpoint, kept *connection) {
 	kept.idleSince = c.now()
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -118,8 +120,8 @@
 	c.idle[to] = append(c.idle[to], kept)
 }
 
-// Forget closes the idle connections of an instance that is gone or was started again,
-// those of all its lives.
+// Forget closes the idle connections to all processes of an instance that is gone or
+// was restarted.
 func (c *Client) Forget(instance string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -131,7 +133,7 @@
 	}
 }
 
-// CloseIdle closes the connections that have been idle for too long.
+// CloseIdle closes the connections that have reached their idle limit.
 func (c *Client) CloseIdle() {
 	now := c.now()
 	c.mutex.Lock()
--- a/transport/upstream/exchange.go
+++ b/transport/upstream/exchange.go
@@ -71,7 +71,7 @@
 	} else {
 		_ = opened.socket.SetDeadline(time.Time{})
 	}
-	opened.heard.Store(c.now().UnixNano())
+	opened.lastReceived.Store(c.now().UnixNano())
 	if request.Repeatable && c.settings.Suspicion > 0 {
 		current.suspicion = suspect(current)
 	}
@@ -121,7 +121,7 @@
 		}
 		return nil, false, nil
 	}
-	e.connection.noteKeepAlive(response.Header, e.client.settings)
+	e.connection.limitIdleTime(response.Header, e.client.settings)
 	return &Answer{
 		Status: response.StatusCode, Header: response.Header,
 		Named:    id != "",
@@ -167,7 +167,7 @@
 			return
 		}
 		_ = e.connection.socket.SetDeadline(time.Time{})
-		e.client.keep(e.endpoint, e.connection)
+		e.client.putIdle(e.endpoint, e.connection)
 	})
 }
 
--- a/transport/upstream/suspicion.go
+++ b/transport/upstream/suspicion.go
@@ -56,7 +56,7 @@
 		return
 	}
 	began := client.now()
-	if client.reachable.find(s.exchange.endpoint) || s.silence() < client.settings.Suspicion || !client.heardSince(began) {
+	if client.hosts.find(s.exchange.endpoint) || s.silence() < client.settings.Suspicion || !client.hasReceivedSince(began) {
 		s.timer.Reset(client.settings.Suspicion)
 		return
 	}
@@ -69,7 +69,7 @@
 
 // silence is how long ago bytes last came on the connection.
 func (s *suspicion) silence() time.Duration {
-	return s.exchange.client.now().Sub(time.Unix(0, s.exchange.connection.heard.Load()))
+	return s.exchange.client.now().Sub(time.Unix(0, s.exchange.connection.lastReceived.Load()))
 }
 
 // cause replaces the error of a connection that was closed by check. It may be called on
--- a/transport/upstream/suspicion_test.go
+++ b/transport/upstream/suspicion_test.go
@@ -44,9 +44,9 @@
 	settings.IDHeader = "X-Id"
 	settings.Suspicion = 20 * time.Millisecond
 	client := NewClient(settings, time.Now)
-	client.reachable.dial = func(string) bool {
+	client.hosts.dial = func(string) bool {
 		if hearsOthers {
-			client.heardAt.Store(time.Now().UnixNano())
+			client.lastReceived.Store(time.Now().UnixNano())
 		}
 		return reaches()
 	}
