--- a/coordination/limit/adaptive.go
+++ b/coordination/limit/adaptive.go
@@ -5,95 +5,94 @@
 	"time"
 )
 
-// AdaptivePolicy bounds an Adaptive limit.
+// AdaptivePolicy configures an Adaptive limit.
 type AdaptivePolicy struct {
-	// Start, Min and Max are the first, the smallest and the largest limit, in
-	// operations under way.
+	// Start, Min and Max are the initial, smallest and largest limit, in operations in
+	// flight.
 	Start, Min, Max float64
-	// Cut is the factor of the limit after a late operation. It is applied at most once
-	// in CutInterval, since operations that end soon after it were begun under the old
-	// limit.
-	Cut         float64
-	CutInterval time.Duration
+	// DecreaseFactor multiplies the limit after a late operation, at most once in
+	// DecreaseInterval: operations that end shortly after a decrease were admitted under
+	// the old limit.
+	DecreaseFactor   float64
+	DecreaseInterval time.Duration
 }
 
-// DefaultAdaptivePolicy suits operations that are given up within half a second. With
-// it 4,000 of 5,000 operations end in time at four times the load that can be done, and
-// 7 without a limit (virtual time, TestOverloadFinishesWhatItBegins). The single figures
-// are chosen.
+// DefaultAdaptivePolicy suits operations with a timeout of up to half a second.
 func DefaultAdaptivePolicy() AdaptivePolicy {
-	return AdaptivePolicy{Start: 32, Min: 4, Max: 256, Cut: 0.7, CutInterval: 200 * time.Millisecond}
+	return AdaptivePolicy{Start: 32, Min: 4, Max: 256, DecreaseFactor: 0.7, DecreaseInterval: 200 * time.Millisecond}
 }
 
-// Adaptive bounds operations under way by how they end: additive increase,
-// multiplicative decrease with slow start (Jacobson 1988). Operations that are refused at
-// once don't make those late that are under way. Without a limit an overloaded node
-// begins everything and finishes nothing in time.
+// Adaptive limits concurrent operations so that an overloaded node rejects some at once
+// instead of starting all and completing none in time. It adapts the limit to how
+// operations end, by additive increase and multiplicative decrease with slow start
+// (V. Jacobson, "Congestion Avoidance and Control", 1988).
 type Adaptive struct {
 	policy AdaptivePolicy
 	now    func() time.Time
 
 	mutex    sync.Mutex
 	limit    float64
-	underWay int
-	// threshold is the limit at which slow start ends.
-	threshold float64
-	// cutAt is when the limit was last cut.
-	cutAt time.Time
+	inFlight int
+	// slowStartThreshold is the limit at which slow start ends.
+	slowStartThreshold float64
+	// decreasedAt is when the limit was last decreased.
+	decreasedAt time.Time
 }
 
-// NewAdaptive makes a limit with nothing under way.
+// NewAdaptive returns a limit with no operations in flight.
 func NewAdaptive(policy AdaptivePolicy, now func() time.Time) *Adaptive {
-	return &Adaptive{policy: policy, now: now, limit: policy.Start, threshold: policy.Max}
+	return &Adaptive{policy: policy, now: now, limit: policy.Start, slowStartThreshold: policy.Max}
 }
 
-// Begin says whether an operation may begin. After true, End must be called.
+// Begin reports whether an operation may start. If so, it counts as in flight until End is
+// called.
 func (a *Adaptive) Begin() bool {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	if float64(a.underWay) >= a.limit {
+	if float64(a.inFlight) >= a.limit {
 		return false
 	}
-	a.underWay++
+	a.inFlight++
 	return true
 }
 
-// Enter begins an operation that is never refused. It counts as under way for the
-// others. End must be called.
+// Enter starts an operation regardless of the limit. It counts as in flight until End is
+// called.
 func (a *Adaptive) Enter() {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	a.underWay++
+	a.inFlight++
 }
 
-// End records how an operation ended; late means that it was given up.
+// End records the end of an operation and adapts the limit; late means that the operation
+// didn't complete in time. The limit grows only while at least half of it is in use.
 func (a *Adaptive) End(late bool) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	wasUsed := 2*float64(a.underWay) >= a.limit
-	a.underWay--
+	wasUtilized := 2*float64(a.inFlight) >= a.limit
+	a.inFlight--
 	switch {
 	case late:
-		a.cut(a.now())
-	case !wasUsed:
-	case a.limit < a.threshold:
+		a.decrease(a.now())
+	case !wasUtilized:
+	case a.limit < a.slowStartThreshold:
 		a.limit = min(a.limit+1, a.policy.Max)
 	default:
 		a.limit = min(a.limit+1/a.limit, a.policy.Max)
 	}
 }
 
-// cut lowers the limit and ends slow start.
-func (a *Adaptive) cut(now time.Time) {
-	if now.Sub(a.cutAt) < a.policy.CutInterval {
+// decrease lowers the limit, at most once in DecreaseInterval, and ends slow start.
+func (a *Adaptive) decrease(now time.Time) {
+	if now.Sub(a.decreasedAt) < a.policy.DecreaseInterval {
 		return
 	}
-	a.cutAt = now
-	a.limit = max(a.limit*a.policy.Cut, a.policy.Min)
-	a.threshold = a.limit
+	a.decreasedAt = now
+	a.limit = max(a.limit*a.policy.DecreaseFactor, a.policy.Min)
+	a.slowStartThreshold = a.limit
 }
 
-// Limit is how many operations may be under way.
+// Limit returns the current limit of operations in flight.
 func (a *Adaptive) Limit() int {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
--- a/coordination/limit/adaptive_test.go
+++ b/coordination/limit/adaptive_test.go
@@ -9,64 +9,64 @@
 	"github.com/marblering/marblering/coordination/limit"
 )
 
-// station works on everything under way in turn, as an overloaded processor
-// does: with n operations under way each takes n times as long.
-type station struct {
+// processor simulates an overloaded processor that divides its time equally between the
+// operations in flight.
+type processor struct {
 	now      time.Time
 	adaptive *limit.Adaptive
-	// underWay holds the work left of each operation and when it is given up.
-	underWay []operation
-	done     int
-	late     int
-	refused  int
+	// inFlight holds the admitted operations that haven't ended.
+	inFlight  []operation
+	completed int
+	timedOut  int
+	rejected  int
 }
 
 type operation struct {
-	left    time.Duration
-	givenUp time.Time
+	remaining time.Duration
+	deadline  time.Time
 }
 
 const (
-	step     = time.Millisecond
-	workEach = 4 * time.Millisecond
-	patience = 350 * time.Millisecond
+	tickLength       = time.Millisecond
+	workPerOperation = 4 * time.Millisecond
+	operationTimeout = 350 * time.Millisecond
 )
 
-func (s *station) offer() {
+func (s *processor) offer() {
 	if !s.adaptive.Begin() {
-		s.refused++
+		s.rejected++
 		return
 	}
-	s.underWay = append(s.underWay, operation{left: workEach, givenUp: s.now.Add(patience)})
+	s.inFlight = append(s.inFlight, operation{remaining: workPerOperation, deadline: s.now.Add(operationTimeout)})
 }
 
-func (s *station) tick() {
-	s.now = s.now.Add(step)
-	share := step
-	if len(s.underWay) > 0 {
-		share = step / time.Duration(len(s.underWay))
+func (s *processor) tick() {
+	s.now = s.now.Add(tickLength)
+	share := tickLength
+	if len(s.inFlight) > 0 {
+		share = tickLength / time.Duration(len(s.inFlight))
 	}
 	var rest []operation
-	for _, o := range s.underWay {
-		o.left -= share
+	for _, o := range s.inFlight {
+		o.remaining -= share
 		switch {
-		case o.left <= 0:
-			s.done++
+		case o.remaining <= 0:
+			s.completed++
 			s.adaptive.End(false)
-		case s.now.After(o.givenUp):
-			s.late++
+		case s.now.After(o.deadline):
+			s.timedOut++
 			s.adaptive.End(true)
 		default:
 			rest = append(rest, o)
 		}
 	}
-	s.underWay = rest
+	s.inFlight = rest
 }
 
-// run offers so many operations in each of the steps.
-func (s *station) run(steps int, offered float64) {
+// run simulates the ticks with the offered number of new operations in each.
+func (s *processor) run(ticks int, offered float64) {
 	due := 0.0
-	for range steps {
+	for range ticks {
 		for due += offered; due >= 1; due-- {
 			s.offer()
 		}
@@ -74,20 +74,21 @@
 	}
 }
 
-// TestOverloadFinishesWhatItBegins: at four times what can be done, most of what
-// can be done is done in time, and with the load gone all is.
+// TestOverloadFinishesWhatItBegins checks that at four times the capacity most of the
+// capacity still goes to operations that complete in time, and that nothing is rejected
+// once the overload is over.
 func TestOverloadFinishesWhatItBegins(t *testing.T) {
-	s := &station{now: time.Unix(1_000_000, 0)}
+	s := &processor{now: time.Unix(1_000_000, 0)}
 	s.adaptive = limit.NewAdaptive(limit.DefaultAdaptivePolicy(), func() time.Time { return s.now })
 	s.run(20_000, 1)
-	assert.Assert(t, s.done >= 4000, "%d of 5000 possible were done, %d late, %d refused", s.done, s.late, s.refused)
+	assert.Assert(t, s.completed >= 4000, "%d of 5000 possible operations completed, %d timed out, %d were rejected", s.completed, s.timedOut, s.rejected)
 	s.run(1000, 0)
-	s.done, s.late, s.refused = 0, 0, 0
+	s.completed, s.timedOut, s.rejected = 0, 0, 0
 	s.run(10_000, 0.2)
-	assert.Equal(t, s.late+s.refused, 0, "%d late, %d refused at four fifths of the load", s.late, s.refused)
+	assert.Equal(t, s.timedOut+s.rejected, 0, "%d timed out, %d were rejected at 80%% of the capacity", s.timedOut, s.rejected)
 }
 
-// TestLimitIsBounded by its policy however operations end.
+// TestLimitIsBounded checks that the limit stays between Min and Max.
 func TestLimitIsBounded(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	adaptive := limit.NewAdaptive(limit.DefaultAdaptivePolicy(), func() time.Time { return now })
@@ -98,12 +99,12 @@
 	}
 	assert.Equal(t, adaptive.Limit(), 4)
 	for range 1000 {
-		began := 0
+		begun := 0
 		for adaptive.Begin() {
-			began++
+			begun++
 		}
-		assert.Assert(t, began <= 256)
-		for range began {
+		assert.Assert(t, begun <= 256)
+		for range begun {
 			adaptive.End(false)
 		}
 	}
--- a/coordination/limit/doc.go
+++ b/coordination/limit/doc.go
@@ -1,8 +1,8 @@
-// Package limit holds the rules that bound load and repetition at every daemon:
-// a rate and its token bucket (Rate, Bucket), how many retries and hedges may be
-// sent (RetryBudget), how many operations may be under way (Adaptive), and which
-// engines are too slow or fail too often to be used (Ejector).
+// Package limit implements the limits that protect nodes from overload: rate limits with
+// token buckets (Rate, Bucket), a budget of retries and hedges (RetryBudget), a limit of
+// concurrent operations (Adaptive), and the ejection of engines that are slow or fail
+// often (Ejector).
 //
-// It owns counts in memory and no I/O. Clock readings are passed in. All types
-// are safe for concurrent use unless they say otherwise.
+// It keeps its state in memory and does no I/O. Callers pass in the time or a clock. All
+// types are safe for concurrent use unless documented otherwise.
 package limit
--- a/coordination/limit/ejection.go
+++ b/coordination/limit/ejection.go
@@ -6,36 +6,35 @@
 	"time"
 )
 
-// EjectionPolicy says when an engine is taken out and how it returns.
+// EjectionPolicy configures when an Ejector ejects an engine and how the engine returns.
 type EjectionPolicy struct {
-	// SlowFactor is the ratio to the median of the fleet from which an engine is
-	// ejected for slowness, where each engine's slowness is the ratio of a call's time
-	// to its expected time.
+	// SlowFactor is the ratio of an engine's slowness to the fleet's median slowness above
+	// which the engine is ejected. Slowness is the moving average of the ratio of a call's
+	// time to its expected time.
 	SlowFactor float64
-	// Failures is the number of failed calls in a row after which an engine is
-	// ejected.
+	// Failures is the number of consecutive failed calls after which an engine is ejected.
 	Failures int
-	// FaultShare is the part of failed calls, as a moving average, at which an engine
-	// is ejected; zero for none.
+	// FaultShare is the moving average of the fraction of failed calls at which an engine
+	// is ejected. Zero disables this rule.
 	FaultShare float64
-	// MinSamples is the number of calls needed before an engine is judged by its
-	// slowness or its FaultShare.
+	// MinSamples is the number of calls required before SlowFactor and FaultShare apply to
+	// an engine.
 	MinSamples int
-	// BaseTime is how long a first ejection lasts. It doubles with each one that
-	// follows within MaxTime of the return, up to MaxTime.
+	// BaseTime is the duration of a first ejection. It doubles with each ejection that
+	// follows within MaxTime of the engine's return, up to MaxTime.
 	BaseTime time.Duration
 	MaxTime  time.Duration
-	// MaxFraction is the part of the engines that may be out at once, rounded down but
-	// at least one where there are two or more. A fleet that is slow throughout is
-	// overloaded, and ejecting from it makes that worse.
+	// MaxFraction is the fraction of the engines that may be ejected or probed at once,
+	// rounded down, but at least one engine if there are two or more. A fleet in which most
+	// engines are slow is overloaded, and ejecting engines would increase the load on the
+	// others.
 	MaxFraction float64
-	// Probes is the number of calls that must succeed, one at a time, before an engine
+	// Probes is the number of probe calls, one at a time, that must succeed before an engine
 	// returns.
 	Probes int
 }
 
-// DefaultEjectionPolicy suits fleets of ten and more engines. Its figures are chosen,
-// not measured.
+// DefaultEjectionPolicy suits fleets of ten or more engines.
 func DefaultEjectionPolicy() EjectionPolicy {
 	return EjectionPolicy{
 		SlowFactor:  3,
@@ -48,163 +47,162 @@
 	}
 }
 
-// EngineHealth is where an engine stands.
+// EngineHealth is the state of an engine in an Ejector.
 type EngineHealth int
 
-// Healths of an engine.
+// States of an engine.
 const (
-	// Healthy engines receive work.
+	// Healthy engines receive calls.
 	Healthy EngineHealth = iota
-	// Ejected engines receive none.
+	// Ejected engines receive no calls.
 	Ejected
 	// Probed engines receive one call at a time.
 	Probed
 )
 
-// Outcome is how one call went at an engine.
+// Outcome is the result of a call to an engine.
 type Outcome struct {
-	// Failed is set for errors of the engine itself, not for refusals.
+	// Failed is set for errors of the engine, but not if it rejected the call.
 	Failed bool
-	// Expected is the time the call should have taken on a healthy engine of
-	// this kind, with the queue that was there.
+	// Expected is the time that a healthy engine of the same kind would have needed with
+	// the same queue; zero if unknown.
 	Expected time.Duration
-	// Took is the time it took.
+	// Took is the time that the call took.
 	Took time.Duration
 }
 
-// slownessGain is the weight of a new sample in an engine's moving averages. Chosen,
-// not measured.
-const slownessGain = 0.2
+// movingAverageWeight is the weight of a new sample in an engine's moving averages.
+const movingAverageWeight = 0.2
 
-// Ejector finds engines that are slow or failing compared with the others (outlier
-// detection), takes them out, and lets them return after probes. It owns what it has
-// observed of each engine.
+// Ejector detects outliers: engines that are slow compared with the others or fail often.
+// It ejects them and readmits them after successful probes.
 type Ejector struct {
 	policy EjectionPolicy
 
 	mutex   sync.Mutex
-	engines map[string]*engineHealth
+	engines map[string]*engineRecord
 }
 
-type engineHealth struct {
-	// slowness is the moving average of the ratio of time to expected time over the
-	// samples, faults that of failed calls over those that ended.
-	slowness float64
-	samples  int
-	faults   float64
-	ended    int
-	// failures counts failed calls in a row, ejections those that followed soon.
-	failures  int
-	ejections int
-	health    EngineHealth
-	// until is the end of an ejection. For a healthy engine it is when earlier
-	// ejections are forgiven.
+// engineRecord holds the health and the statistics of an engine.
+type engineRecord struct {
+	// slowness is the moving average of the ratio of a call's time to its expected time,
+	// over the successful calls with a known expected time, which samples counts.
+	// failureRate is the moving average of the fraction of failed calls.
+	slowness    float64
+	samples     int
+	failureRate float64
+	calls       int
+	// recentEjections counts the ejections since the engine was last healthy for MaxTime.
+	consecutiveFailures int
+	recentEjections     int
+	health              EngineHealth
+	// until is the end of an ejection. For a healthy engine it is when recentEjections is
+	// reset.
 	until time.Time
-	// succeeded counts probes; probing is set while one is under way, which is given
-	// up at probeEnds.
-	succeeded int
-	probing   bool
-	probeEnds time.Time
+	// probeInFlight is set while a probe is claimed. The claim lapses at probeDeadline.
+	successfulProbes int
+	probeInFlight    bool
+	probeDeadline    time.Time
 }
 
-// NewEjector makes an ejector that knows no engine.
+// NewEjector returns an ejector without engines.
 func NewEjector(policy EjectionPolicy) *Ejector {
-	return &Ejector{policy: policy, engines: make(map[string]*engineHealth)}
+	return &Ejector{policy: policy, engines: make(map[string]*engineRecord)}
 }
 
 // Observe records the outcome of a call and returns the engine's health.
 func (e *Ejector) Observe(engine string, outcome Outcome, now time.Time) EngineHealth {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	health := e.open(engine)
-	health.advance(now)
-	health.add(outcome, e.policy.SlowFactor)
-	if health.health == Probed {
-		e.probed(health, outcome, now)
-		return health.health
+	record := e.getOrCreate(engine)
+	record.advance(now)
+	record.observe(outcome, e.policy.SlowFactor)
+	if record.health == Probed {
+		e.recordProbe(record, outcome, now)
+		return record.health
 	}
-	if health.health == Healthy && e.isOutlier(health) && e.mayEject() {
-		e.eject(health, now)
+	if record.health == Healthy && e.isOutlier(record) && e.mayEject() {
+		e.eject(record, now)
 	}
-	return health.health
+	return record.health
 }
 
-// Health returns an engine's health. An engine that is Probed takes a call
-// only where Probe says so.
+// Health returns an engine's health; unknown engines are Healthy. A call may be sent to a
+// Probed engine only after Probe returned true.
 func (e *Ejector) Health(engine string, now time.Time) EngineHealth {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	health, known := e.engines[engine]
+	record, known := e.engines[engine]
 	if !known {
 		return Healthy
 	}
-	health.advance(now)
-	return health.health
+	record.advance(now)
+	return record.health
 }
 
-// Probe claims the one call that a probed engine may have. The claim ends with
-// Observe, or after the timeout.
+// Probe claims the single call that a Probed engine may receive, and reports whether it
+// succeeded. Observe or the timeout ends the claim.
 func (e *Ejector) Probe(engine string, timeout time.Duration, now time.Time) bool {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	health, known := e.engines[engine]
+	record, known := e.engines[engine]
 	if !known {
 		return false
 	}
-	health.advance(now)
-	if health.health != Probed || (health.probing && now.Before(health.probeEnds)) {
+	record.advance(now)
+	if record.health != Probed || (record.probeInFlight && now.Before(record.probeDeadline)) {
 		return false
 	}
-	health.probing = true
-	health.probeEnds = now.Add(timeout)
+	record.probeInFlight = true
+	record.probeDeadline = now.Add(timeout)
 	return true
 }
 
-// Know counts an engine among the others before any of its calls has ended, so
-// that the part that may be out at once is one of the whole fleet.
+// Know adds an engine before any of its calls has ended, so that MaxFraction refers to the
+// whole fleet.
 func (e *Ejector) Know(engine string) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	e.open(engine)
+	e.getOrCreate(engine)
 }
 
-// Forget drops an engine that is gone.
+// Forget removes an engine.
 func (e *Ejector) Forget(engine string) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	delete(e.engines, engine)
 }
 
-func (e *Ejector) open(engine string) *engineHealth {
-	health, known := e.engines[engine]
+func (e *Ejector) getOrCreate(engine string) *engineRecord {
+	record, known := e.engines[engine]
 	if !known {
-		health = &engineHealth{}
-		e.engines[engine] = health
+		record = &engineRecord{}
+		e.engines[engine] = record
 	}
-	return health
+	return record
 }
 
-// isOutlier tells whether an engine is to be ejected by what was observed of it.
-func (e *Ejector) isOutlier(health *engineHealth) bool {
-	if health.failures >= e.policy.Failures {
+// isOutlier reports whether an engine qualifies for ejection.
+func (e *Ejector) isOutlier(record *engineRecord) bool {
+	if record.consecutiveFailures >= e.policy.Failures {
 		return true
 	}
-	if e.policy.FaultShare > 0 && health.ended >= e.policy.MinSamples && health.faults >= e.policy.FaultShare {
+	if e.policy.FaultShare > 0 && record.calls >= e.policy.MinSamples && record.failureRate >= e.policy.FaultShare {
 		return true
 	}
-	if health.samples < e.policy.MinSamples {
+	if record.samples < e.policy.MinSamples {
 		return false
 	}
-	return health.slowness > e.policy.SlowFactor*max(e.medianSlowness(), 1)
+	return record.slowness > e.policy.SlowFactor*max(e.medianSlowness(), 1)
 }
 
-// medianSlowness is the median over the healthy engines with enough samples; zero
-// without any.
+// medianSlowness returns the median over the healthy engines with enough samples, or zero
+// if there are none.
 func (e *Ejector) medianSlowness() float64 {
 	var slowness []float64
-	for _, health := range e.engines {
-		if health.health == Healthy && health.samples >= e.policy.MinSamples {
-			slowness = append(slowness, health.slowness)
+	for _, record := range e.engines {
+		if record.health == Healthy && record.samples >= e.policy.MinSamples {
+			slowness = append(slowness, record.slowness)
 		}
 	}
 	if len(slowness) == 0 {
@@ -214,78 +212,78 @@
 	return slowness[(len(slowness)-1)/2]
 }
 
-// mayEject tells whether MaxFraction allows another ejection.
+// mayEject reports whether MaxFraction allows another ejection.
 func (e *Ejector) mayEject() bool {
-	out := 0
-	for _, health := range e.engines {
-		if health.health != Healthy {
-			out++
+	ejected := 0
+	for _, record := range e.engines {
+		if record.health != Healthy {
+			ejected++
 		}
 	}
 	allowed := int(e.policy.MaxFraction * float64(len(e.engines)))
 	if len(e.engines) > 1 {
 		allowed = max(allowed, 1)
 	}
-	return out < allowed
+	return ejected < allowed
 }
 
-// eject takes the engine out, and forgets what was observed of it.
-func (e *Ejector) eject(health *engineHealth, now time.Time) {
-	pause := e.policy.BaseTime
-	for range health.ejections {
-		pause = min(2*pause, e.policy.MaxTime)
+// eject ejects the engine and resets its statistics.
+func (e *Ejector) eject(record *engineRecord, now time.Time) {
+	duration := e.policy.BaseTime
+	for range record.recentEjections {
+		duration = min(2*duration, e.policy.MaxTime)
 	}
-	*health = engineHealth{health: Ejected, until: now.Add(pause), ejections: health.ejections + 1}
+	*record = engineRecord{health: Ejected, until: now.Add(duration), recentEjections: record.recentEjections + 1}
 }
 
-// probed records the outcome of a probe. A failed or slow one ejects the engine again,
-// for longer.
-func (e *Ejector) probed(health *engineHealth, outcome Outcome, now time.Time) {
-	health.probing = false
+// recordProbe records the outcome of a probe. A failed or slow probe ejects the engine
+// again, for longer.
+func (e *Ejector) recordProbe(record *engineRecord, outcome Outcome, now time.Time) {
+	record.probeInFlight = false
 	slow := outcome.Expected > 0 && outcome.Took.Seconds() > e.policy.SlowFactor*outcome.Expected.Seconds()
 	if outcome.Failed || slow {
-		e.eject(health, now)
+		e.eject(record, now)
 		return
 	}
-	health.succeeded++
-	if health.succeeded >= e.policy.Probes {
-		*health = engineHealth{ejections: health.ejections, until: now.Add(e.policy.MaxTime)}
+	record.successfulProbes++
+	if record.successfulProbes >= e.policy.Probes {
+		*record = engineRecord{recentEjections: record.recentEjections, until: now.Add(e.policy.MaxTime)}
 	}
 }
 
-// advance moves an ejected engine to its probes when its time is over, and forgives
-// earlier ejections of an engine that was healthy for MaxTime.
-func (h *engineHealth) advance(now time.Time) {
-	if now.Before(h.until) {
+// advance starts probing an engine whose ejection is over, and resets recentEjections of
+// an engine that has been healthy for MaxTime.
+func (r *engineRecord) advance(now time.Time) {
+	if now.Before(r.until) {
 		return
 	}
-	switch h.health {
+	switch r.health {
 	case Ejected:
-		h.health = Probed
+		r.health = Probed
 	case Healthy:
-		h.ejections = 0
+		r.recentEjections = 0
 	}
 }
 
-// add records one outcome. A single call counts as at most twice the slowness that
-// ejects, so that it takes several to eject an engine.
-func (h *engineHealth) add(outcome Outcome, slowFactor float64) {
-	h.ended++
+// observe records an outcome. The slowness of a single call is capped at twice SlowFactor,
+// so that a single slow call doesn't eject an engine.
+func (r *engineRecord) observe(outcome Outcome, slowFactor float64) {
+	r.calls++
 	if outcome.Failed {
-		h.failures++
-		h.faults += slownessGain * (1 - h.faults)
+		r.consecutiveFailures++
+		r.failureRate += movingAverageWeight * (1 - r.failureRate)
 		return
 	}
-	h.failures = 0
-	h.faults -= slownessGain * h.faults
+	r.consecutiveFailures = 0
+	r.failureRate -= movingAverageWeight * r.failureRate
 	if outcome.Expected <= 0 {
 		return
 	}
 	ratio := min(outcome.Took.Seconds()/outcome.Expected.Seconds(), 2*slowFactor)
-	h.samples++
-	if h.samples == 1 {
-		h.slowness = ratio
+	r.samples++
+	if r.samples == 1 {
+		r.slowness = ratio
 		return
 	}
-	h.slowness += slownessGain * (ratio - h.slowness)
+	r.slowness += movingAverageWeight * (ratio - r.slowness)
 }
--- a/coordination/limit/limit_test.go
+++ b/coordination/limit/limit_test.go
@@ -34,14 +34,14 @@
 	policy := limit.DefaultEjectionPolicy()
 	ejector := limit.NewEjector(policy)
 	now := testTime
-	serve := func(engine string, factor int) limit.EngineHealth {
+	observe := func(engine string, factor int) limit.EngineHealth {
 		return ejector.Observe(engine, limit.Outcome{Expected: time.Second, Took: time.Duration(factor) * time.Second}, now)
 	}
 	for range 10 {
 		for i := range 9 {
-			serve(fmt.Sprint("good-", i), 1)
+			observe(fmt.Sprint("good-", i), 1)
 		}
-		serve("slow", 5)
+		observe("slow", 5)
 	}
 	assert.Equal(t, ejector.Health("slow", now), limit.Ejected)
 	assert.Equal(t, ejector.Health("good-0", now), limit.Healthy)
@@ -49,14 +49,14 @@
 	now = now.Add(policy.BaseTime)
 	assert.Equal(t, ejector.Health("slow", now), limit.Probed)
 	assert.Assert(t, ejector.Probe("slow", time.Minute, now))
-	assert.Assert(t, !ejector.Probe("slow", time.Minute, now), "two probes at once")
-	assert.Equal(t, serve("slow", 5), limit.Ejected)
+	assert.Assert(t, !ejector.Probe("slow", time.Minute, now), "only one probe may be in flight")
+	assert.Equal(t, observe("slow", 5), limit.Ejected)
 	now = now.Add(policy.BaseTime)
-	assert.Equal(t, ejector.Health("slow", now), limit.Ejected, "the second ejection is longer")
+	assert.Equal(t, ejector.Health("slow", now), limit.Ejected, "the second ejection lasts longer")
 	now = now.Add(policy.BaseTime)
 	for range policy.Probes {
 		assert.Assert(t, ejector.Probe("slow", time.Minute, now))
-		serve("slow", 1)
+		observe("slow", 1)
 	}
 	assert.Equal(t, ejector.Health("slow", now), limit.Healthy)
 }
@@ -70,16 +70,16 @@
 			engine := fmt.Sprint(rapid.IntRange(0, count-1).Draw(t, "engine"))
 			ejector.Observe(engine, limit.Outcome{Failed: rapid.IntRange(0, 3).Draw(t, "failed") > 0}, testTime)
 		}
-		out := 0
+		ejected := 0
 		for i := range count {
 			if ejector.Health(fmt.Sprint(i), testTime) != limit.Healthy {
-				out++
+				ejected++
 			}
 		}
 		allowed := int(policy.MaxFraction * float64(count))
 		if count > 1 {
 			allowed = max(allowed, 1)
 		}
-		assert.Assert(t, out <= allowed, "%d of %d are out", out, count)
+		assert.Assert(t, ejected <= allowed, "%d of %d engines are ejected", ejected, count)
 	})
 }
--- a/coordination/limit/retry.go
+++ b/coordination/limit/retry.go
@@ -7,39 +7,35 @@
 	"github.com/marblering/marblering/coordination/recent"
 )
 
-// RetryPolicy sizes a retry budget.
+// RetryPolicy configures a RetryBudget.
 type RetryPolicy struct {
-	// Ratio is the number of retries that each first attempt earns.
+	// Ratio is the number of retries that each first attempt adds to the budget.
 	Ratio float64
-	// MinPerSecond is the number of retries a second that are allowed without any
-	// first attempt, so that little traffic can be retried.
+	// MinPerSecond is the number of retries per second that are allowed without any first
+	// attempts, so that requests can be retried under low traffic.
 	MinPerSecond float64
-	// Burst bounds the number of retries saved up.
+	// Burst is the maximum number of unused retries in the budget.
 	Burst float64
-	// Saved is the number of retries saved up at the start.
+	// Saved is the number of retries in the budget at the start.
 	Saved float64
 }
 
-// DefaultRetryPolicy allows retries to add a tenth to the load, the ratio that "Site
-// Reliability Engineering" (chapter 21) recommends. The other figures are chosen, not
-// measured.
+// DefaultRetryPolicy allows retries to add a tenth to the load, as recommended in "Site
+// Reliability Engineering" (Beyer et al. 2016), chapter 21.
 func DefaultRetryPolicy() RetryPolicy {
 	return RetryPolicy{Ratio: 0.1, MinPerSecond: 0.5, Burst: 20}
 }
 
-// HedgePolicy allows hedges, requests to further members where others are late, to add
-// a tenth to the load, and a few a second where there is little. Members that are late
-// together are overloaded, and more requests would make that worse: 200 turns at slow
-// members cost 600 requests without the budget and at most 440 with it
-// (turnstore.TestSlowMembersGetNoMoreRequests). The single figures are chosen.
+// HedgePolicy allows hedges (requests to further members when others are late) to add a
+// tenth to the load, and a few per second under low traffic. Members that are late
+// together are overloaded, and unbounded hedging would add to their load.
 func HedgePolicy() RetryPolicy {
 	return RetryPolicy{Ratio: 0.1, MinPerSecond: 4, Burst: 20, Saved: 8}
 }
 
-// RetryBudget bounds the retries of a node, and of each of its tenants to half
-// of the node's, so that a failure can't multiply the load. It is the token
-// bucket of Finagle's RetryBudget, as also described in "Site Reliability
-// Engineering" (Beyer et al. 2016), chapter 21.
+// RetryBudget bounds the retries of a node and of each of its tenants, so that a failure
+// can't multiply the load. It consists of token buckets like Finagle's RetryBudget; see
+// also "Site Reliability Engineering" (Beyer et al. 2016), chapter 21.
 type RetryBudget struct {
 	policy RetryPolicy
 
@@ -49,32 +45,31 @@
 }
 
 const (
-	// tenantFraction is the part of the node's retries that one tenant may use. Chosen,
-	// not measured.
+	// tenantFraction is the fraction of the node's MinPerSecond and Burst that each tenant
+	// gets.
 	tenantFraction = 0.5
-	// tenantIdle is how long the budget of a tenant without calls is kept. Chosen, not
-	// measured.
-	tenantIdle = time.Minute
+	// tenantIdleTimeout is how long the budget of a tenant without calls is kept.
+	tenantIdleTimeout = time.Minute
 )
 
-// NewRetryBudget makes a budget.
+// NewRetryBudget returns a budget with policy.Saved retries.
 func NewRetryBudget(policy RetryPolicy, now time.Time) *RetryBudget {
 	budget := &RetryBudget{
 		policy: policy,
 		node:   NewBucket(policy.MinPerSecond, policy.Burst, now),
 	}
-	budget.tenants = recent.New(tenantIdle, budget.newTenant)
+	budget.tenants = recent.New(tenantIdleTimeout, budget.newTenant)
 	budget.node.Add(policy.Saved)
 	return budget
 }
 
 func (r *RetryBudget) newTenant(now time.Time) Bucket {
-	made := NewBucket(r.policy.MinPerSecond*tenantFraction, r.policy.Burst*tenantFraction, now)
-	made.Add(r.policy.Saved)
-	return made
+	bucket := NewBucket(r.policy.MinPerSecond*tenantFraction, r.policy.Burst*tenantFraction, now)
+	bucket.Add(r.policy.Saved)
+	return bucket
 }
 
-// Attempted records a first attempt, which earns a part of a retry.
+// Attempted records a first attempt, which adds Ratio retries to the budget.
 func (r *RetryBudget) Attempted(tenant string, now time.Time) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -82,16 +77,17 @@
 	r.tenants.Get(tenant, now).Add(r.policy.Ratio)
 }
 
-// Retry takes one retry; false means that the call must fail instead.
+// Retry takes a retry from the budget and reports whether one was available. If not, the
+// caller must not retry.
 func (r *RetryBudget) Retry(tenant string, now time.Time) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	own := r.tenants.Get(tenant, now)
-	if own.Wait(1, now) > 0 {
+	bucket := r.tenants.Get(tenant, now)
+	if bucket.Wait(1, now) > 0 {
 		return false
 	}
 	if !r.node.Take(1, now) {
 		return false
 	}
-	return own.Take(1, now)
+	return bucket.Take(1, now)
 }
