--- a/coordination/multicast/round.go
+++ b/coordination/multicast/round.go
@@ -1,12 +1,12 @@
-// Package multicast keeps the account of one request that is sent to members of a
-// replica set: to as many as it needs at first, and to others where these fail or are
-// late (hedged requests: J. Dean, L. A. Barroso, "The Tail at Scale", 2013).
+// Package multicast tracks the state of one request that is sent to members of a replica
+// set: at first to as many as it needs, and to further ones if these fail or are late
+// (hedged requests: J. Dean, L. A. Barroso, "The Tail at Scale", 2013).
 //
-// It owns which members were asked, which of them haven't answered and which are late.
-// It sends nothing, starts no goroutine and has no timer: its caller sends the
-// requests, notices when the members that were asked take too long, and decides what
-// an answer means. It relies on the budget of coordination/limit, which bounds the
-// hedges, and on the tracker of coordination/reach, which remembers whom to ask last.
+// It records which members were asked, which of them haven't answered and which are
+// late. It does no I/O and has no goroutines or timers: the caller sends the requests,
+// detects when members take too long, and interprets the answers. A retry budget
+// (coordination/limit) bounds the hedges, and a tracker (coordination/reach) remembers
+// which members to ask last.
 package multicast
 
 import (
@@ -16,108 +16,107 @@
 	"github.com/marblering/marblering/coordination/reach"
 )
 
-// Hedging is what rounds of one kind share.
+// Hedging is the configuration that rounds of one kind share.
 type Hedging struct {
-	// Kind names the requests in the budget.
+	// Kind is the key of these requests in the budget.
 	Kind string
 	// Budget bounds the hedges. Members that are late together are overloaded, and
-	// asking more of them would make that worse.
+	// unbounded hedging would add to their load.
 	Budget *limit.RetryBudget
-	// Reach is told which members to ask last for a while.
+	// Reach records which members to ask last for a while.
 	Reach *reach.Tracker
-	// Now is the clock of the budget.
+	// Now returns the current time for the budget.
 	Now func() time.Time
 }
 
-// standing is where a member stands in a round; zero for members that weren't asked.
-type standing uint8
+// memberState is the state of a member in a round; zero if it wasn't asked.
+type memberState uint8
 
 const (
 	// pending members were asked and haven't answered.
-	pending standing = iota + 1
-	// late members are pending ones that hadn't answered when a hedge was sent.
+	pending memberState = iota + 1
+	// late members were asked and hadn't answered when a hedge was sent.
 	late
-	// answered members have answered, or their requests have failed.
+	// answered members have answered or their requests have failed.
 	answered
 )
 
-// Round is one request to members of a set. It is used by one goroutine.
+// Round is one request to members of a replica set. It is not safe for concurrent use.
 type Round struct {
 	hedging   Hedging
 	addresses []string
-	send      func(place int)
-	// asked is how many members were asked, in the order of the addresses.
-	asked     int
-	standings []standing
+	send      func(index int)
+	// asked is the number of members that were asked, in the order of the addresses.
+	asked  int
+	states []memberState
 }
 
-// New makes a round over members at the addresses, which are asked in this order. Send
-// is called with a member's place in the order and must not wait for its answer. A
-// round that calls neither Begin, Hedge nor the Avoid methods needs no hedging.
-func New(addresses []string, hedging Hedging, send func(place int)) *Round {
-	return &Round{hedging: hedging, addresses: addresses, send: send, standings: make([]standing, len(addresses))}
+// New returns a round that asks the members at the addresses in this order. It calls send
+// with the index of an address; send must not wait for the answer. Hedging may be zero if
+// Begin, Hedge and the Avoid methods aren't called.
+func New(addresses []string, hedging Hedging, send func(index int)) *Round {
+	return &Round{hedging: hedging, addresses: addresses, send: send, states: make([]memberState, len(addresses))}
 }
 
-// Begin asks the first members and counts the round in the budget, which allows hedges
-// in proportion to the rounds.
+// Begin asks the first members and records the round in the budget, which allows hedges in
+// proportion to the rounds.
 func (r *Round) Begin(first int) {
 	r.hedging.Budget.Attempted(r.hedging.Kind, r.hedging.Now())
 	r.Ask(first)
 }
 
-// Ask asks so many members more, or as many as are left.
+// Ask asks up to count further members.
 func (r *Round) Ask(count int) {
 	for ; r.Left() > 0 && count > 0; count-- {
-		place := r.asked
+		index := r.asked
 		r.asked++
-		r.standings[place] = pending
-		r.send(place)
+		r.states[index] = pending
+		r.send(index)
 	}
 }
 
-// Asked returns how many members were asked.
+// Asked returns the number of members that were asked.
 func (r *Round) Asked() int { return r.asked }
 
-// Left returns how many members weren't asked.
+// Left returns the number of members that weren't asked.
 func (r *Round) Left() int { return len(r.addresses) - r.asked }
 
-// Hedge asks one member more, where one is left, because those that were asked take
-// long: the ones that haven't answered are late from now on. It does nothing and
-// returns false where the budget is spent.
+// Hedge marks the pending members as late and asks one further member, if one is left. If
+// the budget is exhausted, it does nothing and returns false.
 func (r *Round) Hedge() bool {
 	if !r.hedging.Budget.Retry(r.hedging.Kind, r.hedging.Now()) {
 		return false
 	}
-	for place, standing := range r.standings {
-		if standing == pending {
-			r.standings[place] = late
+	for index, state := range r.states {
+		if state == pending {
+			r.states[index] = late
 		}
 	}
 	r.Ask(1)
 	return true
 }
 
-// Answered notes that the member has answered or its request has failed.
-func (r *Round) Answered(place int) { r.standings[place] = answered }
+// Answered records that the member has answered or its request has failed.
+func (r *Round) Answered(index int) { r.states[index] = answered }
 
-// AvoidLate has the late members asked last for a while. It is called when a member
-// answers: one that was asked after them may have been faster, and later requests
-// needn't wait for them. Until the next hedge they aren't late any more.
+// AvoidLate reports the late members as failed, so that later requests ask them last for a
+// while. The caller calls it when a member answers, because that member may have been
+// faster than others that were asked before. The late members become pending again.
 func (r *Round) AvoidLate() {
-	for place, standing := range r.standings {
-		if standing == late {
-			r.standings[place] = pending
-			r.hedging.Reach.Failed(r.addresses[place])
+	for index, state := range r.states {
+		if state == late {
+			r.states[index] = pending
+			r.hedging.Reach.Failed(r.addresses[index])
 		}
 	}
 }
 
-// AvoidPending has all members asked last for a while that were asked and haven't
-// answered. It is called when the time for answers is over.
+// AvoidPending reports all members that haven't answered as failed, so that later requests
+// ask them last for a while. The caller calls it when the time for answers is over.
 func (r *Round) AvoidPending() {
-	for place, standing := range r.standings {
-		if standing == pending || standing == late {
-			r.hedging.Reach.Failed(r.addresses[place])
+	for index, state := range r.states {
+		if state == pending || state == late {
+			r.hedging.Reach.Failed(r.addresses[index])
 		}
 	}
 }
--- a/coordination/multicast/round_test.go
+++ b/coordination/multicast/round_test.go
@@ -12,7 +12,7 @@
 	"github.com/marblering/marblering/coordination/reach"
 )
 
-// fixture is a round over the members a to d, with the places that were asked.
+// fixture is a round over the members a to d and the indexes of those that were asked.
 type fixture struct {
 	*multicast.Round
 	tracker *reach.Tracker
@@ -21,18 +21,18 @@
 
 var addresses = []string{"a", "b", "c", "d"}
 
-// newFixture makes a round that may send so many hedges.
+// newFixture returns a round whose budget allows the given number of hedges.
 func newFixture(hedges float64) *fixture {
 	now := func() time.Time { return time.Unix(1000, 0) }
 	f := &fixture{tracker: reach.New(now)}
-	// One name of requests may use half of the burst.
+	// One kind of requests may use half of the burst.
 	budget := limit.NewRetryBudget(limit.RetryPolicy{Burst: 2 * hedges, Saved: hedges}, now())
 	hedging := multicast.Hedging{Kind: "test", Budget: budget, Reach: f.tracker, Now: now}
-	f.Round = multicast.New(addresses, hedging, func(place int) { f.asked = append(f.asked, place) })
+	f.Round = multicast.New(addresses, hedging, func(index int) { f.asked = append(f.asked, index) })
 	return f
 }
 
-// avoided lists the members that are asked last.
+// avoided returns the members that are to be asked last.
 func (f *fixture) avoided() []string {
 	var avoided []string
 	for _, address := range addresses {
@@ -43,7 +43,7 @@
 	return avoided
 }
 
-// TestMembersAreAskedOnceInOrder, also where more are wanted than there are.
+// TestMembersAreAskedOnceInOrder includes requests for more members than are left.
 func TestMembersAreAskedOnceInOrder(t *testing.T) {
 	f := newFixture(1)
 	f.Begin(2)
@@ -57,8 +57,9 @@
 	assert.Equal(t, f.Left(), 0)
 }
 
-// TestHedgesEndWithTheBudget: a refused hedge asks nobody and makes nobody late.
-func TestHedgesEndWithTheBudget(t *testing.T) {
+// TestHedgesAreBoundedByBudget checks that a rejected hedge asks no member and marks none as
+// late.
+func TestHedgesAreBoundedByBudget(t *testing.T) {
 	f := newFixture(1)
 	f.Begin(1)
 	assert.Assert(t, f.Hedge())
@@ -69,8 +70,8 @@
 	assert.Equal(t, len(f.avoided()), 0)
 }
 
-// TestLateMembersAreAvoidedOnce: only members that hadn't answered at a hedge are late,
-// and only until they answer or are avoided.
+// TestLateMembersAreAvoidedOnce checks that only members that hadn't answered at a hedge are
+// late, until they answer or are avoided.
 func TestLateMembersAreAvoidedOnce(t *testing.T) {
 	f := newFixture(2)
 	f.Begin(3)
@@ -90,7 +91,7 @@
 	assert.DeepEqual(t, f.avoided(), []string{"c", "d"})
 }
 
-// TestPendingMembersAreAvoided, late ones among them.
+// TestPendingMembersAreAvoided checks that late members are avoided too.
 func TestPendingMembersAreAvoided(t *testing.T) {
 	f := newFixture(1)
 	f.Begin(2)
@@ -106,9 +107,9 @@
 		Kind: "reads", Budget: limit.NewRetryBudget(limit.HedgePolicy(), now()), Reach: reach.New(now), Now: now,
 	}
 	members := []string{"10.0.0.1:7000", "10.0.0.2:7000", "10.0.0.3:7000"}
-	round := multicast.New(members, hedging, func(place int) { fmt.Println("ask", members[place]) })
+	round := multicast.New(members, hedging, func(index int) { fmt.Println("ask", members[index]) })
 	round.Begin(1)
-	// The first member takes long, so that another one is asked, which answers.
+	// The first member is late, so another one is asked, which answers.
 	round.Hedge()
 	round.Answered(1)
 	round.AvoidLate()
--- a/coordination/reach/reach.go
+++ b/coordination/reach/reach.go
@@ -1,8 +1,7 @@
-// Package reach remembers which peers answered lately, so that a node asks those first
-// and notices when it can reach none of them.
+// Package reach tracks which peers responded recently, so that a node asks those first and
+// detects when it can reach none of them.
 //
-// It owns nothing but this memory: it sends no requests and has no clock of its own.
-// Whoever sends requests to peers reports how they end.
+// It sends no requests: the code that sends them reports how they end.
 package reach
 
 import (
@@ -11,61 +10,59 @@
 )
 
 const (
-	// avoidTime is how long a peer that failed is asked last (chosen, not measured).
-	avoidTime = 2 * time.Second
-	// A node counts as cut off once no peer has answered for cutOffAfter while at least
-	// cutOffFailures requests failed. Both were chosen; with them, gateways that were
-	// cut off from their storage nodes for 12 s refused at once what had waited 0.8 s
-	// before, and 0.947 of the requests were served in place of 0.87 (a simulated
-	// deployment of 64 machines).
-	cutOffAfter    = 500 * time.Millisecond
-	cutOffFailures = 3
+	// avoidDuration is how long a peer is asked last after it failed.
+	avoidDuration = 2 * time.Second
+	// A node is cut off once no peer has responded for cutOffDelay and at least
+	// minCutOffFailures requests have failed since the last response.
+	cutOffDelay       = 500 * time.Millisecond
+	minCutOffFailures = 3
 )
 
-// Tracker is told how requests to peers end. Peers are named by their addresses. It is
-// safe for concurrent use.
+// Tracker records how requests to peers end. Peers are identified by their addresses. It
+// is safe for concurrent use.
 type Tracker struct {
 	now func() time.Time
 
 	mutex sync.Mutex
-	// failed is when each peer failed that hasn't answered since.
-	failed map[string]time.Time
-	// heard is when any peer answered last, failures how many requests failed since.
-	heard    time.Time
-	failures int
+	// failedAt is when each peer last failed; peers that responded since are removed.
+	failedAt map[string]time.Time
+	// respondedAt is when any peer last responded, failures the number of requests that
+	// failed since.
+	respondedAt time.Time
+	failures    int
 }
 
-// New makes a tracker that has heard of no peer. Now must be a steady clock.
+// New returns a tracker without peers. Now must return monotonic times.
 func New(now func() time.Time) *Tracker {
-	return &Tracker{now: now, failed: make(map[string]time.Time)}
+	return &Tracker{now: now, failedAt: make(map[string]time.Time)}
 }
 
-// Heard notes that the peer answered, whatever it said.
+// Heard records that the peer responded, whatever the response was.
 func (t *Tracker) Heard(peer string) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	delete(t.failed, peer)
-	t.heard, t.failures = t.now(), 0
+	delete(t.failedAt, peer)
+	t.respondedAt, t.failures = t.now(), 0
 }
 
-// Failed notes that the peer didn't answer, or couldn't do what was asked.
+// Failed records that the peer didn't respond or couldn't process the request.
 func (t *Tracker) Failed(peer string) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.failed[peer] = t.now()
+	t.failedAt[peer] = t.now()
 	t.failures++
 }
 
-// IsAvoided reports whether the peer is to be asked last: it failed lately and hasn't
-// answered since.
+// IsAvoided reports whether the peer is to be asked last: it failed recently and hasn't
+// responded since.
 func (t *Tracker) IsAvoided(peer string) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	failed, found := t.failed[peer]
-	return found && t.now().Sub(failed) < avoidTime
+	failedAt, found := t.failedAt[peer]
+	return found && t.now().Sub(failedAt) < avoidDuration
 }
 
-// Compare orders peers that are avoided behind the others, as cmp.Compare does.
+// Compare orders avoided peers after the others, with results like cmp.Compare.
 func (t *Tracker) Compare(a, b string) int {
 	first, second := t.IsAvoided(a), t.IsAvoided(b)
 	switch {
@@ -77,10 +74,10 @@
 	return -1
 }
 
-// IsCutOff reports whether no peer has answered for a while though several requests
-// were made. What needs the peers is then better refused at once than kept waiting.
+// IsCutOff reports whether several requests have failed and no peer has responded for a
+// while. Callers should then reject work that needs the peers instead of letting it wait.
 func (t *Tracker) IsCutOff() bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	return t.failures >= cutOffFailures && t.now().Sub(t.heard) >= cutOffAfter
+	return t.failures >= minCutOffFailures && t.now().Sub(t.respondedAt) >= cutOffDelay
 }
--- a/coordination/reach/reach_test.go
+++ b/coordination/reach/reach_test.go
@@ -9,60 +9,59 @@
 	"github.com/marblering/marblering/coordination/reach"
 )
 
-// clock is moved by hand.
+// clock is a clock that tests advance.
 type clock struct{ now time.Time }
 
-func (c *clock) pass(span time.Duration) { c.now = c.now.Add(span) }
+func (c *clock) advance(span time.Duration) { c.now = c.now.Add(span) }
 
 func newTracker() (*clock, *reach.Tracker) {
 	c := &clock{now: time.Unix(1000, 0)}
 	return c, reach.New(func() time.Time { return c.now })
 }
 
-// TestPeerThatFailedIsAvoided: a peer is asked last for a while after it failed, or until
-// it answers.
-func TestPeerThatFailedIsAvoided(t *testing.T) {
+// TestFailedPeerIsAvoided checks that a peer is asked last for a while after it failed, or
+// until it responds.
+func TestFailedPeerIsAvoided(t *testing.T) {
 	c, tracker := newTracker()
 	assert.Assert(t, !tracker.IsAvoided("a"))
 	tracker.Failed("a")
 	assert.Assert(t, tracker.IsAvoided("a"))
 	assert.Assert(t, !tracker.IsAvoided("b"))
 	tracker.Heard("b")
-	assert.Assert(t, tracker.IsAvoided("a"), "another's answer says nothing of it")
+	assert.Assert(t, tracker.IsAvoided("a"), "the response came from another peer")
 	tracker.Heard("a")
 	assert.Assert(t, !tracker.IsAvoided("a"))
 	tracker.Failed("a")
-	c.pass(2 * time.Second)
+	c.advance(2 * time.Second)
 	assert.Assert(t, !tracker.IsAvoided("a"))
 }
 
-// TestCutOff: a node is cut off once several requests have failed and nobody has
-// answered for a while; one answer ends that.
+// TestCutOff checks that a node is cut off once several requests have failed and no peer has
+// responded for a while, until a peer responds.
 func TestCutOff(t *testing.T) {
 	c, tracker := newTracker()
 	tracker.Heard("a")
 	assert.Assert(t, !tracker.IsCutOff())
-	c.pass(time.Hour)
+	c.advance(time.Hour)
 	assert.Assert(t, !tracker.IsCutOff(), "a node without requests isn't cut off")
 	tracker.Failed("a")
 	tracker.Failed("b")
-	assert.Assert(t, !tracker.IsCutOff(), "two failures may be two peers")
+	assert.Assert(t, !tracker.IsCutOff(), "too few requests have failed")
 	tracker.Failed("a")
 	assert.Assert(t, tracker.IsCutOff())
 	tracker.Heard("b")
 	for range 5 {
 		tracker.Failed("a")
 	}
-	assert.Assert(t, !tracker.IsCutOff(), "another answers")
-	c.pass(time.Second)
+	assert.Assert(t, !tracker.IsCutOff(), "another peer has just responded")
+	c.advance(time.Second)
 	assert.Assert(t, tracker.IsCutOff())
 	tracker.Heard("a")
 	assert.Assert(t, !tracker.IsCutOff())
 }
 
-// TestStartIsNoCut: a node that hasn't reached anyone yet is cut off only once
-// its requests have failed.
-func TestStartIsNoCut(t *testing.T) {
+// TestNewTrackerIsNotCutOff checks that a node that hasn't sent any requests isn't cut off.
+func TestNewTrackerIsNotCutOff(t *testing.T) {
 	_, tracker := newTracker()
 	assert.Assert(t, !tracker.IsCutOff())
 }
