--- a/coordination/quota/account.go
+++ b/coordination/quota/account.go
@@ -9,40 +9,40 @@
 // Ask is a gateway's request for permits.
 type Ask struct {
 	Tenant string
-	// Version of the configuration that the part is of.
+	// Version is the configuration version that Part was computed from.
 	Version int64
 	Part    Part
-	// Program is the one that the request belongs to, empty for none. Kind is what
-	// programs with a like demand have in common.
+	// Program is the program that the request belongs to, empty for none. Kind groups
+	// programs with similar demand.
 	Program string
 	Kind    string
-	// Ahead is how many permits are wanted for requests to come.
+	// Ahead is the number of additional permits wanted for future requests.
 	Ahead int
 }
 
-// Grant answers an Ask: one of the types below.
+// Grant is the answer to an Ask: one of the types below.
 type Grant interface{ isGrant() }
 
-// Granted are permits, one of them for the request.
+// Granted carries permits, one of them for the request itself.
 type Granted struct {
 	Permits int
 }
 
-// Exhausted says that the tenant has used its part of the quota.
+// Exhausted means that the tenant has used up its share of the quota at this slot.
 type Exhausted struct {
-	// RetryAfter is the time until there is a permit again, Left the fraction of a
-	// permit that there is.
+	// RetryAfter is the time until the next permit is available, Left the number of
+	// permits in the bucket, less than one.
 	RetryAfter time.Duration
 	Left       float64
 }
 
-// Crowded says that what is left of the quota is kept for programs that have begun.
+// Crowded means that the remaining permits are reserved for programs already running.
 type Crowded struct {
 	RetryAfter time.Duration
 	Left       float64
 }
 
-// NotHolder says that the node doesn't hold the slot.
+// NotHolder means that the node doesn't hold the slot.
 type NotHolder struct{}
 
 func (Granted) isGrant()   {}
@@ -51,41 +51,38 @@
 func (NotHolder) isGrant() {}
 
 const (
-	// plentyPart is the part of the burst that must be left for permits to be granted
-	// ahead, and for new programs to be let in whatever they need. Chosen, not
-	// measured.
-	plentyPart = 0.5
-	// crowdedPause is the Retry-After of a new program that is refused: about the time
-	// in which programs that have begun end. Chosen, not measured.
-	crowdedPause = 500 * time.Millisecond
-	// leastPause is the shortest Retry-After. It keeps refused requests from coming
-	// back in a tight loop. Chosen, not measured.
-	leastPause = 50 * time.Millisecond
+	// headroomFraction is the fraction of the burst that must be available before
+	// permits are prefetched, or a new program is admitted regardless of its expected
+	// demand.
+	headroomFraction = 0.5
+	// newProgramRetryAfter is the Retry-After of a refused new program: roughly the time
+	// in which running programs finish.
+	newProgramRetryAfter = 500 * time.Millisecond
+	// minRetryAfter keeps refused requests from retrying in a tight loop.
+	minRetryAfter = 50 * time.Millisecond
 )
 
-// account is one tenant's part of its quota at a slot, in one term of the slot's
+// account is a tenant's share of its quota at one slot, during one term of the slot's
 // holder.
 type account struct {
 	version  int64
 	rate     limit.Rate
 	bucket   limit.Bucket
-	programs *programs
+	programs *programTracker
 }
 
-// newAccount makes an account whose bucket was empty when the term began.
+// newAccount returns an account whose bucket was empty when the term began.
 func newAccount(rate limit.Rate, began time.Time) *account {
-	return &account{rate: rate, bucket: limit.NewBucket(rate.TokensPerSecond, rate.Burst, began), programs: newPrograms()}
+	return &account{rate: rate, bucket: limit.NewBucket(rate.TokensPerSecond, rate.Burst, began), programs: newProgramTracker()}
 }
 
 // take decides on a request for permits:
 //
-//   - A new program is refused (Crowded) unless half of the burst is left or the rate
-//     can carry it to its end beside those that have begun: a program that is cut off
-//     in its middle has used its permits in vain. At four times the rate 45 programs
-//     finish in place of 8 with refusals by lot (virtual time, the replay of
-//     plan_test.go).
-//   - Any request is refused (Exhausted) where the bucket has no permit.
-//   - Permits ahead are granted only from what is left beyond half of the burst.
+//   - A new program is refused (Crowded) unless half of the burst is available, or the
+//     rate is expected to sustain it to its end along with the running programs. A
+//     program that is cut off midway has wasted its permits.
+//   - Any request is refused (Exhausted) if the bucket has no permit.
+//   - Permits are prefetched only from what exceeds half of the burst.
 func (a *account) take(ask Ask, now time.Time) Grant {
 	if ask.Version > a.version {
 		a.version, a.rate = ask.Version, ask.Part.Rate
@@ -93,19 +90,19 @@
 	}
 	a.programs.sweep(now)
 	level := a.bucket.Level(now)
-	plenty := plentyPart * a.rate.Burst
+	headroom := headroomFraction * a.rate.Burst
 	isNew := ask.Program != "" && !a.programs.has(ask.Program)
-	if isNew && level < plenty && !a.programs.carries(ask.Kind, a.rate, level, now) {
-		return Crowded{RetryAfter: crowdedPause, Left: level}
+	if isNew && level < headroom && !a.programs.canAdmit(ask.Kind, a.rate, level, now) {
+		return Crowded{RetryAfter: newProgramRetryAfter, Left: level}
 	}
 	if !a.bucket.Take(1, now) {
-		a.programs.refuse(ask.Program)
-		return Exhausted{RetryAfter: max(a.bucket.Wait(1, now), leastPause), Left: level}
+		a.programs.recordRefused(ask.Program)
+		return Exhausted{RetryAfter: max(a.bucket.Wait(1, now), minRetryAfter), Left: level}
 	}
 	if ask.Program != "" {
-		a.programs.count(ask.Program, ask.Kind, now)
+		a.programs.recordAdmitted(ask.Program, ask.Kind, now)
 	}
-	ahead := int(min(float64(ask.Ahead), level-1-plenty))
+	ahead := int(min(float64(ask.Ahead), level-1-headroom))
 	if ahead < 1 {
 		return Granted{Permits: 1}
 	}
--- a/coordination/quota/announce.go
+++ b/coordination/quota/announce.go
@@ -8,58 +8,57 @@
 )
 
 const (
-	// announcePause is the pause between two checks whether slots must be announced.
-	// Chosen, not measured.
-	announcePause = time.Second
-	// announceAfter is how long no request may have asked for a permit before slots
-	// are announced. It is less than interestTime, after which they would lapse.
-	announceAfter = 5 * time.Second
+	// announceInterval is the interval between two checks whether slots must be announced.
+	announceInterval = time.Second
+	// announceIdleTime is the time without a request for a permit after which slots are
+	// announced. It is less than idleTimeout, after which their holders would let them go.
+	announceIdleTime = 5 * time.Second
 )
 
-// Announcer keeps every slot held while no request needs it: a new holder begins with
-// an empty bucket, so that the first requests after a pause would be refused. It is a
-// suture service.
+// Announcer keeps every slot held while no request needs it. Without it the first
+// requests after a pause would be refused, since a new holder starts with an empty
+// bucket. It is a suture service.
 type Announcer struct {
-	client *Client
-	// isNeeded tells that there are tenants.
-	isNeeded func() bool
+	client     *Client
+	hasTenants func() bool
 }
 
-// NewAnnouncer makes an announcer.
-func NewAnnouncer(client *Client, isNeeded func() bool) *Announcer {
-	return &Announcer{client: client, isNeeded: isNeeded}
+// NewAnnouncer returns an announcer that is active while hasTenants returns true.
+func NewAnnouncer(client *Client, hasTenants func() bool) *Announcer {
+	return &Announcer{client: client, hasTenants: hasTenants}
 }
 
-// String names the service in the supervisor's messages.
-func (a *Announcer) String() string { return "announcer of quotas" }
+// String returns the service's name in supervisor events.
+func (a *Announcer) String() string { return "quota announcer" }
 
-// Serve announces until the context ends.
+// Serve announces slots until the context ends.
 func (a *Announcer) Serve(ctx context.Context) error {
-	for sleep.For(ctx, sleep.Jitter(announcePause)) == nil {
-		if a.isNeeded() && a.client.isIdle() {
-			a.client.announce(ctx)
+	for sleep.For(ctx, sleep.Jitter(announceInterval)) == nil {
+		if a.hasTenants() && a.client.isIdle() {
+			a.client.announceSlots(ctx)
 		}
 	}
 	return ctx.Err()
 }
 
-// isIdle tells that no request has asked for a permit for a while.
+// isIdle reports whether no request has needed a permit for announceIdleTime.
 func (c *Client) isIdle() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return c.now().Sub(c.askedAt) > announceAfter
+	return c.now().Sub(c.lastDemand) > announceIdleTime
 }
 
-// announce tells storage nodes that the slots are needed.
-func (c *Client) announce(ctx context.Context) {
+// announceSlots tells storage nodes that the slots are needed, by a request without a
+// tenant.
+func (c *Client) announceSlots(ctx context.Context) {
 	shards := c.views.Shards()
 	for slot := range shards {
 		view, known := c.views.View(slot)
 		if !known {
 			return
 		}
-		for _, address := range c.order(view) {
-			if c.askMember(ctx, address, Ask{Part: Part{Slot: slot}}) != nil {
+		for _, address := range c.orderMembers(view) {
+			if c.askNode(ctx, address, Ask{Part: Part{Slot: slot}}) != nil {
 				break
 			}
 		}
@@ -67,6 +66,6 @@
 	if shards > 0 {
 		c.mutex.Lock()
 		defer c.mutex.Unlock()
-		c.askedAt = c.now()
+		c.lastDemand = c.now()
 	}
 }
--- a/coordination/quota/chosen_test.go
+++ b/coordination/quota/chosen_test.go
@@ -45,9 +45,9 @@
 			holder := NewHolder("a/1", "a", registers, time.Now, zap.NewNop())
 			holder.Take(Ask{})
 			one := holder.slots[0]
-			holder.change(t.Context(), 0, one)
+			holder.changeLease(t.Context(), 0, one)
 			assert.Assert(t, one.lease.holds(time.Now()))
-			assert.Equal(t, one.lease.self.Term, uint64(3))
+			assert.Equal(t, one.lease.own.Term, uint64(3))
 		})
 	}
 }
--- a/coordination/quota/client.go
+++ b/coordination/quota/client.go
@@ -28,35 +28,35 @@
 }
 
 const (
-	// tryTimeout bounds one request to one storage node: a few times what one takes
+	// nodeTimeout bounds one request to one storage node: a few times what one takes
 	// that isn't overloaded. Chosen, not measured.
-	tryTimeout = 150 * time.Millisecond
+	nodeTimeout = 150 * time.Millisecond
 	// takeTimeout bounds the time in which a request gets its permit: that of three
 	// storage nodes that are late. Another gateway may do better after it.
-	takeTimeout = 3 * tryTimeout
-	// vacantPause is how long a slot that had no holder isn't asked again. It is short
+	takeTimeout = 3 * nodeTimeout
+	// vacantSlotBackoff is how long a slot that had no holder isn't asked again. It is short
 	// beside leaseTime, within which the slot has its next holder. Chosen, not
 	// measured.
-	vacantPause = 100 * time.Millisecond
-	// foundPause is the pause between two tries of a request where no slot had a
+	vacantSlotBackoff = 100 * time.Millisecond
+	// noHolderRetryInterval is the pause between two tries of a request where no slot had a
 	// holder: a slot that nobody has held yet is taken within one round of its
 	// register. Chosen, not measured.
-	foundPause = 25 * time.Millisecond
-	// unavailablePause is the Retry-After of a request that no storage node could
+	noHolderRetryInterval = 25 * time.Millisecond
+	// unavailableRetryAfter is the Retry-After of a request that no storage node could
 	// decide. Chosen, not measured.
-	unavailablePause = 300 * time.Millisecond
-	// longestWait is how long a request may wait for the next permit rather than be
+	unavailableRetryAfter = 300 * time.Millisecond
+	// maxPermitWait is how long a request may wait for the next permit rather than be
 	// refused, maxWaits how often it may. Chosen, not measured.
-	longestWait = 100 * time.Millisecond
-	maxWaits    = 2
-	// slotsAsked bounds the main slots that a request asks: another slot of the tenant
+	maxPermitWait  = 100 * time.Millisecond
+	maxPermitWaits = 2
+	// maxSlotsTried bounds the main slots that a request asks: another slot of the tenant
 	// may have permits left. Chosen, not measured.
-	slotsAsked = 2
-	// aheadPart is the part of a permit's life within which permits granted ahead are
+	maxSlotsTried = 2
+	// prefetchFraction is the part of a permit's life within which permits granted ahead are
 	// expected to be used. Chosen, not measured.
-	aheadPart = 0.6
-	// maxAhead bounds the permits that are asked for ahead. Chosen, not measured.
-	maxAhead = 16
+	prefetchFraction = 0.6
+	// maxPrefetch bounds the permits that are asked for ahead. Chosen, not measured.
+	maxPrefetch = 16
 )
 
 // Client is a gateway's side: it gets permits for requests. It is safe for concurrent
@@ -72,12 +72,12 @@
 
 	mutex  sync.Mutex
 	stocks map[string]*stock
-	// holderOf is the address at which each slot's holder was found last, vacantUntil
+	// lastHolder is the address at which each slot's holder was found last, vacantUntil
 	// the end of the time for which a slot without a holder isn't asked.
-	holderOf    map[uint32]string
+	lastHolder  map[uint32]string
 	vacantUntil map[uint32]time.Time
-	// askedAt is when a request last wanted a permit, or slots were announced.
-	askedAt time.Time
+	// lastDemand is when a request last wanted a permit, or slots were announced.
+	lastDemand time.Time
 }
 
 // NewClient makes a client without permits. The client tells the tracker which storage
@@ -85,7 +85,7 @@
 func NewClient(holders Holders, views Views, tracker *reach.Tracker, bounds Bounds, metrics *Metrics, now func() time.Time, logger *zap.Logger) *Client {
 	return &Client{
 		holders: holders, views: views, reach: tracker, bounds: bounds, now: now, logger: logger, metrics: metrics,
-		stocks: make(map[string]*stock), holderOf: make(map[uint32]string), vacantUntil: make(map[uint32]time.Time),
+		stocks: make(map[string]*stock), lastHolder: make(map[uint32]string), vacantUntil: make(map[uint32]time.Time),
 	}
 }
 
@@ -125,54 +125,54 @@
 		return Permit{}, nil
 	}
 	began := c.now()
-	ahead, permit, found := c.fromStock(request.Tenant, began)
+	ahead, permit, found := c.takeFromStock(request.Tenant, began)
 	if found {
-		c.metrics.taken(sourceStock, c.now().Sub(began))
+		c.metrics.observe(sourceStock, c.now().Sub(began))
 		return permit, nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, takeTimeout)
 	defer cancel()
 	ask := Ask{Tenant: request.Tenant, Version: request.Version, Program: request.Program, Kind: request.Kind, Ahead: ahead}
-	permit, failure := c.ask(ctx, ask, c.bounds.Plan(request.Tenant, request.Rate, c.views.Shards()))
-	c.metrics.asked(failure, c.now().Sub(began))
+	permit, failure := c.requestPermit(ctx, ask, c.bounds.Plan(request.Tenant, request.Rate, c.views.Shards()))
+	c.metrics.observeAsked(failure, c.now().Sub(began))
 	return permit, failure
 }
 
-// ask asks the plan's slots until one decides: the main slots, then the reserve slot
+// requestPermit asks the plan's slots until one decides: the main slots, then the reserve slot
 // where a main slot has no holder. A request waits for the next permit where it comes
 // within longestWait; where no slot has a holder it asks again until the context ends.
-func (c *Client) ask(ctx context.Context, ask Ask, plan Plan) (Permit, *result.Error) {
+func (c *Client) requestPermit(ctx context.Context, ask Ask, plan Plan) (Permit, *result.Error) {
 	for waits := 0; ; {
-		answer, permit := c.askMain(ctx, ask, plan)
+		answer, permit := c.askMainSlots(ctx, ask, plan)
 		if answer == nil && plan.HasReserve {
 			answer, permit = c.askSlot(ctx, ask, plan.Reserve)
 		}
 		if _, isGranted := answer.(Granted); isGranted {
 			return permit, nil
 		}
-		if waits < maxWaits && awaitNext(ctx, answer) {
+		if waits < maxPermitWaits && waitForPermit(ctx, answer) {
 			waits++
 			continue
 		}
 		if answer != nil {
-			return Permit{}, refusal(ask.Tenant, answer)
+			return Permit{}, refusalError(ask.Tenant, answer)
 		}
-		if sleep.For(ctx, foundPause) != nil {
-			return Permit{}, refusal(ask.Tenant, nil)
+		if sleep.For(ctx, noHolderRetryInterval) != nil {
+			return Permit{}, refusalError(ask.Tenant, nil)
 		}
 	}
 }
 
-// awaitNext waits until the next permit is due if that is soon, and tells whether it
+// waitForPermit waits until the next permit is due if that is soon, and tells whether it
 // has waited.
-func awaitNext(ctx context.Context, answer Grant) bool {
+func waitForPermit(ctx context.Context, answer Grant) bool {
 	exhausted, isExhausted := answer.(Exhausted)
-	return isExhausted && exhausted.RetryAfter <= longestWait && sleep.For(ctx, sleep.Jitter(exhausted.RetryAfter)) == nil
+	return isExhausted && exhausted.RetryAfter <= maxPermitWait && sleep.For(ctx, sleep.Jitter(exhausted.RetryAfter)) == nil
 }
 
-// refusal returns what a caller is told after a holder's answer that grants nothing, or
+// refusalError returns what a caller is told after a holder's answer that grants nothing, or
 // after none, where the answer is nil.
-func refusal(tenant string, answer Grant) *result.Error {
+func refusalError(tenant string, answer Grant) *result.Error {
 	switch grant := answer.(type) {
 	case Exhausted:
 		return result.Errorf(result.TenantLimit, "tenant %s is over its quota, %.1f permits are left", tenant, grant.Left).After(grant.RetryAfter)
@@ -180,16 +180,16 @@
 		return result.Errorf(result.TenantLimit,
 			"tenant %s is near its quota: the %.1f permits that are left are for programs that have begun", tenant, grant.Left).After(grant.RetryAfter)
 	}
-	return result.Errorf(result.QuotaUnavailable, "nobody grants requests of tenant %s", tenant).After(unavailablePause)
+	return result.Errorf(result.QuotaUnavailable, "nobody grants requests of tenant %s", tenant).After(unavailableRetryAfter)
 }
 
-// askMain asks main slots until one grants a permit. It returns nil where one of them
+// askMainSlots asks main slots until one grants a permit. It returns nil where one of them
 // has no holder, so that the reserve slot stands in for it.
-func (c *Client) askMain(ctx context.Context, ask Ask, plan Plan) (Grant, Permit) {
+func (c *Client) askMainSlots(ctx context.Context, ask Ask, plan Plan) (Grant, Permit) {
 	var refusal Grant
 	isVacant := len(plan.Main) == 0
 	for index, part := range plan.Order(ask.Program) {
-		if index >= slotsAsked {
+		if index >= maxSlotsTried {
 			break
 		}
 		answer, permit := c.askSlot(ctx, ask, part)
@@ -216,35 +216,35 @@
 		return nil, Permit{}
 	}
 	ask.Part = part
-	for _, address := range c.order(view) {
+	for _, address := range c.orderMembers(view) {
 		if ctx.Err() != nil {
 			return nil, Permit{}
 		}
 		sent := c.now()
-		answer := c.askMember(ctx, address, ask)
+		answer := c.askNode(ctx, address, ask)
 		if _, isNotHolder := answer.(NotHolder); isNotHolder || answer == nil {
 			continue
 		}
 		c.mutex.Lock()
-		c.holderOf[part.Slot] = address
+		c.lastHolder[part.Slot] = address
 		c.mutex.Unlock()
-		return answer, c.keep(ask, answer, sent)
+		return answer, c.storeExtra(ask, answer, sent)
 	}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	delete(c.holderOf, part.Slot)
-	c.vacantUntil[part.Slot] = c.now().Add(vacantPause)
+	delete(c.lastHolder, part.Slot)
+	c.vacantUntil[part.Slot] = c.now().Add(vacantSlotBackoff)
 	return nil, Permit{}
 }
 
-// keep puts the permits granted beyond the request's own one in stock. A permit's life
+// storeExtra puts the permits granted beyond the request's own one in stock. A permit's life
 // counts from when it was asked for: the holder may have granted it any time after.
-func (c *Client) keep(ask Ask, answer Grant, sent time.Time) Permit {
+func (c *Client) storeExtra(ask Ask, answer Grant, sent time.Time) Permit {
 	granted, isGranted := answer.(Granted)
 	if !isGranted {
 		return Permit{}
 	}
-	expires := sent.Add(c.bounds.PermitLife())
+	expires := sent.Add(c.bounds.PermitLifetime())
 	if granted.Permits > 1 {
 		c.mutex.Lock()
 		defer c.mutex.Unlock()
@@ -253,9 +253,9 @@
 	return Permit{client: c, tenant: ask.Tenant, expires: expires}
 }
 
-// askMember asks one storage node; nil means that it failed.
-func (c *Client) askMember(ctx context.Context, address string, ask Ask) Grant {
-	bounded, cancel := context.WithTimeout(ctx, tryTimeout)
+// askNode asks one storage node; nil means that it failed.
+func (c *Client) askNode(ctx context.Context, address string, ask Ask) Grant {
+	bounded, cancel := context.WithTimeout(ctx, nodeTimeout)
 	defer cancel()
 	answer, err := c.holders.TakePermits(bounded, address, ask)
 	if err == nil {
@@ -277,25 +277,25 @@
 	return c.now().Before(c.vacantUntil[slot])
 }
 
-// order puts the last known holder first, and members that failed lately last. The
-// rest have the same order at all gateways, so that for a slot without a holder they
+// orderMembers puts the last known holder first, and members that failed lately last. The
+// rest have the same orderMembers at all gateways, so that for a slot without a holder they
 // all ask the same member, which then takes it.
-func (c *Client) order(view register.View) []string {
+func (c *Client) orderMembers(view register.View) []string {
 	c.mutex.Lock()
-	last := c.holderOf[view.Shard]
+	last := c.lastHolder[view.Shard]
 	c.mutex.Unlock()
 	addresses := make([]string, 0, len(view.Members))
 	for _, member := range view.Members {
 		addresses = append(addresses, member.Address)
 	}
 	slices.SortStableFunc(addresses, func(a, b string) int {
-		return cmp.Or(compareFlags(a == last, b == last), c.reach.Compare(a, b))
+		return cmp.Or(compareTrueFirst(a == last, b == last), c.reach.Compare(a, b))
 	})
 	return addresses
 }
 
-// compareFlags orders set flags first.
-func compareFlags(a, b bool) int {
+// compareTrueFirst orders set flags first.
+func compareTrueFirst(a, b bool) int {
 	switch {
 	case a == b:
 		return 0
@@ -305,19 +305,19 @@
 	return 1
 }
 
-// fromStock takes a permit out of stock. Where there is none it returns how many to ask
+// takeFromStock takes a permit out of stock. Where there is none it returns how many to ask
 // for ahead.
-func (c *Client) fromStock(tenant string, now time.Time) (ahead int, permit Permit, found bool) {
+func (c *Client) takeFromStock(tenant string, now time.Time) (ahead int, permit Permit, found bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.askedAt = now
+	c.lastDemand = now
 	own := c.stock(tenant)
-	own.used(now)
+	own.recordDemand(now)
 	if expires, left := own.take(now); left {
 		return 0, Permit{client: c, tenant: tenant, expires: expires}, true
 	}
-	wanted := own.perSecond * aheadPart * c.bounds.PermitLife().Seconds()
-	return int(min(wanted, maxAhead)), Permit{}, false
+	wanted := own.demand * prefetchFraction * c.bounds.PermitLifetime().Seconds()
+	return int(min(wanted, maxPrefetch)), Permit{}, false
 }
 
 // stock returns the tenant's stock, a new one at first. The mutex must be held.
--- a/coordination/quota/holder.go
+++ b/coordination/quota/holder.go
@@ -20,12 +20,12 @@
 	// changeTimeout bounds one change of a lease: less than leaseTime, so that a slow
 	// change can be tried again within it. Chosen, not measured.
 	changeTimeout = 800 * time.Millisecond
-	// interestTime is how long after it was last asked for permits a node keeps a slot
+	// idleTimeout is how long after it was last asked for permits a node keeps a slot
 	// or tries to take it. Without interest leases cost nothing. Chosen, not measured.
-	interestTime = 10 * time.Second
-	// stepPause is the pause between two checks of the leases while there is interest.
+	idleTimeout = 10 * time.Second
+	// stepInterval is the pause between two checks of the leases while there is interest.
 	// Chosen, not measured.
-	stepPause = 50 * time.Millisecond
+	stepInterval = 50 * time.Millisecond
 )
 
 // Registers changes a value by compare-and-swap. register.Client is one.
@@ -36,12 +36,12 @@
 // Holder holds slots on one storage node and grants their permits. It is a suture
 // service and safe for concurrent use.
 type Holder struct {
-	life, node string
-	registers  Registers
-	now        func() time.Time
-	logger     *zap.Logger
-	// woken is sent to when a node without interest is asked.
-	woken chan struct{}
+	processID, node string
+	registers       Registers
+	now             func() time.Time
+	logger          *zap.Logger
+	// wakeup is sent to when a node without interest is asked.
+	wakeup chan struct{}
 
 	mutex sync.Mutex
 	slots map[uint32]*slot
@@ -55,19 +55,19 @@
 	accounts map[string]*account
 	// term is that of the accounts.
 	term uint64
-	// asked is when a gateway last asked, changing set while the register is changed.
-	asked    time.Time
-	changing bool
-	// held is what noteHeld logged last.
-	held bool
+	// lastAsked is when a gateway last lastAsked, changing set while the register is changed.
+	lastAsked time.Time
+	changing  bool
+	// loggedHeld is what noteHeld logged last.
+	loggedHeld bool
 }
 
 // NewHolder makes a holder of no slot. The life identifies this process: it must be
 // unique over all processes and their restarts. The node is the machine's name.
 func NewHolder(life, node string, registers Registers, now func() time.Time, logger *zap.Logger) *Holder {
 	return &Holder{
-		life: life, node: node, registers: registers, now: now, logger: logger,
-		woken: make(chan struct{}, 1), slots: make(map[uint32]*slot),
+		processID: life, node: node, registers: registers, now: now, logger: logger,
+		wakeup: make(chan struct{}, 1), slots: make(map[uint32]*slot),
 	}
 }
 
@@ -82,10 +82,10 @@
 	now := h.now()
 	asked := h.slots[ask.Part.Slot]
 	if asked == nil {
-		asked = &slot{lease: newLease(h.life, h.node)}
+		asked = &slot{lease: newLease(h.processID, h.node)}
 		h.slots[ask.Part.Slot] = asked
 	}
-	asked.asked = now
+	asked.lastAsked = now
 	if h.released.Load() || !asked.lease.holds(now) {
 		h.wake()
 		return NotHolder{}
@@ -97,12 +97,12 @@
 }
 
 func (s *slot) take(ask Ask, now time.Time) Grant {
-	if s.accounts == nil || s.term != s.lease.self.Term {
-		s.accounts, s.term = make(map[string]*account), s.lease.self.Term
+	if s.accounts == nil || s.term != s.lease.own.Term {
+		s.accounts, s.term = make(map[string]*account), s.lease.own.Term
 	}
 	kept := s.accounts[ask.Tenant]
 	if kept == nil {
-		kept = newAccount(ask.Part.Rate, s.lease.began)
+		kept = newAccount(ask.Part.Rate, s.lease.takenAt)
 		s.accounts[ask.Tenant] = kept
 	}
 	return kept.take(ask, now)
@@ -110,7 +110,7 @@
 
 func (h *Holder) wake() {
 	select {
-	case h.woken <- struct{}{}:
+	case h.wakeup <- struct{}{}:
 	default:
 	}
 }
@@ -121,13 +121,13 @@
 	defer changes.Wait()
 	for {
 		if h.step(ctx, &changes) {
-			if sleep.For(ctx, stepPause) != nil {
+			if sleep.For(ctx, stepInterval) != nil {
 				return ctx.Err()
 			}
 			continue
 		}
 		select {
-		case <-h.woken:
+		case <-h.wakeup:
 		case <-ctx.Done():
 			return ctx.Err()
 		}
@@ -140,8 +140,8 @@
 	defer h.mutex.Unlock()
 	now := h.now()
 	for number, one := range h.slots {
-		h.noteHeld(number, one, now)
-		if now.Sub(one.asked) > interestTime {
+		h.logHeldChange(number, one, now)
+		if now.Sub(one.lastAsked) > idleTimeout {
 			continue
 		}
 		interested = true
@@ -149,22 +149,22 @@
 			continue
 		}
 		one.changing = true
-		changes.Go(func() { h.change(ctx, number, one) })
+		changes.Go(func() { h.changeLease(ctx, number, one) })
 	}
 	return interested
 }
 
-// noteHeld logs when a slot was taken or lost.
-func (h *Holder) noteHeld(number uint32, one *slot, now time.Time) {
-	if held := one.lease.holds(now); held != one.held {
-		one.held = held
-		h.logger.Info("quota slot taken or lost", zap.Uint32("slot", number), zap.Bool("held", held), zap.Uint64("term", one.lease.self.Term),
+// logHeldChange logs when a slot was taken or lost.
+func (h *Holder) logHeldChange(number uint32, one *slot, now time.Time) {
+	if held := one.lease.holds(now); held != one.loggedHeld {
+		one.loggedHeld = held
+		h.logger.Info("quota slot taken or lost", zap.Uint32("slot", number), zap.Bool("held", held), zap.Uint64("term", one.lease.own.Term),
 			zap.String("seen_holder", one.lease.seen.Node), zap.Uint64("seen_term", one.lease.seen.Term))
 	}
 }
 
-// change renews or takes the slot.
-func (h *Holder) change(ctx context.Context, number uint32, one *slot) {
+// changeLease renews or takes the slot.
+func (h *Holder) changeLease(ctx context.Context, number uint32, one *slot) {
 	ctx, cancel := context.WithTimeout(ctx, changeTimeout)
 	defer cancel()
 	h.mutex.Lock()
@@ -179,9 +179,9 @@
 		}
 		read = current
 		if h.released.Load() {
-			return nil, errHeld
+			return nil, errSlotHeld
 		}
-		changed, err := known.change(current, sent)
+		changed, err := known.renewOrTake(current, sent)
 		if err != nil {
 			return nil, err
 		}
@@ -200,14 +200,14 @@
 	now := h.now()
 	switch {
 	case err == nil:
-		one.lease.granted(changed, sent, now)
-	case errors.Is(err, errHeld):
-		one.lease.refused(read, now)
+		one.lease.recordGranted(changed, sent, now)
+	case errors.Is(err, errSlotHeld):
+		one.lease.recordRefused(read, now)
 	default:
-		one.lease.failed(now)
+		one.lease.recordFailed(now)
 		h.logger.Info("quota slot lease not changed", zap.Uint32("slot", number), zap.Error(err))
 	}
-	h.noteHeld(number, one, now)
+	h.logHeldChange(number, one, now)
 }
 
 // Release gives the slots back that this node holds, so that others may take them at
@@ -220,7 +220,7 @@
 		if one.lease.holds(h.now()) {
 			held = append(held, number)
 		}
-		one.lease.validUntil, one.asked = time.Time{}, time.Time{}
+		one.lease.validUntil, one.lastAsked = time.Time{}, time.Time{}
 	}
 	h.mutex.Unlock()
 	for _, number := range held {
@@ -237,7 +237,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if current.Holder != h.life {
+	if current.Holder != h.processID {
 		return value, nil
 	}
 	return encodeClaim(claim{Term: current.Term})
--- a/coordination/quota/lease.go
+++ b/coordination/quota/lease.go
@@ -8,19 +8,19 @@
 )
 
 const (
-	// leaseTime is how long a holder grants after it sent its last renewal, and so
+	// leaseDuration is how long a holder grants after it sent its last renewal, and so
 	// about the time for which a lost holder's slot grants nothing. Chosen, not
 	// measured.
-	leaseTime = 1200 * time.Millisecond
-	// renewAfter is the time from one renewal to the next. Two may fail within
+	leaseDuration = 1200 * time.Millisecond
+	// renewInterval is the time from one renewal to the next. Two may fail within
 	// leaseTime.
-	renewAfter = 350 * time.Millisecond
-	// lapseTime is for how long a node must see no renewal before it takes the slot.
+	renewInterval = 350 * time.Millisecond
+	// takeoverDelay is for how long a node must see no renewal before it takes the slot.
 	// It is longer than leaseTime by 5 %, for clocks that run at different rates.
-	lapseTime = leaseTime + leaseTime/20
-	// lookPause is the pause between two reads of a node that waits for a lease to
+	takeoverDelay = leaseDuration + leaseDuration/20
+	// readInterval is the pause between two reads of a node that waits for a lease to
 	// lapse. Chosen, not measured.
-	lookPause = 150 * time.Millisecond
+	readInterval = 150 * time.Millisecond
 )
 
 // claim is the content of a slot's register.
@@ -34,45 +34,45 @@
 	Renewal uint64
 }
 
-// errHeld means that another node holds the slot, or may.
-var errHeld = merry.Sentinel("another node holds the slot")
+// errSlotHeld means that another node holds the slot, or may.
+var errSlotHeld = merry.Sentinel("another node holds the slot")
 
 // lease is what one process knows of one slot. It has no I/O and no clock of its own.
 type lease struct {
-	self claim
+	own claim
 	// validUntil is when this process must stop granting; zero if it doesn't hold the
 	// slot.
 	validUntil time.Time
-	// began is when this process took the slot.
-	began time.Time
+	// takenAt is when this process took the slot.
+	takenAt time.Time
 	// seen is the newest claim of another process that was read, seenSince the end of
 	// the read that first returned it.
 	seen      claim
 	seenSince time.Time
-	// lookAt is when the register is to be asked next.
-	lookAt time.Time
+	// nextAttempt is when the register is to be asked next.
+	nextAttempt time.Time
 }
 
-func newLease(holder, node string) *lease { return &lease{self: claim{Holder: holder, Node: node}} }
+func newLease(holder, node string) *lease { return &lease{own: claim{Holder: holder, Node: node}} }
 
 // holds tells whether this process may grant.
 func (l *lease) holds(now time.Time) bool { return now.Before(l.validUntil) }
 
 // isDue tells that the register is to be asked.
-func (l *lease) isDue(now time.Time) bool { return !now.Before(l.lookAt) }
+func (l *lease) isDue(now time.Time) bool { return !now.Before(l.nextAttempt) }
 
-// change renews this process's claim or takes the slot; sent is when it is asked for.
+// renewOrTake renews this process's claim or takes the slot; sent is when it is asked for.
 // It is applied to the register's value, perhaps several times, perhaps to its own
 // result.
-func (l *lease) change(current claim, sent time.Time) (claim, error) {
-	if current.Holder == l.self.Holder {
+func (l *lease) renewOrTake(current claim, sent time.Time) (claim, error) {
+	if current.Holder == l.own.Holder {
 		current.Renewal++
 		return current, nil
 	}
 	if !l.mayTake(current, sent) {
-		return claim{}, errHeld
+		return claim{}, errSlotHeld
 	}
-	return claim{Holder: l.self.Holder, Node: l.self.Node, Term: current.Term + 1}, nil
+	return claim{Holder: l.own.Holder, Node: l.own.Node, Term: current.Term + 1}, nil
 }
 
 // mayTake tells that nobody grants by the claim any more. One of three is so: the claim
@@ -81,35 +81,35 @@
 // longer than its holder grants.
 func (l *lease) mayTake(current claim, now time.Time) bool {
 	switch {
-	case current.Holder == "" || current.Node == l.self.Node:
+	case current.Holder == "" || current.Node == l.own.Node:
 		return true
 	case current != l.seen:
 		return false
 	}
-	return now.Sub(l.seenSince) >= lapseTime
+	return now.Sub(l.seenSince) >= takeoverDelay
 }
 
-// granted records that the register was changed to the claim by a request sent at sent,
+// recordGranted records that the register was changed to the claim by a request sent at sent,
 // whose answer came now. The lease counts from sent.
-func (l *lease) granted(changed claim, sent, now time.Time) {
-	if changed.Term != l.self.Term {
-		l.self.Term, l.began = changed.Term, now
+func (l *lease) recordGranted(changed claim, sent, now time.Time) {
+	if changed.Term != l.own.Term {
+		l.own.Term, l.takenAt = changed.Term, now
 	}
-	l.validUntil = sent.Add(leaseTime)
-	l.lookAt = sent.Add(renewAfter)
+	l.validUntil = sent.Add(leaseDuration)
+	l.nextAttempt = sent.Add(renewInterval)
 }
 
-// refused records the claim of another process that a read has found, which ended now.
-func (l *lease) refused(current claim, now time.Time) {
+// recordRefused records the claim of another process that a read has found, which ended now.
+func (l *lease) recordRefused(current claim, now time.Time) {
 	l.validUntil = time.Time{}
 	if current != l.seen || l.seenSince.IsZero() {
 		l.seen, l.seenSince = current, now
 	}
-	l.lookAt = now.Add(lookPause)
+	l.nextAttempt = now.Add(readInterval)
 }
 
-// failed records that the register could not be asked.
-func (l *lease) failed(now time.Time) { l.lookAt = now.Add(lookPause) }
+// recordFailed records that the register could not be asked.
+func (l *lease) recordFailed(now time.Time) { l.nextAttempt = now.Add(readInterval) }
 
 func encodeClaim(c claim) ([]byte, error) { return json.Marshal(c) }
 
--- a/coordination/quota/metrics.go
+++ b/coordination/quota/metrics.go
@@ -38,19 +38,19 @@
 	return m
 }
 
-func (m *Metrics) taken(source string, took time.Duration) {
+func (m *Metrics) observe(source string, took time.Duration) {
 	m.permits.WithLabelValues(source).Inc()
 	m.waits.Observe(took.Seconds())
 }
 
-// asked counts a request that asked holders.
-func (m *Metrics) asked(failure *result.Error, took time.Duration) {
+// observeAsked counts a request that observeAsked holders.
+func (m *Metrics) observeAsked(failure *result.Error, took time.Duration) {
 	switch {
 	case failure == nil:
-		m.taken(sourceHolder, took)
+		m.observe(sourceHolder, took)
 	case failure.Code == result.TenantLimit:
-		m.taken(sourceExhausted, took)
+		m.observe(sourceExhausted, took)
 	default:
-		m.taken(sourceUnavailable, took)
+		m.observe(sourceUnavailable, took)
 	}
 }
--- a/coordination/quota/model_test.go
+++ b/coordination/quota/model_test.go
@@ -158,7 +158,7 @@
 	grant := holder.Take(ask)
 	// An answer may be held up for as long as it is waited for.
 	if w.draw(20) == 0 {
-		return grant, sleep.For(ctx, w.draw(tryTimeout))
+		return grant, sleep.For(ctx, w.draw(nodeTimeout))
 	}
 	return grant, sleep.For(ctx, time.Millisecond)
 }
@@ -191,7 +191,7 @@
 			for sleep.For(ctx, 10*time.Millisecond) == nil {
 				holder.mutex.Lock()
 				for _, one := range holder.slots {
-					if one.lease.self.Term > 0 {
+					if one.lease.own.Term > 0 {
 						one.lease.validUntil = now().Add(time.Hour)
 					}
 				}
@@ -204,8 +204,8 @@
 			for sleep.For(ctx, 10*time.Millisecond) == nil {
 				holder.mutex.Lock()
 				for _, one := range holder.slots {
-					if now().Sub(one.lease.began) < time.Second {
-						one.lease.began = one.lease.began.Add(-time.Hour)
+					if now().Sub(one.lease.takenAt) < time.Second {
+						one.lease.takenAt = one.lease.takenAt.Add(-time.Hour)
 					}
 				}
 				holder.mutex.Unlock()
--- a/coordination/quota/plan.go
+++ b/coordination/quota/plan.go
@@ -18,33 +18,33 @@
 }
 
 const (
-	// longestPermit bounds the life of permits where Over is large: permits that
+	// maxPermitLifetime bounds the life of permits where Over is large: permits that
 	// expire unused are lost to the tenant. Chosen, not measured.
-	longestPermit = time.Second
-	// reserveBurst and reserveRate are the parts of Slack that a reserve slot grants
+	maxPermitLifetime = time.Second
+	// reserveBurstFraction and reserveRate are the parts of Slack that a reserve slot grants
 	// at once, and more in each window. Chosen, not measured.
-	reserveBurst = 0.4
-	reserveRate  = 0.3
-	// burstPart is the part of the burst that main slots grant as a higher rate over
+	reserveBurstFraction = 0.4
+	reserveRateFraction  = 0.3
+	// maxSpreadFraction is the part of the burst that main slots grant as a higher rate over
 	// the window instead of at once. A burst that is large beside the rate is spread
 	// less, since its tenant may mean to send all of it at once; so is the burst of a
 	// small tenant, as far as leastBurst needs. Chosen, not measured.
-	burstPart = 0.8
-	// leastBurst is what may still be used at once, in requests: tools and helpers of a
+	maxSpreadFraction = 0.8
+	// minBurst is what may still be used at once, in requests: tools and helpers of a
 	// few programs send that many together. Chosen, not measured.
-	leastBurst = 20.0
-	// requestsPerSlot is the rate in requests a second for each main slot of a tenant:
+	minBurst = 20.0
+	// ratePerMainSlot is the rate in requests a second for each main slot of a tenant:
 	// with several, a lost holder takes only a part of the quota. A tenant with a lower
 	// rate keeps one slot, since a program sends about 25 requests within a few
 	// seconds. Chosen, not measured.
-	requestsPerSlot = 50
+	ratePerMainSlot = 50
 	// maxMainSlots bounds the main slots of a tenant. Chosen, not measured.
 	maxMainSlots = 4
 )
 
-// PermitLife is how long a permit may be used, counted from when it was asked for.
-func (b Bounds) PermitLife() time.Duration {
-	return min(time.Duration(b.Over*float64(b.Window)), longestPermit)
+// PermitLifetime is how long a permit may be used, counted from when it was asked for.
+func (b Bounds) PermitLifetime() time.Duration {
+	return min(time.Duration(b.Over*float64(b.Window)), maxPermitLifetime)
 }
 
 // Part is what one slot may grant of a tenant's quota.
@@ -69,10 +69,10 @@
 	if slots == 0 {
 		return Plan{}
 	}
-	wanted := uint32(max(rate.TokensPerSecond/requestsPerSlot, 1))
+	wanted := uint32(max(rate.TokensPerSecond/ratePerMainSlot, 1))
 	count := min(wanted, maxMainSlots, slots)
 	first := hashOf(tenant) % slots
-	whole := b.bucketOf(rate)
+	whole := b.mainBucket(rate)
 	plan := Plan{HasReserve: slots > count}
 	for index := range count {
 		plan.Main = append(plan.Main, Part{
@@ -81,31 +81,31 @@
 		})
 	}
 	plan.Reserve = Part{Slot: (first + count) % slots, Rate: limit.Rate{
-		TokensPerSecond: reserveRate * float64(b.Slack) / b.Window.Seconds(), Burst: reserveBurst * float64(b.Slack),
+		TokensPerSecond: reserveRateFraction * float64(b.Slack) / b.Window.Seconds(), Burst: reserveBurstFraction * float64(b.Slack),
 	}}
 	return plan
 }
 
-// bucketOf returns the rate and burst of the token bucket that all main slots form
+// mainBucket returns the rate and burst of the token bucket that all main slots form
 // together. A tenant may use as much within a window as with its own rate and burst,
 // but a tenant that always sends more than it may gets this in every window, rather
 // than its rate alone.
-func (b Bounds) bucketOf(rate limit.Rate) limit.Rate {
+func (b Bounds) mainBucket(rate limit.Rate) limit.Rate {
 	window := b.Window.Seconds()
 	if rate.Burst <= 0 {
-		return limit.Rate{TokensPerSecond: rate.TokensPerSecond, Burst: b.spare()}
+		return limit.Rate{TokensPerSecond: rate.TokensPerSecond, Burst: b.unreservedSlack()}
 	}
-	spread := burstPart * min(1, rate.TokensPerSecond*window/(4*rate.Burst))
-	spread = max(min(spread, 1-(leastBurst-b.spare())/(rate.Burst*(1+b.Over))), 0)
+	spread := maxSpreadFraction * min(1, rate.TokensPerSecond*window/(4*rate.Burst))
+	spread = max(min(spread, 1-(minBurst-b.unreservedSlack())/(rate.Burst*(1+b.Over))), 0)
 	return limit.Rate{
 		TokensPerSecond: rate.TokensPerSecond + spread*rate.Burst/window,
-		Burst:           rate.Burst*(1+b.Over)*(1-spread) + b.spare(),
+		Burst:           rate.Burst*(1+b.Over)*(1-spread) + b.unreservedSlack(),
 	}
 }
 
-// spare is the part of the slack, in requests, that a reserve slot leaves.
-func (b Bounds) spare() float64 {
-	return float64(b.Slack) * (1 - reserveBurst - reserveRate*(1+b.Over))
+// unreservedSlack is the part of the slack, in requests, that a reserve slot leaves.
+func (b Bounds) unreservedSlack() float64 {
+	return float64(b.Slack) * (1 - reserveBurstFraction - reserveRateFraction*(1+b.Over))
 }
 
 // Order returns the main parts in the order in which requests of the program ask them.
--- a/coordination/quota/plan_test.go
+++ b/coordination/quota/plan_test.go
@@ -29,7 +29,7 @@
 		}
 		granted := 0.0
 		seen := make(map[uint32]bool)
-		span := (bounds.Window + bounds.PermitLife()).Seconds()
+		span := (bounds.Window + bounds.PermitLifetime()).Seconds()
 		for _, part := range parts {
 			assert.Assert(t, part.Slot < slots && !seen[part.Slot])
 			seen[part.Slot] = true
--- a/coordination/quota/stock.go
+++ b/coordination/quota/stock.go
@@ -12,21 +12,21 @@
 	// expiries are the times at which the permits expire, in the order in which they
 	// came.
 	expiries []time.Time
-	// perSecond is the moving average of requests a second, which decays with
+	// demand is the moving average of requests a second, which decays with
 	// demandTime; counted is when a request was last added to it.
-	perSecond float64
-	counted   time.Time
+	demand   float64
+	demandAt time.Time
 }
 
-// demandTime is the time constant of the average demand of a tenant: a few times the
+// demandTimeConstant is the time constant of the average demand of a tenant: a few times the
 // life of a permit. Chosen, not measured.
-const demandTime = time.Second
+const demandTimeConstant = time.Second
 
-// used adds a request to the average.
-func (s *stock) used(now time.Time) {
-	elapsed := now.Sub(s.counted).Seconds()
-	s.perSecond = s.perSecond*math.Exp(-elapsed/demandTime.Seconds()) + 1/demandTime.Seconds()
-	s.counted = now
+// recordDemand adds a request to the average.
+func (s *stock) recordDemand(now time.Time) {
+	elapsed := now.Sub(s.demandAt).Seconds()
+	s.demand = s.demand*math.Exp(-elapsed/demandTimeConstant.Seconds()) + 1/demandTimeConstant.Seconds()
+	s.demandAt = now
 }
 
 func (s *stock) add(permits int, expires time.Time) {
