--- a/coordination/quota/client.go
+++ b/coordination/quota/client.go
@@ -16,51 +16,48 @@
 	"github.com/marblering/marblering/state/result"
 )
 
-// Holders asks storage nodes for permits. peer.Client is one.
+// Holders requests permits from storage nodes. peer.Client implements it.
 type Holders interface {
 	TakePermits(ctx context.Context, address string, ask Ask) (Grant, error)
 }
 
-// Views gives the members of each slot's shard.
+// Views returns the members of each slot's shard.
 type Views interface {
 	View(shard uint32) (register.View, bool)
 	Shards() uint32
 }
 
 const (
-	// nodeTimeout bounds one request to one storage node: a few times what one takes
-	// that isn't overloaded. Chosen, not measured.
+	// nodeTimeout bounds one request to one storage node.
 	nodeTimeout = 150 * time.Millisecond
-	// takeTimeout bounds the time in which a request gets its permit: that of three
-	// storage nodes that are late. Another gateway may do better after it.
+	// takeTimeout bounds the time in which a request gets its permit: that of three slow
+	// storage nodes. Another gateway may succeed after that.
 	takeTimeout = 3 * nodeTimeout
-	// vacantSlotBackoff is how long a slot that had no holder isn't asked again. It is short
-	// beside leaseTime, within which the slot has its next holder. Chosen, not
-	// measured.
+	// vacantSlotBackoff is the time for which a slot without a holder isn't asked again.
+	// It is short compared to leaseDuration, within which the slot gets its next holder.
 	vacantSlotBackoff = 100 * time.Millisecond
-	// noHolderRetryInterval is the pause between two tries of a request where no slot had a
-	// holder: a slot that nobody has held yet is taken within one round of its
-	// register. Chosen, not measured.
+	// noHolderRetryInterval is the interval between two attempts of a request while no
+	// slot has a holder. A slot that was never held is taken within one round of its
+	// register.
 	noHolderRetryInterval = 25 * time.Millisecond
 	// unavailableRetryAfter is the Retry-After of a request that no storage node could
-	// decide. Chosen, not measured.
+	// decide.
 	unavailableRetryAfter = 300 * time.Millisecond
-	// maxPermitWait is how long a request may wait for the next permit rather than be
-	// refused, maxWaits how often it may. Chosen, not measured.
+	// maxPermitWait is how long a request may wait for the next permit instead of being
+	// refused, maxPermitWaits how many times it may wait.
 	maxPermitWait  = 100 * time.Millisecond
 	maxPermitWaits = 2
-	// maxSlotsTried bounds the main slots that a request asks: another slot of the tenant
-	// may have permits left. Chosen, not measured.
+	// maxSlotsTried bounds the main slots that a request asks. A second one may still have
+	// permits where the first has none.
 	maxSlotsTried = 2
-	// prefetchFraction is the part of a permit's life within which permits granted ahead are
-	// expected to be used. Chosen, not measured.
+	// prefetchFraction is the fraction of a permit's lifetime within which prefetched
+	// permits are expected to be used.
 	prefetchFraction = 0.6
-	// maxPrefetch bounds the permits that are asked for ahead. Chosen, not measured.
+	// maxPrefetch bounds the permits that are prefetched at once.
 	maxPrefetch = 16
 )
 
-// Client is a gateway's side: it gets permits for requests. It is safe for concurrent
-// use.
+// Client gets permits for a gateway's requests. It is safe for concurrent use.
 type Client struct {
 	holders Holders
 	views   Views
@@ -72,15 +69,15 @@
 
 	mutex  sync.Mutex
 	stocks map[string]*stock
-	// lastHolder is the address at which each slot's holder was found last, vacantUntil
-	// the end of the time for which a slot without a holder isn't asked.
+	// lastHolder is the address at which each slot's holder was last found, vacantUntil
+	// the time until which a slot without a holder isn't asked again.
 	lastHolder  map[uint32]string
 	vacantUntil map[uint32]time.Time
-	// lastDemand is when a request last wanted a permit, or slots were announced.
+	// lastDemand is when a request last needed a permit or slots were announced.
 	lastDemand time.Time
 }
 
-// NewClient makes a client without permits. The client tells the tracker which storage
+// NewClient returns a client without permits. It reports to the tracker which storage
 // nodes answer.
 func NewClient(holders Holders, views Views, tracker *reach.Tracker, bounds Bounds, metrics *Metrics, now func() time.Time, logger *zap.Logger) *Client {
 	return &Client{
@@ -89,25 +86,25 @@
 	}
 }
 
-// Request is one request of a tenant that wants to run.
+// Request is a tenant's request that needs a permit.
 type Request struct {
 	Tenant string
 	Rate   limit.Rate
-	// Version of the configuration that the rate is of.
+	// Version is the configuration version that Rate was read from.
 	Version int64
-	// Program and Kind are those of Ask.
+	// Program and Kind are passed on in Ask.
 	Program string
 	Kind    string
 }
 
-// Permit lets one request run. Return must be called if the request did not run.
+// Permit allows one request to run. Return must be called if the request didn't run.
 type Permit struct {
 	client  *Client
 	tenant  string
 	expires time.Time
 }
 
-// Return lets another request of the tenant use the permit.
+// Return makes the permit available to another request of the tenant.
 func (p Permit) Return() {
 	if p.client == nil || p.tenant == "" {
 		return
@@ -117,9 +114,9 @@
 	p.client.stock(p.tenant).add(1, p.expires)
 }
 
-// Take returns a permit, or the refusal with its Retry-After: result.TenantLimit where
-// the quota is used up, result.QuotaUnavailable where no storage node could decide. A
-// tenant without a rate needs no permit. It takes takeTimeout at the longest.
+// Take returns a permit, or a refusal with its Retry-After: result.TenantLimit where the
+// quota is used up, result.QuotaUnavailable where no storage node could decide. A tenant
+// without a rate needs no permit. Take returns within takeTimeout.
 func (c *Client) Take(ctx context.Context, request Request) (Permit, *result.Error) {
 	if request.Rate.TokensPerSecond <= 0 {
 		return Permit{}, nil
@@ -138,9 +135,10 @@
 	return permit, failure
 }
 
-// requestPermit asks the plan's slots until one decides: the main slots, then the reserve slot
-// where a main slot has no holder. A request waits for the next permit where it comes
-// within longestWait; where no slot has a holder it asks again until the context ends.
+// requestPermit asks the plan's slots until one of them decides: first the main slots,
+// then the reserve slot if a main slot has no holder. It waits for the next permit if that
+// is due within maxPermitWait, and retries until the context ends while no slot has a
+// holder.
 func (c *Client) requestPermit(ctx context.Context, ask Ask, plan Plan) (Permit, *result.Error) {
 	for waits := 0; ; {
 		answer, permit := c.askMainSlots(ctx, ask, plan)
@@ -163,28 +161,28 @@
 	}
 }
 
-// waitForPermit waits until the next permit is due if that is soon, and tells whether it
+// waitForPermit waits until the next permit is due if that is soon, and reports whether it
 // has waited.
 func waitForPermit(ctx context.Context, answer Grant) bool {
 	exhausted, isExhausted := answer.(Exhausted)
 	return isExhausted && exhausted.RetryAfter <= maxPermitWait && sleep.For(ctx, sleep.Jitter(exhausted.RetryAfter)) == nil
 }
 
-// refusalError returns what a caller is told after a holder's answer that grants nothing, or
-// after none, where the answer is nil.
+// refusalError returns the error for a caller whose request got no permit. The answer is
+// nil if no holder decided.
 func refusalError(tenant string, answer Grant) *result.Error {
 	switch grant := answer.(type) {
 	case Exhausted:
 		return result.Errorf(result.TenantLimit, "tenant %s is over its quota, %.1f permits are left", tenant, grant.Left).After(grant.RetryAfter)
 	case Crowded:
 		return result.Errorf(result.TenantLimit,
-			"tenant %s is near its quota: the %.1f permits that are left are for programs that have begun", tenant, grant.Left).After(grant.RetryAfter)
+			"tenant %s is near its quota: the remaining %.1f permits are reserved for running programs", tenant, grant.Left).After(grant.RetryAfter)
 	}
-	return result.Errorf(result.QuotaUnavailable, "nobody grants requests of tenant %s", tenant).After(unavailableRetryAfter)
+	return result.Errorf(result.QuotaUnavailable, "no storage node grants requests of tenant %s", tenant).After(unavailableRetryAfter)
 }
 
-// askMainSlots asks main slots until one grants a permit. It returns nil where one of them
-// has no holder, so that the reserve slot stands in for it.
+// askMainSlots asks main slots until one grants a permit. It returns nil if one of them has
+// no holder, so that the caller asks the reserve slot.
 func (c *Client) askMainSlots(ctx context.Context, ask Ask, plan Plan) (Grant, Permit) {
 	var refusal Grant
 	isVacant := len(plan.Main) == 0
@@ -208,8 +206,8 @@
 	return refusal, Permit{}
 }
 
-// askSlot asks the members of the slot's shard for its holder, first the member that
-// held it last. It returns nil where no member holds the slot.
+// askSlot asks the members of the slot's shard for a permit, the last known holder first.
+// It returns nil if no member holds the slot.
 func (c *Client) askSlot(ctx context.Context, ask Ask, part Part) (Grant, Permit) {
 	view, known := c.views.View(part.Slot)
 	if !known || c.isVacant(part.Slot) {
@@ -237,8 +235,9 @@
 	return nil, Permit{}
 }
 
-// storeExtra puts the permits granted beyond the request's own one in stock. A permit's life
-// counts from when it was asked for: the holder may have granted it any time after.
+// storeExtra puts the prefetched permits in stock and returns the request's tenantStock one. The
+// lifetime counts from when the permits were asked for, since the holder may have granted
+// them at any time after that.
 func (c *Client) storeExtra(ask Ask, answer Grant, sent time.Time) Permit {
 	granted, isGranted := answer.(Granted)
 	if !isGranted {
@@ -253,7 +252,7 @@
 	return Permit{client: c, tenant: ask.Tenant, expires: expires}
 }
 
-// askNode asks one storage node; nil means that it failed.
+// askNode asks one storage node. It returns nil if the request failed.
 func (c *Client) askNode(ctx context.Context, address string, ask Ask) Grant {
 	bounded, cancel := context.WithTimeout(ctx, nodeTimeout)
 	defer cancel()
@@ -270,16 +269,17 @@
 	return nil
 }
 
-// isVacant tells that the slot had no holder a moment ago.
+// isVacant reports whether the slot was found without a holder within vacantSlotBackoff.
 func (c *Client) isVacant(slot uint32) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.now().Before(c.vacantUntil[slot])
 }
 
-// orderMembers puts the last known holder first, and members that failed lately last. The
-// rest have the same orderMembers at all gateways, so that for a slot without a holder they
-// all ask the same member, which then takes it.
+// orderMembers returns the addresses of the view's members, with the last known holder
+// first and those that failed recently last. The rest are in the same order at all
+// gateways, so that they all ask the same member of a slot without a holder, which then
+// takes it.
 func (c *Client) orderMembers(view register.View) []string {
 	c.mutex.Lock()
 	last := c.lastHolder[view.Shard]
@@ -294,7 +294,6 @@
 	return addresses
 }
 
-// compareTrueFirst orders set flags first.
 func compareTrueFirst(a, b bool) int {
 	switch {
 	case a == b:
@@ -305,27 +304,27 @@
 	return 1
 }
 
-// takeFromStock takes a permit out of stock. Where there is none it returns how many to ask
-// for ahead.
+// takeFromStock takes a permit out of the tenant's stock. If there is none, it returns how
+// many permits to prefetch.
 func (c *Client) takeFromStock(tenant string, now time.Time) (ahead int, permit Permit, found bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.lastDemand = now
-	own := c.stock(tenant)
-	own.recordDemand(now)
-	if expires, left := own.take(now); left {
+	tenantStock := c.stock(tenant)
+	tenantStock.recordDemand(now)
+	if expires, left := tenantStock.take(now); left {
 		return 0, Permit{client: c, tenant: tenant, expires: expires}, true
 	}
-	wanted := own.demand * prefetchFraction * c.bounds.PermitLifetime().Seconds()
+	wanted := tenantStock.demand * prefetchFraction * c.bounds.PermitLifetime().Seconds()
 	return int(min(wanted, maxPrefetch)), Permit{}, false
 }
 
-// stock returns the tenant's stock, a new one at first. The mutex must be held.
+// stock returns the tenant's stock, created on first use. The mutex must be held.
 func (c *Client) stock(tenant string) *stock {
-	own := c.stocks[tenant]
-	if own == nil {
-		own = &stock{}
-		c.stocks[tenant] = own
+	tenantStock := c.stocks[tenant]
+	if tenantStock == nil {
+		tenantStock = &stock{}
+		c.stocks[tenant] = tenantStock
 	}
-	return own
+	return tenantStock
 }
