--- a/coordination/quota/holder.go
+++ b/coordination/quota/holder.go
@@ -14,21 +14,20 @@
 )
 
 const (
-	// registerKey is the register of a slot's lease in the slot's shard. No program
-	// can have the name: a header can't carry it.
+	// registerKey is the key of a slot's lease in the register of its shard. No program can
+	// have this name, since a header can't contain a newline.
 	registerKey = "\nquota"
-	// changeTimeout bounds one change of a lease: less than leaseTime, so that a slow
-	// change can be tried again within it. Chosen, not measured.
+	// changeTimeout bounds one change of a lease. It is less than leaseDuration, so that a
+	// slow change can be retried before the lease ends.
 	changeTimeout = 800 * time.Millisecond
-	// idleTimeout is how long after it was last asked for permits a node keeps a slot
-	// or tries to take it. Without interest leases cost nothing. Chosen, not measured.
+	// idleTimeout is how long a node keeps a slot, or tries to take it, after it was last
+	// asked for permits. Leases that nobody needs cost nothing.
 	idleTimeout = 10 * time.Second
-	// stepInterval is the pause between two checks of the leases while there is interest.
-	// Chosen, not measured.
+	// stepInterval is the interval between two checks of the leases while slots are in use.
 	stepInterval = 50 * time.Millisecond
 )
 
-// Registers changes a value by compare-and-swap. register.Client is one.
+// Registers changes values by compare-and-swap. register.Client implements it.
 type Registers interface {
 	Apply(ctx context.Context, shard uint32, key string, change register.Change) ([]byte, error)
 }
@@ -40,72 +39,73 @@
 	registers       Registers
 	now             func() time.Time
 	logger          *zap.Logger
-	// wakeup is sent to when a node without interest is asked.
+	// wakeup is sent to when a slot is asked for that this node doesn't hold.
 	wakeup chan struct{}
 
 	mutex sync.Mutex
 	slots map[uint32]*slot
-	// released is set once this process gives its slots back.
+	// released is set when this process starts to give its slots back.
 	released atomic.Bool
 }
 
-// slot is one slot as this node knows it.
+// slot is the state of one slot on this node.
 type slot struct {
 	lease    *lease
 	accounts map[string]*account
-	// term is that of the accounts.
+	// term is the term that accounts belongs to.
 	term uint64
-	// lastAsked is when a gateway last lastAsked, changing set while the register is changed.
+	// lastAsked is when a gateway last asked for permits. changing is set while the register
+	// is being changed.
 	lastAsked time.Time
 	changing  bool
-	// loggedHeld is what noteHeld logged last.
+	// loggedHeld is the state that logHeldChange last logged.
 	loggedHeld bool
 }
 
-// NewHolder makes a holder of no slot. The life identifies this process: it must be
-// unique over all processes and their restarts. The node is the machine's name.
-func NewHolder(life, node string, registers Registers, now func() time.Time, logger *zap.Logger) *Holder {
+// NewHolder returns a holder of no slots. The processID must be unique across all processes
+// and their restarts; node is the machine's name.
+func NewHolder(processID, node string, registers Registers, now func() time.Time, logger *zap.Logger) *Holder {
 	return &Holder{
-		processID: life, node: node, registers: registers, now: now, logger: logger,
+		processID: processID, node: node, registers: registers, now: now, logger: logger,
 		wakeup: make(chan struct{}, 1), slots: make(map[uint32]*slot),
 	}
 }
 
-// String names the service in the supervisor's messages.
-func (h *Holder) String() string { return "holder of quotas" }
+// String returns the service's name in supervisor events.
+func (h *Holder) String() string { return "quota holder" }
 
-// Take grants permits if this node holds the slot; otherwise Serve tries to take the
-// slot. An Ask without a tenant only shows that the slot is needed.
+// Take grants permits if this node holds the slot; otherwise it makes Serve try to take
+// the slot. An Ask without a tenant only shows that the slot is needed.
 func (h *Holder) Take(ask Ask) Grant {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	now := h.now()
-	asked := h.slots[ask.Part.Slot]
-	if asked == nil {
-		asked = &slot{lease: newLease(h.processID, h.node)}
-		h.slots[ask.Part.Slot] = asked
+	s := h.slots[ask.Part.Slot]
+	if s == nil {
+		s = &slot{lease: newLease(h.processID, h.node)}
+		h.slots[ask.Part.Slot] = s
 	}
-	asked.lastAsked = now
-	if h.released.Load() || !asked.lease.holds(now) {
+	s.lastAsked = now
+	if h.released.Load() || !s.lease.holds(now) {
 		h.wake()
 		return NotHolder{}
 	}
 	if ask.Tenant == "" {
 		return Granted{}
 	}
-	return asked.take(ask, now)
+	return s.take(ask, now)
 }
 
 func (s *slot) take(ask Ask, now time.Time) Grant {
 	if s.accounts == nil || s.term != s.lease.own.Term {
 		s.accounts, s.term = make(map[string]*account), s.lease.own.Term
 	}
-	kept := s.accounts[ask.Tenant]
-	if kept == nil {
-		kept = newAccount(ask.Part.Rate, s.lease.takenAt)
-		s.accounts[ask.Tenant] = kept
+	tenantAccount := s.accounts[ask.Tenant]
+	if tenantAccount == nil {
+		tenantAccount = newAccount(ask.Part.Rate, s.lease.takenAt)
+		s.accounts[ask.Tenant] = tenantAccount
 	}
-	return kept.take(ask, now)
+	return tenantAccount.take(ask, now)
 }
 
 func (h *Holder) wake() {
@@ -115,7 +115,7 @@
 	}
 }
 
-// Serve keeps and takes slots while gateways ask for permits.
+// Serve renews and takes slots while gateways ask for permits.
 func (h *Holder) Serve(ctx context.Context) error {
 	var changes sync.WaitGroup
 	defer changes.Wait()
@@ -134,45 +134,45 @@
 	}
 }
 
-// step begins the changes that are due, and tells whether there is any interest.
-func (h *Holder) step(ctx context.Context, changes *sync.WaitGroup) (interested bool) {
+// step starts the lease changes that are due and reports whether any slot is in use.
+func (h *Holder) step(ctx context.Context, changes *sync.WaitGroup) (inUse bool) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	now := h.now()
-	for number, one := range h.slots {
-		h.logHeldChange(number, one, now)
-		if now.Sub(one.lastAsked) > idleTimeout {
+	for number, s := range h.slots {
+		h.logHeldChange(number, s, now)
+		if now.Sub(s.lastAsked) > idleTimeout {
 			continue
 		}
-		interested = true
-		if one.changing || !one.lease.isDue(now) {
+		inUse = true
+		if s.changing || !s.lease.isDue(now) {
 			continue
 		}
-		one.changing = true
-		changes.Go(func() { h.changeLease(ctx, number, one) })
+		s.changing = true
+		changes.Go(func() { h.changeLease(ctx, number, s) })
 	}
-	return interested
+	return inUse
 }
 
-// logHeldChange logs when a slot was taken or lost.
-func (h *Holder) logHeldChange(number uint32, one *slot, now time.Time) {
-	if held := one.lease.holds(now); held != one.loggedHeld {
-		one.loggedHeld = held
-		h.logger.Info("quota slot taken or lost", zap.Uint32("slot", number), zap.Bool("held", held), zap.Uint64("term", one.lease.own.Term),
-			zap.String("seen_holder", one.lease.seen.Node), zap.Uint64("seen_term", one.lease.seen.Term))
+// logHeldChange logs that a slot was taken or lost.
+func (h *Holder) logHeldChange(number uint32, s *slot, now time.Time) {
+	if held := s.lease.holds(now); held != s.loggedHeld {
+		s.loggedHeld = held
+		h.logger.Info("quota slot taken or lost", zap.Uint32("slot", number), zap.Bool("held", held), zap.Uint64("term", s.lease.own.Term),
+			zap.String("seen_holder", s.lease.seen.Node), zap.Uint64("seen_term", s.lease.seen.Term))
 	}
 }
 
-// changeLease renews or takes the slot.
-func (h *Holder) changeLease(ctx context.Context, number uint32, one *slot) {
+// changeLease renews the lease of the slot or takes the slot.
+func (h *Holder) changeLease(ctx context.Context, number uint32, s *slot) {
 	ctx, cancel := context.WithTimeout(ctx, changeTimeout)
 	defer cancel()
 	h.mutex.Lock()
-	known := *one.lease
+	known := *s.lease
 	h.mutex.Unlock()
 	sent := h.now()
 	var read claim
-	chosen, err := h.registers.Apply(ctx, number, registerKey, func(value []byte) ([]byte, error) {
+	committed, err := h.registers.Apply(ctx, number, registerKey, func(value []byte) ([]byte, error) {
 		current, err := decodeClaim(value)
 		if err != nil {
 			return nil, err
@@ -189,38 +189,38 @@
 	})
 	var changed claim
 	if err == nil {
-		// The claim of an earlier call may be the one that was chosen, with another term
-		// than that of the last call. A holder that went by the last one began the
-		// accounts of its term anew and granted the tenants' bursts again.
-		changed, err = decodeClaim(chosen)
+		// The register may have committed the claim of an earlier call of the function, with
+		// another term than the last call's. Using the last one would reset the accounts and
+		// grant the tenants' bursts again.
+		changed, err = decodeClaim(committed)
 	}
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	one.changing = false
+	s.changing = false
 	now := h.now()
 	switch {
 	case err == nil:
-		one.lease.recordGranted(changed, sent, now)
+		s.lease.recordGranted(changed, sent, now)
 	case errors.Is(err, errSlotHeld):
-		one.lease.recordRefused(read, now)
+		s.lease.recordRefused(read, now)
 	default:
-		one.lease.recordFailed(now)
+		s.lease.recordFailed(now)
 		h.logger.Info("quota slot lease not changed", zap.Uint32("slot", number), zap.Error(err))
 	}
-	h.logHeldChange(number, one, now)
+	h.logHeldChange(number, s, now)
 }
 
-// Release gives the slots back that this node holds, so that others may take them at
-// once. It grants nothing afterwards.
+// Release gives back the slots that this node holds, so that others can take them at once.
+// The node grants nothing afterwards.
 func (h *Holder) Release(ctx context.Context) {
 	h.released.Store(true)
 	h.mutex.Lock()
 	var held []uint32
-	for number, one := range h.slots {
-		if one.lease.holds(h.now()) {
+	for number, s := range h.slots {
+		if s.lease.holds(h.now()) {
 			held = append(held, number)
 		}
-		one.lease.validUntil, one.lastAsked = time.Time{}, time.Time{}
+		s.lease.validUntil, s.lastAsked = time.Time{}, time.Time{}
 	}
 	h.mutex.Unlock()
 	for _, number := range held {
@@ -231,7 +231,7 @@
 	}
 }
 
-// vacate withdraws this process's claim from the register's value.
+// vacate removes this process's claim from the register's value.
 func (h *Holder) vacate(value []byte) ([]byte, error) {
 	current, err := decodeClaim(value)
 	if err != nil {
--- a/coordination/quota/lease.go
+++ b/coordination/quota/lease.go
@@ -8,61 +8,61 @@
 )
 
 const (
-	// leaseDuration is how long a holder grants after it sent its last renewal, and so
-	// about the time for which a lost holder's slot grants nothing. Chosen, not
-	// measured.
+	// leaseDuration is how long a holder grants permits after it sent its last renewal, and
+	// so roughly how long the slot of a failed holder grants nothing.
 	leaseDuration = 1200 * time.Millisecond
-	// renewInterval is the time from one renewal to the next. Two may fail within
-	// leaseTime.
+	// renewInterval is the interval between renewals. Two in a row may fail within
+	// leaseDuration.
 	renewInterval = 350 * time.Millisecond
-	// takeoverDelay is for how long a node must see no renewal before it takes the slot.
-	// It is longer than leaseTime by 5 %, for clocks that run at different rates.
+	// takeoverDelay is how long a node must see no renewal before it takes the slot. It
+	// exceeds leaseDuration by 5 % to allow for clocks that run at different rates.
 	takeoverDelay = leaseDuration + leaseDuration/20
-	// readInterval is the pause between two reads of a node that waits for a lease to
-	// lapse. Chosen, not measured.
+	// readInterval is the interval between reads of the register by a node that doesn't
+	// hold the slot, and the delay after a failed change.
 	readInterval = 150 * time.Millisecond
 )
 
 // claim is the content of a slot's register.
 type claim struct {
-	// Holder is the life of the process that holds the slot, unique over all; empty
-	// where the slot was given back. Node is the name of its machine.
+	// Holder is the unique id of the process that holds the slot, empty if the slot was
+	// given back. Node is the name of its machine.
 	Holder string
 	Node   string
-	// Term grows with each holder, Renewal with each renewal.
+	// Term grows with each new holder, Renewal with each renewal.
 	Term    uint64
 	Renewal uint64
 }
 
-// errSlotHeld means that another node holds the slot, or may.
+// errSlotHeld means that another node holds the slot or may still hold it.
 var errSlotHeld = merry.Sentinel("another node holds the slot")
 
-// lease is what one process knows of one slot. It has no I/O and no clock of its own.
+// lease is what a process knows about the lease of one slot. It does no I/O and reads no
+// clock.
 type lease struct {
 	own claim
-	// validUntil is when this process must stop granting; zero if it doesn't hold the
-	// slot.
+	// validUntil is when this process must stop granting permits, zero if it doesn't hold
+	// the slot.
 	validUntil time.Time
 	// takenAt is when this process took the slot.
 	takenAt time.Time
-	// seen is the newest claim of another process that was read, seenSince the end of
-	// the read that first returned it.
+	// seen is the newest claim of another process that was read, seenSince the end of the
+	// read that first returned it.
 	seen      claim
 	seenSince time.Time
-	// nextAttempt is when the register is to be asked next.
+	// nextAttempt is when the register is due to be read or changed next.
 	nextAttempt time.Time
 }
 
 func newLease(holder, node string) *lease { return &lease{own: claim{Holder: holder, Node: node}} }
 
-// holds tells whether this process may grant.
+// holds reports whether this process may grant permits.
 func (l *lease) holds(now time.Time) bool { return now.Before(l.validUntil) }
 
-// isDue tells that the register is to be asked.
+// isDue reports whether the register is due to be read or changed.
 func (l *lease) isDue(now time.Time) bool { return !now.Before(l.nextAttempt) }
 
-// renewOrTake renews this process's claim or takes the slot; sent is when it is asked for.
-// It is applied to the register's value, perhaps several times, perhaps to its own
+// renewOrTake returns the claim that renews this process's lease or takes the slot; sent
+// is when the change was requested. A register may call it several times, also on its own
 // result.
 func (l *lease) renewOrTake(current claim, sent time.Time) (claim, error) {
 	if current.Holder == l.own.Holder {
@@ -75,10 +75,9 @@
 	return claim{Holder: l.own.Holder, Node: l.own.Node, Term: current.Term + 1}, nil
 }
 
-// mayTake tells that nobody grants by the claim any more. One of three is so: the claim
-// was given back; it is of an earlier process of this machine, on which only one runs
-// at a time; or it was not renewed for lapseTime after it was first read, which is
-// longer than its holder grants.
+// mayTake reports whether nobody grants permits under the claim any more: it was given
+// back, it belongs to an earlier process on this machine, where only one runs at a time, or
+// it was not renewed within takeoverDelay of being first read.
 func (l *lease) mayTake(current claim, now time.Time) bool {
 	switch {
 	case current.Holder == "" || current.Node == l.own.Node:
@@ -89,8 +88,8 @@
 	return now.Sub(l.seenSince) >= takeoverDelay
 }
 
-// recordGranted records that the register was changed to the claim by a request sent at sent,
-// whose answer came now. The lease counts from sent.
+// recordGranted records that the register was changed to the claim by a request sent at
+// sent, whose answer arrived at now. The lease counts from sent.
 func (l *lease) recordGranted(changed claim, sent, now time.Time) {
 	if changed.Term != l.own.Term {
 		l.own.Term, l.takenAt = changed.Term, now
@@ -99,7 +98,7 @@
 	l.nextAttempt = sent.Add(renewInterval)
 }
 
-// recordRefused records the claim of another process that a read has found, which ended now.
+// recordRefused records another process's claim, found by a read that ended at now.
 func (l *lease) recordRefused(current claim, now time.Time) {
 	l.validUntil = time.Time{}
 	if current != l.seen || l.seenSince.IsZero() {
@@ -108,20 +107,20 @@
 	l.nextAttempt = now.Add(readInterval)
 }
 
-// recordFailed records that the register could not be asked.
+// recordFailed records that the register could not be read or changed.
 func (l *lease) recordFailed(now time.Time) { l.nextAttempt = now.Add(readInterval) }
 
 func encodeClaim(c claim) ([]byte, error) { return json.Marshal(c) }
 
-// decodeClaim reads the register's value; an empty one is that of a slot that nobody
-// has held.
+// decodeClaim decodes the register's value. An empty value means that the slot was never
+// held.
 func decodeClaim(value []byte) (claim, error) {
 	var decoded claim
 	if len(value) == 0 {
 		return decoded, nil
 	}
 	if err := json.Unmarshal(value, &decoded); err != nil {
-		return claim{}, merry.Prepend(err, "the claim of a quota's slot")
+		return claim{}, merry.Prepend(err, "decode the claim of a quota slot")
 	}
 	return decoded, nil
 }
