--- a/coordination/quota/metrics.go
+++ b/coordination/quota/metrics.go
@@ -8,7 +8,7 @@
 	"github.com/marblering/marblering/state/result"
 )
 
-// Where a permit came from, or why there was none.
+// Values of the label source: where a permit came from, or why there was none.
 const (
 	sourceStock       = "stock"
 	sourceHolder      = "holder"
@@ -16,14 +16,14 @@
 	sourceUnavailable = "unavailable"
 )
 
-// Metrics count a gateway's permits. They have no label of the tenant: there may be
-// thousands.
+// Metrics count a gateway's permits. They have no tenant label, since there may be
+// thousands of tenants.
 type Metrics struct {
 	permits *prometheus.CounterVec
 	waits   prometheus.Histogram
 }
 
-// NewMetrics registers the metrics.
+// NewMetrics creates the metrics and registers them.
 func NewMetrics(registry prometheus.Registerer) *Metrics {
 	m := &Metrics{
 		permits: prometheus.NewCounterVec(prometheus.CounterOpts{
@@ -43,7 +43,7 @@
 	m.waits.Observe(took.Seconds())
 }
 
-// observeAsked counts a request that observeAsked holders.
+// observeAsked records a request that asked holders.
 func (m *Metrics) observeAsked(failure *result.Error, took time.Duration) {
 	switch {
 	case failure == nil:
--- a/coordination/quota/plan.go
+++ b/coordination/quota/plan.go
@@ -7,64 +7,62 @@
 	"github.com/marblering/marblering/coordination/limit"
 )
 
-// Bounds say how exactly quotas must hold.
+// Bounds limit by how much a tenant may exceed its quota.
 type Bounds struct {
-	// Window is the span over which requests are counted.
+	// Window is the time span over which requests are counted.
 	Window time.Duration
-	// Over is the fraction of its quota by which a tenant may exceed it in a window,
-	// Slack a number of requests beyond that.
+	// Over is the fraction of its quota by which a tenant may exceed it in a window, Slack
+	// an additional number of requests.
 	Over  float64
 	Slack int
 }
 
 const (
-	// maxPermitLifetime bounds the life of permits where Over is large: permits that
-	// expire unused are lost to the tenant. Chosen, not measured.
+	// maxPermitLifetime bounds the lifetime of permits where Over is large. Permits that
+	// expire unused are lost to the tenant.
 	maxPermitLifetime = time.Second
-	// reserveBurstFraction and reserveRate are the parts of Slack that a reserve slot grants
-	// at once, and more in each window. Chosen, not measured.
+	// reserveBurstFraction and reserveRateFraction are the fractions of Slack that a
+	// reserve slot grants at once and, on top, in each window.
 	reserveBurstFraction = 0.4
 	reserveRateFraction  = 0.3
-	// maxSpreadFraction is the part of the burst that main slots grant as a higher rate over
-	// the window instead of at once. A burst that is large beside the rate is spread
-	// less, since its tenant may mean to send all of it at once; so is the burst of a
-	// small tenant, as far as leastBurst needs. Chosen, not measured.
+	// maxSpreadFraction is the largest fraction of the burst that main slots grant as a
+	// higher rate over the window instead of at once. Less is spread of a burst that is
+	// large compared to the rate, since its tenant may intend to send it at once, and of
+	// a small burst, to leave minBurst.
 	maxSpreadFraction = 0.8
-	// minBurst is what may still be used at once, in requests: tools and helpers of a
-	// few programs send that many together. Chosen, not measured.
+	// minBurst is the number of requests that can still be made at once: a few programs
+	// with tools and helpers send that many together.
 	minBurst = 20.0
-	// ratePerMainSlot is the rate in requests a second for each main slot of a tenant:
-	// with several, a lost holder takes only a part of the quota. A tenant with a lower
-	// rate keeps one slot, since a program sends about 25 requests within a few
-	// seconds. Chosen, not measured.
+	// ratePerMainSlot is the tenant's rate, in requests a second, for each main slot. With
+	// several slots a failed holder takes only a part of the quota away. A tenant with a
+	// lower rate keeps one slot, since a program sends about 25 requests within seconds.
 	ratePerMainSlot = 50
-	// maxMainSlots bounds the main slots of a tenant. Chosen, not measured.
-	maxMainSlots = 4
+	maxMainSlots    = 4
 )
 
-// PermitLifetime is how long a permit may be used, counted from when it was asked for.
+// PermitLifetime is how long a permit may be used, counted from when it was requested.
 func (b Bounds) PermitLifetime() time.Duration {
 	return min(time.Duration(b.Over*float64(b.Window)), maxPermitLifetime)
 }
 
-// Part is what one slot may grant of a tenant's quota.
+// Part is the share of a tenant's quota that one slot may grant.
 type Part struct {
 	Slot uint32
 	Rate limit.Rate
 }
 
-// Plan is how a tenant's quota is divided among slots.
+// Plan is the division of a tenant's quota among slots.
 type Plan struct {
-	// Main are the slots that the quota is divided among.
+	// Main are the slots among which the quota is divided.
 	Main []Part
-	// Reserve is asked while a main slot has no holder. HasReserve is false where
-	// there is no slot left for it.
+	// Reserve is asked while a main slot has no holder. HasReserve is false if no slot is
+	// left for it.
 	Reserve    Part
 	HasReserve bool
 }
 
-// Plan divides the rate of the tenant among the slots. All nodes that know the same
-// rate and number of slots divide it alike.
+// Plan divides the tenant's rate among the slots. All nodes that know the same rate and
+// number of slots compute the same plan.
 func (b Bounds) Plan(tenant string, rate limit.Rate, slots uint32) Plan {
 	if slots == 0 {
 		return Plan{}
@@ -87,9 +85,9 @@
 }
 
 // mainBucket returns the rate and burst of the token bucket that all main slots form
-// together. A tenant may use as much within a window as with its own rate and burst,
-// but a tenant that always sends more than it may gets this in every window, rather
-// than its rate alone.
+// together. Within a window a tenant may use as much as with its own rate and burst, but
+// a tenant that is always over its rate may use this much in every window, instead of its
+// rate alone.
 func (b Bounds) mainBucket(rate limit.Rate) limit.Rate {
 	window := b.Window.Seconds()
 	if rate.Burst <= 0 {
@@ -103,13 +101,13 @@
 	}
 }
 
-// unreservedSlack is the part of the slack, in requests, that a reserve slot leaves.
+// unreservedSlack is the part of Slack that the reserve slot doesn't grant, in requests.
 func (b Bounds) unreservedSlack() float64 {
 	return float64(b.Slack) * (1 - reserveBurstFraction - reserveRateFraction*(1+b.Over))
 }
 
 // Order returns the main parts in the order in which requests of the program ask them.
-// All requests of a program ask the same slot first, whose holder so knows the program.
+// All requests of a program ask the same slot first, so that its holder tracks the program.
 func (p Plan) Order(program string) []Part {
 	if len(p.Main) < 2 {
 		return p.Main
@@ -120,7 +118,7 @@
 
 func hashOf(text string) uint32 {
 	hash := fnv.New32a()
-	// A hash takes every write.
+	// Write of a hash.Hash never returns an error.
 	_, _ = hash.Write([]byte(text))
 	return hash.Sum32()
 }
--- a/coordination/quota/programs.go
+++ b/coordination/quota/programs.go
@@ -7,47 +7,44 @@
 )
 
 const (
-	// programEndTimeout is how long after its last request a program counts as ended: a few
-	// times the pauses for tools. Chosen, not measured.
+	// programEndTimeout is the time without a request after which a program is considered
+	// ended: several times the length of a usual tool call.
 	programEndTimeout = 2 * time.Second
 	// programActiveTime is how long after its last request a program is expected to make
-	// another: a few times the usual pause, and shorter than programIdle, so that
-	// programs that have ended don't keep others away until then. Chosen, not
-	// measured.
+	// another. It is shorter than programEndTimeout, so that programs that have ended
+	// don't keep new ones out until then.
 	programActiveTime = 600 * time.Millisecond
-	// minProgramDuration is the shortest duration that a pace is computed from. Chosen,
-	// not measured.
+	// minProgramDuration is the shortest duration that a request rate is computed from.
 	minProgramDuration = 200 * time.Millisecond
-	// kindAverageWeight is the weight of the newest program in the moving averages of its kind.
-	// Chosen, not measured.
+	// kindAverageWeight is the weight of the newest program in the moving averages of its
+	// kind.
 	kindAverageWeight = 0.1
-	// sweepInterval is the pause between two searches for programs that have ended.
-	// Chosen, not measured.
+	// sweepInterval is the interval between two searches for ended programs.
 	sweepInterval = 250 * time.Millisecond
 )
 
-// programTracker are those of one tenant at one slot. They tell whether the rate can carry a
-// new program to its end: one that is cut off in its middle has used its permits in
-// vain, and one whose requests are refused by lot is almost surely cut off.
+// programTracker tracks active tenant's programs at active slot, to predict whether the rate can
+// sustain a new program to its end. A program that is cut off midway has wasted its permits,
+// and with requests refused at random nearly every program is cut off.
 type programTracker struct {
 	active    map[string]*activeProgram
 	kinds     map[string]*programKind
 	lastSweep time.Time
 }
 
-// activeProgram is a program that has begun.
+// activeProgram is a running program.
 type activeProgram struct {
 	kind string
-	// requests is the number of its requests.
+	// requests is the number of its admitted requests.
 	requests int
-	// refused is set once a request was refused: how many it would have made isn't
-	// known then.
+	// refused is set when a request of the program is refused. The number of requests that
+	// the program needs is unknown then.
 	refused bool
-	// began and lastRequest are the times of its first and its newest request.
+	// began and lastRequest are the times of its first and its latest admitted request.
 	began, lastRequest time.Time
 }
 
-// programKind is what programs of a kind need: moving averages over those that ended.
+// programKind holds the average demand of a kind's ended programs, as moving averages.
 type programKind struct {
 	requests float64
 	duration time.Duration
@@ -62,37 +59,37 @@
 	return found
 }
 
-// recordAdmitted records a request that is let in.
+// recordAdmitted records an admitted request.
 func (p *programTracker) recordAdmitted(program, kind string, now time.Time) {
-	one, found := p.active[program]
+	active, found := p.active[program]
 	if !found {
-		one = &activeProgram{kind: kind, began: now}
-		p.active[program] = one
+		active = &activeProgram{kind: kind, began: now}
+		p.active[program] = active
 	}
-	one.requests++
-	one.lastRequest = now
+	active.requests++
+	active.lastRequest = now
 }
 
-// recordRefused records a refused request of a program that has begun.
+// recordRefused records a refused request of a running program.
 func (p *programTracker) recordRefused(program string) {
-	if one, found := p.active[program]; found {
-		one.refused = true
+	if active, found := p.active[program]; found {
+		active.refused = true
 	}
 }
 
-// sweep forgets programs that have ended, and learns from them.
+// sweep removes ended programs and updates the averages of their kinds.
 func (p *programTracker) sweep(now time.Time) {
 	if now.Sub(p.lastSweep) < sweepInterval {
 		return
 	}
 	p.lastSweep = now
-	for name, one := range p.active {
-		if now.Sub(one.lastRequest) < programEndTimeout {
+	for name, active := range p.active {
+		if now.Sub(active.lastRequest) < programEndTimeout {
 			continue
 		}
 		delete(p.active, name)
-		if !one.refused {
-			p.updateKind(one)
+		if !active.refused {
+			p.updateKind(active)
 		}
 	}
 }
@@ -108,27 +105,28 @@
 	known.duration += time.Duration(kindAverageWeight * float64(took-known.duration))
 }
 
-// canAdmit tells whether the rate can carry a new program of the kind to its end beside
-// those that have begun: the sum of their paces must not exceed the rate and what the
-// level adds to it over the program's duration. Paces are compared rather than sums of
-// requests, since what programs use later is granted later. A program of a kind that
-// isn't known yet is let in.
+// canAdmit reports whether the rate can sustain a new program of the kind to its end along
+// with the running programs: the sum of their request rates must not exceed the rate plus
+// what the level adds to it over the program's duration. It compares rates rather than
+// totals, since permits for later requests are granted later. A program of an unknown kind
+// is admitted.
 func (p *programTracker) canAdmit(kind string, rate limit.Rate, level float64, now time.Time) bool {
 	known, found := p.kinds[kind]
 	if !found {
 		return true
 	}
-	pace := known.requestRate()
-	for _, one := range p.active {
-		if underWay, found := p.kinds[one.kind]; found && now.Sub(one.lastRequest) < programActiveTime {
-			pace += underWay.requestRate()
+	requestRate := known.requestRate()
+	for _, active := range p.active {
+		if activeKind, found := p.kinds[active.kind]; found && now.Sub(active.lastRequest) < programActiveTime {
+			requestRate += activeKind.requestRate()
 		}
 	}
-	return pace <= rate.TokensPerSecond+level/known.seconds()
+	return requestRate <= rate.TokensPerSecond+level/known.seconds()
 }
 
-// seconds is how long a program of the kind takes, shortestProgram at least.
+// seconds returns the average duration of programs of the kind, at least
+// minProgramDuration.
 func (k *programKind) seconds() float64 { return max(k.duration, minProgramDuration).Seconds() }
 
-// requestRate is how many requests a second a program of the kind makes on average.
+// requestRate returns the average requests per second of a program of the kind.
 func (k *programKind) requestRate() float64 { return k.requests / k.seconds() }
--- a/coordination/quota/stock.go
+++ b/coordination/quota/stock.go
@@ -6,20 +6,18 @@
 	"time"
 )
 
-// stock holds the permits of one tenant that a gateway was granted ahead and has not
-// used.
+// stock holds the prefetched permits of one tenant that its gateway hasn't used yet.
 type stock struct {
-	// expiries are the times at which the permits expire, in the order in which they
-	// came.
+	// expiries are the expiry times of the permits, in the order in which they arrived.
 	expiries []time.Time
-	// demand is the moving average of requests a second, which decays with
-	// demandTime; counted is when a request was last added to it.
+	// demand is a moving average of requests per second that decays with
+	// demandTimeConstant; demandAt is when a request was last added to it.
 	demand   float64
 	demandAt time.Time
 }
 
-// demandTimeConstant is the time constant of the average demand of a tenant: a few times the
-// life of a permit. Chosen, not measured.
+// demandTimeConstant is the time constant of a tenant's average demand: several permit
+// lifetimes.
 const demandTimeConstant = time.Second
 
 // recordDemand adds a request to the average.
@@ -35,7 +33,7 @@
 	}
 }
 
-// take takes the permit that expires first; found is false where none is left.
+// take removes the permit that expires first. found is false if there is none.
 func (s *stock) take(now time.Time) (expires time.Time, found bool) {
 	s.expiries = slices.DeleteFunc(s.expiries, func(expiry time.Time) bool { return !now.Before(expiry) })
 	if len(s.expiries) == 0 {
