--- a/coordination/quota/chosen_test.go
+++ b/coordination/quota/holder_test.go
@@ -11,8 +11,8 @@
 	"github.com/marblering/marblering/coordination/register"
 )
 
-// retriedRegisters call each change on one claim and then, as if that try had found no
-// answer, on another one; the first try turns out to be chosen.
+// retriedRegisters call each change twice, on two claims, and commit the result of the first
+// call.
 type retriedRegisters struct{ first, second claim }
 
 func (r *retriedRegisters) Apply(_ context.Context, _ uint32, _ string, change register.Change) ([]byte, error) {
@@ -24,18 +24,16 @@
 	if err != nil {
 		return nil, err
 	}
-	chosen, err := change(first)
-	// What the second try says doesn't count.
+	committed, err := change(first)
+	// The result of the second call is discarded.
 	_, _ = change(second)
-	return chosen, err
+	return committed, err
 }
 
-// TestHolderGoesByTheClaimThatWasChosen: a holder renews its claim of term 3, and the
-// renewal is tried twice. The second try finds the claim of another node and is refused, or
-// takes a slot that seems vacant; the first one is chosen. The holder took the term that
-// the last try left, 0 or 8, for that of its slot and began the accounts of all tenants
-// anew, each with its whole burst.
-func TestHolderGoesByTheClaimThatWasChosen(t *testing.T) {
+// TestHolderUsesCommittedClaim guards against a holder that adopts the term of the last
+// attempt instead of the committed one, which would reset all accounts and grant each
+// tenant's burst again.
+func TestHolderUsesCommittedClaim(t *testing.T) {
 	for name, second := range map[string]claim{
 		"held by another": {Holder: "b/1", Node: "b", Term: 7},
 		"vacant":          {Term: 7},
@@ -44,10 +42,10 @@
 			registers := &retriedRegisters{first: claim{Holder: "a/1", Node: "a", Term: 3}, second: second}
 			holder := NewHolder("a/1", "a", registers, time.Now, zap.NewNop())
 			holder.Take(Ask{})
-			one := holder.slots[0]
-			holder.changeLease(t.Context(), 0, one)
-			assert.Assert(t, one.lease.holds(time.Now()))
-			assert.Equal(t, one.lease.own.Term, uint64(3))
+			held := holder.slots[0]
+			holder.changeLease(t.Context(), 0, held)
+			assert.Assert(t, held.lease.holds(time.Now()))
+			assert.Equal(t, held.lease.own.Term, uint64(3))
 		})
 	}
 }
--- a/coordination/quota/plan_test.go
+++ b/coordination/quota/plan_test.go
@@ -11,8 +11,8 @@
 	"github.com/marblering/marblering/coordination/limit"
 )
 
-// TestPlansKeepTheBound adds up what all slots of a plan may grant for one window.
-func TestPlansKeepTheBound(t *testing.T) {
+// TestPlanStaysWithinBound adds up what all slots of a plan may grant in one window.
+func TestPlanStaysWithinBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		bounds := Bounds{
 			Window: time.Duration(rapid.IntRange(1, 60).Draw(t, "window")) * time.Second,
@@ -36,13 +36,13 @@
 			granted += part.Rate.TokensPerSecond*span + part.Rate.Burst
 		}
 		allowed := (rate.TokensPerSecond*bounds.Window.Seconds()+rate.Burst)*(1+bounds.Over) + float64(bounds.Slack)
-		assert.Assert(t, granted <= allowed*(1+1e-9), "%.3f are granted, %.3f allowed", granted, allowed)
+		assert.Assert(t, granted <= allowed*(1+1e-9), "%.3f requests granted, %.3f allowed", granted, allowed)
 	})
 }
 
-// TestOrderKeepsProgramsTogether: all requests of a program ask the same slot first,
-// and programs spread over the slots.
-func TestOrderKeepsProgramsTogether(t *testing.T) {
+// TestOrderIsStablePerProgram checks that all requests of a program ask the same slot first,
+// and that programs spread over the slots.
+func TestOrderIsStablePerProgram(t *testing.T) {
 	plan := Bounds{Window: 5 * time.Second, Over: 0.1, Slack: 20}.Plan("t", limit.Rate{TokensPerSecond: 320, Burst: 320}, 15)
 	assert.Equal(t, len(plan.Main), 4)
 	first := make(map[uint32]int)
@@ -55,9 +55,10 @@
 	assert.Assert(t, len(first) > 2, "%v", first)
 }
 
-// replay plays programs of one kind against a slot: each makes a request every pause and
-// gives up at the first one that is refused. It returns how many reached their end.
-func replay(carry bool, rate limit.Rate, perSecond float64, requests int, pause, length time.Duration) (finished, served int) {
+// simulatePrograms runs programs of one kind against a slot. Each makes a request every
+// pause and gives up when one is refused. It returns how many programs finish and how many
+// requests are served.
+func simulatePrograms(track bool, rate limit.Rate, perSecond float64, requests int, pause, length time.Duration) (finished, served int) {
 	type program struct {
 		name string
 		next time.Time
@@ -65,57 +66,57 @@
 	}
 	began := time.Unix(1000, 0)
 	random := rand.New(rand.NewPCG(1, 1))
-	kept := newAccount(rate, began.Add(-time.Minute))
-	if carry {
-		kept.programs.kinds["plan"] = &programKind{requests: float64(requests), duration: time.Duration(requests) * pause}
+	tenantAccount := newAccount(rate, began.Add(-time.Minute))
+	if track {
+		tenantAccount.programs.kinds["plan"] = &programKind{requests: float64(requests), duration: time.Duration(requests) * pause}
 	}
 	var running []*program
-	due := 0.0
+	pending := 0.0
 	for now := began; now.Sub(began) < length; now = now.Add(10 * time.Millisecond) {
-		for due += perSecond * 0.01; due >= 1; due-- {
-			running = append(running, &program{name: now.String() + string(rune('a'+int(due))), next: now, left: requests})
+		for pending += perSecond * 0.01; pending >= 1; pending-- {
+			running = append(running, &program{name: now.String() + string(rune('a'+int(pending))), next: now, left: requests})
 		}
 		random.Shuffle(len(running), func(i, j int) { running[i], running[j] = running[j], running[i] })
-		var still []*program
-		for _, one := range running {
-			if now.Before(one.next) {
-				still = append(still, one)
+		var remaining []*program
+		for _, current := range running {
+			if now.Before(current.next) {
+				remaining = append(remaining, current)
 				continue
 			}
-			ask := Ask{Tenant: "t", Program: one.name, Kind: "plan"}
-			if !carry {
-				// The plain way knows no programs.
+			ask := Ask{Tenant: "t", Program: current.name, Kind: "plan"}
+			if !track {
+				// Without a program, requests are refused at random.
 				ask.Program = ""
 			}
-			if _, granted := kept.take(ask, now).(Granted); !granted {
+			if _, granted := tenantAccount.take(ask, now).(Granted); !granted {
 				continue
 			}
 			served++
-			if one.left--; one.left == 0 {
+			if current.left--; current.left == 0 {
 				finished++
 				continue
 			}
-			one.next = now.Add(pause)
-			still = append(still, one)
+			current.next = now.Add(pause)
+			remaining = append(remaining, current)
 		}
-		running = still
+		running = remaining
 	}
 	return finished, served
 }
 
-// TestBegunProgramsGoFirst plays four and eight times what the rate can carry: refused
-// by lot, hardly a program gets to its end; with new ones let in as far as the rate
-// carries them, seven tenths of what the rate could carry do.
-func TestBegunProgramsGoFirst(t *testing.T) {
+// TestRunningProgramsHavePriority checks that under four and eight times the sustainable
+// load most of the programs that the rate can sustain finish, while few do if requests are
+// refused at random.
+func TestRunningProgramsHavePriority(t *testing.T) {
 	const requests, length = 25, 30 * time.Second
 	rate := limit.Rate{TokensPerSecond: 50, Burst: 50}
-	for _, times := range []float64{4, 8} {
-		perSecond := times * rate.TokensPerSecond / requests
-		plain, _ := replay(false, rate, perSecond, requests, 150*time.Millisecond, length)
-		carried, served := replay(true, rate, perSecond, requests, 150*time.Millisecond, length)
-		could := rate.TokensPerSecond * length.Seconds() / requests
-		t.Logf("%.0f times the rate: %d programs end by lot, %d where new ones wait, of %.0f; %d requests served", times, plain, carried, could, served)
-		assert.Assert(t, float64(carried) > 0.7*could)
-		assert.Assert(t, float64(plain) < 0.25*could)
+	for _, factor := range []float64{4, 8} {
+		perSecond := factor * rate.TokensPerSecond / requests
+		untracked, _ := simulatePrograms(false, rate, perSecond, requests, 150*time.Millisecond, length)
+		tracked, served := simulatePrograms(true, rate, perSecond, requests, 150*time.Millisecond, length)
+		sustainable := rate.TokensPerSecond * length.Seconds() / requests
+		t.Logf("%.0f times the rate: %d programs finish untracked, %d tracked, of %.0f sustainable; %d requests served", factor, untracked, tracked, sustainable, served)
+		assert.Assert(t, float64(tracked) > 0.7*sustainable)
+		assert.Assert(t, float64(untracked) < 0.25*sustainable)
 	}
 }
