--- a/coordination/conversation/budget_simulation_test.go
+++ b/coordination/conversation/budget_simulation_test.go
@@ -22,19 +22,19 @@
 
 // What a simulated turn may generate, and the budget of its program, in tokens.
 const (
-	simulatedMost  = 100
-	simulatedLimit = 1000
-	// simulatedEvent is the tokens of one event; a turn has four at most.
-	simulatedEvent = 25
+	maxTurnTokens  = 100
+	programBudget = 1000
+	// tokensPerEvent is the tokens of one event; a turn has four at most.
+	tokensPerEvent = 25
 	// ended turns are known to their host this long after: a slow link, the pause
 	// before ends are told and some tries.
-	simulatedSettling = 4 * time.Second
+	settlingTime = 4 * time.Second
 )
 
-// world is three hosts of budgets and two gateways in virtual time. Messages between
+// simulation is three hosts of budgets and two gateways in virtual time. Messages between
 // them and changes of records take a random time, sometimes longer than their senders
 // wait, and go on when their senders have given them up.
-type world struct {
+type simulation struct {
 	mutex   sync.Mutex
 	random  *rand.Rand
 	records map[string][]byte
@@ -43,15 +43,15 @@
 	hosts    map[string]*tokenbudget.Host
 	ledgers  []*tokenbudget.Ledger
 	gateways []*conversation.Service
-	// handedOut is what callers were given; unsettled are the times until which turns
+	// delivered is what callers were given; unsettled are the times until which turns
 	// may still be counted at their most.
-	handedOut uint64
+	delivered uint64
 	unsettled map[int]time.Time
 	attempts  int
 }
 
-func newWorld(ctx context.Context, seed uint64) *world {
-	w := &world{
+func newWorld(ctx context.Context, seed uint64) *simulation {
+	w := &simulation{
 		random: rand.New(rand.NewPCG(seed, 0)), records: make(map[string][]byte),
 		hosts: make(map[string]*tokenbudget.Host), unsettled: make(map[int]time.Time),
 	}
@@ -66,28 +66,28 @@
 	}
 	for range 2 {
 		tracker := reach.New(time.Now)
-		client := tokenbudget.NewClient(w, simulatedView{view}, tracker, time.Now, zap.NewNop())
+		client := tokenbudget.NewClient(w, singleShardView{view}, tracker, time.Now, zap.NewNop())
 		never := func() bool { return false }
-		w.gateways = append(w.gateways, conversation.New(nil, client, never, time.Now, w.number, zap.NewNop()))
+		w.gateways = append(w.gateways, conversation.New(nil, client, never, time.Now, w.randomNumber, zap.NewNop()))
 	}
 	return w
 }
 
-type simulatedView struct{ view register.View }
+type singleShardView struct{ view register.View }
 
-func (v simulatedView) View(uint32) (register.View, bool) { return v.view, true }
-func (simulatedView) Locate(string) uint32                { return 0 }
-func (*world) Locate(string) uint32                       { return 0 }
+func (v singleShardView) View(uint32) (register.View, bool) { return v.view, true }
+func (singleShardView) Locate(string) uint32                { return 0 }
+func (*simulation) Locate(string) uint32                       { return 0 }
 
 // draw returns a random number below the bound.
-func (w *world) draw(bound int) int {
+func (w *simulation) draw(bound int) int {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return w.random.IntN(bound)
 }
 
-// number returns a random number.
-func (w *world) number() uint64 {
+// randomNumber returns a random randomNumber.
+func (w *simulation) randomNumber() uint64 {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return w.random.Uint64()
@@ -95,7 +95,7 @@
 
 // delay is how long a message is under way: one of five takes up to 1.2 s, longer than
 // a gateway waits for a host.
-func (w *world) delay() time.Duration {
+func (w *simulation) delay() time.Duration {
 	if w.draw(5) > 0 {
 		return time.Duration(w.draw(20)) * time.Millisecond
 	}
@@ -105,7 +105,7 @@
 // Apply implements tokenbudget.Register. A change whose caller gives it up is made all
 // the same, unless another one is made before: a register's later ballot shuts out
 // earlier ones.
-func (w *world) Apply(ctx context.Context, _ uint32, key string, change register.Change) ([]byte, error) {
+func (w *simulation) Apply(ctx context.Context, _ uint32, key string, change register.Change) ([]byte, error) {
 	type outcome struct {
 		value []byte
 		err   error
@@ -137,7 +137,7 @@
 }
 
 // change changes a record. The mutex must be held.
-func (w *world) change(key string, change register.Change) ([]byte, error) {
+func (w *simulation) change(key string, change register.Change) ([]byte, error) {
 	value, err := change(w.records[key])
 	if err == nil {
 		w.records[key] = value
@@ -147,7 +147,7 @@
 
 // Reserve implements tokenbudget.Hosts. The host goes on with a request that was given
 // up until it hears of that, which takes as long as any message.
-func (w *world) Reserve(ctx context.Context, address string, wanted tokenbudget.Reservation, ended []tokenbudget.Ended) error {
+func (w *simulation) Reserve(ctx context.Context, address string, wanted tokenbudget.Reservation, ended []tokenbudget.Ended) error {
 	answer := make(chan error, 1)
 	serving, stop := context.WithCancel(context.Background())
 	there, back, hangUp := w.delay(), w.delay(), w.delay()
@@ -169,7 +169,7 @@
 }
 
 // End implements tokenbudget.Hosts.
-func (w *world) End(ctx context.Context, address string, ended []tokenbudget.Ended) error {
+func (w *simulation) End(ctx context.Context, address string, ended []tokenbudget.Ended) error {
 	answer := make(chan struct{})
 	there := w.delay()
 	go func() {
@@ -187,32 +187,32 @@
 
 // attempt sends one attempt of a turn through any gateway and returns the gateway's
 // refusal. The turn is cut off by its caller now and then.
-func (w *world) attempt(id string) *result.Error {
+func (w *simulation) attempt(id string) *result.Error {
 	ctx, leave := context.WithCancel(context.Background())
 	defer leave()
 	if w.draw(6) == 0 {
 		timer := time.AfterFunc(time.Duration(w.draw(600))*time.Millisecond, leave)
 		defer timer.Stop()
 	}
-	number := w.begin()
+	number := w.beginAttempt()
 	turn, refusal := w.gateways[w.draw(len(w.gateways))].Begin(ctx, conversation.Request{
-		ID: id, Program: "p", Budget: simulatedLimit, Most: simulatedMost, TokensPerEvent: simulatedEvent, Timeout: 10 * time.Second,
+		ID: id, Program: "p", Budget: programBudget, Most: maxTurnTokens, TokensPerEvent: tokensPerEvent, Timeout: 10 * time.Second,
 	})
 	if refusal != nil {
-		w.end(number)
+		w.endAttempt(number)
 		return refusal
 	}
-	for range w.draw(simulatedMost/simulatedEvent + 1) {
+	for range w.draw(maxTurnTokens/tokensPerEvent + 1) {
 		time.Sleep(time.Duration(w.draw(50)) * time.Millisecond)
 		turn.Event([]byte("x"))
-		w.hand(simulatedEvent)
+		w.addDelivered(tokensPerEvent)
 	}
 	turn.End()
-	w.end(number)
+	w.endAttempt(number)
 	return nil
 }
 
-func (w *world) begin() int {
+func (w *simulation) beginAttempt() int {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	w.attempts++
@@ -220,34 +220,34 @@
 	return w.attempts
 }
 
-func (w *world) end(number int) {
+func (w *simulation) endAttempt(number int) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	w.unsettled[number] = time.Now().Add(simulatedSettling)
+	w.unsettled[number] = time.Now().Add(settlingTime)
 }
 
-func (w *world) hand(tokens uint64) {
+func (w *simulation) addDelivered(tokens uint64) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	w.handedOut += tokens
+	w.delivered += tokens
 }
 
-// mayBeSpent is the most that the program has generated by what callers know.
-func (w *world) mayBeSpent() uint64 {
+// maxSpent is the most that the program has generated by what callers know.
+func (w *simulation) maxSpent() uint64 {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	spent := w.handedOut
+	spent := w.delivered
 	for _, until := range w.unsettled {
 		if time.Now().Before(until) {
-			spent += simulatedMost
+			spent += maxTurnTokens
 		}
 	}
 	return spent
 }
 
-// play runs two lines of turns of one program until its budget is spent. It returns the
+// runTurns runs two lines of turns of one program until its budget is spent. It returns the
 // tokens that were unaccounted for when a turn was told that it is.
-func (w *world) play() (wronglySpent uint64) {
+func (w *simulation) runTurns() (wronglySpent uint64) {
 	var lines sync.WaitGroup
 	for line := range 2 {
 		lines.Go(func() {
@@ -262,8 +262,8 @@
 						continue
 					}
 					if refusal.Code == result.BudgetExhausted {
-						if spent := w.mayBeSpent(); spent < simulatedLimit {
-							wronglySpent = max(wronglySpent, simulatedLimit-spent)
+						if spent := w.maxSpent(); spent < programBudget {
+							wronglySpent = max(wronglySpent, programBudget-spent)
 						}
 						return
 					}
@@ -277,7 +277,7 @@
 }
 
 // committed is what the program's record says once all is told and given back.
-func (w *world) committed(t *testing.T) uint64 {
+func (w *simulation) committed(t *testing.T) uint64 {
 	time.Sleep(2 * time.Minute)
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -299,18 +299,18 @@
 	for seed := range uint64(200) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			bubble.Test(t, func(t *testing.T) { checkBudgetOf(t, seed) })
+			bubble.Test(t, func(t *testing.T) { checkBudget(t, seed) })
 		})
 	}
 }
 
-func checkBudgetOf(t *testing.T, seed uint64) {
+func checkBudget(t *testing.T, seed uint64) {
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
 	w := newWorld(ctx, seed)
-	wronglySpent := w.play()
+	wronglySpent := w.runTurns()
 	committed := w.committed(t)
-	assert.Check(t, w.handedOut < simulatedLimit+simulatedMost, "%d tokens of %d were handed out", w.handedOut, simulatedLimit)
+	assert.Check(t, w.delivered < programBudget+maxTurnTokens, "%d tokens of %d were handed out", w.delivered, programBudget)
 	assert.Check(t, wronglySpent == 0, "told as spent with %d tokens left", wronglySpent)
-	assert.Check(t, committed == w.handedOut, "%d tokens charged, %d handed out", committed, w.handedOut)
+	assert.Check(t, committed == w.delivered, "%d tokens charged, %d handed out", committed, w.delivered)
 }
--- a/coordination/conversation/reservation_test.go
+++ b/coordination/conversation/reservation_test.go
@@ -15,10 +15,10 @@
 	"github.com/marblering/marblering/state/budget"
 )
 
-// oneRecord is a register that is reached at once.
-type oneRecord struct{ value []byte }
+// memoryRegister is a register that is reached at once.
+type memoryRegister struct{ value []byte }
 
-func (r *oneRecord) Apply(_ context.Context, _ uint32, _ string, change register.Change) ([]byte, error) {
+func (r *memoryRegister) Apply(_ context.Context, _ uint32, _ string, change register.Change) ([]byte, error) {
 	next, err := change(r.value)
 	if err == nil {
 		r.value = next
@@ -26,47 +26,47 @@
 	return next, err
 }
 
-// lateEnds is a host that hears of ended turns only when they are passed on, and whose
+// delayedEnds is a host that hears of ended turns only when they are passed on, and whose
 // first grant doesn't reach the gateway.
-type lateEnds struct {
+type delayedEnds struct {
 	host *tokenbudget.Host
 	lost bool
-	told []tokenbudget.Ended
+	pending []tokenbudget.Ended
 }
 
-func (l *lateEnds) Reserve(ctx context.Context, wanted tokenbudget.Reservation) error {
+func (l *delayedEnds) Reserve(ctx context.Context, wanted tokenbudget.Reservation) error {
 	err := l.host.Reserve(ctx, wanted)
 	if !l.lost {
 		l.lost = true
 		// The gateway gives the host up and tells it, later, that the attempt has ended.
-		l.told = append(l.told, tokenbudget.Ended{Program: wanted.Program, Reservation: wanted.Name})
+		l.pending = append(l.pending, tokenbudget.Ended{Program: wanted.Program, Reservation: wanted.Name})
 		return tokenbudget.ErrUnavailable
 	}
 	return err
 }
 
-func (l *lateEnds) End(ended tokenbudget.Ended) { l.told = append(l.told, ended) }
+func (l *delayedEnds) End(ended tokenbudget.Ended) { l.pending = append(l.pending, ended) }
 
-func (l *lateEnds) passOn() {
-	l.host.End(l.told)
-	l.told = nil
+func (l *delayedEnds) deliver() {
+	l.host.End(l.pending)
+	l.pending = nil
 }
 
-// TestEndOfAnEarlierAttemptLeavesTheNextOne: a client's request is given up at the host
+// TestLateEndKeepsNextAttempt: a client's request is given up at the host
 // of its budget, and the client sends it again under the same id. The gateway tells the
 // host that the first attempt has ended only after the second was granted. Under one name
 // for both, this end took the second attempt off; what it generated was counted by
 // nobody, and the program went beyond its budget. Seen where gateways gave hosts up for
 // being slow ("budget host failed", then a grant 0.4 s later at the same host) and the
 // turn after the last one that the budget allows was served.
-func TestEndOfAnEarlierAttemptLeavesTheNextOne(t *testing.T) {
-	record := &oneRecord{}
+func TestLateEndKeepsNextAttempt(t *testing.T) {
+	record := &memoryRegister{}
 	settings := tokenbudget.Settings{
 		IdleTime: time.Hour, ReleaseTimeout: time.Second, ReleasePause: time.Millisecond, ReleaseTries: 1,
 		Draws: limit.DefaultAdaptivePolicy(), Crowd: limit.DefaultAdaptivePolicy(),
 	}
 	ledger := tokenbudget.New("host", record, func(string) uint32 { return 0 }, settings, time.Now, zap.NewNop())
-	carried := &lateEnds{host: tokenbudget.NewHost(ledger, time.Now)}
+	carried := &delayedEnds{host: tokenbudget.NewHost(ledger, time.Now)}
 	number := uint64(0)
 	distinct := func() uint64 { number++; return number }
 	service := conversation.New(nil, carried, func() bool { return false }, time.Now, distinct, zap.NewNop())
@@ -76,12 +76,12 @@
 	assert.Assert(t, refusal != nil, "the first attempt is given up")
 	turn, refusal := service.Begin(t.Context(), request)
 	assert.Assert(t, refusal == nil, "the second is granted")
-	carried.passOn()
+	carried.deliver()
 	for range 4 {
 		turn.Event([]byte("x"))
 	}
 	turn.End()
-	carried.passOn()
+	carried.deliver()
 	ledger.Flush(t.Context())
 	decoded, err := budget.Decode("p", record.value)
 	assert.NilError(t, err)
--- a/coordination/conversation/time_test.go
+++ b/coordination/conversation/state_time_test.go
@@ -15,12 +15,12 @@
 	"github.com/marblering/marblering/test/bubble"
 )
 
-// slowTurns are turns of which nothing is kept, which takes a while to find out.
-type slowTurns struct{ takes time.Duration }
+// slowTurnStore are turns of which nothing is kept, which takes a while to find out.
+type slowTurnStore struct{ takes time.Duration }
 
-func (slowTurns) Put(context.Context, string, *statev1.RetainedTurn) error { return nil }
+func (slowTurnStore) Put(context.Context, string, *statev1.RetainedTurn) error { return nil }
 
-func (s slowTurns) Line(ctx context.Context, _, _ string) ([]*statev1.RetainedTurn, error) {
+func (s slowTurnStore) Line(ctx context.Context, _, _ string) ([]*statev1.RetainedTurn, error) {
 	select {
 	case <-time.After(s.takes):
 		return nil, turnstore.ErrUnknown
@@ -29,12 +29,12 @@
 	}
 }
 
-// TestSlowStateIsWaitedFor: a request that goes on from a turn that isn't kept has 2.5 s,
+// TestBeginWaitsForSlowState: a request that goes on from a turn that isn't kept has 2.5 s,
 // and four requests to members that take 0.25 s each tell so. It was refused with 503
 // after 0.8 s ("too few replicas answered: context deadline exceeded", took=0.80 s,
 // allowed=2.5 s), though it could be answered. A request that has little time isn't held
 // for all of it.
-func TestSlowStateIsWaitedFor(t *testing.T) {
+func TestBeginWaitsForSlowState(t *testing.T) {
 	for _, c := range []struct {
 		takes, has, held time.Duration
 		code             result.Code
@@ -45,7 +45,7 @@
 	} {
 		bubble.Test(t, func(t *testing.T) {
 			never := func() bool { return false }
-			service := conversation.New(slowTurns{c.takes}, nil, never, time.Now, nil, zap.NewNop())
+			service := conversation.New(slowTurnStore{c.takes}, nil, never, time.Now, nil, zap.NewNop())
 			ctx, cancel := context.WithTimeout(t.Context(), c.has)
 			defer cancel()
 			began := time.Now()
