--- a/coordination/conversation/reservation_test.go
+++ b/coordination/conversation/reservation_test.go
@@ -15,7 +15,7 @@
 	"github.com/marblering/marblering/state/budget"
 )
 
-// memoryRegister is a register that is reached at once.
+// memoryRegister is a register in memory.
 type memoryRegister struct{ value []byte }
 
 func (r *memoryRegister) Apply(_ context.Context, _ uint32, _ string, change register.Change) ([]byte, error) {
@@ -26,39 +26,34 @@
 	return next, err
 }
 
-// delayedEnds is a host that hears of ended turns only when they are passed on, and whose
-// first grant doesn't reach the gateway.
+// delayedEnds delivers ended turns to the host only on request, and loses the first grant on
+// its way to the gateway.
 type delayedEnds struct {
-	host *tokenbudget.Host
-	lost bool
-	pending []tokenbudget.Ended
+	host      *tokenbudget.Host
+	grantLost bool
+	pending   []tokenbudget.Ended
 }
 
-func (l *delayedEnds) Reserve(ctx context.Context, wanted tokenbudget.Reservation) error {
-	err := l.host.Reserve(ctx, wanted)
-	if !l.lost {
-		l.lost = true
-		// The gateway gives the host up and tells it, later, that the attempt has ended.
-		l.pending = append(l.pending, tokenbudget.Ended{Program: wanted.Program, Reservation: wanted.Name})
+func (d *delayedEnds) Reserve(ctx context.Context, wanted tokenbudget.Reservation) error {
+	err := d.host.Reserve(ctx, wanted)
+	if !d.grantLost {
+		d.grantLost = true
+		// The gateway gives up on the host, which is told later that the attempt has ended.
+		d.pending = append(d.pending, tokenbudget.Ended{Program: wanted.Program, Reservation: wanted.Name})
 		return tokenbudget.ErrUnavailable
 	}
 	return err
 }
 
-func (l *delayedEnds) End(ended tokenbudget.Ended) { l.pending = append(l.pending, ended) }
+func (d *delayedEnds) End(ended tokenbudget.Ended) { d.pending = append(d.pending, ended) }
 
-func (l *delayedEnds) deliver() {
-	l.host.End(l.pending)
-	l.pending = nil
+func (d *delayedEnds) deliver() {
+	d.host.End(d.pending)
+	d.pending = nil
 }
 
-// TestLateEndKeepsNextAttempt: a client's request is given up at the host
-// of its budget, and the client sends it again under the same id. The gateway tells the
-// host that the first attempt has ended only after the second was granted. Under one name
-// for both, this end took the second attempt off; what it generated was counted by
-// nobody, and the program went beyond its budget. Seen where gateways gave hosts up for
-// being slow ("budget host failed", then a grant 0.4 s later at the same host) and the
-// turn after the last one that the budget allows was served.
+// TestLateEndKeepsNextAttempt guards against the late end of an abandoned attempt ending the
+// retry under the same id, whose tokens would then be uncounted.
 func TestLateEndKeepsNextAttempt(t *testing.T) {
 	record := &memoryRegister{}
 	settings := tokenbudget.Settings{
@@ -66,22 +61,22 @@
 		Draws: limit.DefaultAdaptivePolicy(), Crowd: limit.DefaultAdaptivePolicy(),
 	}
 	ledger := tokenbudget.New("host", record, func(string) uint32 { return 0 }, settings, time.Now, zap.NewNop())
-	carried := &delayedEnds{host: tokenbudget.NewHost(ledger, time.Now)}
+	budgets := &delayedEnds{host: tokenbudget.NewHost(ledger, time.Now)}
 	number := uint64(0)
-	distinct := func() uint64 { number++; return number }
-	service := conversation.New(nil, carried, func() bool { return false }, time.Now, distinct, zap.NewNop())
+	nextNumber := func() uint64 { number++; return number }
+	service := conversation.New(nil, budgets, func() bool { return false }, time.Now, nextNumber, zap.NewNop())
 	request := conversation.Request{ID: "t", Program: "p", Budget: 1000, Most: 100, TokensPerEvent: 25, Timeout: time.Minute}
 
 	_, refusal := service.Begin(t.Context(), request)
-	assert.Assert(t, refusal != nil, "the first attempt is given up")
+	assert.Assert(t, refusal != nil, "the first attempt was granted")
 	turn, refusal := service.Begin(t.Context(), request)
-	assert.Assert(t, refusal == nil, "the second is granted")
-	carried.deliver()
+	assert.Assert(t, refusal == nil, "the second attempt was refused")
+	budgets.deliver()
 	for range 4 {
 		turn.Event([]byte("x"))
 	}
 	turn.End()
-	carried.deliver()
+	budgets.deliver()
 	ledger.Flush(t.Context())
 	decoded, err := budget.Decode("p", record.value)
 	assert.NilError(t, err)
--- a/coordination/conversation/retryafter_test.go
+++ b/coordination/conversation/retryafter_test.go
@@ -7,11 +7,11 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestRetryAfterGrowsWithOutage and is short again for the next one.
+// TestRetryAfterGrowsWithOutage also checks that the next outage starts with a short wait.
 func TestRetryAfterGrowsWithOutage(t *testing.T) {
 	start := time.Unix(1000, 0)
 	now := start
-	lasting := outage{now: func() time.Time { return now }}
+	current := outage{now: func() time.Time { return now }}
 	for _, c := range []struct{ at, want time.Duration }{
 		{0, minRetryAfter},
 		{200 * time.Millisecond, minRetryAfter},
@@ -23,31 +23,30 @@
 		{5100 * time.Millisecond, 300 * time.Millisecond},
 	} {
 		now = start.Add(c.at)
-		assert.Equal(t, lasting.retryAfter(), c.want, "after %s", c.at)
+		assert.Equal(t, current.retryAfter(), c.want, "after %s", c.at)
 	}
 }
 
-// TestFewRetriesOutlastReplicaSetChange: a client that is refused at once and
-// comes back as often as clients do, in the mean after the pause, is served again
-// after three seconds of trouble. With a fixed pause it would have given up.
+// TestFewRetriesOutlastReplicaSetChange checks that a client that makes six attempts, spaced
+// by Retry-After, is served after an outage of three seconds.
 func TestFewRetriesOutlastReplicaSetChange(t *testing.T) {
-	const tries, outageLength = 6, 3 * time.Second
+	const attempts, outageLength = 6, 3 * time.Second
 	for _, arrival := range []time.Duration{500 * time.Millisecond, time.Second, 2 * time.Second} {
 		start := time.Unix(1000, 0)
 		now := start
-		lasting := outage{now: func() time.Time { return now }}
+		current := outage{now: func() time.Time { return now }}
 		for at := time.Duration(0); at < arrival; at += 100 * time.Millisecond {
 			now = start.Add(at)
-			lasting.retryAfter()
+			current.retryAfter()
 		}
 		served := false
 		at := arrival
-		for range tries {
+		for range attempts {
 			now = start.Add(at)
 			if served = at >= outageLength; served {
 				break
 			}
-			at += lasting.retryAfter()
+			at += current.retryAfter()
 		}
 		assert.Assert(t, served, "arrived after %s, gave up after %s", arrival, at)
 	}
