--- a/coordination/quota/simulation_test.go
+++ b/coordination/quota/simulation_test.go
@@ -69,8 +69,8 @@
 
 var errNoAnswer = errors.New("no answer")
 
-func (w *simulation) randomDuration(most time.Duration) time.Duration {
-	return time.Duration(w.random.Int64N(int64(most)))
+func (s *simulation) randomDuration(limit time.Duration) time.Duration {
+	return time.Duration(s.random.Int64N(int64(limit)))
 }
 
 // lockedRandom is a random source that is safe for concurrent use.
@@ -79,13 +79,13 @@
 	random *rand.Rand
 }
 
-func (r *lockedRandom) Int64N(most int64) int64 {
+func (r *lockedRandom) Int64N(bound int64) int64 {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return r.random.Int64N(most)
+	return r.random.Int64N(bound)
 }
 
-func (r *lockedRandom) IntN(most int) int { return int(r.Int64N(int64(most))) }
+func (r *lockedRandom) IntN(bound int) int { return int(r.Int64N(int64(bound))) }
 
 func (r *lockedRandom) Float64() float64 {
 	r.mutex.Lock()
@@ -93,45 +93,45 @@
 	return r.random.Float64()
 }
 
-func (w *simulation) isCut(ends string) bool {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	return time.Now().Before(w.cutUntil[ends])
+func (s *simulation) isCut(ends string) bool {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	return time.Now().Before(s.cutUntil[ends])
 }
 
 // simulatedRegisters are the registers as one node reaches them.
 type simulatedRegisters struct {
-	world *simulation
-	node  string
+	simulation *simulation
+	node       string
 }
 
 func (r simulatedRegisters) Apply(ctx context.Context, slot uint32, _ string, change register.Change) ([]byte, error) {
-	w := r.world
-	if w.isCut(r.node) {
+	s := r.simulation
+	if s.isCut(r.node) {
 		<-ctx.Done()
 		return nil, errNoAnswer
 	}
-	w.mutex.Lock()
-	isSlow, isLost := time.Now().Before(w.slowUntil), time.Now().Before(w.lossyUntil) && w.random.IntN(2) == 0
-	w.mutex.Unlock()
+	s.mutex.Lock()
+	isSlow, isLost := time.Now().Before(s.slowUntil), time.Now().Before(s.lossyUntil) && s.random.IntN(2) == 0
+	s.mutex.Unlock()
 	travel := 3 * time.Millisecond
 	if isSlow {
 		travel = time.Second
 	}
-	if err := sleep.For(ctx, w.randomDuration(travel)); err != nil {
+	if err := sleep.For(ctx, s.randomDuration(travel)); err != nil {
 		return nil, err
 	}
-	w.mutex.Lock()
-	value, err := change(w.registers[slot])
+	s.mutex.Lock()
+	value, err := change(s.registers[slot])
 	if err == nil {
-		w.registers[slot] = value
+		s.registers[slot] = value
 	}
-	w.mutex.Unlock()
+	s.mutex.Unlock()
 	if isLost {
 		<-ctx.Done()
 		return nil, errNoAnswer
 	}
-	if err := sleep.For(ctx, w.randomDuration(travel)); err != nil {
+	if err := sleep.For(ctx, s.randomDuration(travel)); err != nil {
 		return nil, err
 	}
 	return value, err
@@ -139,26 +139,26 @@
 
 // simulatedHolders are the storage nodes as one gateway reaches them.
 type simulatedHolders struct {
-	world   *simulation
-	gateway string
+	simulation *simulation
+	gateway    string
 }
 
 func (m simulatedHolders) TakePermits(ctx context.Context, address string, ask Ask) (Grant, error) {
-	w := m.world
-	if w.isCut(m.gateway + address) {
+	s := m.simulation
+	if s.isCut(m.gateway + address) {
 		<-ctx.Done()
 		return nil, errNoAnswer
 	}
-	if err := sleep.For(ctx, w.randomDuration(4*time.Millisecond)); err != nil {
+	if err := sleep.For(ctx, s.randomDuration(4*time.Millisecond)); err != nil {
 		return nil, err
 	}
-	w.mutex.Lock()
-	holder := w.holders[address]
-	w.mutex.Unlock()
+	s.mutex.Lock()
+	holder := s.holders[address]
+	s.mutex.Unlock()
 	grant := holder.Take(ask)
 	// One of 20 answers is delayed, for up to as long as a gateway waits for it.
-	if w.randomDuration(20) == 0 {
-		return grant, sleep.For(ctx, w.randomDuration(nodeTimeout))
+	if s.randomDuration(20) == 0 {
+		return grant, sleep.For(ctx, s.randomDuration(nodeTimeout))
 	}
 	return grant, sleep.For(ctx, time.Millisecond)
 }
@@ -177,108 +177,108 @@
 }
 
 // clock returns a clock that runs at its own rate.
-func (w *simulation) clock() func() time.Time {
+func (s *simulation) clock() func() time.Time {
 	base := time.Now()
-	rate := 1 + maxClockDrift*(2*w.random.Float64()-1)
+	rate := 1 + maxClockDrift*(2*s.random.Float64()-1)
 	return func() time.Time { return base.Add(time.Duration(rate * float64(time.Since(base)))) }
 }
 
-func (w *simulation) startHolder(ctx context.Context, node string, incarnation int) {
-	now := w.clock()
-	holder := NewHolder(fmt.Sprint(node, "/", incarnation), node, simulatedRegisters{w, node}, now, zap.NewNop())
-	if w.bugs.endlessLeases {
+func (s *simulation) startHolder(ctx context.Context, node string, incarnation int) {
+	now := s.clock()
+	holder := NewHolder(fmt.Sprint(node, "/", incarnation), node, simulatedRegisters{s, node}, now, zap.NewNop())
+	if s.bugs.endlessLeases {
 		go func() {
 			for sleep.For(ctx, 10*time.Millisecond) == nil {
 				holder.mutex.Lock()
-				for _, s := range holder.slots {
-					if s.lease.own.Term > 0 {
-						s.lease.validUntil = now().Add(time.Hour)
+				for _, slotState := range holder.slots {
+					if slotState.lease.own.Term > 0 {
+						slotState.lease.validUntil = now().Add(time.Hour)
 					}
 				}
 				holder.mutex.Unlock()
 			}
 		}()
 	}
-	if w.bugs.fullBuckets {
+	if s.bugs.fullBuckets {
 		go func() {
 			for sleep.For(ctx, 10*time.Millisecond) == nil {
 				holder.mutex.Lock()
-				for _, s := range holder.slots {
-					if now().Sub(s.lease.takenAt) < time.Second {
-						s.lease.takenAt = s.lease.takenAt.Add(-time.Hour)
+				for _, slotState := range holder.slots {
+					if now().Sub(slotState.lease.takenAt) < time.Second {
+						slotState.lease.takenAt = slotState.lease.takenAt.Add(-time.Hour)
 					}
 				}
 				holder.mutex.Unlock()
 			}
 		}()
 	}
-	w.mutex.Lock()
-	w.holders[node] = holder
-	w.mutex.Unlock()
+	s.mutex.Lock()
+	s.holders[node] = holder
+	s.mutex.Unlock()
 	go func() { _ = holder.Serve(ctx) }()
 }
 
 // send sends requests through one gateway until the context ends.
-func (w *simulation) send(ctx context.Context, client *Client, rate limit.Rate, perSecond float64) {
+func (s *simulation) send(ctx context.Context, client *Client, rate limit.Rate, perSecond float64) {
 	var requests sync.WaitGroup
 	defer requests.Wait()
 	for number := 0; ctx.Err() == nil; number++ {
-		if sleep.For(ctx, w.randomDuration(time.Duration(2*float64(time.Second)/perSecond))) != nil {
+		if sleep.For(ctx, s.randomDuration(time.Duration(2*float64(time.Second)/perSecond))) != nil {
 			return
 		}
 		request := Request{Tenant: "t", Rate: rate, Version: 1, Program: fmt.Sprint("p", number/12), Kind: "chat"}
 		requests.Go(func() {
 			permit, failure := client.Take(context.Background(), request)
-			if w.bugs.doubledPermits {
+			if s.bugs.doubledPermits {
 				permit.Return()
 			}
-			w.mutex.Lock()
-			defer w.mutex.Unlock()
+			s.mutex.Lock()
+			defer s.mutex.Unlock()
 			if failure != nil {
-				w.refused++
+				s.refused++
 				return
 			}
-			w.usedAt = append(w.usedAt, time.Now())
+			s.usedAt = append(s.usedAt, time.Now())
 		})
 	}
 }
 
 // injectFault makes registers slow or lossy, cuts a link, or restarts a node.
-func (w *simulation) injectFault(ctx context.Context, stops []context.CancelFunc, started *int) {
-	span := w.randomDuration(4 * time.Second)
-	node := w.random.IntN(simulatedNodes)
+func (s *simulation) injectFault(ctx context.Context, stops []context.CancelFunc, started *int) {
+	span := s.randomDuration(4 * time.Second)
+	node := s.random.IntN(simulatedNodes)
 	name := fmt.Sprint("storage-", node)
-	w.mutex.Lock()
-	kind := w.random.IntN(5)
-	if w.bugs.fullBuckets {
+	s.mutex.Lock()
+	kind := s.random.IntN(5)
+	if s.bugs.fullBuckets {
 		kind = 4
 	}
 	switch until := time.Now().Add(span); kind {
 	case 0:
-		w.slowUntil = until
+		s.slowUntil = until
 	case 1:
-		w.lossyUntil = until
+		s.lossyUntil = until
 	case 2:
-		w.cutUntil[name] = until
+		s.cutUntil[name] = until
 	case 3:
-		w.cutUntil[fmt.Sprint("edge-", w.random.IntN(simulatedGateways))+name] = until
+		s.cutUntil[fmt.Sprint("edge-", s.random.IntN(simulatedGateways))+name] = until
 	case 4:
-		w.mutex.Unlock()
+		s.mutex.Unlock()
 		stops[node]()
 		holderContext, stop := context.WithCancel(ctx)
 		stops[node] = stop
 		*started++
-		w.startHolder(holderContext, name, *started)
+		s.startHolder(holderContext, name, *started)
 		return
 	}
-	w.mutex.Unlock()
+	s.mutex.Unlock()
 }
 
 // simulate runs one sequence. It returns by how many requests the worst window exceeds the
 // bound, and the numbers of admitted and refused requests.
 func simulate(t *testing.T, seed uint64, bugs injectedBugs, calm bool, perSecond float64) (excess float64, used, refused int) {
 	bubble.Test(t, func(t *testing.T) {
-		w := &simulation{
+		s := &simulation{
 			random: &lockedRandom{random: rand.New(rand.NewPCG(seed, 2))}, bugs: bugs,
 			registers: make(map[uint32][]byte), cutUntil: make(map[string]time.Time), holders: make(map[string]*Holder),
 		}
@@ -293,35 +293,35 @@
 		for index := range stops {
 			holderContext, stop := context.WithCancel(ctx)
 			stops[index] = stop
-			w.startHolder(holderContext, fmt.Sprint("storage-", index), started)
+			s.startHolder(holderContext, fmt.Sprint("storage-", index), started)
 		}
 		var clients []*Client
 		for index := range simulatedGateways {
-			now := w.clock()
-			clients = append(clients, NewClient(simulatedHolders{w, fmt.Sprint("edge-", index)}, simulatedViews{}, reach.New(now), simulatedBounds,
+			now := s.clock()
+			clients = append(clients, NewClient(simulatedHolders{s, fmt.Sprint("edge-", index)}, simulatedViews{}, reach.New(now), simulatedBounds,
 				NewMetrics(prometheus.NewRegistry()), now, zap.NewNop()))
 		}
 		time.Sleep(100 * time.Millisecond)
 		for began := time.Now(); time.Since(began) < simulatedTime; {
-			sendContext, end := context.WithTimeout(ctx, w.randomDuration(3*time.Second))
-			go w.send(sendContext, clients[w.random.IntN(simulatedGateways)], rate, perSecond)
-			if w.random.IntN(3) == 0 {
-				go w.send(sendContext, clients[w.random.IntN(simulatedGateways)], rate, perSecond)
+			sendContext, end := context.WithTimeout(ctx, s.randomDuration(3*time.Second))
+			go s.send(sendContext, clients[s.random.IntN(simulatedGateways)], rate, perSecond)
+			if s.random.IntN(3) == 0 {
+				go s.send(sendContext, clients[s.random.IntN(simulatedGateways)], rate, perSecond)
 			}
-			if !calm && w.random.IntN(2) == 0 {
-				w.injectFault(ctx, stops, &started)
+			if !calm && s.random.IntN(2) == 0 {
+				s.injectFault(ctx, stops, &started)
 			}
 			<-sendContext.Done()
 			end()
-			if w.random.IntN(4) == 0 && !calm {
-				time.Sleep(w.randomDuration(4 * time.Second))
+			if s.random.IntN(4) == 0 && !calm {
+				time.Sleep(s.randomDuration(4 * time.Second))
 			}
 		}
 		time.Sleep(time.Second)
 		cancel()
 		synctest.Wait()
-		excess = worstExcess(w.usedAt, rate)
-		used, refused = len(w.usedAt), w.refused
+		excess = worstExcess(s.usedAt, rate)
+		used, refused = len(s.usedAt), s.refused
 	})
 	return excess, used, refused
 }
