--- a/coordination/conversation/budget_simulation_test.go
+++ b/coordination/conversation/budget_simulation_test.go
@@ -20,108 +20,107 @@
 	"github.com/marblering/marblering/test/bubble"
 )
 
-// What a simulated turn may generate, and the budget of its program, in tokens.
+// The most tokens that a simulated turn may generate, and the budget of its program.
 const (
-	maxTurnTokens  = 100
+	maxTurnTokens = 100
 	programBudget = 1000
-	// tokensPerEvent is the tokens of one event; a turn has four at most.
+	// tokensPerEvent is the number of tokens in an event; a turn has at most four events.
 	tokensPerEvent = 25
-	// ended turns are known to their host this long after: a slow link, the pause
-	// before ends are told and some tries.
+	// settlingTime is how long after its end a turn is surely known to its host: a slow
+	// link, the delay before ends are reported, and several attempts.
 	settlingTime = 4 * time.Second
 )
 
-// simulation is three hosts of budgets and two gateways in virtual time. Messages between
-// them and changes of records take a random time, sometimes longer than their senders
-// wait, and go on when their senders have given them up.
+// simulation runs three hosts of budgets and two gateways in virtual time. Messages between
+// them and changes of records take a random time, sometimes longer than their senders wait,
+// and go on after their senders have given up.
 type simulation struct {
 	mutex   sync.Mutex
 	random  *rand.Rand
 	records map[string][]byte
-	// changes counts those that were made.
+	// changes counts the changes of records.
 	changes  int
 	hosts    map[string]*tokenbudget.Host
 	ledgers  []*tokenbudget.Ledger
 	gateways []*conversation.Service
-	// delivered is what callers were given; unsettled are the times until which turns
-	// may still be counted at their most.
+	// delivered is the number of tokens that callers received. unsettled are the times
+	// until which turns may still be charged with the most that they may generate.
 	delivered uint64
 	unsettled map[int]time.Time
 	attempts  int
 }
 
-func newWorld(ctx context.Context, seed uint64) *simulation {
-	w := &simulation{
+func newSimulation(ctx context.Context, seed uint64) *simulation {
+	s := &simulation{
 		random: rand.New(rand.NewPCG(seed, 0)), records: make(map[string][]byte),
 		hosts: make(map[string]*tokenbudget.Host), unsettled: make(map[int]time.Time),
 	}
 	var view register.View
 	for index := range 3 {
 		name := fmt.Sprint("host", index)
-		ledger := tokenbudget.New(name+"/life", w, w.Locate, tokenbudget.DefaultSettings(), time.Now, zap.NewNop())
+		ledger := tokenbudget.New(name+"/life", s, s.Locate, tokenbudget.DefaultSettings(), time.Now, zap.NewNop())
 		host := tokenbudget.NewHost(ledger, time.Now)
 		go func() { _ = host.Serve(ctx) }()
-		w.hosts[name], w.ledgers = host, append(w.ledgers, ledger)
+		s.hosts[name], s.ledgers = host, append(s.ledgers, ledger)
 		view.Members = append(view.Members, register.Member{Node: name, Address: name})
 	}
 	for range 2 {
 		tracker := reach.New(time.Now)
-		client := tokenbudget.NewClient(w, singleShardView{view}, tracker, time.Now, zap.NewNop())
-		never := func() bool { return false }
-		w.gateways = append(w.gateways, conversation.New(nil, client, never, time.Now, w.randomNumber, zap.NewNop()))
+		client := tokenbudget.NewClient(s, singleShardView{view}, tracker, time.Now, zap.NewNop())
+		isCutOff := func() bool { return false }
+		s.gateways = append(s.gateways, conversation.New(nil, client, isCutOff, time.Now, s.randomNumber, zap.NewNop()))
 	}
-	return w
+	return s
 }
 
 type singleShardView struct{ view register.View }
 
 func (v singleShardView) View(uint32) (register.View, bool) { return v.view, true }
 func (singleShardView) Locate(string) uint32                { return 0 }
-func (*simulation) Locate(string) uint32                       { return 0 }
+func (*simulation) Locate(string) uint32                    { return 0 }
 
 // draw returns a random number below the bound.
-func (w *simulation) draw(bound int) int {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	return w.random.IntN(bound)
+func (s *simulation) draw(bound int) int {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	return s.random.IntN(bound)
 }
 
-// randomNumber returns a random randomNumber.
-func (w *simulation) randomNumber() uint64 {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	return w.random.Uint64()
+func (s *simulation) randomNumber() uint64 {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	return s.random.Uint64()
 }
 
-// delay is how long a message is under way: one of five takes up to 1.2 s, longer than
-// a gateway waits for a host.
-func (w *simulation) delay() time.Duration {
-	if w.draw(5) > 0 {
-		return time.Duration(w.draw(20)) * time.Millisecond
+// delay returns how long a message takes. One of five takes up to 1.2 s, longer than a
+// gateway waits for a host.
+func (s *simulation) delay() time.Duration {
+	if s.draw(5) > 0 {
+		return time.Duration(s.draw(20)) * time.Millisecond
 	}
-	return time.Duration(w.draw(1200)) * time.Millisecond
+	return time.Duration(s.draw(1200)) * time.Millisecond
 }
 
-// Apply implements tokenbudget.Register. A change whose caller gives it up is made all
-// the same, unless another one is made before: a register's later ballot shuts out
-// earlier ones.
-func (w *simulation) Apply(ctx context.Context, _ uint32, key string, change register.Change) ([]byte, error) {
+// Apply implements tokenbudget.Register. A change that its caller has given up on is still
+// made unless another one was made since: a later ballot of a register supersedes earlier
+// ones.
+func (s *simulation) Apply(ctx context.Context, _ uint32, key string, change register.Change) ([]byte, error) {
 	type outcome struct {
 		value []byte
 		err   error
 	}
 	answer := make(chan outcome, 1)
-	before, after := w.delay(), w.delay()
-	givenUpAt := -1
+	before, after := s.delay(), s.delay()
+	abandonedAt := -1
 	go func() {
 		time.Sleep(before)
-		w.mutex.Lock()
+		s.mutex.Lock()
 		var made outcome
-		if givenUpAt < 0 || givenUpAt == w.changes {
-			w.changes++
-			made.value, made.err = w.change(key, change)
+		if abandonedAt < 0 || abandonedAt == s.changes {
+			s.changes++
+			made.value, made.err = s.change(key, change)
 		}
-		w.mutex.Unlock()
+		s.mutex.Unlock()
 		time.Sleep(after)
 		answer <- made
 	}()
@@ -129,33 +128,33 @@
 	case made := <-answer:
 		return made.value, made.err
 	case <-ctx.Done():
-		w.mutex.Lock()
-		defer w.mutex.Unlock()
-		givenUpAt = w.changes
+		s.mutex.Lock()
+		defer s.mutex.Unlock()
+		abandonedAt = s.changes
 		return nil, register.ErrNoQuorum
 	}
 }
 
 // change changes a record. The mutex must be held.
-func (w *simulation) change(key string, change register.Change) ([]byte, error) {
-	value, err := change(w.records[key])
+func (s *simulation) change(key string, change register.Change) ([]byte, error) {
+	value, err := change(s.records[key])
 	if err == nil {
-		w.records[key] = value
+		s.records[key] = value
 	}
 	return value, err
 }
 
-// Reserve implements tokenbudget.Hosts. The host goes on with a request that was given
-// up until it hears of that, which takes as long as any message.
-func (w *simulation) Reserve(ctx context.Context, address string, wanted tokenbudget.Reservation, ended []tokenbudget.Ended) error {
+// Reserve implements tokenbudget.Hosts. The host continues with an abandoned request until
+// it learns of that, which takes as long as any message.
+func (s *simulation) Reserve(ctx context.Context, address string, wanted tokenbudget.Reservation, ended []tokenbudget.Ended) error {
 	answer := make(chan error, 1)
 	serving, stop := context.WithCancel(context.Background())
-	there, back, hangUp := w.delay(), w.delay(), w.delay()
+	requestDelay, answerDelay, cancelDelay := s.delay(), s.delay(), s.delay()
 	go func() {
-		time.Sleep(there)
-		w.hosts[address].End(ended)
-		err := w.hosts[address].Reserve(serving, wanted)
-		time.Sleep(back)
+		time.Sleep(requestDelay)
+		s.hosts[address].End(ended)
+		err := s.hosts[address].Reserve(serving, wanted)
+		time.Sleep(answerDelay)
 		answer <- err
 		stop()
 	}()
@@ -163,18 +162,18 @@
 	case err := <-answer:
 		return err
 	case <-ctx.Done():
-		time.AfterFunc(hangUp, stop)
+		time.AfterFunc(cancelDelay, stop)
 		return ctx.Err()
 	}
 }
 
 // End implements tokenbudget.Hosts.
-func (w *simulation) End(ctx context.Context, address string, ended []tokenbudget.Ended) error {
+func (s *simulation) End(ctx context.Context, address string, ended []tokenbudget.Ended) error {
 	answer := make(chan struct{})
-	there := w.delay()
+	requestDelay := s.delay()
 	go func() {
-		time.Sleep(there)
-		w.hosts[address].End(ended)
+		time.Sleep(requestDelay)
+		s.hosts[address].End(ended)
 		close(answer)
 	}()
 	select {
@@ -185,59 +184,59 @@
 	}
 }
 
-// attempt sends one attempt of a turn through any gateway and returns the gateway's
-// refusal. The turn is cut off by its caller now and then.
-func (w *simulation) attempt(id string) *result.Error {
-	ctx, leave := context.WithCancel(context.Background())
-	defer leave()
-	if w.draw(6) == 0 {
-		timer := time.AfterFunc(time.Duration(w.draw(600))*time.Millisecond, leave)
+// attempt sends one attempt of a turn through a random gateway and returns the gateway's
+// refusal. Callers abandon some attempts.
+func (s *simulation) attempt(id string) *result.Error {
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
+	if s.draw(6) == 0 {
+		timer := time.AfterFunc(time.Duration(s.draw(600))*time.Millisecond, cancel)
 		defer timer.Stop()
 	}
-	number := w.beginAttempt()
-	turn, refusal := w.gateways[w.draw(len(w.gateways))].Begin(ctx, conversation.Request{
+	number := s.beginAttempt()
+	turn, refusal := s.gateways[s.draw(len(s.gateways))].Begin(ctx, conversation.Request{
 		ID: id, Program: "p", Budget: programBudget, Most: maxTurnTokens, TokensPerEvent: tokensPerEvent, Timeout: 10 * time.Second,
 	})
 	if refusal != nil {
-		w.endAttempt(number)
+		s.endAttempt(number)
 		return refusal
 	}
-	for range w.draw(maxTurnTokens/tokensPerEvent + 1) {
-		time.Sleep(time.Duration(w.draw(50)) * time.Millisecond)
+	for range s.draw(maxTurnTokens/tokensPerEvent + 1) {
+		time.Sleep(time.Duration(s.draw(50)) * time.Millisecond)
 		turn.Event([]byte("x"))
-		w.addDelivered(tokensPerEvent)
+		s.addDelivered(tokensPerEvent)
 	}
 	turn.End()
-	w.endAttempt(number)
+	s.endAttempt(number)
 	return nil
 }
 
-func (w *simulation) beginAttempt() int {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	w.attempts++
-	w.unsettled[w.attempts] = time.Now().Add(time.Hour)
-	return w.attempts
+func (s *simulation) beginAttempt() int {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.attempts++
+	s.unsettled[s.attempts] = time.Now().Add(time.Hour)
+	return s.attempts
 }
 
-func (w *simulation) endAttempt(number int) {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	w.unsettled[number] = time.Now().Add(settlingTime)
+func (s *simulation) endAttempt(number int) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.unsettled[number] = time.Now().Add(settlingTime)
 }
 
-func (w *simulation) addDelivered(tokens uint64) {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	w.delivered += tokens
+func (s *simulation) addDelivered(tokens uint64) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.delivered += tokens
 }
 
-// maxSpent is the most that the program has generated by what callers know.
-func (w *simulation) maxSpent() uint64 {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	spent := w.delivered
-	for _, until := range w.unsettled {
+// maxSpent is the most that the program may have generated, as far as callers know.
+func (s *simulation) maxSpent() uint64 {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	spent := s.delivered
+	for _, until := range s.unsettled {
 		if time.Now().Before(until) {
 			spent += maxTurnTokens
 		}
@@ -245,25 +244,25 @@
 	return spent
 }
 
-// runTurns runs two lines of turns of one program until its budget is spent. It returns the
-// tokens that were unaccounted for when a turn was told that it is.
-func (w *simulation) runTurns() (wronglySpent uint64) {
-	var lines sync.WaitGroup
-	for line := range 2 {
-		lines.Go(func() {
+// runTurns runs two concurrent sequences of turns of one program until its budget is spent.
+// It returns how many tokens were left when a turn was refused because the budget is spent.
+func (s *simulation) runTurns() (tokensLeft uint64) {
+	var sequences sync.WaitGroup
+	for sequence := range 2 {
+		sequences.Go(func() {
 			for number := range 40 {
 				for range 6 {
-					refusal := w.attempt(fmt.Sprintf("turn-%d-%d", line, number))
+					refusal := s.attempt(fmt.Sprintf("turn-%d-%d", sequence, number))
 					if refusal == nil {
-						if w.draw(4) > 0 {
+						if s.draw(4) > 0 {
 							break
 						}
-						// The caller lost the answer and sends the same request again.
+						// The caller lost the answer and repeats the request.
 						continue
 					}
 					if refusal.Code == result.BudgetExhausted {
-						if spent := w.maxSpent(); spent < programBudget {
-							wronglySpent = max(wronglySpent, programBudget-spent)
+						if spent := s.maxSpent(); spent < programBudget {
+							tokensLeft = max(tokensLeft, programBudget-spent)
 						}
 						return
 					}
@@ -272,29 +271,25 @@
 			}
 		})
 	}
-	lines.Wait()
-	return wronglySpent
+	sequences.Wait()
+	return tokensLeft
 }
 
-// committed is what the program's record says once all is told and given back.
-func (w *simulation) committed(t *testing.T) uint64 {
+// committed returns the tokens charged in the program's record once all ends are reported
+// and all reserves given back.
+func (s *simulation) committed(t *testing.T) uint64 {
 	time.Sleep(2 * time.Minute)
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	record, err := budget.Decode("p", w.records["p"])
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	record, err := budget.Decode("p", s.records["p"])
 	assert.NilError(t, err)
 	return budget.Committed(record)
 }
 
-// TestBudgetIsCountedThoughMessagesAreLate: whatever is given up, sent again and told
-// late between gateways and hosts, a program generates less than its budget and the most
-// of one turn, is told that its budget is spent only where it is, and is charged with
-// just what its callers were given.
-//
-// It brought two faults at once. With one name for all attempts at a turn, the late end of
-// an attempt that was given up took the next one off: 36 of 200 seeds generated more than
-// the budget and one turn. Where a host didn't remember an end that overtook its
-// reservation, 126 to 137 of 200 seeds were charged with tokens that nobody generated.
+// TestBudgetIsCountedThoughMessagesAreLate checks that, whatever is abandoned, repeated or
+// delivered late between gateways and hosts, a program generates less than its budget plus
+// the most of one turn, is refused only if its budget is spent, and is charged with exactly
+// what its callers received.
 func TestBudgetIsCountedThoughMessagesAreLate(t *testing.T) {
 	for seed := range uint64(200) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -307,10 +302,10 @@
 func checkBudget(t *testing.T, seed uint64) {
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
-	w := newWorld(ctx, seed)
-	wronglySpent := w.runTurns()
-	committed := w.committed(t)
-	assert.Check(t, w.delivered < programBudget+maxTurnTokens, "%d tokens of %d were handed out", w.delivered, programBudget)
-	assert.Check(t, wronglySpent == 0, "told as spent with %d tokens left", wronglySpent)
-	assert.Check(t, committed == w.delivered, "%d tokens charged, %d handed out", committed, w.delivered)
+	s := newSimulation(ctx, seed)
+	tokensLeft := s.runTurns()
+	committed := s.committed(t)
+	assert.Check(t, s.delivered < programBudget+maxTurnTokens, "%d tokens delivered with a budget of %d", s.delivered, programBudget)
+	assert.Check(t, tokensLeft == 0, "refused as spent with %d tokens left", tokensLeft)
+	assert.Check(t, committed == s.delivered, "%d tokens charged, %d delivered", committed, s.delivered)
 }
--- a/coordination/conversation/state_time_test.go
+++ b/coordination/conversation/state_time_test.go
@@ -41,8 +41,8 @@
 		{time.Second, 1200 * time.Millisecond, 800 * time.Millisecond, result.HistoryUnavailable},
 	} {
 		bubble.Test(t, func(t *testing.T) {
-			never := func() bool { return false }
-			service := conversation.New(slowTurnStore{c.storeDelay}, nil, never, time.Now, nil, zap.NewNop())
+			isCutOff := func() bool { return false }
+			service := conversation.New(slowTurnStore{c.storeDelay}, nil, isCutOff, time.Now, nil, zap.NewNop())
 			ctx, cancel := context.WithTimeout(t.Context(), c.requestTime)
 			defer cancel()
 			began := time.Now()
