--- a/coordination/conversation/conversation.go
+++ b/coordination/conversation/conversation.go
@@ -56,9 +56,9 @@
 }
 
 // New returns a service. The functions must be safe for concurrent use.
-func New(turns Turns, budgets Budgets, cutOff func() bool, now func() time.Time, random func() uint64, logger *zap.Logger) *Service {
+func New(turns Turns, budgets Budgets, isCutOff func() bool, now func() time.Time, random func() uint64, logger *zap.Logger) *Service {
 	return &Service{
-		turns: turns, budgets: budgets, isCutOff: cutOff, logger: logger, outage: outage{now: now}, random: random,
+		turns: turns, budgets: budgets, isCutOff: isCutOff, logger: logger, outage: outage{now: now}, random: random,
 	}
 }
 
@@ -76,7 +76,7 @@
 	// Budget is the number of tokens that all turns of the program may generate together,
 	// zero for no limit.
 	Budget uint64
-	// Most is the number of tokens that this turn may generate.
+	// Most is the maximum number of tokens that this turn may generate.
 	Most uint64
 	// TokensPerEvent is the number of tokens in one event of the answer.
 	TokensPerEvent uint64
--- a/coordination/quota/client.go
+++ b/coordination/quota/client.go
@@ -226,7 +226,7 @@
 		c.mutex.Lock()
 		c.lastHolder[part.Slot] = address
 		c.mutex.Unlock()
-		return answer, c.storeExtra(ask, answer, sent)
+		return answer, c.storePrefetched(ask, answer, sent)
 	}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -235,10 +235,10 @@
 	return nil, Permit{}
 }
 
-// storeExtra puts the prefetched permits in stock and returns the request's tenantStock one. The
+// storePrefetched puts the prefetched permits in stock and returns the request's own permit. The
 // lifetime counts from when the permits were asked for, since the holder may have granted
 // them at any time after that.
-func (c *Client) storeExtra(ask Ask, answer Grant, sent time.Time) Permit {
+func (c *Client) storePrefetched(ask Ask, answer Grant, sent time.Time) Permit {
 	granted, isGranted := answer.(Granted)
 	if !isGranted {
 		return Permit{}
--- a/coordination/quota/programs.go
+++ b/coordination/quota/programs.go
@@ -23,7 +23,7 @@
 	sweepInterval = 250 * time.Millisecond
 )
 
-// programTracker tracks active tenant's programs at active slot, to predict whether the rate can
+// programTracker tracks one tenant's programs at one slot, to predict whether the rate can
 // sustain a new program to its end. A program that is cut off midway has wasted its permits,
 // and with requests refused at random nearly every program is cut off.
 type programTracker struct {
--- a/coordination/quota/simulation_test.go
+++ b/coordination/quota/simulation_test.go
@@ -69,8 +69,8 @@
 
 var errNoAnswer = errors.New("no answer")
 
-func (s *simulation) randomDuration(limit time.Duration) time.Duration {
-	return time.Duration(s.random.Int64N(int64(limit)))
+func (s *simulation) randomDuration(bound time.Duration) time.Duration {
+	return time.Duration(s.random.Int64N(int64(bound)))
 }
 
 // lockedRandom is a random source that is safe for concurrent use.
--- a/coordination/quota/stock.go
+++ b/coordination/quota/stock.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// stock holds the prefetched permits of one tenant that its gateway hasn't used yet.
+// stock holds the unused permits of one tenant at a gateway, prefetched or returned.
 type stock struct {
 	// expiries are the expiry times of the permits, in the order in which they arrived.
 	expiries []time.Time
