--- a/coordination/follow/follower.go
+++ b/coordination/follow/follower.go
@@ -33,12 +33,12 @@
 	// mutex guards the view, and is held while it is applied.
 	mutex sync.Mutex
 	view  view
-	// heard is when the store last answered, in nanoseconds of the Unix epoch;
+	// lastAnswer is when the store last answered, in nanoseconds of the Unix epoch;
 	// zero for never.
-	heard atomic.Int64
-	// proved is the newest moment before which the store is known to have had
+	lastAnswer atomic.Int64
+	// provedAt is the newest moment before which the store is known to have had
 	// nothing newer than the view; nil for none.
-	proved atomic.Pointer[time.Time]
+	provedAt atomic.Pointer[time.Time]
 	// lost is set while the store doesn't answer.
 	lost atomic.Bool
 	// relist is set where the view may have missed changes. Only Serve uses it.
@@ -62,7 +62,7 @@
 			pause = f.options.Settings.MinPause
 			continue
 		}
-		f.failed(err)
+		f.recordFailure(err)
 		if sleep.For(ctx, sleep.Jitter(pause)) != nil {
 			break
 		}
@@ -87,22 +87,22 @@
 	if err != nil {
 		return err
 	}
-	f.heardAt(f.options.Now().Add(-snapshot.Age))
+	f.recordAnswer(f.options.Now().Add(-snapshot.Age))
 	f.logUnreadable(snapshot.Unreadable, snapshot.At)
-	if !f.take(snapshot) {
+	if !f.replaceView(snapshot) {
 		f.options.Logger.Warn("old listing refused", zap.String("objects", f.options.Name),
 			zap.Int64("revision", snapshot.At), zap.Int64("known_revision", f.revision()))
 		return errors.New("the listing is older than what is known")
 	}
-	f.prove(snapshot.Proved)
+	f.recordProof(snapshot.Proved)
 	f.relist = false
 	f.options.Logger.Info("objects listed", zap.String("objects", f.options.Name),
 		zap.Int64("revision", snapshot.At), zap.Int("count", len(snapshot.Objects)))
 	return nil
 }
 
-// take replaces the view and applies it, unless the snapshot is older.
-func (f *Follower) take(snapshot Snapshot) bool {
+// replaceView replaces the view and applies it, unless the snapshot is older.
+func (f *Follower) replaceView(snapshot Snapshot) bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	if !f.view.replace(snapshot) {
@@ -118,7 +118,7 @@
 func (f *Follower) Offer(snapshot Snapshot) bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	if f.view.known && snapshot.At <= f.view.at {
+	if f.view.initialized && snapshot.At <= f.view.revision {
 		return false
 	}
 	f.view.replace(snapshot)
@@ -133,14 +133,14 @@
 func (f *Follower) IsKnown() bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	return f.view.known
+	return f.view.initialized
 }
 
 // revision is that of the view.
 func (f *Follower) revision() int64 {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	return f.view.at
+	return f.view.revision
 }
 
 // watch waits for changes and takes them in.
@@ -157,29 +157,29 @@
 	if err != nil {
 		return err
 	}
-	f.heardAt(f.options.Now().Add(-changes.Age))
+	f.recordAnswer(f.options.Now().Add(-changes.Age))
 	f.logUnreadable(changes.Unreadable, changes.At)
-	isNew := f.change(changes)
-	f.prove(changes.Proved)
+	isNew := f.applyChanges(changes)
+	f.recordProof(changes.Proved)
 	if isNew {
 		_ = sleep.For(ctx, settings.Gather)
 	}
 	return nil
 }
 
-// change takes changes in, applies the view if it differs then, and tells whether it does.
-func (f *Follower) change(changes Changes) bool {
+// applyChanges takes changes in, applies the view if it differs then, and tells whether it does.
+func (f *Follower) applyChanges(changes Changes) bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	if !f.view.change(changes) {
+	if !f.view.applyChanges(changes) {
 		return false
 	}
 	f.options.Apply(f.view.snapshot())
 	return true
 }
 
-// failed notes that a call failed.
-func (f *Follower) failed(err error) {
+// recordFailure notes that a call recordFailure.
+func (f *Follower) recordFailure(err error) {
 	f.relist = f.relist || needsListing(err)
 	if f.lost.Swap(true) {
 		return
--- a/coordination/follow/follower_test.go
+++ b/coordination/follow/follower_test.go
@@ -15,13 +15,13 @@
 	"github.com/marblering/marblering/test/bubble"
 )
 
-// script answers calls one after the other, and then holds them.
-type script struct {
+// scriptedSource answers calls one after the other, and then holds them.
+type scriptedSource struct {
 	steps []func() (Snapshot, Changes, error)
 	calls []string
 }
 
-func (s *script) next(ctx context.Context, call string) (Snapshot, Changes, error) {
+func (s *scriptedSource) next(ctx context.Context, call string) (Snapshot, Changes, error) {
 	s.calls = append(s.calls, call)
 	if len(s.steps) == 0 {
 		<-ctx.Done()
@@ -32,31 +32,31 @@
 	return step()
 }
 
-func (s *script) List(ctx context.Context) (Snapshot, error) {
+func (s *scriptedSource) List(ctx context.Context) (Snapshot, error) {
 	snapshot, _, err := s.next(ctx, "list")
 	return snapshot, err
 }
 
-func (s *script) Watch(ctx context.Context, from int64, _ time.Duration) (Changes, error) {
+func (s *scriptedSource) Watch(ctx context.Context, from int64, _ time.Duration) (Changes, error) {
 	_, changes, err := s.next(ctx, fmt.Sprint("watch ", from))
 	return changes, err
 }
 
-func listed(at int64, objects ...Object) func() (Snapshot, Changes, error) {
+func listStep(at int64, objects ...Object) func() (Snapshot, Changes, error) {
 	return func() (Snapshot, Changes, error) { return Snapshot{Objects: objects, At: at}, Changes{}, nil }
 }
 
-func changed(at int64, events ...Event) func() (Snapshot, Changes, error) {
+func changeStep(at int64, events ...Event) func() (Snapshot, Changes, error) {
 	return func() (Snapshot, Changes, error) { return Snapshot{}, Changes{Events: events, At: at}, nil }
 }
 
-func failed(err error) func() (Snapshot, Changes, error) {
+func errorStep(err error) func() (Snapshot, Changes, error) {
 	return func() (Snapshot, Changes, error) { return Snapshot{}, Changes{}, err }
 }
 
-// follow runs the script to its end and returns the names after each change.
-func follow(steps ...func() (Snapshot, Changes, error)) (calls []string, seen [][]string) {
-	source := &script{steps: steps}
+// runScript runs the script to its end and returns the names after each change.
+func runScript(steps ...func() (Snapshot, Changes, error)) (calls []string, seen [][]string) {
+	source := &scriptedSource{steps: steps}
 	ctx, cancel := context.WithCancel(context.Background())
 	settings := Settings{ListTimeout: time.Minute, WatchWait: time.Minute, WatchSlack: time.Minute, MinPause: 1, MaxPause: 1}
 	follower := New(Options{
@@ -71,7 +71,7 @@
 	})
 	for len(source.steps) > 0 {
 		if err := follower.step(ctx); err != nil {
-			follower.failed(err)
+			follower.recordFailure(err)
 		}
 	}
 	cancel()
@@ -82,10 +82,10 @@
 func object(name string, revision int64) Object { return Object{Name: name, Revision: revision} }
 
 func Example() {
-	calls, seen := follow(
-		listed(5, object("a", 3)),
-		changed(7, Event{Object: object("b", 7)}),
-		changed(9, Event{Object: object("a", 9), Gone: true}),
+	calls, seen := runScript(
+		listStep(5, object("a", 3)),
+		changeStep(7, Event{Object: object("b", 7)}),
+		changeStep(9, Event{Object: object("a", 9), Gone: true}),
 	)
 	fmt.Println(calls)
 	fmt.Println(seen)
@@ -96,7 +96,7 @@
 
 func TestFailureListsAgain(t *testing.T) {
 	for name, err := range map[string]error{"cut": errors.New("cut"), "history gone": ErrHistoryGone} {
-		calls, seen := follow(listed(5, object("a", 3)), failed(err), listed(9, object("b", 8)), changed(10))
+		calls, seen := runScript(listStep(5, object("a", 3)), errorStep(err), listStep(9, object("b", 8)), changeStep(10))
 		assert.DeepEqual(t, calls, []string{"list", "watch 5", "list", "watch 9"})
 		assert.Assert(t, slices.EqualFunc(seen, [][]string{{"a3"}, {"b8"}}, slices.Equal), "%s: %v", name, seen)
 	}
@@ -104,21 +104,21 @@
 
 // TestOldListingIsRefused, such as one that was held up on its way.
 func TestOldListingIsRefused(t *testing.T) {
-	_, seen := follow(listed(5, object("a", 5)), failed(errors.New("cut")), listed(4, object("a", 2)), listed(6, object("a", 5)))
+	_, seen := runScript(listStep(5, object("a", 5)), errorStep(errors.New("cut")), listStep(4, object("a", 2)), listStep(6, object("a", 5)))
 	assert.DeepEqual(t, seen, [][]string{{"a5"}, {"a5"}})
 }
 
 func TestOldOrRepeatedEventChangesNothing(t *testing.T) {
-	_, seen := follow(listed(5, object("a", 5)),
-		changed(6, Event{Object: object("a", 4)}, Event{Object: object("a", 5)}, Event{Object: object("a", 4), Gone: true}),
-		changed(7, Event{Object: object("none", 7), Gone: true}),
-		changed(8, Event{Object: object("a", 8)}))
+	_, seen := runScript(listStep(5, object("a", 5)),
+		changeStep(6, Event{Object: object("a", 4)}, Event{Object: object("a", 5)}, Event{Object: object("a", 4), Gone: true}),
+		changeStep(7, Event{Object: object("none", 7), Gone: true}),
+		changeStep(8, Event{Object: object("a", 8)}))
 	assert.DeepEqual(t, seen, [][]string{{"a5"}, {"a8"}})
 }
 
 // TestSilentStoreIsNoticed: each call has its own bound.
 func TestSilentStoreIsNoticed(t *testing.T) {
-	source := &script{steps: []func() (Snapshot, Changes, error){listed(5)}}
+	source := &scriptedSource{steps: []func() (Snapshot, Changes, error){listStep(5)}}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	settings := Settings{ListTimeout: 1, WatchWait: 1, WatchSlack: 1, MinPause: 1, MaxPause: 1}
@@ -152,7 +152,7 @@
 		for from := 0; from < len(history); {
 			again := rapid.IntRange(0, from).Draw(t, "again")
 			to := rapid.IntRange(from+1, len(history)).Draw(t, "to")
-			followed.change(Changes{Events: history[again:to], At: int64(to)})
+			followed.applyChanges(Changes{Events: history[again:to], At: int64(to)})
 			from = to
 		}
 		var want []Object
@@ -180,21 +180,21 @@
 		}
 		return func() (Snapshot, Changes, error) { return Snapshot{}, changes, nil }
 	}
-	calls, seen := follow(listed(5, object("a", 3), object("b", 4)), whole(4, object("a", 3)), whole(8, object("a", 7)), changed(9))
+	calls, seen := runScript(listStep(5, object("a", 3), object("b", 4)), whole(4, object("a", 3)), whole(8, object("a", 7)), changeStep(9))
 	assert.DeepEqual(t, calls, []string{"list", "watch 5", "watch 5", "watch 8"})
 	assert.DeepEqual(t, seen, [][]string{{"a3", "b4"}, {"a7"}})
 }
 
 // TestCallThatAskedNobodyCostsNoListing, while a call that failed does.
 func TestCallThatAskedNobodyCostsNoListing(t *testing.T) {
-	calls, _ := follow(listed(7), failed(fmt.Errorf("no holder: %w", ErrNobodyAsked)), changed(9), failed(errors.New("cut")), listed(9))
+	calls, _ := runScript(listStep(7), errorStep(fmt.Errorf("no holder: %w", ErrNobodyAsked)), changeStep(9), errorStep(errors.New("cut")), listStep(9))
 	assert.DeepEqual(t, calls[:5], []string{"list", "watch 7", "watch 7", "watch 9", "list"})
 }
 
-// silentOnce says nothing to the first call.
-type silentOnce struct{ calls int }
+// firstCallHangs says nothing to the first call.
+type firstCallHangs struct{ calls int }
 
-func (s *silentOnce) List(ctx context.Context) (Snapshot, error) {
+func (s *firstCallHangs) List(ctx context.Context) (Snapshot, error) {
 	s.calls++
 	if s.calls == 1 {
 		<-ctx.Done()
@@ -203,7 +203,7 @@
 	return Snapshot{At: 1, Objects: []Object{{Name: "a", Revision: 1}}}, nil
 }
 
-func (s *silentOnce) Watch(context.Context, int64, time.Duration) (Changes, error) {
+func (s *firstCallHangs) Watch(context.Context, int64, time.Duration) (Changes, error) {
 	return Changes{}, errors.New("only listings prove anything")
 }
 
@@ -212,7 +212,7 @@
 func TestPolledSourceProvesWhenItAsked(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		const interval = 500 * time.Millisecond
-		source := Polled(&silentOnce{}, interval, time.Now)
+		source := Polled(&firstCallHangs{}, interval, time.Now)
 		began := time.Now()
 		_, err := source.List(t.Context())
 		assert.ErrorIs(t, err, context.DeadlineExceeded)
--- a/coordination/follow/freshness.go
+++ b/coordination/follow/freshness.go
@@ -9,7 +9,7 @@
 // Age is how long ago the store last answered, itself or through another node, by the
 // time of day; ok is false before the first answer.
 func (f *Follower) Age() (age time.Duration, ok bool) {
-	heard := f.heard.Load()
+	heard := f.lastAnswer.Load()
 	if heard == 0 {
 		return 0, false
 	}
@@ -29,23 +29,23 @@
 // Proved is the newest moment before which the store is known to have had nothing
 // newer than the view; zero for none.
 func (f *Follower) Proved() time.Time {
-	if proved := f.proved.Load(); proved != nil {
+	if proved := f.provedAt.Load(); proved != nil {
 		return *proved
 	}
 	return time.Time{}
 }
 
-// prove notes a moment of that kind. It is called once the view has been applied: whoever
+// recordProof notes a moment of that kind. It is called once the view has been applied: whoever
 // sees the moment sees at least what was there then.
-func (f *Follower) prove(moment time.Time) {
+func (f *Follower) recordProof(moment time.Time) {
 	if !moment.IsZero() && moment.After(f.Proved()) {
-		f.proved.Store(&moment)
+		f.provedAt.Store(&moment)
 	}
 }
 
-// heardAt notes the moment at which the store last said something, and that it answers.
-func (f *Follower) heardAt(moment time.Time) {
-	f.heard.Store(max(f.heard.Load(), moment.UnixNano()))
+// recordAnswer notes the moment at which the store last said something, and that it answers.
+func (f *Follower) recordAnswer(moment time.Time) {
+	f.lastAnswer.Store(max(f.lastAnswer.Load(), moment.UnixNano()))
 	if !f.lost.Swap(false) {
 		return
 	}
--- a/coordination/follow/polled.go
+++ b/coordination/follow/polled.go
@@ -14,36 +14,36 @@
 // store that is about to forget its history may leave it without an answer about what
 // has changed.
 func Polled(source Source, interval time.Duration, now func() time.Time) Source {
-	return &polled{source: source, interval: interval, now: now}
+	return &pollingSource{source: source, interval: interval, now: now}
 }
 
-type polled struct {
+type pollingSource struct {
 	source   Source
 	interval time.Duration
 	now      func() time.Time
-	// asked is when the source was last asked. Calls are made one at a time.
-	asked time.Time
+	// lastListing is when the source was last lastListing. Calls are made one at a time.
+	lastListing time.Time
 }
 
 // List implements Source. A listing that isn't answered within the interval is given up:
 // the next one is due, and that a store which said nothing has returned has to be found
 // soon.
-func (p *polled) List(ctx context.Context) (Snapshot, error) {
+func (p *pollingSource) List(ctx context.Context) (Snapshot, error) {
 	ctx, cancel := context.WithTimeout(ctx, p.interval)
 	defer cancel()
-	p.asked = p.now()
+	p.lastListing = p.now()
 	snapshot, err := p.source.List(ctx)
 	if err != nil {
 		return Snapshot{}, err
 	}
-	snapshot.Proved = p.asked
+	snapshot.Proved = p.lastListing
 	return snapshot, nil
 }
 
 // Watch implements Source. It lists once the interval has passed since the last
 // listing.
-func (p *polled) Watch(ctx context.Context, _ int64, _ time.Duration) (Changes, error) {
-	if err := sleep.For(ctx, p.interval-p.now().Sub(p.asked)); err != nil {
+func (p *pollingSource) Watch(ctx context.Context, _ int64, _ time.Duration) (Changes, error) {
+	if err := sleep.For(ctx, p.interval-p.now().Sub(p.lastListing)); err != nil {
 		return Changes{}, err
 	}
 	snapshot, err := p.List(ctx)
--- a/coordination/follow/view.go
+++ b/coordination/follow/view.go
@@ -60,41 +60,41 @@
 // goes back.
 type view struct {
 	objects map[string]Object
-	at      int64
-	known   bool
+	revision      int64
+	initialized   bool
 }
 
 // replace takes a snapshot in and tells whether it did. One that is older than what is
 // known, such as an answer that was held up on its way, is refused.
 func (v *view) replace(snapshot Snapshot) bool {
-	if v.known && snapshot.At < v.at {
+	if v.initialized && snapshot.At < v.revision {
 		return false
 	}
 	v.objects = make(map[string]Object, len(snapshot.Objects))
 	for _, object := range snapshot.Objects {
 		v.objects[object.Name] = object
 	}
-	v.at = snapshot.At
-	v.known = true
+	v.revision = snapshot.At
+	v.initialized = true
 	return true
 }
 
-// change takes changes in and tells whether any object differs from before.
-func (v *view) change(changes Changes) bool {
+// applyChanges takes changes in and tells whether any object differs from before.
+func (v *view) applyChanges(changes Changes) bool {
 	if changes.IsWhole {
-		return !v.has(changes) && v.replace(changes.Snapshot())
+		return !v.confirmUnchanged(changes) && v.replace(changes.Snapshot())
 	}
 	changed := false
 	for _, event := range changes.Events {
-		changed = v.changeOne(event) || changed
+		changed = v.applyEvent(event) || changed
 	}
-	v.at = max(v.at, changes.At)
+	v.revision = max(v.revision, changes.At)
 	return changed
 }
 
-// has tells whether whole changes say nothing new, and notes their revision if so.
-func (v *view) has(changes Changes) bool {
-	if !v.known || len(changes.Events) != len(v.objects) {
+// confirmUnchanged tells whether whole changes say nothing new, and notes their revision if so.
+func (v *view) confirmUnchanged(changes Changes) bool {
+	if !v.initialized || len(changes.Events) != len(v.objects) {
 		return false
 	}
 	for _, event := range changes.Events {
@@ -103,7 +103,7 @@
 			return false
 		}
 	}
-	v.at = max(v.at, changes.At)
+	v.revision = max(v.revision, changes.At)
 	return true
 }
 
@@ -125,9 +125,9 @@
 	return changes
 }
 
-// changeOne takes one event in, unless it is older than what is known of the object, and
+// applyEvent takes one event in, unless it is older than what is known of the object, and
 // tells whether the object differs from before.
-func (v *view) changeOne(event Event) bool {
+func (v *view) applyEvent(event Event) bool {
 	known, exists := v.objects[event.Object.Name]
 	if exists && event.Object.Revision < known.Revision {
 		return false
@@ -150,5 +150,5 @@
 		objects = append(objects, object)
 	}
 	slices.SortFunc(objects, func(a, b Object) int { return cmp.Compare(a.Name, b.Name) })
-	return Snapshot{Objects: objects, At: v.at}
+	return Snapshot{Objects: objects, At: v.revision}
 }
