--- a/coordination/follow/counted.go
+++ b/coordination/follow/counted.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// Counter counts. prometheus.Counter is one.
+// Counter is the part of prometheus.Counter that Counted needs.
 type Counter interface{ Inc() }
 
-// Counted returns a source that counts the calls to the given one: each is load for a
-// store that many nodes share.
+// Counted wraps a source and counts every call to it, since each is load on the store
+// that all nodes share.
 func Counted(source Source, calls Counter) Source { return countingSource{source, calls} }
 
 type countingSource struct {
--- a/coordination/follow/freshness.go
+++ b/coordination/follow/freshness.go
@@ -6,18 +6,18 @@
 	"go.uber.org/zap"
 )
 
-// Age is how long ago the store last answered, itself or through another node, by the
-// time of day; ok is false before the first answer.
+// Age returns the time since the store last answered, directly or through another node,
+// by wall-clock time; ok is false before the first answer.
 func (f *Follower) Age() (age time.Duration, ok bool) {
-	heard := f.lastAnswer.Load()
-	if heard == 0 {
+	answered := f.lastAnswer.Load()
+	if answered == 0 {
 		return 0, false
 	}
-	return f.options.Now().Sub(time.Unix(0, heard)), true
+	return f.options.Now().Sub(time.Unix(0, answered)), true
 }
 
-// Staleness is how long ago the store is known to have had nothing newer than the view,
-// by this node's steady clock; ok is false where that was never known.
+// Staleness returns the time since the view was last proven to be current, by this node's
+// monotonic clock; ok is false if it never was.
 func (f *Follower) Staleness() (staleness time.Duration, ok bool) {
 	proved := f.Proved()
 	if proved.IsZero() {
@@ -26,8 +26,8 @@
 	return f.options.Now().Sub(proved), true
 }
 
-// Proved is the newest moment before which the store is known to have had nothing
-// newer than the view; zero for none.
+// Proved returns the latest time before which the store is known to have had nothing
+// newer than the view; zero if there is none.
 func (f *Follower) Proved() time.Time {
 	if proved := f.provedAt.Load(); proved != nil {
 		return *proved
