--- a/coordination/follow/follower.go
+++ b/coordination/follow/follower.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"errors"
+	"fmt"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -12,48 +13,48 @@
 	"github.com/marblering/marblering/coordination/sleep"
 )
 
-// Options are the parts of a Follower.
+// Options configures a Follower.
 type Options struct {
-	// Name is what log lines call the objects.
+	// Name identifies the kind of objects in log lines.
 	Name     string
 	Source   Source
 	Settings Settings
-	// Lost is called when the store doesn't answer any more; nil for nothing.
+	// Lost is called when the store becomes unavailable; it may be nil.
 	Lost func()
-	// Apply is called with the whole view after each change of it, one call at
-	// a time.
+	// Apply is called with the complete view after each change. Calls don't overlap.
 	Apply  func(Snapshot)
 	Logger *zap.Logger
 	Now    func() time.Time
 }
 
-// Follower keeps the view of one kind of objects. It is a suture service.
+// Follower keeps a copy of one kind of objects up to date. It implements suture.Service.
 type Follower struct {
 	options Options
-	// mutex guards the view, and is held while it is applied.
+	// mutex guards view and is held during Options.Apply.
 	mutex sync.Mutex
 	view  view
-	// lastAnswer is when the store last answered, in nanoseconds of the Unix epoch;
+	// lastAnswer is when the store last answered, in nanoseconds since the Unix epoch;
 	// zero for never.
 	lastAnswer atomic.Int64
-	// provedAt is the newest moment before which the store is known to have had
-	// nothing newer than the view; nil for none.
+	// provedAt is the latest time before which the store is known to have had
+	// nothing newer than the view; nil if there is none.
 	provedAt atomic.Pointer[time.Time]
-	// lost is set while the store doesn't answer.
+	// lost is set while calls to the store fail.
 	lost atomic.Bool
-	// relist is set where the view may have missed changes. Only Serve uses it.
+	// relist is set if the view may have missed changes. Only Serve uses it.
 	relist bool
 }
 
-// New makes a follower that knows nothing yet.
+// New returns a follower with an empty view.
 func New(options Options) *Follower {
 	return &Follower{options: options, relist: true}
 }
 
-// String names the service in the supervisor's messages.
+// String returns the service name for the supervisor's log messages.
 func (f *Follower) String() string { return "follower of " + f.options.Name }
 
-// Serve follows the objects until the context ends.
+// Serve follows the objects until the context ends, with exponential backoff after
+// failed calls.
 func (f *Follower) Serve(ctx context.Context) error {
 	pause := f.options.Settings.MinPause
 	for ctx.Err() == nil {
@@ -71,7 +72,7 @@
 	return ctx.Err()
 }
 
-// step makes one call to the source.
+// step makes one call to the source and applies its result.
 func (f *Follower) step(ctx context.Context) error {
 	if f.relist {
 		return f.list(ctx)
@@ -79,7 +80,7 @@
 	return f.watch(ctx)
 }
 
-// list replaces the view with all objects.
+// list fetches all objects and replaces the view with them.
 func (f *Follower) list(ctx context.Context) error {
 	bounded, cancel := context.WithTimeout(ctx, f.options.Settings.ListTimeout)
 	defer cancel()
@@ -90,9 +91,9 @@
 	f.recordAnswer(f.options.Now().Add(-snapshot.Age))
 	f.logUnreadable(snapshot.Unreadable, snapshot.At)
 	if !f.replaceView(snapshot) {
-		f.options.Logger.Warn("old listing refused", zap.String("objects", f.options.Name),
+		f.options.Logger.Warn("outdated listing ignored", zap.String("objects", f.options.Name),
 			zap.Int64("revision", snapshot.At), zap.Int64("known_revision", f.revision()))
-		return errors.New("the listing is older than what is known")
+		return fmt.Errorf("listing has revision %d, older than the known revision %d", snapshot.At, f.revision())
 	}
 	f.recordProof(snapshot.Proved)
 	f.relist = false
@@ -101,7 +102,8 @@
 	return nil
 }
 
-// replaceView replaces the view and applies it, unless the snapshot is older.
+// replaceView replaces the view and applies it, unless the snapshot is older. It reports
+// whether it did.
 func (f *Follower) replaceView(snapshot Snapshot) bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -112,9 +114,8 @@
 	return true
 }
 
-// Offer takes in a snapshot that another node had from the store, if it is newer
-// than what is known, and tells whether it did. It says nothing about whether the
-// store has changed since.
+// Offer replaces the view with a snapshot that another node got from the store if it is
+// newer, and reports whether it did. This proves nothing about how current the view is.
 func (f *Follower) Offer(snapshot Snapshot) bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -126,24 +127,24 @@
 	return true
 }
 
-// IsLost tells that the last call to the source failed.
+// IsLost reports whether the last call to the source failed.
 func (f *Follower) IsLost() bool { return f.lost.Load() }
 
-// IsKnown tells that any snapshot was taken in.
+// IsKnown reports whether the view has been filled by a snapshot.
 func (f *Follower) IsKnown() bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.view.initialized
 }
 
-// revision is that of the view.
+// revision returns the store's revision that the view reflects.
 func (f *Follower) revision() int64 {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.view.revision
 }
 
-// watch waits for changes and takes them in.
+// watch waits for changes and applies them.
 func (f *Follower) watch(ctx context.Context) error {
 	settings := f.options.Settings
 	bounded, cancel := context.WithTimeout(ctx, settings.WatchWait+settings.WatchSlack)
@@ -159,15 +160,15 @@
 	}
 	f.recordAnswer(f.options.Now().Add(-changes.Age))
 	f.logUnreadable(changes.Unreadable, changes.At)
-	isNew := f.applyChanges(changes)
+	changed := f.applyChanges(changes)
 	f.recordProof(changes.Proved)
-	if isNew {
+	if changed {
 		_ = sleep.For(ctx, settings.Gather)
 	}
 	return nil
 }
 
-// applyChanges takes changes in, applies the view if it differs then, and tells whether it does.
+// applyChanges updates the view, applies it if it changed, and reports whether it did.
 func (f *Follower) applyChanges(changes Changes) bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -178,7 +179,8 @@
 	return true
 }
 
-// recordFailure notes that a call recordFailure.
+// recordFailure decides whether to list again after a failed call, and logs and reports
+// the first failure in a row.
 func (f *Follower) recordFailure(err error) {
 	f.relist = f.relist || needsListing(err)
 	if f.lost.Swap(true) {
@@ -191,19 +193,17 @@
 	}
 }
 
-// needsListing decides whether the objects are listed after a failed call, rather than
-// followed on from the known revision. A lost answer may have held changes, so they are.
-// Where nobody was asked they aren't: another node refuses to be listed from while its
-// revision is older than the known one, which it often is though it lacks nothing, since
-// the store's revision rises with every kind. A node that had asked the store itself once
-// would then ask it for good: 2,816 calls of 295 nodes in a quiet run of 48 s in place of
-// 316, with the failures of one moment counted once for each kind.
+// needsListing reports whether a failed call requires a new listing: a lost response may
+// have held changes. After ErrNobodyAsked the watch goes on instead. Another node refuses
+// a listing while its revision is older than the known one, which is common even when it
+// misses no change, since the revision covers all kinds of objects; listing would then
+// always end at the store itself.
 func needsListing(err error) bool { return !errors.Is(err, ErrNobodyAsked) }
 
-// logUnreadable logs that objects without a name were passed over.
-func (f *Follower) logUnreadable(count int, at int64) {
+// logUnreadable logs how many objects were skipped because they have no name.
+func (f *Follower) logUnreadable(count int, revision int64) {
 	if count > 0 {
-		f.options.Logger.Warn("objects without a name passed over", zap.String("objects", f.options.Name),
-			zap.Int64("revision", at), zap.Int("count", count))
+		f.options.Logger.Warn("objects without a name skipped", zap.String("objects", f.options.Name),
+			zap.Int64("revision", revision), zap.Int("count", count))
 	}
 }
--- a/coordination/follow/freshness.go
+++ b/coordination/follow/freshness.go
@@ -35,17 +35,17 @@
 	return time.Time{}
 }
 
-// recordProof notes a moment of that kind. It is called once the view has been applied: whoever
-// sees the moment sees at least what was there then.
-func (f *Follower) recordProof(moment time.Time) {
-	if !moment.IsZero() && moment.After(f.Proved()) {
-		f.provedAt.Store(&moment)
+// recordProof advances the time that Proved returns. It must be called after the view was
+// applied, so that a caller that sees the time also sees the state as of then.
+func (f *Follower) recordProof(at time.Time) {
+	if !at.IsZero() && at.After(f.Proved()) {
+		f.provedAt.Store(&at)
 	}
 }
 
-// recordAnswer notes the moment at which the store last said something, and that it answers.
-func (f *Follower) recordAnswer(moment time.Time) {
-	f.lastAnswer.Store(max(f.lastAnswer.Load(), moment.UnixNano()))
+// recordAnswer records that the store answered at the given time, and so is available.
+func (f *Follower) recordAnswer(at time.Time) {
+	f.lastAnswer.Store(max(f.lastAnswer.Load(), at.UnixNano()))
 	if !f.lost.Swap(false) {
 		return
 	}
--- a/coordination/follow/view.go
+++ b/coordination/follow/view.go
@@ -59,9 +59,9 @@
 // view is the copy of the objects at one revision. It has no threads and no I/O, and never
 // goes back.
 type view struct {
-	objects map[string]Object
-	revision      int64
-	initialized   bool
+	objects     map[string]Object
+	revision    int64
+	initialized bool
 }
 
 // replace takes a snapshot in and tells whether it did. One that is older than what is
