--- a/coordination/follow/polled.go
+++ b/coordination/follow/polled.go
@@ -7,12 +7,11 @@
 	"github.com/marblering/marblering/coordination/sleep"
 )
 
-// Polled returns a source that lists at the interval in place of holding calls, so that
-// each answer proves that nothing newer existed when it was asked for. The listings of
-// the source must be linearizable. A held call proves less for the same price: it proves
-// what was so when it was made, so that its answer is a whole wait old at once, and a
-// store that is about to forget its history may leave it without an answer about what
-// has changed.
+// Polled returns a source that lists at a fixed interval instead of long polling, so that
+// each answer proves that the store had nothing newer when the request was sent. The
+// listings of the source must be linearizable. A long poll proves less at the same cost:
+// its answer only covers the time at which the request was sent, a whole wait ago, and a
+// store that compacts its history may not answer with the changes.
 func Polled(source Source, interval time.Duration, now func() time.Time) Source {
 	return &pollingSource{source: source, interval: interval, now: now}
 }
@@ -21,13 +20,12 @@
 	source   Source
 	interval time.Duration
 	now      func() time.Time
-	// lastListing is when the source was last lastListing. Calls are made one at a time.
+	// lastListing is when the last listing was requested. Calls don't overlap.
 	lastListing time.Time
 }
 
-// List implements Source. A listing that isn't answered within the interval is given up:
-// the next one is due, and that a store which said nothing has returned has to be found
-// soon.
+// List implements Source. It fails if there is no answer within the interval: the next
+// listing is then due, and the recovery of the store must be noticed soon.
 func (p *pollingSource) List(ctx context.Context) (Snapshot, error) {
 	ctx, cancel := context.WithTimeout(ctx, p.interval)
 	defer cancel()
--- a/coordination/follow/settings.go
+++ b/coordination/follow/settings.go
@@ -2,27 +2,24 @@
 
 import "time"
 
-// Settings are the bounds of a follower's calls.
+// Settings holds the timeouts and pauses of a follower's calls.
 type Settings struct {
-	// ListTimeout bounds one listing.
+	// ListTimeout limits one listing.
 	ListTimeout time.Duration
-	// WatchWait is how long the store may hold a call without changes.
+	// WatchWait is how long the store may hold a watch request without changes.
 	WatchWait time.Duration
-	// WatchSlack is how much longer than WatchWait an answer may take. Both
-	// together bound how long a silent store goes unnoticed.
+	// WatchSlack is how much longer than WatchWait the response may take. An
+	// unresponsive store is detected after the sum of both.
 	WatchSlack time.Duration
-	// Gather is the pause after changes, so that those that follow soon come in
-	// one answer.
+	// Gather is the pause after changes, so that further changes shortly afterwards
+	// arrive in one response.
 	Gather time.Duration
-	// MinPause and MaxPause bound the pause after a failed call, which doubles from one
-	// to the other with each further failure.
+	// MinPause and MaxPause limit the exponential backoff after failed calls.
 	MinPause time.Duration
 	MaxPause time.Duration
 }
 
-// DefaultSettings notice a silent store within three seconds. The figures are chosen, not
-// measured; of Gather and longer waits together the calls of a quiet run are known, 456
-// in place of 641.
+// DefaultSettings returns settings that detect an unresponsive store within three seconds.
 func DefaultSettings() Settings {
 	return Settings{
 		ListTimeout: 1500 * time.Millisecond,
--- a/coordination/follow/source.go
+++ b/coordination/follow/source.go
@@ -6,20 +6,20 @@
 	"time"
 )
 
-// ErrHistoryGone is what a Source returns where it no longer has the changes since the
-// revision that was asked for. The objects have to be listed then.
-var ErrHistoryGone = errors.New("the store's history is gone")
+// ErrHistoryGone means that the store no longer has all changes since the requested
+// revision. The objects have to be listed again.
+var ErrHistoryGone = errors.New("the store no longer has the requested changes")
 
-// ErrNobodyAsked is what a Source returns where it made no call, so that no answer with
-// changes can have been lost.
-var ErrNobodyAsked = errors.New("the store wasn't asked")
+// ErrNobodyAsked means that the Source made no call, so that no response with changes can
+// have been lost.
+var ErrNobodyAsked = errors.New("the store was not queried")
 
-// Source is one kind of objects in a store. Its calls are made one at a time.
+// Source reads one kind of objects of a store. Its calls don't overlap.
 type Source interface {
-	// List returns every object, as the store had them the snapshot's age ago.
+	// List returns all objects. They may be as old as Snapshot.Age.
 	List(ctx context.Context) (Snapshot, error)
-	// Watch returns the changes since a revision as soon as there are any, and none
-	// after about the wait. It returns ErrHistoryGone where the store has forgotten some
-	// of them.
+	// Watch returns the changes since a revision as soon as there are any, or no changes
+	// after about the given wait. It returns ErrHistoryGone if the store no longer has
+	// all of them.
 	Watch(ctx context.Context, from int64, wait time.Duration) (Changes, error)
 }
--- a/coordination/follow/view.go
+++ b/coordination/follow/view.go
@@ -6,66 +6,65 @@
 	"time"
 )
 
-// Object is one object of the store.
+// Object is an object of the store.
 type Object struct {
 	Name string
-	// Revision is the store's revision of the object's last change.
+	// Revision is the store's revision at the object's last change.
 	Revision int64
-	// Spec is the object's content, undecoded.
+	// Spec is the encoded content.
 	Spec []byte
-	// Status is what was reported of it, undecoded; empty for nothing.
+	// Status is the encoded status; empty if none was reported.
 	Status []byte
 }
 
-// Snapshot is every object of one kind at one revision of the store.
+// Snapshot holds all objects of one kind at one revision of the store.
 type Snapshot struct {
 	Objects []Object
 	// At is the revision of the store.
 	At int64
-	// Unreadable is how many further objects there are that have no name to know them by.
+	// Unreadable counts the objects that were left out because they have no name.
 	Unreadable int `json:"-"`
-	// Age is how long ago the store had said so when the snapshot was handed out; zero
-	// where the store itself was asked.
+	// Age is the time since the store's answer when the snapshot was received from
+	// another node; zero for a direct answer of the store.
 	Age time.Duration `json:"-"`
-	// Proved is a moment before which the store had nothing newer, by this node's
-	// steady clock; zero where nothing shows such a moment.
+	// Proved is a time before which the store had nothing newer, by this node's
+	// monotonic clock; zero if no such time is known.
 	Proved time.Time `json:"-"`
 }
 
-// Event is one change.
+// Event is the change of one object.
 type Event struct {
 	Object Object
-	// Gone tells that the object was removed.
+	// Gone is set if the object was deleted.
 	Gone bool
 }
 
-// Changes are the events between two revisions.
+// Changes holds the events between two revisions.
 type Changes struct {
 	Events []Event
-	// At is the revision from which to go on.
+	// At is the revision to watch from next.
 	At int64
-	// Unreadable is how many further changes there are, of objects that have no name to
-	// know them by.
+	// Unreadable counts the events that were left out because their objects have no
+	// name.
 	Unreadable int
-	// IsWhole tells that the events are all objects that there are: what isn't
-	// among them is gone.
+	// IsWhole is set if the events list all existing objects, so that any other object
+	// was deleted.
 	IsWhole bool
-	// Age is how long ago the store had said so; zero where the store itself was asked.
-	Age time.Duration
-	// Proved is a moment as in Snapshot.
+	// Age and Proved have the same meaning as in Snapshot.
+	Age    time.Duration
 	Proved time.Time
 }
 
-// view is the copy of the objects at one revision. It has no threads and no I/O, and never
-// goes back.
+// view is the copy of the objects at one revision, which never decreases. It isn't safe
+// for concurrent use.
 type view struct {
 	objects     map[string]Object
 	revision    int64
 	initialized bool
 }
 
-// replace takes a snapshot in and tells whether it did. One that is older than what is
-// known, such as an answer that was held up on its way, is refused.
+// replace sets the view to the snapshot and reports whether it did. A snapshot older than
+// the view, such as a delayed response, is ignored.
 func (v *view) replace(snapshot Snapshot) bool {
 	if v.initialized && snapshot.At < v.revision {
 		return false
@@ -79,7 +78,7 @@
 	return true
 }
 
-// applyChanges takes changes in and tells whether any object differs from before.
+// applyChanges updates the view and reports whether any object changed.
 func (v *view) applyChanges(changes Changes) bool {
 	if changes.IsWhole {
 		return !v.confirmUnchanged(changes) && v.replace(changes.Snapshot())
@@ -92,7 +91,8 @@
 	return changed
 }
 
-// confirmUnchanged tells whether whole changes say nothing new, and notes their revision if so.
+// confirmUnchanged reports whether whole changes match the view, and advances its revision
+// if so.
 func (v *view) confirmUnchanged(changes Changes) bool {
 	if !v.initialized || len(changes.Events) != len(v.objects) {
 		return false
@@ -107,7 +107,7 @@
 	return true
 }
 
-// Snapshot returns what changes that are whole say.
+// Snapshot converts whole changes to a snapshot.
 func (c Changes) Snapshot() Snapshot {
 	snapshot := Snapshot{At: c.At, Age: c.Age, Proved: c.Proved, Objects: make([]Object, 0, len(c.Events))}
 	for _, event := range c.Events {
@@ -116,7 +116,7 @@
 	return snapshot
 }
 
-// Changes returns the snapshot as changes that are whole.
+// Changes converts the snapshot to whole changes.
 func (s Snapshot) Changes() Changes {
 	changes := Changes{At: s.At, IsWhole: true, Age: s.Age, Proved: s.Proved}
 	for _, object := range s.Objects {
@@ -125,8 +125,8 @@
 	return changes
 }
 
-// applyEvent takes one event in, unless it is older than what is known of the object, and
-// tells whether the object differs from before.
+// applyEvent applies one event, unless it is older than the known object, and reports
+// whether the object changed.
 func (v *view) applyEvent(event Event) bool {
 	known, exists := v.objects[event.Object.Name]
 	if exists && event.Object.Revision < known.Revision {
@@ -143,7 +143,7 @@
 	return true
 }
 
-// snapshot copies the view, in the order of names.
+// snapshot returns a copy of the view, sorted by name.
 func (v *view) snapshot() Snapshot {
 	objects := make([]Object, 0, len(v.objects))
 	for _, object := range v.objects {
