--- a/coordination/follow/follower_test.go
+++ b/coordination/follow/follower_test.go
@@ -15,7 +15,7 @@
 	"github.com/marblering/marblering/test/bubble"
 )
 
-// scriptedSource answers calls one after the other, and then holds them.
+// scriptedSource answers each call with the next step, and blocks once there is none.
 type scriptedSource struct {
 	steps []func() (Snapshot, Changes, error)
 	calls []string
@@ -54,8 +54,9 @@
 	return func() (Snapshot, Changes, error) { return Snapshot{}, Changes{}, err }
 }
 
-// runScript runs the script to its end and returns the names after each change.
-func runScript(steps ...func() (Snapshot, Changes, error)) (calls []string, seen [][]string) {
+// runScript runs a follower through all steps. It returns the calls to the source and the
+// names and revisions of the objects at each Apply.
+func runScript(steps ...func() (Snapshot, Changes, error)) (calls []string, applied [][]string) {
 	source := &scriptedSource{steps: steps}
 	ctx, cancel := context.WithCancel(context.Background())
 	settings := Settings{ListTimeout: time.Minute, WatchWait: time.Minute, WatchSlack: time.Minute, MinPause: 1, MaxPause: 1}
@@ -66,7 +67,7 @@
 			for _, object := range snapshot.Objects {
 				names = append(names, fmt.Sprint(object.Name, object.Revision))
 			}
-			seen = append(seen, names)
+			applied = append(applied, names)
 		},
 	})
 	for len(source.steps) > 0 {
@@ -76,48 +77,51 @@
 	}
 	cancel()
 	_ = follower.Serve(ctx)
-	return source.calls, seen
+	return source.calls, applied
 }
 
 func object(name string, revision int64) Object { return Object{Name: name, Revision: revision} }
 
 func Example() {
-	calls, seen := runScript(
+	calls, applied := runScript(
 		listStep(5, object("a", 3)),
 		changeStep(7, Event{Object: object("b", 7)}),
 		changeStep(9, Event{Object: object("a", 9), Gone: true}),
 	)
 	fmt.Println(calls)
-	fmt.Println(seen)
+	fmt.Println(applied)
 	// Output:
 	// [list watch 5 watch 7]
 	// [[a3] [a3 b7] [b7]]
 }
 
-func TestFailureListsAgain(t *testing.T) {
+// TestFailedWatchListsAgain guards against changes lost with a failed response.
+func TestFailedWatchListsAgain(t *testing.T) {
 	for name, err := range map[string]error{"cut": errors.New("cut"), "history gone": ErrHistoryGone} {
-		calls, seen := runScript(listStep(5, object("a", 3)), errorStep(err), listStep(9, object("b", 8)), changeStep(10))
+		calls, applied := runScript(listStep(5, object("a", 3)), errorStep(err), listStep(9, object("b", 8)), changeStep(10))
 		assert.DeepEqual(t, calls, []string{"list", "watch 5", "list", "watch 9"})
-		assert.Assert(t, slices.EqualFunc(seen, [][]string{{"a3"}, {"b8"}}, slices.Equal), "%s: %v", name, seen)
+		assert.Assert(t, slices.EqualFunc(applied, [][]string{{"a3"}, {"b8"}}, slices.Equal), "%s: %v", name, applied)
 	}
 }
 
-// TestOldListingIsRefused, such as one that was held up on its way.
-func TestOldListingIsRefused(t *testing.T) {
-	_, seen := runScript(listStep(5, object("a", 5)), errorStep(errors.New("cut")), listStep(4, object("a", 2)), listStep(6, object("a", 5)))
-	assert.DeepEqual(t, seen, [][]string{{"a5"}, {"a5"}})
+// TestOutdatedListingIsIgnored guards against going back to a delayed, older listing.
+func TestOutdatedListingIsIgnored(t *testing.T) {
+	_, applied := runScript(listStep(5, object("a", 5)), errorStep(errors.New("cut")), listStep(4, object("a", 2)), listStep(6, object("a", 5)))
+	assert.DeepEqual(t, applied, [][]string{{"a5"}, {"a5"}})
 }
 
+// TestOldOrRepeatedEventChangesNothing guards against older events that overwrite newer
+// objects, and against needless Apply calls.
 func TestOldOrRepeatedEventChangesNothing(t *testing.T) {
-	_, seen := runScript(listStep(5, object("a", 5)),
+	_, applied := runScript(listStep(5, object("a", 5)),
 		changeStep(6, Event{Object: object("a", 4)}, Event{Object: object("a", 5)}, Event{Object: object("a", 4), Gone: true}),
 		changeStep(7, Event{Object: object("none", 7), Gone: true}),
 		changeStep(8, Event{Object: object("a", 8)}))
-	assert.DeepEqual(t, seen, [][]string{{"a5"}, {"a8"}})
+	assert.DeepEqual(t, applied, [][]string{{"a5"}, {"a8"}})
 }
 
-// TestSilentStoreIsNoticed: each call has its own bound.
-func TestSilentStoreIsNoticed(t *testing.T) {
+// TestUnresponsiveStoreIsDetected checks that a watch without an answer times out.
+func TestUnresponsiveStoreIsDetected(t *testing.T) {
 	source := &scriptedSource{steps: []func() (Snapshot, Changes, error){listStep(5)}}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -125,13 +129,13 @@
 	follower := New(Options{Source: source, Settings: settings, Logger: zap.NewNop(), Now: time.Now, Apply: func(Snapshot) {}})
 	assert.NilError(t, follower.step(ctx))
 	assert.ErrorIs(t, follower.step(ctx), context.DeadlineExceeded)
-	age, heard := follower.Age()
-	assert.Assert(t, heard && age >= 0)
+	age, answered := follower.Age()
+	assert.Assert(t, answered && age >= 0)
 }
 
-// TestViewIsTheNewest gives a view the changes of a store late, doubled and mixed
-// with listings, and compares with the store.
-func TestViewIsTheNewest(t *testing.T) {
+// TestViewMatchesStore checks that a view that receives random batches of changes, some
+// of them repeatedly, ends in the state of the store.
+func TestViewMatchesStore(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var history []Event
 		state := make(map[string]Object)
@@ -147,20 +151,20 @@
 				delete(state, name)
 			}
 		}
-		var followed view
-		followed.replace(Snapshot{At: 0})
+		var copied view
+		copied.replace(Snapshot{At: 0})
 		for from := 0; from < len(history); {
-			again := rapid.IntRange(0, from).Draw(t, "again")
+			repeated := rapid.IntRange(0, from).Draw(t, "again")
 			to := rapid.IntRange(from+1, len(history)).Draw(t, "to")
-			followed.applyChanges(Changes{Events: history[again:to], At: int64(to)})
+			copied.applyChanges(Changes{Events: history[repeated:to], At: int64(to)})
 			from = to
 		}
 		var want []Object
-		for _, known := range state {
-			want = append(want, known)
+		for _, current := range state {
+			want = append(want, current)
 		}
 		slices.SortFunc(want, func(a, b Object) int { return int(a.Name[0]) - int(b.Name[0]) })
-		got := followed.snapshot()
+		got := copied.snapshot()
 		assert.Equal(t, got.At, revision)
 		assert.Equal(t, len(got.Objects), len(want))
 		for index := range want {
@@ -170,8 +174,8 @@
 	})
 }
 
-// TestWholeChangesReplaceTheView, also where objects are missing among them, and
-// never by an older state.
+// TestWholeChangesReplaceTheView checks that whole changes delete the objects that they
+// don't list, and that older ones are ignored.
 func TestWholeChangesReplaceTheView(t *testing.T) {
 	whole := func(at int64, objects ...Object) func() (Snapshot, Changes, error) {
 		changes := Changes{At: at, IsWhole: true}
@@ -180,18 +184,19 @@
 		}
 		return func() (Snapshot, Changes, error) { return Snapshot{}, changes, nil }
 	}
-	calls, seen := runScript(listStep(5, object("a", 3), object("b", 4)), whole(4, object("a", 3)), whole(8, object("a", 7)), changeStep(9))
+	calls, applied := runScript(listStep(5, object("a", 3), object("b", 4)), whole(4, object("a", 3)), whole(8, object("a", 7)), changeStep(9))
 	assert.DeepEqual(t, calls, []string{"list", "watch 5", "watch 5", "watch 8"})
-	assert.DeepEqual(t, seen, [][]string{{"a3", "b4"}, {"a7"}})
+	assert.DeepEqual(t, applied, [][]string{{"a3", "b4"}, {"a7"}})
 }
 
-// TestCallThatAskedNobodyCostsNoListing, while a call that failed does.
-func TestCallThatAskedNobodyCostsNoListing(t *testing.T) {
+// TestNoListingWithoutQuery checks that ErrNobodyAsked causes no new listing, while any
+// other failure does.
+func TestNoListingWithoutQuery(t *testing.T) {
 	calls, _ := runScript(listStep(7), errorStep(fmt.Errorf("no holder: %w", ErrNobodyAsked)), changeStep(9), errorStep(errors.New("cut")), listStep(9))
 	assert.DeepEqual(t, calls[:5], []string{"list", "watch 7", "watch 7", "watch 9", "list"})
 }
 
-// firstCallHangs says nothing to the first call.
+// firstCallHangs is a source that doesn't answer the first listing.
 type firstCallHangs struct{ calls int }
 
 func (s *firstCallHangs) List(ctx context.Context) (Snapshot, error) {
@@ -204,27 +209,27 @@
 }
 
 func (s *firstCallHangs) Watch(context.Context, int64, time.Duration) (Changes, error) {
-	return Changes{}, errors.New("only listings prove anything")
+	return Changes{}, errors.New("unexpected watch")
 }
 
-// TestPolledSourceProvesWhenItAsked: not when the answer came, and it asks again when
-// the next question is due though the last one has no answer.
-func TestPolledSourceProvesWhenItAsked(t *testing.T) {
+// TestPolledSourceProvesRequestTime checks that the proof is of the time of the request,
+// not of the response, and that a listing without an answer ends when the next is due.
+func TestPolledSourceProvesRequestTime(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		const interval = 500 * time.Millisecond
 		source := Polled(&firstCallHangs{}, interval, time.Now)
-		began := time.Now()
+		start := time.Now()
 		_, err := source.List(t.Context())
 		assert.ErrorIs(t, err, context.DeadlineExceeded)
-		assert.Equal(t, time.Since(began), interval)
-		asked := time.Now()
+		assert.Equal(t, time.Since(start), interval)
+		requested := time.Now()
 		snapshot, err := source.List(t.Context())
 		assert.NilError(t, err)
-		assert.Assert(t, snapshot.Proved.Equal(asked))
+		assert.Assert(t, snapshot.Proved.Equal(requested))
 		time.Sleep(interval / 5)
 		changes, err := source.Watch(t.Context(), 1, time.Hour)
 		assert.NilError(t, err)
-		assert.Assert(t, changes.Proved.Equal(asked.Add(interval)))
+		assert.Assert(t, changes.Proved.Equal(requested.Add(interval)))
 		assert.Assert(t, changes.IsWhole)
 	})
 }
