--- a/coordination/directory/directory.go
+++ b/coordination/directory/directory.go
@@ -58,8 +58,8 @@
 	Views  []register.View `json:"views"`
 }
 
-// Published are the sets as they stand in the store.
-type Published struct {
+// PublishedSets are the sets as they stand in the store.
+type PublishedSets struct {
 	Sets     Sets
 	Revision int64
 }
@@ -80,19 +80,19 @@
 }
 
 // DecodeSets finds the sets; found is false before they were founded.
-func DecodeSets(snapshot follow.Snapshot) (published Published, found bool, err error) {
+func DecodeSets(snapshot follow.Snapshot) (published PublishedSets, found bool, err error) {
 	for _, object := range snapshot.Objects {
 		if object.Name != SetsName {
 			continue
 		}
 		published.Revision = object.Revision
 		if err := json.Unmarshal(object.Spec, &published.Sets); err != nil {
-			return Published{}, true, merry.Prepend(err, "decoding the replica sets")
+			return PublishedSets{}, true, merry.Prepend(err, "decoding the replica sets")
 		}
 		if published.Sets.Shards == 0 {
-			return Published{}, true, merry.New("the replica sets have no shard")
+			return PublishedSets{}, true, merry.New("the replica sets have no shard")
 		}
 		return published, true, nil
 	}
-	return Published{}, false, nil
+	return PublishedSets{}, false, nil
 }
--- a/coordination/directory/keeper.go
+++ b/coordination/directory/keeper.go
@@ -19,22 +19,22 @@
 )
 
 const (
-	// planInterval is the longest pause between two plans: the time since the nodes
+	// maxPlanInterval is the longest pause between two plans: the time since the nodes
 	// last changed matters to them. Chosen, not measured.
-	planInterval = 250 * time.Millisecond
+	maxPlanInterval = 250 * time.Millisecond
 	// writeTimeout bounds one write to the store. Chosen, not measured.
 	writeTimeout = 1500 * time.Millisecond
-	// writePause is the mean pause after a write, so that its effect comes back through
+	// meanWritePause is the mean pause after a write, so that its effect comes back through
 	// the followers before the next plan. Chosen, not measured.
-	writePause = 600 * time.Millisecond
-	// announcePause is the time from one announcement to the next while this node isn't
+	meanWritePause = 600 * time.Millisecond
+	// announceInterval is the time from one announcement to the next while this node isn't
 	// among the listed nodes. When 40 nodes start together, a node's announcement takes
 	// up to 3 s to come back to it; without the pause they wrote 104 announcements too
 	// many (one simulated start).
-	announcePause = 4 * time.Second
-	// publishSpread is the longest random delay of founding and publishing. All nodes
+	announceInterval = 4 * time.Second
+	// maxPublishDelay is the longest random delay of founding and publishing. All nodes
 	// learn of a new set at once, and the write of one is enough. Chosen, not measured.
-	publishSpread = 800 * time.Millisecond
+	maxPublishDelay = 800 * time.Millisecond
 )
 
 // Keeper writes one storage node's part of the directory: it announces the node, founds
@@ -43,34 +43,34 @@
 type Keeper struct {
 	self     register.Member
 	objects  Objects
-	views    func() *shard.Map
+	shardMap func() *shard.Map
 	settings Settings
 	now      func() time.Time
 	logger   *zap.Logger
 
 	mutex     sync.Mutex
-	situation Situation
+	input     PlanInput
 	revisions map[string]int64
-	// nodesAt is the store's revision of the listing that the nodes come from.
-	nodesAt int64
+	// nodesRevision is the store's revision of the listing that the nodes come from.
+	nodesRevision int64
 	// changed is sent to when the situation has changed.
 	changed chan struct{}
 	// publishAt is when this node writes the sets unless another node does before; zero
 	// while the store has the newest. Only Serve uses it.
 	publishAt time.Time
-	// announced is when this node last announced itself; zero for never. Only Serve uses
+	// announcedAt is when this node last announcedAt itself; zero for never. Only Serve uses
 	// it.
-	announced time.Time
-	// random draws a duration below the given one; tests replace it.
-	random func(time.Duration) time.Duration
+	announcedAt time.Time
+	// randomDelay draws a duration below the given one; tests replace it.
+	randomDelay func(time.Duration) time.Duration
 }
 
 // NewKeeper makes a keeper for the node self. Views returns the node's map of the sets;
 // nil before the sets are known.
 func NewKeeper(self register.Member, objects Objects, views func() *shard.Map, settings Settings, now func() time.Time, logger *zap.Logger) *Keeper {
 	return &Keeper{
-		self: self, objects: objects, views: views, settings: settings, now: now, logger: logger,
-		situation: Situation{Self: self}, changed: make(chan struct{}, 1), random: rand.N[time.Duration],
+		self: self, objects: objects, shardMap: views, settings: settings, now: now, logger: logger,
+		input: PlanInput{Self: self}, changed: make(chan struct{}, 1), randomDelay: rand.N[time.Duration],
 	}
 }
 
@@ -83,13 +83,13 @@
 	nodes, revisions := DecodeNodes(snapshot)
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
-	if k.situation.NodesKnown && snapshot.At < k.nodesAt {
+	if k.input.NodesListed && snapshot.At < k.nodesRevision {
 		return
 	}
-	k.situation.Nodes, k.revisions, k.nodesAt = nodes, revisions, snapshot.At
-	k.situation.NodesKnown = true
-	k.situation.NodesChanged = k.now()
-	k.wake()
+	k.input.Nodes, k.revisions, k.nodesRevision = nodes, revisions, snapshot.At
+	k.input.NodesListed = true
+	k.input.NodesChangedAt = k.now()
+	k.notify()
 }
 
 // ApplySets records the published sets. Sets that can't be read change nothing.
@@ -100,16 +100,16 @@
 		return
 	}
 	k.mutex.Lock()
-	k.situation.SetsKnown = true
-	k.situation.Published = nil
+	k.input.SetsListed = true
+	k.input.Published = nil
 	if found {
-		k.situation.Published = &published
+		k.input.Published = &published
 	}
 	k.mutex.Unlock()
-	k.wake()
+	k.notify()
 }
 
-func (k *Keeper) wake() {
+func (k *Keeper) notify() {
 	select {
 	case k.changed <- struct{}{}:
 	default:
@@ -119,11 +119,11 @@
 // Serve plans and writes until the context ends.
 func (k *Keeper) Serve(ctx context.Context) error {
 	for ctx.Err() == nil {
-		wrote := k.act(ctx)
-		pause := k.pause()
+		wrote := k.executePlan(ctx)
+		pause := k.nextDelay()
 		if wrote {
 			// Nodes that saw the same don't write at the same moment.
-			pause = writePause/2 + k.random(writePause)
+			pause = meanWritePause/2 + k.randomDelay(meanWritePause)
 		}
 		timer := time.NewTimer(pause)
 		select {
@@ -137,17 +137,17 @@
 	return ctx.Err()
 }
 
-// pause is the time until the next plan unless the situation changes before.
-func (k *Keeper) pause() time.Duration {
+// nextDelay is the time until the next plan unless the situation changes before.
+func (k *Keeper) nextDelay() time.Duration {
 	if k.publishAt.IsZero() {
-		return planInterval
+		return maxPlanInterval
 	}
-	return min(planInterval, max(k.publishAt.Sub(k.now()), 0))
+	return min(maxPlanInterval, max(k.publishAt.Sub(k.now()), 0))
 }
 
-// act carries the plan out if its action is due, and tells whether it has written.
-func (k *Keeper) act(ctx context.Context) bool {
-	situation, revision := k.snapshot()
+// executePlan carries the plan out if its action is due, and tells whether it has written.
+func (k *Keeper) executePlan(ctx context.Context) bool {
+	situation, revision := k.currentInput()
 	action, sets := Plan(situation, k.settings)
 	if !k.isDue(action) {
 		return false
@@ -158,10 +158,10 @@
 	switch action {
 	case Announce:
 		err = k.announce(ctx, revision)
-	case Found:
-		err = k.found(ctx, situation.Nodes, sets)
+	case Bootstrap:
+		err = k.bootstrap(ctx, situation.Nodes, sets)
 	case Publish:
-		err = k.write(sets, func(spec []byte) error {
+		err = k.encodeAndWrite(sets, func(spec []byte) error {
 			return k.objects.Replace(ctx, KindSets, SetsName, spec, situation.Published.Revision)
 		})
 	}
@@ -179,22 +179,22 @@
 		return false
 	case Announce:
 		k.publishAt = time.Time{}
-		return k.announced.IsZero() || k.now().Sub(k.announced) >= announcePause
+		return k.announcedAt.IsZero() || k.now().Sub(k.announcedAt) >= announceInterval
 	}
 	if k.publishAt.IsZero() {
-		k.publishAt = k.now().Add(k.random(publishSpread))
+		k.publishAt = k.now().Add(k.randomDelay(maxPublishDelay))
 	}
 	return !k.now().Before(k.publishAt)
 }
 
-// snapshot returns the situation as it is now, and the revision of this node's object;
+// currentInput returns the situation as it is now, and the revision of this node's object;
 // zero without one.
-func (k *Keeper) snapshot() (Situation, int64) {
+func (k *Keeper) currentInput() (PlanInput, int64) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
-	situation := k.situation
+	situation := k.input
 	situation.Now = k.now()
-	if views := k.views(); views != nil {
+	if views := k.shardMap(); views != nil {
 		situation.Views = views.Views()
 	}
 	return situation, k.revisions[k.self.Node]
@@ -216,27 +216,27 @@
 		return nil
 	}
 	if err == nil {
-		k.announced = k.now()
+		k.announcedAt = k.now()
 	}
 	return err
 }
 
-// errNodesMissed means that sets were planned with nodes other than the store's.
-var errNodesMissed = errors.New("the store has other storage nodes than were known")
+// errOutdatedNodes means that sets were planned with nodes other than the store's.
+var errOutdatedNodes = errors.New("the store has other storage nodes than were known")
 
-// found creates the sets unless the store has other storage nodes than the planned ones:
+// bootstrap creates the sets unless the store has other storage nodes than the planned ones:
 // these are then taken as a change of the situation. A node that learns late of most
-// others would otherwise found the sets for good with the few that it knows.
-func (k *Keeper) found(ctx context.Context, planned []register.Member, sets Sets) error {
+// others would otherwise bootstrap the sets for good with the few that it knows.
+func (k *Keeper) bootstrap(ctx context.Context, planned []register.Member, sets Sets) error {
 	snapshot, err := k.objects.List(ctx, KindNodes)
 	if err != nil {
 		return merry.Prepend(err, "listing the storage nodes before sets are founded")
 	}
 	if nodes, _ := DecodeNodes(snapshot); !sameMembers(nodes, planned) {
 		k.ApplyNodes(snapshot)
-		return merry.Appendf(errNodesMissed, "%d in place of %d", len(nodes), len(planned))
+		return merry.Appendf(errOutdatedNodes, "%d in place of %d", len(nodes), len(planned))
 	}
-	return k.write(sets, func(spec []byte) error { return k.objects.Create(ctx, KindSets, SetsName, spec) })
+	return k.encodeAndWrite(sets, func(spec []byte) error { return k.objects.Create(ctx, KindSets, SetsName, spec) })
 }
 
 // sameMembers tells whether both lists have the same members in any order.
@@ -249,8 +249,8 @@
 	return slices.Equal(byNode(a), byNode(b))
 }
 
-// write encodes the sets and passes them on.
-func (k *Keeper) write(sets Sets, write func(spec []byte) error) error {
+// encodeAndWrite encodes the sets and passes them on.
+func (k *Keeper) encodeAndWrite(sets Sets, write func(spec []byte) error) error {
 	spec, err := json.Marshal(sets)
 	if err != nil {
 		return err
--- a/coordination/directory/keeper_test.go
+++ b/coordination/directory/keeper_test.go
@@ -73,7 +73,7 @@
 			view.Members = append(view.Members, self)
 			maps[index] = shard.NewMap(1)
 			keeper := NewKeeper(self, objects, func() *shard.Map { return maps[index] }, Settings{Shards: 1, Factor: 3}, time.Now, zap.NewNop())
-			keeper.random = func(limit time.Duration) time.Duration { return limit * time.Duration(index) / nodes }
+			keeper.randomDelay = func(limit time.Duration) time.Duration { return limit * time.Duration(index) / nodes }
 			objects.readers = append(objects.readers, keeper)
 			serving.Go(func() { _ = keeper.Serve(ctx) })
 		}
--- a/coordination/directory/lookup.go
+++ b/coordination/directory/lookup.go
@@ -14,10 +14,10 @@
 // Lookup is a node's map of the replica sets, filled from the store and by the views that
 // replicas return. It implements register.Views and is read without a lock.
 type Lookup struct {
-	views  atomic.Pointer[shard.Map]
-	logger *zap.Logger
-	// founded is told the number of shards before the map has it; nil for nobody.
-	founded func(shards uint32) error
+	shardMap atomic.Pointer[shard.Map]
+	logger   *zap.Logger
+	// onShardCount is told the number of shards before the map has it; nil for nobody.
+	onShardCount func(shards uint32) error
 }
 
 // NewLookup makes a lookup around a map. Where the map is nil, one is made when the sets
@@ -25,7 +25,7 @@
 func NewLookup(views *shard.Map, logger *zap.Logger) *Lookup {
 	l := &Lookup{logger: logger}
 	if views != nil {
-		l.views.Store(views)
+		l.shardMap.Store(views)
 	}
 	return l
 }
@@ -33,10 +33,10 @@
 // OnFounded sets a function that is told the number of shards before this node's map has
 // it, for example to keep it on a disk. If the function fails, the map stays without
 // shards. It must be called before Apply.
-func (l *Lookup) OnFounded(tell func(shards uint32) error) { l.founded = tell }
+func (l *Lookup) OnFounded(tell func(shards uint32) error) { l.onShardCount = tell }
 
 // Map returns the map; nil before the sets were founded.
-func (l *Lookup) Map() *shard.Map { return l.views.Load() }
+func (l *Lookup) Map() *shard.Map { return l.shardMap.Load() }
 
 // Apply learns the published sets. It is called from one goroutine.
 func (l *Lookup) Apply(snapshot follow.Snapshot) {
@@ -47,12 +47,12 @@
 	if err != nil || !found {
 		return
 	}
-	views := l.views.Load()
+	views := l.shardMap.Load()
 	if views == nil {
 		views = shard.NewMap(published.Sets.Shards)
-		l.views.Store(views)
+		l.shardMap.Store(views)
 	}
-	if views.Count() == 0 && !l.found(views, published.Sets.Shards) {
+	if views.Count() == 0 && !l.setShardCount(views, published.Sets.Shards) {
 		return
 	}
 	if views.Count() != published.Sets.Shards {
@@ -70,10 +70,10 @@
 	}
 }
 
-// found gives the map the number of shards, and tells whether that succeeded.
-func (l *Lookup) found(views *shard.Map, shards uint32) bool {
-	if l.founded != nil {
-		if err := l.founded(shards); err != nil {
+// setShardCount gives the map the number of shards, and tells whether that succeeded.
+func (l *Lookup) setShardCount(views *shard.Map, shards uint32) bool {
+	if l.onShardCount != nil {
+		if err := l.onShardCount(shards); err != nil {
 			l.logger.Error("number of shards not kept", zap.Uint32("shards", shards), zap.Error(err))
 			return false
 		}
@@ -85,7 +85,7 @@
 
 // View implements register.Views.
 func (l *Lookup) View(number uint32) (register.View, bool) {
-	if views := l.views.Load(); views != nil {
+	if views := l.shardMap.Load(); views != nil {
 		return views.View(number)
 	}
 	return register.View{}, false
@@ -93,14 +93,14 @@
 
 // Learn implements register.Views.
 func (l *Lookup) Learn(view register.View) {
-	if views := l.views.Load(); views != nil {
+	if views := l.shardMap.Load(); views != nil {
 		views.Learn(view)
 	}
 }
 
 // Locate returns the shard that keeps the id; shard.Nowhere before the sets were founded.
 func (l *Lookup) Locate(id string) uint32 {
-	if views := l.views.Load(); views != nil {
+	if views := l.shardMap.Load(); views != nil {
 		return views.Locate(id)
 	}
 	return shard.Nowhere
@@ -108,7 +108,7 @@
 
 // Shards returns the number of shards; 0 before the sets were founded.
 func (l *Lookup) Shards() uint32 {
-	if views := l.views.Load(); views != nil {
+	if views := l.shardMap.Load(); views != nil {
 		return views.Count()
 	}
 	return 0
--- a/coordination/directory/plan.go
+++ b/coordination/directory/plan.go
@@ -8,19 +8,19 @@
 	"github.com/marblering/marblering/coordination/shard"
 )
 
-// Situation is what a storage node knows when it plans.
-type Situation struct {
+// PlanInput is what a storage node knows when it plans.
+type PlanInput struct {
 	Now  time.Time
 	Self register.Member
 	// Nodes are the announced storage nodes. NodesKnown is set once they were listed;
 	// NodesChanged is when they last changed.
-	Nodes        []register.Member
-	NodesKnown   bool
-	NodesChanged time.Time
+	Nodes          []register.Member
+	NodesListed    bool
+	NodesChangedAt time.Time
 	// Published are the sets in the store; nil before they were founded.
 	// SetsKnown is set once the store was asked.
-	Published *Published
-	SetsKnown bool
+	Published  *PublishedSets
+	SetsListed bool
 	// Views are the open views that this node knows.
 	Views []register.View
 }
@@ -48,8 +48,8 @@
 	None Action = iota
 	// Announce writes this node's object.
 	Announce
-	// Found creates the sets.
-	Found
+	// Bootstrap creates the sets.
+	Bootstrap
 	// Publish replaces the sets in the store by what this node knows.
 	Publish
 )
@@ -64,44 +64,44 @@
 //   - None otherwise, and before both nodes and sets were listed.
 //
 // It has no I/O and no clock of its own.
-func Plan(situation Situation, settings Settings) (Action, Sets) {
-	if situation.NodesKnown && !slices.Contains(situation.Nodes, situation.Self) {
+func Plan(situation PlanInput, settings Settings) (Action, Sets) {
+	if situation.NodesListed && !slices.Contains(situation.Nodes, situation.Self) {
 		return Announce, Sets{}
 	}
-	if !situation.SetsKnown {
+	if !situation.SetsListed {
 		return None, Sets{}
 	}
 	if situation.Published != nil {
 		return planPublish(situation)
 	}
-	standing := situation.Now.Sub(situation.NodesChanged)
+	standing := situation.Now.Sub(situation.NodesChangedAt)
 	enough := len(situation.Nodes) >= settings.Factor && standing >= settings.Settle
 	if enough || len(situation.Nodes) > 0 && standing >= settings.Patience {
-		return Found, firstSets(situation.Nodes, settings)
+		return Bootstrap, initialSets(situation.Nodes, settings)
 	}
 	return None, Sets{}
 }
 
-// setsPerNode is the least number of sets that a node is a member of, on average. With
+// minSetsPerNode is the least number of sets that a node is a member of, on average. With
 // fewer, some nodes have no work while others have too much: with 4 sets of 5 members on
 // 36 nodes, 730 requests were refused without a quorum, 553 of them for want of room at
 // the 20 nodes in the sets; with 15 sets it was 18 (simulated day of high load, one run
 // each).
-const setsPerNode = 2
+const minSetsPerNode = 2
 
-// shardsFor returns the number of shards for a number of storage nodes.
-func shardsFor(nodes int, settings Settings) uint32 {
-	wanted := (setsPerNode*nodes + settings.Factor - 1) / settings.Factor
+// shardCount returns the number of shards for a number of storage nodes.
+func shardCount(nodes int, settings Settings) uint32 {
+	wanted := (minSetsPerNode*nodes + settings.Factor - 1) / settings.Factor
 	return max(settings.Shards, uint32(wanted))
 }
 
-// firstSets spreads the shards over the nodes.
-func firstSets(nodes []register.Member, settings Settings) Sets {
+// initialSets spreads the shards over the nodes.
+func initialSets(nodes []register.Member, settings Settings) Sets {
 	candidates := make([]shard.Candidate, 0, len(nodes))
 	for _, node := range nodes {
 		candidates = append(candidates, shard.Candidate{Member: node, HasDataFolder: true})
 	}
-	sets := Sets{Shards: shardsFor(len(candidates), settings)}
+	sets := Sets{Shards: shardCount(len(candidates), settings)}
 	for number, members := range shard.AssignAll(sets.Shards, settings.Factor, candidates) {
 		sets.Views = append(sets.Views, register.View{Shard: uint32(number), Epoch: shard.FirstEpoch, Members: members})
 	}
@@ -110,7 +110,7 @@
 
 // planPublish merges the views that this node knows into those of the store, and
 // publishes them where one is newer.
-func planPublish(situation Situation) (Action, Sets) {
+func planPublish(situation PlanInput) (Action, Sets) {
 	merged := Sets{Shards: situation.Published.Sets.Shards, Views: slices.Clone(situation.Published.Sets.Views)}
 	newer := false
 	for _, view := range situation.Views {
--- a/coordination/directory/plan_test.go
+++ b/coordination/directory/plan_test.go
@@ -35,12 +35,12 @@
 	}{
 		{3, 3, 3, 4}, {4, 4, 3, 4}, {8, 3, 5, 4}, {36, 5, 5, 15}, {36, 7, 5, 15}, {100, 13, 5, 40},
 	} {
-		situation := Situation{
-			Now: time.Unix(1000, 0), Nodes: storageNodes(c.nodes, c.zones), NodesKnown: true, SetsKnown: true,
+		situation := PlanInput{
+			Now: time.Unix(1000, 0), Nodes: storageNodes(c.nodes, c.zones), NodesListed: true, SetsListed: true,
 		}
 		situation.Self = situation.Nodes[0]
 		action, sets := Plan(situation, Settings{Shards: 4, Factor: c.factor})
-		assert.Equal(t, action, Found)
+		assert.Equal(t, action, Bootstrap)
 		assert.Equal(t, sets.Shards, c.shards, "%d nodes", c.nodes)
 		assert.Equal(t, len(sets.Views), int(c.shards))
 		held := make(map[string]int)
@@ -61,7 +61,7 @@
 	t.Helper()
 	objects := &sharedObjects{}
 	keeper := &Keeper{}
-	assert.NilError(t, keeper.write(sets, func(spec []byte) error { objects.spec = spec; return nil }))
+	assert.NilError(t, keeper.encodeAndWrite(sets, func(spec []byte) error { objects.spec = spec; return nil }))
 	return follow.Snapshot{At: 1, Objects: []follow.Object{{Name: SetsName, Revision: 1, Spec: objects.spec}}}
 }
 
