--- a/coordination/directory/directory.go
+++ b/coordination/directory/directory.go
@@ -1,13 +1,13 @@
-// Package directory keeps, in the platform's store, which storage nodes there are and
-// which replica sets they form, so that nodes find them.
+// Package directory maintains a service directory in the platform's store: the storage
+// nodes and the replica sets that they form.
 //
-// The store decides only who founds the first sets, by a conditional write. Later sets
-// are decided by their members (package shard); what the store has of them may be old.
-// Plan decides without I/O what a storage node writes; Keeper does it. Lookup is every
-// node's map of the sets.
+// The store only decides which node creates the initial sets, by a conditional write.
+// Members of a set decide its later changes (package shard), so the sets in the store may
+// be outdated. Plan decides without I/O what a storage node writes, Keeper writes it, and
+// Lookup is each node's local copy of the sets.
 //
-// The package owns the objects of KindNodes and KindSets. It relies on followers
-// (package follow) for what the store has.
+// The package owns the objects of KindNodes and KindSets, and reads them through
+// followers (package follow).
 package directory
 
 import (
@@ -21,7 +21,7 @@
 	"github.com/marblering/marblering/coordination/register"
 )
 
-// Kinds of objects, and the name of the only object of KindSets.
+// Kinds of objects, and the name of the single object of KindSets.
 const (
 	KindNodes = "storage-nodes"
 	KindSets  = "replica-sets"
@@ -29,44 +29,44 @@
 )
 
 var (
-	// ErrExists means that the object to be created is there.
-	ErrExists = errors.New("the object exists")
-	// ErrConflict means that the object has changed, or is gone.
-	ErrConflict = errors.New("the object has another revision")
+	// ErrExists means that the object to be created already exists.
+	ErrExists = errors.New("object already exists")
+	// ErrConflict means that the object was changed or deleted.
+	ErrConflict = errors.New("object was changed or deleted")
 )
 
 // Objects reads and writes objects of the store. After an error other than ErrExists and
-// ErrConflict a write may have been done, or may be done later.
+// ErrConflict, a write may have taken effect or may still do so later.
 type Objects interface {
-	// Create makes an object, or returns ErrExists.
+	// Create creates an object. It returns ErrExists if there is one of that name.
 	Create(ctx context.Context, kind, name string, spec []byte) error
-	// Replace changes an object that has the revision, or returns ErrConflict.
+	// Replace replaces an object. It returns ErrConflict if its revision differs.
 	Replace(ctx context.Context, kind, name string, spec []byte, revision int64) error
-	// List returns every object of the kind, as the store has them now.
+	// List returns the current objects of the kind.
 	List(ctx context.Context, kind string) (follow.Snapshot, error)
 }
 
-// Node is what a storage node announces of itself.
+// Node is the stored announcement of a storage node.
 type Node struct {
 	Member register.Member `json:"member"`
 }
 
-// Sets are the replica sets of all shards.
+// Sets holds the replica sets of all shards.
 type Sets struct {
-	// Shards is the number of shards, which never changes.
+	// Shards is the number of shards. It never changes.
 	Shards uint32          `json:"shards"`
 	Views  []register.View `json:"views"`
 }
 
-// PublishedSets are the sets as they stand in the store.
+// PublishedSets holds the sets in the store and the revision of their object.
 type PublishedSets struct {
 	Sets     Sets
 	Revision int64
 }
 
-// DecodeNodes reads the announced storage nodes, and the revisions of all objects by
-// name. An object that can't be read names no node; its revision is returned, so that
-// the node of that name can replace it.
+// DecodeNodes returns the announced storage nodes, and the revisions of all objects by
+// name. An invalid object yields no node, but its revision is returned, so that the node
+// of that name can replace it.
 func DecodeNodes(snapshot follow.Snapshot) (nodes []register.Member, revisions map[string]int64) {
 	revisions = make(map[string]int64, len(snapshot.Objects))
 	for _, object := range snapshot.Objects {
@@ -79,7 +79,7 @@
 	return nodes, revisions
 }
 
-// DecodeSets finds the sets; found is false before they were founded.
+// DecodeSets returns the replica sets; found is false before they were created.
 func DecodeSets(snapshot follow.Snapshot) (published PublishedSets, found bool, err error) {
 	for _, object := range snapshot.Objects {
 		if object.Name != SetsName {
@@ -87,10 +87,10 @@
 		}
 		published.Revision = object.Revision
 		if err := json.Unmarshal(object.Spec, &published.Sets); err != nil {
-			return PublishedSets{}, true, merry.Prepend(err, "decoding the replica sets")
+			return PublishedSets{}, true, merry.Prepend(err, "decode replica sets")
 		}
 		if published.Sets.Shards == 0 {
-			return PublishedSets{}, true, merry.New("the replica sets have no shard")
+			return PublishedSets{}, true, merry.New("replica sets have no shards")
 		}
 		return published, true, nil
 	}
--- a/coordination/directory/lookup.go
+++ b/coordination/directory/lookup.go
@@ -11,17 +11,17 @@
 	"github.com/marblering/marblering/coordination/shard"
 )
 
-// Lookup is a node's map of the replica sets, filled from the store and by the views that
-// replicas return. It implements register.Views and is read without a lock.
+// Lookup is a node's local copy of the replica sets. It is updated from the store and from
+// the views that replicas return. Reads take no lock. It implements register.Views.
 type Lookup struct {
 	shardMap atomic.Pointer[shard.Map]
 	logger   *zap.Logger
-	// onShardCount is told the number of shards before the map has it; nil for nobody.
+	// onShardCount is called before the map gets its number of shards; it may be nil.
 	onShardCount func(shards uint32) error
 }
 
-// NewLookup makes a lookup around a map. Where the map is nil, one is made when the sets
-// are first read.
+// NewLookup returns a lookup that uses the given map. If the map is nil, one is created
+// once the sets are first read.
 func NewLookup(views *shard.Map, logger *zap.Logger) *Lookup {
 	l := &Lookup{logger: logger}
 	if views != nil {
@@ -30,19 +30,19 @@
 	return l
 }
 
-// OnFounded sets a function that is told the number of shards before this node's map has
-// it, for example to keep it on a disk. If the function fails, the map stays without
-// shards. It must be called before Apply.
-func (l *Lookup) OnFounded(tell func(shards uint32) error) { l.onShardCount = tell }
+// OnFounded sets a function that is called with the number of shards before this node's
+// map gets it, for example to store it on disk. If the function fails, the map stays
+// without shards. OnFounded must be called before Apply.
+func (l *Lookup) OnFounded(store func(shards uint32) error) { l.onShardCount = store }
 
-// Map returns the map; nil before the sets were founded.
+// Map returns the map. It may be nil before the sets were created.
 func (l *Lookup) Map() *shard.Map { return l.shardMap.Load() }
 
-// Apply learns the published sets. It is called from one goroutine.
+// Apply updates the map from the published sets. It must not be called concurrently.
 func (l *Lookup) Apply(snapshot follow.Snapshot) {
 	published, found, err := DecodeSets(snapshot)
 	if err != nil {
-		l.logger.Error("replica sets refused", zap.Int64("revision", snapshot.At), zap.Error(err))
+		l.logger.Error("invalid replica sets ignored", zap.Int64("revision", snapshot.At), zap.Error(err))
 	}
 	if err != nil || !found {
 		return
@@ -56,7 +56,7 @@
 		return
 	}
 	if views.Count() != published.Sets.Shards {
-		l.logger.Error("replica sets refused: another number of shards",
+		l.logger.Error("replica sets ignored: different number of shards",
 			zap.Uint32("published", published.Sets.Shards), zap.Uint32("here", views.Count()))
 		return
 	}
@@ -70,11 +70,12 @@
 	}
 }
 
-// setShardCount gives the map the number of shards, and tells whether that succeeded.
+// setShardCount sets the number of shards of the map, unless onShardCount fails, and
+// reports whether it did.
 func (l *Lookup) setShardCount(views *shard.Map, shards uint32) bool {
 	if l.onShardCount != nil {
 		if err := l.onShardCount(shards); err != nil {
-			l.logger.Error("number of shards not kept", zap.Uint32("shards", shards), zap.Error(err))
+			l.logger.Error("cannot store number of shards", zap.Uint32("shards", shards), zap.Error(err))
 			return false
 		}
 	}
@@ -98,7 +99,7 @@
 	}
 }
 
-// Locate returns the shard that keeps the id; shard.Nowhere before the sets were founded.
+// Locate returns the shard that holds the id; shard.Nowhere before the sets were created.
 func (l *Lookup) Locate(id string) uint32 {
 	if views := l.shardMap.Load(); views != nil {
 		return views.Locate(id)
@@ -106,7 +107,7 @@
 	return shard.Nowhere
 }
 
-// Shards returns the number of shards; 0 before the sets were founded.
+// Shards returns the number of shards; 0 before the sets were created.
 func (l *Lookup) Shards() uint32 {
 	if views := l.shardMap.Load(); views != nil {
 		return views.Count()
@@ -114,9 +115,9 @@
 	return 0
 }
 
-// ConfigurationVersion implements register.Views. Sets of the directory don't depend on
-// the configuration, so that there is no version.
+// ConfigurationVersion implements register.Views. It returns 0, since the sets of the
+// directory don't depend on the configuration.
 func (l *Lookup) ConfigurationVersion() uint64 { return 0 }
 
-// LearnConfiguration implements register.Views.
+// LearnConfiguration implements register.Views. It does nothing.
 func (l *Lookup) LearnConfiguration(context.Context, uint64) {}
