--- a/coordination/directory/plan.go
+++ b/coordination/directory/plan.go
@@ -8,94 +8,91 @@
 	"github.com/marblering/marblering/coordination/shard"
 )
 
-// PlanInput is what a storage node knows when it plans.
+// PlanInput is the state on which a storage node bases its plan.
 type PlanInput struct {
 	Now  time.Time
 	Self register.Member
-	// Nodes are the announced storage nodes. NodesKnown is set once they were listed;
-	// NodesChanged is when they last changed.
+	// Nodes are the announced storage nodes. NodesListed is set after the first listing;
+	// NodesChangedAt is when they last changed.
 	Nodes          []register.Member
 	NodesListed    bool
 	NodesChangedAt time.Time
-	// Published are the sets in the store; nil before they were founded.
-	// SetsKnown is set once the store was asked.
+	// Published are the sets in the store; nil before they were created.
+	// SetsListed is set after the first listing.
 	Published  *PublishedSets
 	SetsListed bool
-	// Views are the open views that this node knows.
+	// Views are the open views known to this node.
 	Views []register.View
 }
 
-// Settings say how sets are founded.
+// Settings controls how the initial sets are created.
 type Settings struct {
-	// Shards is the least number of shards.
+	// Shards is the minimum number of shards.
 	Shards uint32
-	// Factor is the number of members of a set.
+	// Factor is the replication factor.
 	Factor int
 	// Settle is how long the announced nodes must be unchanged before the sets are
-	// founded.
+	// created.
 	Settle time.Duration
 	// Patience is how long the announced nodes must be unchanged before the sets are
-	// founded with fewer than Factor nodes.
+	// created with fewer than Factor nodes.
 	Patience time.Duration
 }
 
-// Action is what a storage node is to write.
+// Action is the next write of a storage node.
 type Action int
 
 // Actions.
 const (
-	// None waits.
+	// None writes nothing.
 	None Action = iota
 	// Announce writes this node's object.
 	Announce
 	// Bootstrap creates the sets.
 	Bootstrap
-	// Publish replaces the sets in the store by what this node knows.
+	// Publish updates the sets in the store from the views known to this node.
 	Publish
 )
 
-// Plan decides what a storage node writes next and, for Found and Publish, the sets:
+// Plan decides what a storage node writes next and, for Bootstrap and Publish, the sets:
 //
-//   - Announce, while the listed nodes lack this one: it is new, or was replaced.
-//   - Found, where the store has no sets, once the announced nodes are enough for a set
-//     and have been unchanged for Settle, or are fewer and unchanged for Patience. Sets
-//     that are founded too early leave later nodes without work.
-//   - Publish, where this node knows a newer view of a shard than the store has.
+//   - Announce, while the listed nodes lack this one, because it is new or was replaced.
+//   - Bootstrap, if the store has no sets, once at least Factor nodes have been unchanged
+//     for Settle, or fewer for Patience. Sets created too early would leave nodes that
+//     start later without work.
+//   - Publish, if this node knows a newer view of a shard than the store has.
 //   - None otherwise, and before both nodes and sets were listed.
 //
-// It has no I/O and no clock of its own.
-func Plan(situation PlanInput, settings Settings) (Action, Sets) {
-	if situation.NodesListed && !slices.Contains(situation.Nodes, situation.Self) {
+// It is a pure function.
+func Plan(input PlanInput, settings Settings) (Action, Sets) {
+	if input.NodesListed && !slices.Contains(input.Nodes, input.Self) {
 		return Announce, Sets{}
 	}
-	if !situation.SetsListed {
+	if !input.SetsListed {
 		return None, Sets{}
 	}
-	if situation.Published != nil {
-		return planPublish(situation)
+	if input.Published != nil {
+		return planPublish(input)
 	}
-	standing := situation.Now.Sub(situation.NodesChangedAt)
-	enough := len(situation.Nodes) >= settings.Factor && standing >= settings.Settle
-	if enough || len(situation.Nodes) > 0 && standing >= settings.Patience {
-		return Bootstrap, initialSets(situation.Nodes, settings)
+	stableFor := input.Now.Sub(input.NodesChangedAt)
+	isEnough := len(input.Nodes) >= settings.Factor && stableFor >= settings.Settle
+	if isEnough || len(input.Nodes) > 0 && stableFor >= settings.Patience {
+		return Bootstrap, initialSets(input.Nodes, settings)
 	}
 	return None, Sets{}
 }
 
-// minSetsPerNode is the least number of sets that a node is a member of, on average. With
-// fewer, some nodes have no work while others have too much: with 4 sets of 5 members on
-// 36 nodes, 730 requests were refused without a quorum, 553 of them for want of room at
-// the 20 nodes in the sets; with 15 sets it was 18 (simulated day of high load, one run
-// each).
+// minSetsPerNode is the minimum average number of sets that a node is a member of. With
+// fewer, some nodes would be idle while others are overloaded.
 const minSetsPerNode = 2
 
-// shardCount returns the number of shards for a number of storage nodes.
+// shardCount returns the number of shards for the given number of storage nodes.
 func shardCount(nodes int, settings Settings) uint32 {
 	wanted := (minSetsPerNode*nodes + settings.Factor - 1) / settings.Factor
 	return max(settings.Shards, uint32(wanted))
 }
 
-// initialSets spreads the shards over the nodes.
+// initialSets assigns the shards to the nodes.
 func initialSets(nodes []register.Member, settings Settings) Sets {
 	candidates := make([]shard.Candidate, 0, len(nodes))
 	for _, node := range nodes {
@@ -108,12 +105,12 @@
 	return sets
 }
 
-// planPublish merges the views that this node knows into those of the store, and
-// publishes them where one is newer.
-func planPublish(situation PlanInput) (Action, Sets) {
-	merged := Sets{Shards: situation.Published.Sets.Shards, Views: slices.Clone(situation.Published.Sets.Views)}
+// planPublish merges the views known to this node into those of the store, and plans to
+// publish the result if any of them is newer.
+func planPublish(input PlanInput) (Action, Sets) {
+	merged := Sets{Shards: input.Published.Sets.Shards, Views: slices.Clone(input.Published.Sets.Views)}
 	newer := false
-	for _, view := range situation.Views {
+	for _, view := range input.Views {
 		index := slices.IndexFunc(merged.Views, func(known register.View) bool { return known.Shard == view.Shard })
 		switch {
 		case index < 0:
