--- a/coordination/directory/keeper.go
+++ b/coordination/directory/keeper.go
@@ -19,27 +19,25 @@
 )
 
 const (
-	// maxPlanInterval is the longest pause between two plans: the time since the nodes
-	// last changed matters to them. Chosen, not measured.
+	// maxPlanInterval limits the pause between two plans, since a plan depends on the time
+	// since the last change of the nodes.
 	maxPlanInterval = 250 * time.Millisecond
-	// writeTimeout bounds one write to the store. Chosen, not measured.
-	writeTimeout = 1500 * time.Millisecond
-	// meanWritePause is the mean pause after a write, so that its effect comes back through
-	// the followers before the next plan. Chosen, not measured.
+	writeTimeout    = 1500 * time.Millisecond
+	// meanWritePause is the mean pause after a write. It leaves time for the written
+	// object to be read back through the followers before the next plan.
 	meanWritePause = 600 * time.Millisecond
-	// announceInterval is the time from one announcement to the next while this node isn't
-	// among the listed nodes. When 40 nodes start together, a node's announcement takes
-	// up to 3 s to come back to it; without the pause they wrote 104 announcements too
-	// many (one simulated start).
+	// announceInterval is the minimum time between announcements while this node isn't
+	// listed. It exceeds the time that an announcement takes to be read back when many
+	// nodes start together.
 	announceInterval = 4 * time.Second
-	// maxPublishDelay is the longest random delay of founding and publishing. All nodes
-	// learn of a new set at once, and the write of one is enough. Chosen, not measured.
+	// maxPublishDelay limits the random delay before sets are created or published. All
+	// nodes learn of a new set at the same time, and one of them has to write it.
 	maxPublishDelay = 800 * time.Millisecond
 )
 
-// Keeper writes one storage node's part of the directory: it announces the node, founds
-// the sets, and publishes sets that the store doesn't have. It is a suture service;
-// followers call ApplyNodes and ApplySets.
+// Keeper writes one storage node's part of the directory: it announces the node, creates
+// the initial sets, and publishes newer sets than the store has. It implements
+// suture.Service; followers call ApplyNodes and ApplySets.
 type Keeper struct {
 	self     register.Member
 	objects  Objects
@@ -51,34 +49,34 @@
 	mutex     sync.Mutex
 	input     PlanInput
 	revisions map[string]int64
-	// nodesRevision is the store's revision of the listing that the nodes come from.
+	// nodesRevision is the revision of the snapshot that input.Nodes comes from.
 	nodesRevision int64
-	// changed is sent to when the situation has changed.
+	// changed receives a value when the input of the plan has changed.
 	changed chan struct{}
-	// publishAt is when this node writes the sets unless another node does before; zero
-	// while the store has the newest. Only Serve uses it.
+	// publishAt is when this node writes the sets unless another node does so first; zero
+	// while there is nothing to write. Only Serve uses it.
 	publishAt time.Time
-	// announcedAt is when this node last announcedAt itself; zero for never. Only Serve uses
-	// it.
+	// announcedAt is when this node last announced itself; zero for never. Only Serve
+	// uses it.
 	announcedAt time.Time
-	// randomDelay draws a duration below the given one; tests replace it.
+	// randomDelay returns a random duration below the given one; tests replace it.
 	randomDelay func(time.Duration) time.Duration
 }
 
-// NewKeeper makes a keeper for the node self. Views returns the node's map of the sets;
-// nil before the sets are known.
-func NewKeeper(self register.Member, objects Objects, views func() *shard.Map, settings Settings, now func() time.Time, logger *zap.Logger) *Keeper {
+// NewKeeper returns a keeper for the node self. Function shardMap returns the node's map
+// of the sets; nil before the sets are known.
+func NewKeeper(self register.Member, objects Objects, shardMap func() *shard.Map, settings Settings, now func() time.Time, logger *zap.Logger) *Keeper {
 	return &Keeper{
-		self: self, objects: objects, shardMap: views, settings: settings, now: now, logger: logger,
+		self: self, objects: objects, shardMap: shardMap, settings: settings, now: now, logger: logger,
 		input: PlanInput{Self: self}, changed: make(chan struct{}, 1), randomDelay: rand.N[time.Duration],
 	}
 }
 
-// String names the service in the supervisor's messages.
-func (k *Keeper) String() string { return "keeper of the directory" }
+// String returns the service name for the supervisor's log messages.
+func (k *Keeper) String() string { return "directory keeper" }
 
-// ApplyNodes records the announced storage nodes. A snapshot older than the last one
-// changes nothing.
+// ApplyNodes records the announced storage nodes. A snapshot older than the last one is
+// ignored.
 func (k *Keeper) ApplyNodes(snapshot follow.Snapshot) {
 	nodes, revisions := DecodeNodes(snapshot)
 	k.mutex.Lock()
@@ -92,11 +90,11 @@
 	k.notify()
 }
 
-// ApplySets records the published sets. Sets that can't be read change nothing.
+// ApplySets records the published sets. Invalid sets are logged and ignored.
 func (k *Keeper) ApplySets(snapshot follow.Snapshot) {
 	published, found, err := DecodeSets(snapshot)
 	if err != nil {
-		k.logger.Error("replica sets refused", zap.Int64("revision", snapshot.At), zap.Error(err))
+		k.logger.Error("invalid replica sets ignored", zap.Int64("revision", snapshot.At), zap.Error(err))
 		return
 	}
 	k.mutex.Lock()
@@ -122,7 +120,7 @@
 		wrote := k.executePlan(ctx)
 		pause := k.nextDelay()
 		if wrote {
-			// Nodes that saw the same don't write at the same moment.
+			// Jitter keeps nodes with the same input from writing at the same time.
 			pause = meanWritePause/2 + k.randomDelay(meanWritePause)
 		}
 		timer := time.NewTimer(pause)
@@ -137,7 +135,7 @@
 	return ctx.Err()
 }
 
-// nextDelay is the time until the next plan unless the situation changes before.
+// nextDelay returns the time until the next plan unless the input changes earlier.
 func (k *Keeper) nextDelay() time.Duration {
 	if k.publishAt.IsZero() {
 		return maxPlanInterval
@@ -145,10 +143,11 @@
 	return min(maxPlanInterval, max(k.publishAt.Sub(k.now()), 0))
 }
 
-// executePlan carries the plan out if its action is due, and tells whether it has written.
+// executePlan plans, executes the action if it is due, and reports whether it tried to
+// write.
 func (k *Keeper) executePlan(ctx context.Context) bool {
-	situation, revision := k.currentInput()
-	action, sets := Plan(situation, k.settings)
+	input, revision := k.currentInput()
+	action, sets := Plan(input, k.settings)
 	if !k.isDue(action) {
 		return false
 	}
@@ -159,19 +158,19 @@
 	case Announce:
 		err = k.announce(ctx, revision)
 	case Bootstrap:
-		err = k.bootstrap(ctx, situation.Nodes, sets)
+		err = k.bootstrap(ctx, input.Nodes, sets)
 	case Publish:
 		err = k.encodeAndWrite(sets, func(spec []byte) error {
-			return k.objects.Replace(ctx, KindSets, SetsName, spec, situation.Published.Revision)
+			return k.objects.Replace(ctx, KindSets, SetsName, spec, input.Published.Revision)
 		})
 	}
-	k.logger.Info("directory written", zap.Int("action", int(action)), zap.Int("nodes", len(situation.Nodes)),
+	k.logger.Info("directory write finished", zap.Int("action", int(action)), zap.Int("nodes", len(input.Nodes)),
 		zap.Int("views", len(sets.Views)), zap.Error(err))
 	return true
 }
 
-// isDue tells whether the action is to be carried out now. Founding and publishing wait
-// for a random delay, during which another node may do it.
+// isDue reports whether the action is to be executed now. Bootstrap and Publish wait for
+// a random delay, in which another node may write the sets.
 func (k *Keeper) isDue(action Action) bool {
 	switch action {
 	case None:
@@ -187,20 +186,20 @@
 	return !k.now().Before(k.publishAt)
 }
 
-// currentInput returns the situation as it is now, and the revision of this node's object;
-// zero without one.
+// currentInput returns the input for a plan, and the revision of this node's object; zero
+// if there is none.
 func (k *Keeper) currentInput() (PlanInput, int64) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
-	situation := k.input
-	situation.Now = k.now()
+	input := k.input
+	input.Now = k.now()
 	if views := k.shardMap(); views != nil {
-		situation.Views = views.Views()
+		input.Views = views.Views()
 	}
-	return situation, k.revisions[k.self.Node]
+	return input, k.revisions[k.self.Node]
 }
 
-// announce writes this node's object. It replaces the one of an earlier process of this
+// announce creates this node's object, or replaces the one of an earlier process of this
 // node.
 func (k *Keeper) announce(ctx context.Context, revision int64) error {
 	spec, err := json.Marshal(Node{Member: k.self})
@@ -212,7 +211,7 @@
 	}
 	err = k.objects.Create(ctx, KindNodes, k.self.Node, spec)
 	if errors.Is(err, ErrExists) {
-		// An earlier process wrote it. It is replaced once its revision is known.
+		// Written by an earlier process; replaced once its revision is known.
 		return nil
 	}
 	if err == nil {
@@ -221,25 +220,25 @@
 	return err
 }
 
-// errOutdatedNodes means that sets were planned with nodes other than the store's.
-var errOutdatedNodes = errors.New("the store has other storage nodes than were known")
+// errOutdatedNodes means that the storage nodes in the store differ from those of the plan.
+var errOutdatedNodes = errors.New("replica sets were planned with outdated storage nodes")
 
-// bootstrap creates the sets unless the store has other storage nodes than the planned ones:
-// these are then taken as a change of the situation. A node that learns late of most
-// others would otherwise bootstrap the sets for good with the few that it knows.
+// bootstrap creates the sets, unless the storage nodes in the store differ from the planned
+// ones, which are then updated. Otherwise a node with an outdated listing could assign all
+// sets to a few nodes for good.
 func (k *Keeper) bootstrap(ctx context.Context, planned []register.Member, sets Sets) error {
 	snapshot, err := k.objects.List(ctx, KindNodes)
 	if err != nil {
-		return merry.Prepend(err, "listing the storage nodes before sets are founded")
+		return merry.Prepend(err, "list storage nodes before creating replica sets")
 	}
 	if nodes, _ := DecodeNodes(snapshot); !sameMembers(nodes, planned) {
 		k.ApplyNodes(snapshot)
-		return merry.Appendf(errOutdatedNodes, "%d in place of %d", len(nodes), len(planned))
+		return merry.Appendf(errOutdatedNodes, "the store has %d, the plan %d", len(nodes), len(planned))
 	}
 	return k.encodeAndWrite(sets, func(spec []byte) error { return k.objects.Create(ctx, KindSets, SetsName, spec) })
 }
 
-// sameMembers tells whether both lists have the same members in any order.
+// sameMembers reports whether both lists have the same members in any order.
 func sameMembers(a, b []register.Member) bool {
 	byNode := func(members []register.Member) []register.Member {
 		return slices.SortedFunc(slices.Values(members), func(a, b register.Member) int {
@@ -249,7 +248,7 @@
 	return slices.Equal(byNode(a), byNode(b))
 }
 
-// encodeAndWrite encodes the sets and passes them on.
+// encodeAndWrite encodes the sets and passes them to the given function.
 func (k *Keeper) encodeAndWrite(sets Sets, write func(spec []byte) error) error {
 	spec, err := json.Marshal(sets)
 	if err != nil {
