--- a/coordination/directory/fuzz_test.go
+++ b/coordination/directory/fuzz_test.go
@@ -10,7 +10,8 @@
 	"github.com/marblering/marblering/coordination/follow"
 )
 
-// FuzzSets: replica sets that can't be used leave those that are known in force.
+// FuzzSets checks that invalid replica sets in the store leave the known number of shards
+// unchanged.
 func FuzzSets(f *testing.F) {
 	for _, spec := range []string{
 		`{"shards":4,"views":[{"shard":0,"epoch":1}]}`, `null`, `{}`, `[]`, `{"shards":-1}`, `{"shards":2,"views":[{"shard":9}]}`, "\xff",
--- a/coordination/directory/start_test.go
+++ b/coordination/directory/start_test.go
@@ -17,18 +17,18 @@
 	"github.com/marblering/marblering/test/bubble"
 )
 
-// startingStore is a store while storage nodes start: they announce themselves, and hear
-// of each other late.
-type startingStore struct {
+// startupStore is a store to which storage nodes announce themselves. It delivers no
+// changes.
+type startupStore struct {
 	mutex    sync.Mutex
 	revision int64
 	nodes    []follow.Object
 	sets     []byte
-	// announced counts the writes of nodes about themselves.
-	announced int
+	// announcements counts the attempts to create a node's object.
+	announcements int
 }
 
-func (s *startingStore) Create(_ context.Context, kind, name string, spec []byte) error {
+func (s *startupStore) Create(_ context.Context, kind, name string, spec []byte) error {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if kind == KindSets {
@@ -38,7 +38,7 @@
 		s.sets = spec
 		return nil
 	}
-	s.announced++
+	s.announcements++
 	for _, object := range s.nodes {
 		if object.Name == name {
 			return ErrExists
@@ -49,17 +49,17 @@
 	return nil
 }
 
-func (s *startingStore) Replace(context.Context, string, string, []byte, int64) error {
+func (s *startupStore) Replace(context.Context, string, string, []byte, int64) error {
 	return ErrConflict
 }
 
-func (s *startingStore) List(context.Context, string) (follow.Snapshot, error) {
+func (s *startupStore) List(context.Context, string) (follow.Snapshot, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return follow.Snapshot{At: s.revision, Objects: append([]follow.Object(nil), s.nodes...)}, nil
 }
 
-func (s *startingStore) announce(t *testing.T, members []register.Member) {
+func (s *startupStore) announce(t *testing.T, members []register.Member) {
 	t.Helper()
 	for _, member := range members {
 		spec, err := json.Marshal(Node{Member: member})
@@ -68,21 +68,13 @@
 	}
 }
 
-// Two of four starts of a fleet of 40 storage nodes ended with replica sets on a few of
-// them, which had no room for its programs: 0.13 of these and none were served. Nodes
-// hear of each other through three of them, whose links and processors are full while all
-// start: in a start that went well one still knew 6 nodes 1.6 s after 39 had announced
-// themselves, and the sets are founded 0.8 s after the last news. It hadn't heard of itself yet, or it would have founded them with
-// these 6, for good:
-//
-//	-12.8355 directory written action=1 nodes=6
-//	-12.1116 directory written action=1 nodes=39
-//	-11.2007 directory written action=1 nodes=6
-func TestSetsAreFoundedByWhatTheStoreHas(t *testing.T) {
+// TestBootstrapUsesStoredNodes guards against replica sets that are created with the few
+// nodes of an outdated listing while many nodes start together.
+func TestBootstrapUsesStoredNodes(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		members := storageNodes(40, 5)
-		store := &startingStore{}
+		store := &startupStore{}
 		store.announce(t, members)
 		views := shard.NewMap(0)
 		keeper := NewKeeper(members[0], store, func() *shard.Map { return views },
@@ -90,34 +82,35 @@
 		var serving sync.WaitGroup
 		serving.Go(func() { _ = keeper.Serve(ctx) })
 		keeper.ApplySets(follow.Snapshot{})
-		late, err := store.List(ctx, KindNodes)
+		outdated, err := store.List(ctx, KindNodes)
 		assert.NilError(t, err)
-		late.Objects = late.Objects[:6]
-		keeper.ApplyNodes(late)
+		outdated.Objects = outdated.Objects[:6]
+		keeper.ApplyNodes(outdated)
 		time.Sleep(5 * time.Second)
 		synctest.Wait()
 		cancel()
 		serving.Wait()
-		var founded Sets
-		assert.NilError(t, json.Unmarshal(store.sets, &founded))
-		assert.Equal(t, founded.Shards, uint32(16))
-		holding := make(map[string]bool)
-		for _, view := range founded.Views {
+		var created Sets
+		assert.NilError(t, json.Unmarshal(store.sets, &created))
+		assert.Equal(t, created.Shards, uint32(16))
+		inSets := make(map[string]bool)
+		for _, view := range created.Views {
 			for _, member := range view.Members {
-				holding[member.Node] = true
+				inSets[member.Node] = true
 			}
 		}
-		assert.Equal(t, len(holding), len(members), "nodes in sets")
+		assert.Equal(t, len(inSets), len(members), "nodes in sets")
 	})
 }
 
-// TestNodeThatHearsOfItselfLateAnnouncesItselfOnce: 40 nodes that started together wrote
-// 104 times what they had said before, to a store that paces its writes.
-func TestNodeThatHearsOfItselfLateAnnouncesItselfOnce(t *testing.T) {
+// TestDelayedListingCausesNoRepeatedAnnouncement guards against a node that announces
+// itself repeatedly while the listing doesn't show it yet. It announces itself again if
+// its object was deleted without notice.
+func TestDelayedListingCausesNoRepeatedAnnouncement(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		self := storageNodes(1, 1)[0]
-		store := &startingStore{}
+		store := &startupStore{}
 		views := shard.NewMap(0)
 		keeper := NewKeeper(self, store, func() *shard.Map { return views }, Settings{Shards: 4, Factor: 5}, time.Now, zap.NewNop())
 		var serving sync.WaitGroup
@@ -125,15 +118,15 @@
 		keeper.ApplyNodes(follow.Snapshot{})
 		time.Sleep(2500 * time.Millisecond)
 		store.mutex.Lock()
-		assert.Equal(t, store.announced, 1)
+		assert.Equal(t, store.announcements, 1)
 		store.mutex.Unlock()
-		// Somebody takes its object away, and nobody tells it more.
+		// The object is deleted, and the node receives no further listing.
 		store.mutex.Lock()
 		store.nodes = nil
 		store.mutex.Unlock()
 		time.Sleep(5 * time.Second)
 		store.mutex.Lock()
-		assert.Equal(t, len(store.nodes), 1, "it is announced anew after a while")
+		assert.Equal(t, len(store.nodes), 1, "objects of the node after it was deleted")
 		store.mutex.Unlock()
 		cancel()
 		serving.Wait()
