--- a/coordination/repair/repair.go
+++ b/coordination/repair/repair.go
@@ -1,10 +1,9 @@
-// Package repair keeps replica sets whole. Round after round it puts together what
-// membership and the shard map say, and a maintainer carries out what shard.Plan decides
-// on that.
+// Package repair keeps replica sets complete. It periodically combines the state of the
+// membership and the shard map, and has a shard.Maintainer execute the resulting plan.
 //
-// It owns since when each node has been gone, and whether this node has seen every set
-// whole. It relies on package membership for who is alive and on package shard for the
-// plan and its execution.
+// It tracks since when each node has been gone, and whether this node has ever seen every
+// set complete. Package membership detects failed nodes; package shard plans and executes
+// changes of the sets.
 package repair
 
 import (
@@ -24,49 +23,47 @@
 )
 
 const (
-	// roundTimeout bounds one round, so that a member that hangs while it copies
-	// doesn't stop the repair of other sets. Chosen, not measured.
-	roundTimeout = time.Minute
-	// handoverPause is the pause between two checks of a handover. Chosen, not
-	// measured.
-	handoverPause = 200 * time.Millisecond
-	// handoverTimeout bounds how long a planned stop waits for its replicas to be
-	// taken over. Chosen, not measured.
+	// roundTimeout limits one round, so that a member that hangs during a copy doesn't
+	// stop the repair of other sets.
+	roundTimeout         = time.Minute
+	handoverPollInterval = 200 * time.Millisecond
+	// handoverTimeout limits how long a planned stop waits for other nodes to take over
+	// its replicas.
 	handoverTimeout = 20 * time.Second
 )
 
 var errIncompleteSets = errors.New("replica sets lack members")
 
-// Options are the parts of a Service.
+// Options configures a Service.
 type Options struct {
 	Maintainer *shard.Maintainer
 	Views      *shard.Map
 	Members    func() *membership.Members
 	Settings   shard.PlanSettings
-	// Interval is the pause between two rounds.
+	// Interval is the time between two rounds.
 	Interval time.Duration
 	Now      func() time.Time
 	Logger   *zap.Logger
 }
 
-// Service keeps the replica sets whole. It is a suture service.
+// Service repairs the replica sets. It implements suture.Service.
 type Service struct {
 	options Options
 	started time.Time
 
 	mutex sync.Mutex
-	// goneSince is by incarnation when a node was first seen gone.
+	// goneSince maps the incarnation of each gone node to when it was first seen gone.
 	goneSince map[string]time.Time
-	// settled is set by the first round that found every set whole.
-	settled atomic.Bool
+	// seenComplete is set by the first round that found every set complete.
+	seenComplete atomic.Bool
 }
 
-// New makes a service.
+// New returns a service that has not seen the sets complete.
 func New(options Options) *Service {
 	return &Service{options: options, started: options.Now(), goneSince: make(map[string]time.Time)}
 }
 
-// String names the service in the supervisor's messages.
+// String returns the service name for the supervisor's log messages.
 func (r *Service) String() string { return "repair of replica sets" }
 
 // Serve runs rounds until the context ends.
@@ -76,27 +73,27 @@
 	for {
 		select {
 		case <-ticker.C:
-			r.round(ctx)
+			r.runRound(ctx)
 		case <-ctx.Done():
 			return ctx.Err()
 		}
 	}
 }
 
-// round repairs what it can, and records whether every set was whole.
-func (r *Service) round(ctx context.Context) {
+// runRound plans and executes one round of repair, and records if every set was complete.
+func (r *Service) runRound(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, roundTimeout)
 	defer cancel()
 	plan := r.options.Maintainer.Round(ctx, r.Situation())
-	if isWhole(plan) && len(r.options.Views.Views()) > 0 {
-		r.settled.Store(true)
+	if isComplete(plan) && len(r.options.Views.Views()) > 0 {
+		r.seenComplete.Store(true)
 	}
 }
 
-// isWhole tells that the plan found every set whole: none has lost its majority, and no
-// member is to be replaced because it is gone or lost its data. Moves for other reasons,
-// such as a leaving node, start from whole sets.
-func isWhole(plan shard.Outcome) bool {
+// isComplete reports whether the plan found every set complete: none has lost its quorum,
+// and no member is to be replaced because it is gone or lost its data. Sets that change for
+// other reasons, such as a leaving node, are complete.
+func isComplete(plan shard.Outcome) bool {
 	if len(plan.Lost) > 0 {
 		return false
 	}
@@ -105,24 +102,24 @@
 	})
 }
 
-// Check is a readiness check. A node that has started is ready once it has seen every
-// set whole, so that a rolling restart that waits for readiness never takes a second
-// member of a set. From then on it stays ready: a member that is lost elsewhere is no
-// reason to send callers away.
+// Check is a readiness check. A node becomes ready once it has seen every set complete, so
+// that a rolling restart that waits for readiness never stops a second member of a set.
+// Afterwards it stays ready, since the loss of a member elsewhere must not make it
+// unavailable.
 func (r *Service) Check(context.Context) error {
-	if !r.settled.Load() {
+	if !r.seenComplete.Load() {
 		return errIncompleteSets
 	}
 	return nil
 }
 
-// Situation returns what membership and the shard map say now.
+// Situation returns the current input of a plan, from the membership and the shard map.
 func (r *Service) Situation() shard.Situation {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	now := r.options.Now()
 	situation := shard.Situation{Now: now, WatchedSince: r.started, Views: r.options.Views.Views()}
-	known := make(map[string]time.Time)
+	goneSince := make(map[string]time.Time)
 	for _, member := range r.options.Members().All() {
 		node := shard.Node{
 			Member:        Member(member),
@@ -135,51 +132,52 @@
 			if node.GoneSince.IsZero() {
 				node.GoneSince = now
 			}
-			known[member.Incarnation] = node.GoneSince
+			goneSince[member.Incarnation] = node.GoneSince
 		}
 		situation.Nodes = append(situation.Nodes, node)
 	}
-	r.goneSince = known
+	r.goneSince = goneSince
 	return situation
 }
 
-// AwaitHandover waits, for handoverTimeout at the longest, until other nodes have taken
-// over the replicas of the leaving incarnation as far as they can, and until no set
-// would lose its majority without it.
+// AwaitHandover waits until other nodes have taken over the replicas of the leaving
+// incarnation as far as possible and every set keeps its quorum without it, or until
+// handoverTimeout has passed.
 func (r *Service) AwaitHandover(ctx context.Context, incarnation string) {
 	ctx, cancel := context.WithTimeout(ctx, handoverTimeout)
 	defer cancel()
 	for ctx.Err() == nil {
-		waiting := r.heldBack(incarnation)
-		if waiting == 0 {
+		remaining := r.setsNeeding(incarnation)
+		if remaining == 0 {
 			return
 		}
-		r.options.Logger.Debug("waiting for the handover of replicas", zap.Int("sets", waiting))
-		_ = sleep.For(ctx, handoverPause)
+		r.options.Logger.Debug("waiting for the handover of replicas", zap.Int("sets", remaining))
+		_ = sleep.For(ctx, handoverPollInterval)
 	}
-	r.options.Logger.Warn("stopping with replicas that nobody took over", zap.Int("sets", r.heldBack(incarnation)))
+	r.options.Logger.Warn("stopping before the handover of replicas completed", zap.Int("sets", r.setsNeeding(incarnation)))
 }
 
-// heldBack counts the sets that still need the incarnation: those whose replica is to be
-// moved by a plan without a bound on moves, and those that would have no majority.
-func (r *Service) heldBack(incarnation string) int {
+// setsNeeding returns the number of sets that still need the incarnation: those whose
+// replica would be moved by a plan without a limit on moves, and those that would lose
+// their quorum without it.
+func (r *Service) setsNeeding(incarnation string) int {
 	situation := r.Situation()
-	unbounded := r.options.Settings
-	unbounded.Moves = len(situation.Views) + 1
+	unlimited := r.options.Settings
+	unlimited.Moves = len(situation.Views) + 1
 	moving := make(map[uint32]bool)
-	for _, move := range shard.Plan(situation, unbounded).Moves {
+	for _, move := range shard.Plan(situation, unlimited).Moves {
 		moving[move.View.Shard] = true
 	}
 	count := 0
 	for _, view := range situation.Views {
-		if isMember(view, incarnation) && (moving[view.Shard] || r.othersAnswering(view, incarnation) < view.Quorum()) {
+		if isMember(view, incarnation) && (moving[view.Shard] || r.otherMembersAlive(view, incarnation) < view.Quorum()) {
 			count++
 		}
 	}
 	return count
 }
 
-// isMember tells whether the incarnation is a member of the view.
+// isMember reports whether the incarnation is a member of the view.
 func isMember(view register.View, incarnation string) bool {
 	for _, member := range view.Members {
 		if member.Incarnation == incarnation {
@@ -189,8 +187,8 @@
 	return false
 }
 
-// othersAnswering counts the members beside the incarnation that are alive.
-func (r *Service) othersAnswering(view register.View, incarnation string) int {
+// otherMembersAlive returns the number of live members other than the incarnation.
+func (r *Service) otherMembersAlive(view register.View, incarnation string) int {
 	members := r.options.Members()
 	count := 0
 	for _, member := range view.Members {
@@ -201,7 +199,7 @@
 	return count
 }
 
-// Member converts a node of the membership.
+// Member converts a member of the cluster to a member of a replica set.
 func Member(member membership.Member) register.Member {
 	return register.Member{
 		Node:        member.Node,
