--- a/coordination/expiry/collector.go
+++ b/coordination/expiry/collector.go
@@ -1,10 +1,9 @@
-// Package expiry deletes turns that a replica has kept for long enough; use.isOver is
-// the rule. A turn counts as used when it is stored and whenever a later turn of its
-// line is, so that a line that goes on is kept whole.
+// Package expiry deletes expired turns from a replica's store; usage.isExpired defines
+// when a turn expires. A turn counts as used when it is stored and whenever a descendant
+// is stored, so that no turn of a line expires while the line is continued.
 //
-// The package owns, in memory, when each stored turn was last used. It relies on the
-// replica's store for the turns, and on the monotonic clock of the process for ages: a
-// restart begins them anew, which only keeps turns longer.
+// The last use of each stored turn is only kept in memory. A restart resets it to the first
+// collection afterwards, which only keeps turns longer.
 package expiry
 
 import (
@@ -18,64 +17,62 @@
 )
 
 const (
-	// keptRetentions is how many times its retention a turn is kept after its last use,
-	// since other replicas may have seen a later use. Chosen, not measured.
-	keptRetentions = 3
-	// slack is added for answers that end late. Chosen, not measured.
-	slack = 30 * time.Second
-	// defaultRetention is the retention of a turn that names none, or that can't be
-	// read. Chosen, not measured.
+	// retentionFactor multiplies the retention of a turn, since other replicas may have
+	// seen a later use.
+	retentionFactor = 3
+	// retentionMargin extends the retention for responses that end late.
+	retentionMargin = 30 * time.Second
+	// defaultRetention applies to turns that specify no retention or can't be decoded.
 	defaultRetention = 10 * time.Minute
 )
 
-// Options are the parts of a Collector.
+// Options configures a Collector.
 type Options struct {
 	Store replica.Store
 	// Shards returns the number of shards.
 	Shards func() uint32
-	// Interval is the pause between two searches through all turns.
+	// Interval is the time between two collections.
 	Interval time.Duration
 	Now      func() time.Time
 	Logger   *zap.Logger
 }
 
-// Collector deletes turns. It is a suture service.
+// Collector deletes expired turns. It implements suture.Service.
 type Collector struct {
 	options Options
 	codec   *turn.Codec
-	// known are the turns by id.
-	known map[string]*use
+	// usages are the usages of the turns by id.
+	usages map[string]*usage
 }
 
-// use is what is remembered of a stored turn.
-type use struct {
-	// last is the time of the last use.
-	last time.Time
-	// retention is what the turn asks for; zero until the turn was read.
+// usage records when a turn was last used and how long it is retained.
+type usage struct {
+	lastUsed time.Time
+	// retention is the retention of the turn; zero until the turn was read.
 	retention time.Duration
-	// present is set while the search under way has found the turn.
-	present bool
+	// found is set if the current collection found the turn in the store.
+	found bool
 }
 
-// isOver tells whether the turn is to be deleted: it hasn't been used for three times
-// its retention and the slack.
-func (u *use) isOver(now time.Time) bool {
-	return now.Sub(u.last) > keptRetentions*u.retention+slack
+// isExpired reports whether the turn is to be deleted: it has not been used for
+// retentionFactor times its retention plus retentionMargin.
+func (u *usage) isExpired(now time.Time) bool {
+	return now.Sub(u.lastUsed) > retentionFactor*u.retention+retentionMargin
 }
 
-// New makes a collector that has seen no turn.
+// New returns a collector that knows no turns.
 func New(options Options) (*Collector, error) {
 	codec, err := turn.NewCodec()
 	if err != nil {
 		return nil, err
 	}
-	return &Collector{options: options, codec: codec, known: make(map[string]*use)}, nil
+	return &Collector{options: options, codec: codec, usages: make(map[string]*usage)}, nil
 }
 
-// String names the service in the supervisor's messages.
-func (c *Collector) String() string { return "collector of turns" }
+// String returns the service name for the supervisor's log messages.
+func (c *Collector) String() string { return "turn collector" }
 
-// Serve collects until the context ends.
+// Serve collects periodically until the context ends.
 func (c *Collector) Serve(ctx context.Context) error {
 	ticker := time.NewTicker(c.options.Interval)
 	defer ticker.Stop()
@@ -85,93 +82,95 @@
 			return ctx.Err()
 		case <-ticker.C:
 			if err := c.Collect(ctx); err != nil {
-				c.options.Logger.Warn("turns not collected", zap.Error(err))
+				c.options.Logger.Warn("expired turns not deleted", zap.Error(err))
 			}
 		}
 	}
 }
 
-// Collect searches through all turns once and deletes those that are over.
+// Collect scans all stored turns once and deletes the expired ones.
 func (c *Collector) Collect(ctx context.Context) error {
-	for _, known := range c.known {
-		known.present = false
+	for _, entry := range c.usages {
+		entry.found = false
 	}
-	places := make(map[string]uint32)
+	shardOf := make(map[string]uint32)
 	for shard := range c.options.Shards() {
 		err := replica.EachTurnName(c.options.Store, shard, func(stored replica.Turn) error {
-			places[stored.Program] = shard
+			shardOf[stored.Program] = shard
 			return ctx.Err()
 		})
 		if err != nil {
 			return err
 		}
 	}
-	for id, shard := range places {
-		if err := c.see(shard, id); err != nil {
+	for id, shard := range shardOf {
+		if err := c.recordStored(shard, id); err != nil {
 			return err
 		}
 	}
-	return c.drop(places)
+	return c.deleteExpired(shardOf)
 }
 
-// see records a stored turn. A turn that is seen first counts as a use of its whole line.
-func (c *Collector) see(shard uint32, id string) error {
-	if known := c.known[id]; known != nil && known.retention > 0 {
-		known.present = true
+// recordStored records that the collection found a turn. The first time, this counts as a
+// use of the turn and of all its ancestors.
+func (c *Collector) recordStored(shard uint32, id string) error {
+	if entry := c.usages[id]; entry != nil && entry.retention > 0 {
+		entry.found = true
 		return nil
 	}
 	now := c.options.Now()
 	retention := defaultRetention
 	err := c.options.Store.ReadTurns(shard, id, 0, func(stored replica.Turn) error {
-		whole, err := c.codec.Decode(id, stored.Object, stored.Digest)
+		decoded, err := c.codec.Decode(id, stored.Object, stored.Digest)
 		if err != nil {
-			// A turn that can't be read is kept for the default time.
-			c.options.Logger.Warn("turn can't be read", zap.String("turn", id), zap.Error(err))
+			// Kept for the default retention.
+			c.options.Logger.Warn("cannot decode turn", zap.String("turn", id), zap.Error(err))
 			return nil
 		}
-		if whole.GetRetentionMs() > 0 {
-			retention = time.Duration(whole.GetRetentionMs()) * time.Millisecond
+		if decoded.GetRetentionMs() > 0 {
+			retention = time.Duration(decoded.GetRetentionMs()) * time.Millisecond
 		}
-		for _, ancestor := range whole.GetAncestors() {
-			c.useOf(ancestor).last = now
+		for _, ancestor := range decoded.GetAncestors() {
+			c.usageOf(ancestor).lastUsed = now
 		}
 		return nil
 	})
-	seen := c.useOf(id)
-	seen.last, seen.retention, seen.present = now, retention, true
+	entry := c.usageOf(id)
+	entry.lastUsed, entry.retention, entry.found = now, retention, true
 	return err
 }
 
-// useOf returns what is known of the turn, a new entry at first.
-func (c *Collector) useOf(id string) *use {
-	known := c.known[id]
-	if known == nil {
-		known = &use{}
-		c.known[id] = known
+// usageOf returns the entry of the turn, and creates it if there is none.
+func (c *Collector) usageOf(id string) *usage {
+	entry := c.usages[id]
+	if entry == nil {
+		entry = &usage{}
+		c.usages[id] = entry
 	}
-	return known
+	return entry
 }
 
-// drop deletes the turns that are over and forgets those that the search hasn't found.
-func (c *Collector) drop(places map[string]uint32) error {
+// deleteExpired deletes the expired turns from the store, and removes the entries of turns
+// that the collection didn't find.
+func (c *Collector) deleteExpired(shardOf map[string]uint32) error {
 	now := c.options.Now()
-	dropped := 0
-	for id, known := range c.known {
-		if !known.present {
-			delete(c.known, id)
+	deleted := 0
+	for id, entry := range c.usages {
+		if !entry.found {
+			delete(c.usages, id)
 			continue
 		}
-		if !known.isOver(now) {
+		if !entry.isExpired(now) {
 			continue
 		}
-		if err := c.options.Store.DropProgram(places[id], id); err != nil {
+		if err := c.options.Store.DropProgram(shardOf[id], id); err != nil {
 			return err
 		}
-		delete(c.known, id)
-		dropped++
+		delete(c.usages, id)
+		deleted++
 	}
-	if dropped > 0 {
-		c.options.Logger.Info("turns deleted", zap.Int("deleted", dropped), zap.Int("kept", len(c.known)))
+	if deleted > 0 {
+		c.options.Logger.Info("turns deleted", zap.Int("deleted", deleted), zap.Int("kept", len(c.usages)))
 	}
 	return nil
 }
