--- a/coordination/expiry/collector.go
+++ b/coordination/expiry/collector.go
@@ -1,6 +1,6 @@
 // Package expiry deletes expired turns from a replica's store; usage.isExpired defines
 // when a turn expires. A turn counts as used when it is stored and whenever a descendant
-// is stored, so that no turn of a line expires while the line is continued.
+// is stored, so that no ancestor expires while its line of turns is continued.
 //
 // The last use of each stored turn is only kept in memory. A restart resets it to the first
 // collection afterwards, which only keeps turns longer.
