--- a/coordination/mirror/changes.go
+++ b/coordination/mirror/changes.go
@@ -9,145 +9,149 @@
 )
 
 const (
-	// maxRemovals is how many removed objects of a kind are remembered, and maxSteps how
-	// many revisions of its snapshots (chosen, not measured). Whoever asks for changes
-	// since an earlier revision is told all that there is.
-	maxRemovals = 512
-	maxSteps    = 1024
+	// maxRemovals and maxRevisions bound the history of a kind: the removed objects and the
+	// revisions of its snapshots. Callers at a revision that has been dropped are sent the
+	// whole snapshot.
+	maxRemovals  = 512
+	maxRevisions = 1024
 )
 
-// removal is an object that was gone at a revision.
+// removal records an object that was removed.
 type removal struct {
 	name string
-	// at is the revision of the first snapshot without the object.
-	at int64
+	// revision is that of the first snapshot without the object.
+	revision int64
 }
 
-// Answer is what a holder says about changes: one of the types below.
+// Answer is a holder's answer to a watch call: Current, Lost or Missed.
 type Answer interface{ isAnswer() }
 
-// Current is what changed.
+// Current carries the changes since the revision that was asked for.
 type Current struct {
 	Changes follow.Changes
 }
 
-// Lost says that the holder itself doesn't hear from the store.
+// Lost means that the holder has no contact with the store.
 type Lost struct{}
 
-// Missed says that the holder doesn't follow the kind.
+// Missed means that the holder doesn't follow the kind.
 type Missed struct{}
 
 func (Current) isAnswer() {}
 func (Lost) isAnswer()    {}
 func (Missed) isAnswer()  {}
 
-// Upstream is the holder's own way to the store. follow.Follower is one.
+// Upstream is the state of the follower that feeds the holder. follow.Follower implements
+// it.
 type Upstream interface {
-	// Age is how long ago the store last answered; ok is false before it first did.
+	// Age returns the time since the store last answered; ok is false before its first
+	// answer.
 	Age() (age time.Duration, ok bool)
-	// Proved is the newest moment before which the store is known to have had
-	// nothing newer than what was kept; zero for none.
+	// Proved returns the latest time at which the store is known to have had nothing newer
+	// than the kept snapshot; zero for none.
 	Proved() time.Time
-	// IsLost tells that the last call failed.
+	// IsLost reports whether the last call failed.
 	IsLost() bool
 }
 
-// kindState is what a holder has of one kind. The holder's mutex guards it.
+// kindState is a holder's snapshot and recent history of one kind. The holder's mutex
+// guards it.
 type kindState struct {
-	kept Copy
-	// removals are in the order of their revisions.
+	latest Copy
+	// removals are ordered by revision.
 	removals []removal
-	// steps are the revisions of the snapshots that were taken in, oldest first. What was
-	// made and removed between two of them was never seen here, so that only whoever is at
-	// one of them can be told what changed since; others are told all that there is.
-	steps []int64
-	// upstream is the way by which the holder hears of the kind; nil before Through.
+	// revisions are those of the received snapshots, oldest first. Objects that were created
+	// and removed between two of them were never seen here, so only callers at one of these
+	// revisions can be sent changes; others are sent the whole snapshot.
+	revisions []int64
+	// upstream feeds the kind; nil before Through.
 	upstream Upstream
-	// changed is closed when anything of it changes.
+	// changed is closed, and replaced, when the state changes.
 	changed chan struct{}
 }
 
 func newKindState(kind string) *kindState {
-	return &kindState{kept: Copy{Kind: kind}, changed: make(chan struct{})}
+	return &kindState{latest: Copy{Kind: kind}, changed: make(chan struct{})}
 }
 
-// wake has those look again who wait for a change.
-func (s *kindState) wake() {
+// notify wakes the callers that wait for a change.
+func (s *kindState) notify() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// replace takes a newer snapshot in and remembers which objects are gone.
-func (s *kindState) replace(snapshot follow.Snapshot, heard time.Time) {
-	if !s.kept.Heard.IsZero() {
-		// A copy of an earlier life isn't a step: nobody is told what changed since, so that
-		// what it has and the snapshot lacks needn't be known.
-		s.rememberRemovals(snapshot)
+// update replaces the snapshot by a newer one and records which objects were removed.
+func (s *kindState) update(snapshot follow.Snapshot, receivedAt time.Time) {
+	if !s.latest.Heard.IsZero() {
+		// The revision of a copy loaded from disk isn't in revisions: no caller is sent the
+		// changes since then, so removals since then needn't be known.
+		s.recordRemovals(snapshot)
 	}
-	if len(s.steps) == 0 || s.steps[len(s.steps)-1] < snapshot.At {
-		s.steps = append(s.steps, snapshot.At)
+	if len(s.revisions) == 0 || s.revisions[len(s.revisions)-1] < snapshot.At {
+		s.revisions = append(s.revisions, snapshot.At)
 	}
-	s.forget()
-	s.kept.Snapshot, s.kept.Heard = snapshot, heard
-	s.wake()
+	s.trimHistory()
+	s.latest.Snapshot, s.latest.Heard = snapshot, receivedAt
+	s.notify()
 }
 
-// rememberRemovals notes the known objects that the next snapshot lacks.
-func (s *kindState) rememberRemovals(next follow.Snapshot) {
+// recordRemovals records the objects of the latest snapshot that the next one lacks.
+func (s *kindState) recordRemovals(next follow.Snapshot) {
 	names := make(map[string]bool, len(next.Objects))
 	for _, object := range next.Objects {
 		names[object.Name] = true
 	}
-	for _, object := range s.kept.Snapshot.Objects {
+	for _, object := range s.latest.Snapshot.Objects {
 		if !names[object.Name] {
-			s.removals = append(s.removals, removal{name: object.Name, at: next.At})
+			s.removals = append(s.removals, removal{name: object.Name, revision: next.At})
 		}
 	}
 }
 
-// forget drops the oldest removals and steps beyond the bounds. Steps before a dropped
-// removal go with it: whoever is at a step that is left needs no removal that was dropped.
-func (s *kindState) forget() {
+// trimHistory drops the oldest removals and revisions beyond the bounds. Revisions before a
+// dropped removal are dropped with it, so that the changes since each remaining revision are
+// complete.
+func (s *kindState) trimHistory() {
 	if excess := len(s.removals) - maxRemovals; excess > 0 {
-		dropped := s.removals[excess-1].at
+		lastDropped := s.removals[excess-1].revision
 		s.removals = slices.Clone(s.removals[excess:])
-		s.steps = slices.DeleteFunc(s.steps, func(step int64) bool { return step < dropped })
+		s.revisions = slices.DeleteFunc(s.revisions, func(revision int64) bool { return revision < lastDropped })
 	}
-	if excess := len(s.steps) - maxSteps; excess > 0 {
-		s.steps = slices.Clone(s.steps[excess:])
+	if excess := len(s.revisions) - maxRevisions; excess > 0 {
+		s.revisions = slices.Clone(s.revisions[excess:])
 	}
 }
 
-// knowsFrom tells that all that changed after the revision is known.
-func (s *kindState) knowsFrom(revision int64) bool {
-	_, isStep := slices.BinarySearch(s.steps, revision)
-	return isStep || revision >= s.kept.Snapshot.At
+// hasChangesSince reports whether all changes after the revision are known.
+func (s *kindState) hasChangesSince(revision int64) bool {
+	_, isRecorded := slices.BinarySearch(s.revisions, revision)
+	return isRecorded || revision >= s.latest.Snapshot.At
 }
 
-// changesSince returns what changed after the revision, or all that there is where that
-// isn't known.
+// changesSince returns the changes after the revision, or the whole snapshot if they aren't
+// known.
 func (s *kindState) changesSince(revision int64) follow.Changes {
-	if !s.knowsFrom(revision) {
-		return s.kept.Snapshot.Changes()
+	if !s.hasChangesSince(revision) {
+		return s.latest.Snapshot.Changes()
 	}
-	changes := follow.Changes{At: max(revision, s.kept.Snapshot.At)}
-	for _, object := range s.kept.Snapshot.Objects {
+	changes := follow.Changes{At: max(revision, s.latest.Snapshot.At)}
+	for _, object := range s.latest.Snapshot.Objects {
 		if object.Revision > revision {
 			changes.Events = append(changes.Events, follow.Event{Object: object})
 		}
 	}
 	for _, removed := range s.removals {
-		if removed.at > revision {
-			gone := follow.Object{Name: removed.name, Revision: removed.at}
-			changes.Events = append(changes.Events, follow.Event{Object: gone, Gone: true})
+		if removed.revision > revision {
+			object := follow.Object{Name: removed.name, Revision: removed.revision}
+			changes.Events = append(changes.Events, follow.Event{Object: object, Gone: true})
 		}
 	}
 	return changes
 }
 
-// answer says what there is to say now about changes since the revision; done is false
-// where nothing has changed, so that it may be waited for.
-func (s *kindState) answer(revision int64) (said Answer, done bool) {
+// currentAnswer returns the present answer to a call that watches from the revision; done is
+// false if nothing has changed, so that the call may wait.
+func (s *kindState) currentAnswer(revision int64) (answer Answer, done bool) {
 	if s.upstream == nil || s.upstream.IsLost() {
 		return Lost{}, true
 	}
@@ -155,52 +159,52 @@
 	if !heard {
 		return Lost{}, true
 	}
-	// The moment is read before the changes: what is told is at least as new.
+	// The time is read before the changes, so that these are at least as new.
 	proved := s.upstream.Proved()
 	changes := s.changesSince(revision)
 	changes.Age, changes.Proved = age, proved
 	return Current{Changes: changes}, changes.IsWhole || len(changes.Events) > 0
 }
 
-// Watch answers as soon as there is a change of the kind after the revision, or this
-// holder loses the store. After the wait it answers that nothing changed.
+// Watch returns as soon as the kind has changed after the revision or this holder has lost
+// the store. After the wait it returns an answer without changes.
 func (h *Holder) Watch(ctx context.Context, kind string, revision int64, wait time.Duration) Answer {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
-	for over := false; ; {
+	for timedOut := false; ; {
 		h.mutex.Lock()
-		found := h.states[kind]
-		if found == nil {
+		state := h.states[kind]
+		if state == nil {
 			h.mutex.Unlock()
 			return Missed{}
 		}
-		said, done := found.answer(revision)
-		changed := found.changed
+		answer, done := state.currentAnswer(revision)
+		changed := state.changed
 		h.mutex.Unlock()
-		if done || over {
-			return said
+		if done || timedOut {
+			return answer
 		}
 		select {
 		case <-changed:
 		case <-timer.C:
-			// Nothing has changed, but what is known of that may be newer.
-			over = true
+			// Answer anew: the age and the proof may have advanced without a change.
+			timedOut = true
 		case <-ctx.Done():
-			return said
+			return answer
 		}
 	}
 }
 
-// Through sets the way by which the holder hears of the kind.
+// Through sets the upstream that feeds the kind.
 func (h *Holder) Through(kind string, upstream Upstream) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	h.state(kind).upstream = upstream
 }
 
-// Lost has those answered that wait for a change of the kind, since the store is lost.
+// Lost wakes the calls that watch the kind, so that they report the lost store.
 func (h *Holder) Lost(kind string) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	h.state(kind).wake()
+	h.state(kind).notify()
 }
--- a/coordination/mirror/holder.go
+++ b/coordination/mirror/holder.go
@@ -16,17 +16,16 @@
 )
 
 const (
-	// mediumShard is the shard number under which copies are kept: the last but one. The
-	// last is that of the replica's own state.
-	mediumShard uint32 = 1<<32 - 2
-	// namePrefix begins the name of a kept copy; the kind follows.
-	namePrefix = "mirror-"
-	// savePause lies between two writes, so that a burst of changes is written once
-	// (chosen, not measured).
-	savePause = 500 * time.Millisecond
+	// copyShard is the shard number under which copies are stored: the last but one. The
+	// last is used for the replica's own state.
+	copyShard uint32 = 1<<32 - 2
+	// copyNamePrefix precedes the kind in the name of a stored copy.
+	copyNamePrefix = "mirror-"
+	// saveInterval is the pause after a write, so that a burst of changes is written once.
+	saveInterval = 500 * time.Millisecond
 )
 
-// Kinds of objects that are mirrored.
+// Kinds of mirrored objects.
 const (
 	KindConfiguration = "configuration"
 	KindInstances     = "instances"
@@ -35,101 +34,98 @@
 	KindRetirements   = "retirements"
 )
 
-// Kinds lists the kinds of which copies are kept for nodes that start while the store is
-// away. The others are only passed on.
+// Kinds returns the kinds whose copies are persisted, for nodes that start while the store
+// is unavailable. Other kinds are only passed on.
 func Kinds() []string { return []string{KindConfiguration, KindInstances, KindSets} }
 
-// Copy is one kind of objects as the store had them.
+// Copy is a snapshot of one kind of objects.
 type Copy struct {
 	Kind     string
 	Snapshot follow.Snapshot
-	// Heard is when the snapshot was taken in; zero where that was in an earlier life of
-	// the holder.
+	// Heard is when the snapshot was received; zero if the holder has restarted since.
 	Heard time.Time
 }
 
-// Medium keeps small values on a disk. replica.Store is one.
+// Medium persists small values. replica.Store implements it.
 type Medium interface {
 	SaveMeta(shard uint32, name string, value []byte) error
-	// LoadMeta returns nil where there is no such value.
+	// LoadMeta returns nil if there is no such value.
 	LoadMeta(shard uint32, name string) ([]byte, error)
 }
 
-// Holder keeps copies of what the store has, and tells what changes. It is a suture
-// service and safe for concurrent use.
+// Holder keeps copies of the store's objects and serves their changes to other nodes. It is
+// a suture service and safe for concurrent use.
 type Holder struct {
 	medium Medium
 	now    func() time.Time
 	logger *zap.Logger
 
 	mutex sync.Mutex
-	// keeps are the kinds of which copies are kept.
-	keeps []string
-	// states are what is known of each kind, kept or not.
+	// persistedKinds are the kinds whose copies are written to the medium.
+	persistedKinds []string
+	// states hold every followed kind, persisted or not.
 	states map[string]*kindState
-	// unsaved are the kinds whose copy has changed since it was last written, and changed
-	// tells that there are any.
-	unsaved map[string]bool
-	changed chan struct{}
+	// unsaved are the kinds whose copy has changed since it was last written; saveRequested
+	// signals that there are any.
+	unsaved       map[string]bool
+	saveRequested chan struct{}
 }
 
-// NewHolder makes a holder that keeps copies of the kinds, beginning with those that the
-// medium has. A copy that can't be decoded is left out; it fails where the medium can't
-// be read.
+// NewHolder creates a holder that persists the kinds, and loads their copies from the
+// medium. Copies that can't be decoded are ignored; it fails if the medium can't be read.
 func NewHolder(kinds []string, medium Medium, now func() time.Time, logger *zap.Logger) (*Holder, error) {
 	h := &Holder{
-		medium: medium, now: now, logger: logger, keeps: kinds,
-		states: make(map[string]*kindState), unsaved: make(map[string]bool), changed: make(chan struct{}, 1),
+		medium: medium, now: now, logger: logger, persistedKinds: kinds,
+		states: make(map[string]*kindState), unsaved: make(map[string]bool), saveRequested: make(chan struct{}, 1),
 	}
 	for _, kind := range kinds {
-		if err := h.load(kind); err != nil {
+		if err := h.loadCopy(kind); err != nil {
 			return nil, err
 		}
 	}
 	return h, nil
 }
 
-// load begins with the copy of the kind that the medium has.
-func (h *Holder) load(kind string) error {
-	encoded, err := h.medium.LoadMeta(mediumShard, namePrefix+kind)
+// loadCopy loads the copy of the kind from the medium, if there is one.
+func (h *Holder) loadCopy(kind string) error {
+	encoded, err := h.medium.LoadMeta(copyShard, copyNamePrefix+kind)
 	if err != nil {
-		return merry.Prependf(err, "load the copy of %s", kind)
+		return merry.Prependf(err, "load mirrored copy of %s", kind)
 	}
 	if encoded == nil {
 		return nil
 	}
-	kept := Copy{Kind: kind}
-	if err := json.Unmarshal(encoded, &kept.Snapshot); err != nil {
-		h.logger.Warn("mirrored objects can't be read", zap.String("objects", kind), zap.Error(err))
+	loaded := Copy{Kind: kind}
+	if err := json.Unmarshal(encoded, &loaded.Snapshot); err != nil {
+		h.logger.Warn("cannot decode mirrored objects", zap.String("objects", kind), zap.Error(err))
 		return nil
 	}
-	h.state(kind).kept = kept
+	h.state(kind).latest = loaded
 	h.logger.Info("mirrored objects loaded", zap.String("objects", kind),
-		zap.Int64("revision", kept.Snapshot.At), zap.Int("count", len(kept.Snapshot.Objects)))
+		zap.Int64("revision", loaded.Snapshot.At), zap.Int("count", len(loaded.Snapshot.Objects)))
 	return nil
 }
 
-// Keep takes in what the store had. A snapshot that is older than the known one changes
-// nothing.
+// Keep replaces the copy of the kind, unless the snapshot is older.
 func (h *Holder) Keep(kind string, snapshot follow.Snapshot) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	held := h.state(kind)
-	if snapshot.At < held.kept.Snapshot.At {
+	state := h.state(kind)
+	if snapshot.At < state.latest.Snapshot.At {
 		return
 	}
-	held.replace(snapshot, h.now())
-	if !slices.Contains(h.keeps, kind) {
+	state.update(snapshot, h.now())
+	if !slices.Contains(h.persistedKinds, kind) {
 		return
 	}
 	h.unsaved[kind] = true
 	select {
-	case h.changed <- struct{}{}:
+	case h.saveRequested <- struct{}{}:
 	default:
 	}
 }
 
-// state returns the state of the kind, made where there is none. The mutex must be held.
+// state returns the state of the kind and creates it if needed. The mutex must be held.
 func (h *Holder) state(kind string) *kindState {
 	if h.states[kind] == nil {
 		h.states[kind] = newKindState(kind)
@@ -137,14 +133,14 @@
 	return h.states[kind]
 }
 
-// Copies returns the copies that are kept, in the order of kinds.
+// Copies returns the copies of the persisted kinds, sorted by kind.
 func (h *Holder) Copies() []Copy {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	copies := make([]Copy, 0, len(h.states))
-	for kind, held := range h.states {
-		if slices.Contains(h.keeps, kind) && held.kept.Snapshot.At > 0 {
-			copies = append(copies, held.kept)
+	for kind, state := range h.states {
+		if slices.Contains(h.persistedKinds, kind) && state.latest.Snapshot.At > 0 {
+			copies = append(copies, state.latest)
 		}
 	}
 	slices.SortFunc(copies, func(a, b Copy) int { return strings.Compare(a.Kind, b.Kind) })
@@ -152,45 +148,45 @@
 }
 
 // String names the service in the supervisor's messages.
-func (h *Holder) String() string { return "holder of mirrored objects" }
+func (h *Holder) String() string { return "mirror holder" }
 
-// Serve writes changes to the medium until the context ends.
+// Serve writes changed copies to the medium until the context ends.
 func (h *Holder) Serve(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-h.changed:
-			h.save()
+		case <-h.saveRequested:
+			h.saveCopies()
 		}
-		if sleep.For(ctx, savePause) != nil {
+		if sleep.For(ctx, saveInterval) != nil {
 			return ctx.Err()
 		}
 	}
 }
 
-// save writes the copies that have changed.
-func (h *Holder) save() {
-	for _, kept := range h.takeUnsaved() {
-		encoded, err := json.Marshal(kept.Snapshot)
+// saveCopies writes the changed copies to the medium.
+func (h *Holder) saveCopies() {
+	for _, unsaved := range h.takeUnsaved() {
+		encoded, err := json.Marshal(unsaved.Snapshot)
 		if err == nil {
-			err = h.medium.SaveMeta(mediumShard, namePrefix+kept.Kind, encoded)
+			err = h.medium.SaveMeta(copyShard, copyNamePrefix+unsaved.Kind, encoded)
 		}
 		if err != nil {
-			// The copy in memory serves on. A disk that takes no writes is noticed by the
-			// replica store, and the node starts anew.
-			h.logger.Warn("mirrored objects not saved", zap.String("objects", kept.Kind), zap.Error(err))
+			// The copy in memory remains in use. The replica store detects a disk that
+			// can't be written, and the node restarts.
+			h.logger.Warn("cannot save mirrored objects", zap.String("objects", unsaved.Kind), zap.Error(err))
 		}
 	}
 }
 
-// takeUnsaved returns the copies to be written, which then count as written.
+// takeUnsaved returns the copies to be written and marks them as saved.
 func (h *Holder) takeUnsaved() []Copy {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	var unsaved []Copy
 	for kind := range h.unsaved {
-		unsaved = append(unsaved, h.states[kind].kept)
+		unsaved = append(unsaved, h.states[kind].latest)
 	}
 	clear(h.unsaved)
 	return unsaved
