--- a/coordination/mirror/order.go
+++ b/coordination/mirror/order.go
@@ -9,9 +9,9 @@
 	"github.com/marblering/marblering/state/program"
 )
 
-// Near orders storage nodes for the node that has the name: those of its zone first, and
-// within a zone in an order of the node's own, so that nodes spread over them. Members
-// whose address isn't an IP number and port are left out.
+// Near returns the addresses of storage nodes in the named node's order of preference: its
+// own zone first, then by affinity to its name, so that nodes spread over them. Members
+// whose address isn't an IP address and port are left out.
 func Near(zone, name string, members []register.Member) []netip.AddrPort {
 	ordered := slices.Clone(members)
 	slices.SortFunc(ordered, func(a, b register.Member) int {
@@ -20,18 +20,17 @@
 			cmp.Compare(program.Affinity(b.Node, name), program.Affinity(a.Node, name)),
 		)
 	})
-	return addresses(ordered)
+	return parseAddresses(ordered)
 }
 
-// Spread orders addresses for the node that has the name, in an order of the node's own,
-// so that nodes spread over them.
-func Spread(name string, listed []netip.AddrPort) []netip.AddrPort {
-	return slices.SortedFunc(slices.Values(listed), func(a, b netip.AddrPort) int {
+// Spread orders addresses by affinity to the named node, so that nodes spread over them.
+func Spread(name string, addresses []netip.AddrPort) []netip.AddrPort {
+	return slices.SortedFunc(slices.Values(addresses), func(a, b netip.AddrPort) int {
 		return cmp.Compare(program.Affinity(b.String(), name), program.Affinity(a.String(), name))
 	})
 }
 
-// compareZones puts members of the zone first.
+// compareZones orders members of the zone before others.
 func compareZones(zone string, a, b register.Member) int {
 	switch {
 	case (a.Zone == zone) == (b.Zone == zone):
@@ -42,13 +41,13 @@
 	return 1
 }
 
-// addresses leaves out what is no address.
-func addresses(members []register.Member) []netip.AddrPort {
-	found := make([]netip.AddrPort, 0, len(members))
+// parseAddresses returns the addresses of the members, without those that can't be parsed.
+func parseAddresses(members []register.Member) []netip.AddrPort {
+	parsed := make([]netip.AddrPort, 0, len(members))
 	for _, member := range members {
 		if address, err := netip.ParseAddrPort(member.Address); err == nil {
-			found = append(found, address)
+			parsed = append(parsed, address)
 		}
 	}
-	return found
+	return parsed
 }
