--- a/coordination/mirror/source_test.go
+++ b/coordination/mirror/source_test.go
@@ -23,176 +23,177 @@
 	holderC = netip.MustParseAddrPort("10.0.0.3:1")
 )
 
-// scripted answers for each holder; those without an answer take their delay to
-// fail.
-type scripted struct {
+// fakeWatcher returns a set answer for each holder. Calls to holders without one fail after
+// the delay.
+type fakeWatcher struct {
 	answers map[netip.AddrPort]mirror.Answer
 	now     *time.Time
 	delay   time.Duration
 	mutex   sync.Mutex
 	asked   []netip.AddrPort
-	// waits are how long the calls were to be held.
+	// waits are the requested waits of the calls.
 	waits []time.Duration
-	// together holds calls back until all that it counts were made; nil for none.
-	together *sync.WaitGroup
+	// barrier blocks each call until all calls that it counts have begun; nil for none.
+	barrier *sync.WaitGroup
 }
 
-func (s *scripted) WatchMirror(_ context.Context, holder netip.AddrPort, _ string, _ int64, wait time.Duration) (mirror.Answer, error) {
-	if s.together != nil {
-		s.together.Done()
-		s.together.Wait()
+func (w *fakeWatcher) WatchMirror(_ context.Context, holder netip.AddrPort, _ string, _ int64, wait time.Duration) (mirror.Answer, error) {
+	if w.barrier != nil {
+		w.barrier.Done()
+		w.barrier.Wait()
 	}
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	s.asked = append(s.asked, holder)
-	s.waits = append(s.waits, wait)
-	if said := s.answers[holder]; said != nil {
-		return said, nil
+	w.mutex.Lock()
+	defer w.mutex.Unlock()
+	w.asked = append(w.asked, holder)
+	w.waits = append(w.waits, wait)
+	if answer := w.answers[holder]; answer != nil {
+		return answer, nil
 	}
-	if s.delay > 0 {
-		*s.now = s.now.Add(s.delay)
+	if w.delay > 0 {
+		*w.now = w.now.Add(w.delay)
 	}
 	return nil, errors.New("no answer")
 }
 
-// countedStore counts what it is asked for.
-type countedStore struct {
-	// err is what it answers with; nil while it is well.
-	err             error
-	listed, watched int
-	from            int64
-	wait            time.Duration
+// fakeStore counts its calls and records the last watch.
+type fakeStore struct {
+	// err is returned by all calls.
+	err                   error
+	listCalls, watchCalls int
+	from                  int64
+	wait                  time.Duration
 }
 
-func (c *countedStore) List(context.Context) (follow.Snapshot, error) {
-	c.listed++
-	return snapshot(9), c.err
+func (s *fakeStore) List(context.Context) (follow.Snapshot, error) {
+	s.listCalls++
+	return snapshot(9), s.err
 }
 
-func (c *countedStore) Watch(_ context.Context, from int64, wait time.Duration) (follow.Changes, error) {
-	c.watched++
-	c.from, c.wait = from, wait
-	return follow.Changes{At: 9}, c.err
+func (s *fakeStore) Watch(_ context.Context, from int64, wait time.Duration) (follow.Changes, error) {
+	s.watchCalls++
+	s.from, s.wait = from, wait
+	return follow.Changes{At: 9}, s.err
 }
 
-// sourceWorld is a source with three holders, a clock and a store.
-type sourceWorld struct {
-	now     time.Time
-	store   countedStore
-	holders scripted
-	listed  []netip.AddrPort
-	source  *mirror.Source
+// sourceFixture is a source with three holders, a fake clock and a fake store.
+type sourceFixture struct {
+	now       time.Time
+	store     fakeStore
+	watcher   fakeWatcher
+	addresses []netip.AddrPort
+	source    *mirror.Source
 }
 
-// newSourceWorld has a source that asks the store at once.
-func newSourceWorld(answers map[netip.AddrPort]mirror.Answer) *sourceWorld {
-	return newPatientWorld(answers, mirror.Patience{})
+// newSourceFixture creates a source that falls back to the store at once.
+func newSourceFixture(answers map[netip.AddrPort]mirror.Answer) *sourceFixture {
+	return newDelayedSourceFixture(answers, mirror.Patience{})
 }
 
-func newPatientWorld(answers map[netip.AddrPort]mirror.Answer, patience mirror.Patience) *sourceWorld {
-	w := &sourceWorld{now: time.Unix(1000, 0), listed: []netip.AddrPort{holderA, holderB, holderC}}
-	w.holders = scripted{answers: answers, now: &w.now}
-	holders := mirror.NewHolders(func() []netip.AddrPort { return w.listed }, func() time.Time { return w.now })
-	bounds := mirror.SourceSettings{Wait: time.Second, MaxAge: 4 * time.Second, Patience: patience}
-	w.source = mirror.NewSource(mirror.KindInstances, &w.store, holders, &w.holders, bounds, zap.NewNop())
-	return w
+func newDelayedSourceFixture(answers map[netip.AddrPort]mirror.Answer, delays mirror.Patience) *sourceFixture {
+	f := &sourceFixture{now: time.Unix(1000, 0), addresses: []netip.AddrPort{holderA, holderB, holderC}}
+	f.watcher = fakeWatcher{answers: answers, now: &f.now}
+	holders := mirror.NewHolders(func() []netip.AddrPort { return f.addresses }, func() time.Time { return f.now })
+	settings := mirror.SourceSettings{Wait: time.Second, MaxAge: 4 * time.Second, Patience: delays}
+	f.source = mirror.NewSource(mirror.KindInstances, &f.store, holders, &f.watcher, settings, zap.NewNop())
+	return f
 }
 
-func (w *sourceWorld) watch(t *testing.T, from int64) follow.Changes {
+func (f *sourceFixture) watch(t *testing.T, from int64) follow.Changes {
 	t.Helper()
-	changes, err := w.source.Watch(context.Background(), from, 2*time.Second)
+	changes, err := f.source.Watch(context.Background(), from, 2*time.Second)
 	assert.NilError(t, err)
 	return changes
 }
 
-func current(at int64) mirror.Answer { return mirror.Current{Changes: follow.Changes{At: at}} }
+func currentAnswer(at int64) mirror.Answer { return mirror.Current{Changes: follow.Changes{At: at}} }
 
-func whole(at int64, age time.Duration) mirror.Answer {
+func wholeAnswer(at int64, age time.Duration) mirror.Answer {
 	events := []follow.Event{{Object: follow.Object{Name: "main", Revision: at}}}
 	return mirror.Current{Changes: follow.Changes{At: at, IsWhole: true, Age: age, Events: events}}
 }
 
-// TestHolderThatCantBeReliedOnIsLeft: the next holder is asked within the same
-// call, the store itself, from the same revision, once none is left, and later the
-// first holder again.
-func TestHolderThatCantBeReliedOnIsLeft(t *testing.T) {
-	for name, bad := range map[string]mirror.Answer{
-		"silent": nil, "lost": mirror.Lost{}, "missed": mirror.Missed{},
-		"old": mirror.Current{Changes: follow.Changes{At: 7, Age: 5 * time.Second}},
+// TestSourceSkipsUnusableHolder checks that one call goes on to the next holder and then to
+// the store, from the same revision, and that the first holder is asked again later.
+func TestSourceSkipsUnusableHolder(t *testing.T) {
+	for name, answer := range map[string]mirror.Answer{
+		"no answer": nil, "lost": mirror.Lost{}, "not following": mirror.Missed{},
+		"stale": mirror.Current{Changes: follow.Changes{At: 7, Age: 5 * time.Second}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newSourceWorld(map[netip.AddrPort]mirror.Answer{holderA: bad, holderB: current(8), holderC: bad})
-			assert.Equal(t, w.watch(t, 7).At, int64(8))
-			w.holders.answers[holderB] = mirror.Lost{}
-			assert.Equal(t, w.watch(t, 8).At, int64(9))
-			assert.Equal(t, w.store.watched, 1)
-			assert.Equal(t, w.store.from, int64(8))
-			w.now = w.now.Add(time.Second)
-			w.holders.answers[holderA] = current(10)
-			assert.Equal(t, w.watch(t, 9).At, int64(10))
-			assert.Equal(t, w.store.watched, 1)
-			assert.Equal(t, w.store.listed, 0)
+			f := newSourceFixture(map[netip.AddrPort]mirror.Answer{holderA: answer, holderB: currentAnswer(8), holderC: answer})
+			assert.Equal(t, f.watch(t, 7).At, int64(8))
+			f.watcher.answers[holderB] = mirror.Lost{}
+			assert.Equal(t, f.watch(t, 8).At, int64(9))
+			assert.Equal(t, f.store.watchCalls, 1)
+			assert.Equal(t, f.store.from, int64(8))
+			f.now = f.now.Add(time.Second)
+			f.watcher.answers[holderA] = currentAnswer(10)
+			assert.Equal(t, f.watch(t, 9).At, int64(10))
+			assert.Equal(t, f.store.watchCalls, 1)
+			assert.Equal(t, f.store.listCalls, 0)
 		})
 	}
 }
 
-// TestSilentHolderIsFollowedByTheStore at once, with the rest of the wait: asking
-// another that may be silent too would make the change later than it may be.
-func TestSilentHolderIsFollowedByTheStore(t *testing.T) {
-	w := newSourceWorld(map[netip.AddrPort]mirror.Answer{holderB: current(8)})
-	w.holders.delay = 1400 * time.Millisecond
-	assert.Equal(t, w.watch(t, 7).At, int64(9))
-	assert.Assert(t, slices.Equal(w.holders.asked, []netip.AddrPort{holderA}), "%v", w.holders.asked)
-	assert.Equal(t, w.store.wait, 600*time.Millisecond)
-	assert.Equal(t, w.watch(t, 9).At, int64(8))
+// TestSourceAsksStoreAfterSlowFailure checks that a holder's timeout is followed by a call to
+// the store, with the rest of the wait: another holder might time out too and delay changes
+// beyond their limit.
+func TestSourceAsksStoreAfterSlowFailure(t *testing.T) {
+	f := newSourceFixture(map[netip.AddrPort]mirror.Answer{holderB: currentAnswer(8)})
+	f.watcher.delay = 1400 * time.Millisecond
+	assert.Equal(t, f.watch(t, 7).At, int64(9))
+	assert.Assert(t, slices.Equal(f.watcher.asked, []netip.AddrPort{holderA}), "%v", f.watcher.asked)
+	assert.Equal(t, f.store.wait, 600*time.Millisecond)
+	assert.Equal(t, f.watch(t, 9).At, int64(8))
 }
 
-// TestFailingHolderIsAskedEverMoreSeldom, and as at first once it has answered.
-func TestFailingHolderIsAskedEverMoreSeldom(t *testing.T) {
-	w := newSourceWorld(map[netip.AddrPort]mirror.Answer{holderB: current(8)})
+// TestFailingHolderBacksOff checks that the backoff doubles up to its maximum and starts over
+// after an answer.
+func TestFailingHolderBacksOff(t *testing.T) {
+	f := newSourceFixture(map[netip.AddrPort]mirror.Answer{holderB: currentAnswer(8)})
 	pauses := func(count int) (found []time.Duration) {
-		last := w.now
+		last := f.now
 		for len(found) < count {
-			w.holders.asked = nil
-			w.watch(t, 7)
-			if len(w.holders.asked) > 0 && w.holders.asked[0] == holderA {
-				found = append(found, w.now.Sub(last))
-				last = w.now
+			f.watcher.asked = nil
+			f.watch(t, 7)
+			if len(f.watcher.asked) > 0 && f.watcher.asked[0] == holderA {
+				found = append(found, f.now.Sub(last))
+				last = f.now
 			}
-			w.now = w.now.Add(100 * time.Millisecond)
+			f.now = f.now.Add(100 * time.Millisecond)
 		}
 		return found
 	}
 	assert.DeepEqual(t, pauses(6), []time.Duration{0, 500 * time.Millisecond, time.Second, 2 * time.Second, 3 * time.Second, 3 * time.Second})
-	w.now = w.now.Add(3 * time.Second)
-	w.holders.answers[holderA] = current(8)
-	w.watch(t, 7)
-	delete(w.holders.answers, holderA)
+	f.now = f.now.Add(3 * time.Second)
+	f.watcher.answers[holderA] = currentAnswer(8)
+	f.watch(t, 7)
+	delete(f.watcher.answers, holderA)
 	assert.DeepEqual(t, pauses(2), []time.Duration{0, 500 * time.Millisecond})
 }
 
-// TestListingComesFromAHolder with its age, and from the store itself where the
-// holder is lost, old, silent, behind what was seen, or doesn't tell everything.
-func TestListingComesFromAHolder(t *testing.T) {
+// TestListPrefersUsableHolder checks that a listing and its age come from a holder, and from
+// the store if the holder's answer can't be used.
+func TestListPrefersUsableHolder(t *testing.T) {
 	for name, c := range map[string]struct {
-		said   mirror.Answer
+		answer mirror.Answer
 		listed int
 		age    time.Duration
 	}{
-		"current": {whole(12, time.Second), 0, time.Second},
-		"lost":    {mirror.Lost{}, 1, 0},
-		"silent":  {nil, 1, 0},
-		"old":     {whole(12, 5*time.Second), 1, 0},
-		"behind":  {whole(4, 0), 1, 0},
-		"partial": {current(12), 1, 0},
+		"current":   {wholeAnswer(12, time.Second), 0, time.Second},
+		"lost":      {mirror.Lost{}, 1, 0},
+		"no answer": {nil, 1, 0},
+		"stale":     {wholeAnswer(12, 5*time.Second), 1, 0},
+		"behind":    {wholeAnswer(4, 0), 1, 0},
+		"partial":   {currentAnswer(12), 1, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newSourceWorld(map[netip.AddrPort]mirror.Answer{holderA: current(5)})
-			assert.Equal(t, w.watch(t, 5).At, int64(5))
-			w.holders.answers[holderA] = c.said
-			listed, err := w.source.List(context.Background())
+			f := newSourceFixture(map[netip.AddrPort]mirror.Answer{holderA: currentAnswer(5)})
+			assert.Equal(t, f.watch(t, 5).At, int64(5))
+			f.watcher.answers[holderA] = c.answer
+			listed, err := f.source.List(context.Background())
 			assert.NilError(t, err)
-			assert.Equal(t, w.store.listed, c.listed)
+			assert.Equal(t, f.store.listCalls, c.listed)
 			assert.Equal(t, listed.Age, c.age)
 			assert.Equal(t, len(listed.Objects), 1)
 			assert.Equal(t, listed.At, map[bool]int64{true: 12, false: 9}[c.listed == 0])
@@ -200,215 +201,214 @@
 	}
 }
 
-// TestCallerThatLeavesBlamesNoHolder.
-func TestCallerThatLeavesBlamesNoHolder(t *testing.T) {
-	w := newSourceWorld(map[netip.AddrPort]mirror.Answer{})
-	gone, leave := context.WithCancel(context.Background())
-	leave()
-	_, err := w.source.Watch(gone, 7, time.Second)
+// TestCancelledCallCausesNoBackoff checks that a call that its caller cancels isn't counted
+// as a failure of the holder.
+func TestCancelledCallCausesNoBackoff(t *testing.T) {
+	f := newSourceFixture(map[netip.AddrPort]mirror.Answer{})
+	ctx, cancel := context.WithCancel(context.Background())
+	cancel()
+	_, err := f.source.Watch(ctx, 7, time.Second)
 	assert.ErrorIs(t, err, context.Canceled)
-	assert.Equal(t, w.store.watched, 0)
-	w.holders.answers[holderA] = current(8)
-	assert.Equal(t, w.watch(t, 7).At, int64(8))
+	assert.Equal(t, f.store.watchCalls, 0)
+	f.watcher.answers[holderA] = currentAnswer(8)
+	assert.Equal(t, f.watch(t, 7).At, int64(8))
 }
 
-// TestStoreIsAskedOnlyAfterPatience: later while holders say that they have lost
-// the store, again only after as long where it was asked in vain, and at once where there
-// are no holders.
-func TestStoreIsAskedOnlyAfterPatience(t *testing.T) {
-	patience := mirror.Patience{Unreached: time.Second, Lost: 4 * time.Second}
-	// A source takes up to twice as long by chance.
+// TestStoreIsAskedOnlyAfterDelay checks the delay while holders are unreachable or have lost
+// the store, and that it applies again after a failed call. Without holders there is none.
+func TestStoreIsAskedOnlyAfterDelay(t *testing.T) {
+	delays := mirror.Patience{Unreached: time.Second, Lost: 4 * time.Second}
+	// The jitter of a source lengthens its delays by up to a factor of two.
 	for name, c := range map[string]struct {
-		said           mirror.Answer
-		least, longest time.Duration
+		answer            mirror.Answer
+		shortest, longest time.Duration
 	}{
-		"unreached": {nil, time.Second, 2 * time.Second},
-		"lost":      {mirror.Lost{}, 4 * time.Second, 8 * time.Second},
+		"unreachable": {nil, time.Second, 2 * time.Second},
+		"lost":        {mirror.Lost{}, 4 * time.Second, 8 * time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newPatientWorld(map[netip.AddrPort]mirror.Answer{holderA: c.said, holderB: c.said, holderC: c.said}, patience)
-			w.store.err = errStore
+			f := newDelayedSourceFixture(map[netip.AddrPort]mirror.Answer{holderA: c.answer, holderB: c.answer, holderC: c.answer}, delays)
+			f.store.err = errStore
 			var pauses []time.Duration
-			last := w.now
+			last := f.now
 			for len(pauses) < 3 {
-				before := w.store.listed
-				_, err := w.source.List(t.Context())
-				if w.store.listed > before {
+				before := f.store.listCalls
+				_, err := f.source.List(t.Context())
+				if f.store.listCalls > before {
 					assert.ErrorIs(t, err, errStore)
-					pauses = append(pauses, w.now.Sub(last))
-					last = w.now
+					pauses = append(pauses, f.now.Sub(last))
+					last = f.now
 				}
-				w.now = w.now.Add(50 * time.Millisecond)
+				f.now = f.now.Add(50 * time.Millisecond)
 			}
 			for _, pause := range pauses {
-				assert.Assert(t, pause >= c.least && pause <= c.longest+50*time.Millisecond, "%v", pauses)
+				assert.Assert(t, pause >= c.shortest && pause <= c.longest+50*time.Millisecond, "%v", pauses)
 			}
 		})
 	}
 	t.Run("no holders", func(t *testing.T) {
-		w := newPatientWorld(nil, patience)
-		w.listed = nil
-		_, err := w.source.List(t.Context())
+		f := newDelayedSourceFixture(nil, delays)
+		f.addresses = nil
+		_, err := f.source.List(t.Context())
 		assert.NilError(t, err)
-		assert.Equal(t, w.store.listed, 1)
+		assert.Equal(t, f.store.listCalls, 1)
 	})
 }
 
-var errStore = errors.New("the store doesn't answer")
+var errStore = errors.New("store unavailable")
 
-// TestStoreThatAnswersIsFollowedUntilAHolderDoes: the patience is for the first call. A
-// call or two that the store leaves unanswered, as it cuts held ones now and then, change
-// nothing; after more it is asked as seldom as before its first answer.
-func TestStoreThatAnswersIsFollowedUntilAHolderDoes(t *testing.T) {
-	for name, said := range map[string]mirror.Answer{"unreached": nil, "lost": mirror.Lost{}} {
+// TestSourceFollowsStoreUntilHolderAnswers checks that the delay applies only to the first
+// call. A single failure at the store changes nothing; after two in a row the delay applies
+// again.
+func TestSourceFollowsStoreUntilHolderAnswers(t *testing.T) {
+	for name, answer := range map[string]mirror.Answer{"unreachable": nil, "lost": mirror.Lost{}} {
 		t.Run(name, func(t *testing.T) {
-			patience := mirror.Patience{Unreached: time.Second, Lost: 4 * time.Second}
-			w := newPatientWorld(map[netip.AddrPort]mirror.Answer{holderA: said, holderB: said, holderC: said}, patience)
-			asked := func() bool {
-				before := w.store.watched
-				_, _ = w.source.Watch(t.Context(), 7, 2*time.Second)
-				w.now = w.now.Add(50 * time.Millisecond)
-				return w.store.watched > before
+			delays := mirror.Patience{Unreached: time.Second, Lost: 4 * time.Second}
+			f := newDelayedSourceFixture(map[netip.AddrPort]mirror.Answer{holderA: answer, holderB: answer, holderC: answer}, delays)
+			asksStore := func() bool {
+				before := f.store.watchCalls
+				_, _ = f.source.Watch(t.Context(), 7, 2*time.Second)
+				f.now = f.now.Add(50 * time.Millisecond)
+				return f.store.watchCalls > before
 			}
-			assert.Assert(t, !asked())
-			w.now = w.now.Add(10 * time.Second)
+			assert.Assert(t, !asksStore())
+			f.now = f.now.Add(10 * time.Second)
 			for range 20 {
-				assert.Assert(t, asked())
+				assert.Assert(t, asksStore())
 			}
-			w.store.err = errStore
-			assert.Assert(t, asked())
-			w.store.err = nil
-			assert.Assert(t, asked(), "after one failure")
-			w.store.err = follow.ErrHistoryGone
+			f.store.err = errStore
+			assert.Assert(t, asksStore())
+			f.store.err = nil
+			assert.Assert(t, asksStore(), "after one failure")
+			f.store.err = follow.ErrHistoryGone
 			for range 5 {
-				assert.Assert(t, asked(), "a store that has forgotten its history does answer")
+				assert.Assert(t, asksStore(), "a store without the history still answers")
 			}
-			w.store.err = errStore
-			assert.Assert(t, asked())
-			assert.Assert(t, asked())
-			assert.Assert(t, !asked(), "after two failures")
-			w.now = w.now.Add(10 * time.Second)
-			w.store.err = nil
-			assert.Assert(t, asked())
-			w.now = w.now.Add(4 * time.Second)
-			w.holders.answers[holderB] = current(9)
-			assert.Assert(t, !asked(), "a holder answers")
-			w.holders.answers[holderB] = said
-			assert.Assert(t, !asked(), "and fails again")
+			f.store.err = errStore
+			assert.Assert(t, asksStore())
+			assert.Assert(t, asksStore())
+			assert.Assert(t, !asksStore(), "after two failures")
+			f.now = f.now.Add(10 * time.Second)
+			f.store.err = nil
+			assert.Assert(t, asksStore())
+			f.now = f.now.Add(4 * time.Second)
+			f.watcher.answers[holderB] = currentAnswer(9)
+			assert.Assert(t, !asksStore(), "a holder answers")
+			f.watcher.answers[holderB] = answer
+			assert.Assert(t, !asksStore(), "the holder fails again")
 		})
 	}
 }
 
-// TestStoreThatIsFollowedIsAskedAfterAPause: four changes a second would else cost as many
-// calls of every node that has lost its holders.
-func TestStoreThatIsFollowedIsAskedAfterAPause(t *testing.T) {
+// TestStoreCallsKeepPause checks that frequent changes don't cost a call to the store each
+// from every node that has lost its holders.
+func TestStoreCallsKeepPause(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		const pause = 800 * time.Millisecond
-		store := &countedStore{}
-		unreached := &scripted{}
+		store := &fakeStore{}
+		watcher := &fakeWatcher{}
 		list := func() []netip.AddrPort { return []netip.AddrPort{holderA} }
-		source := mirror.NewSource(mirror.KindInstances, store, mirror.NewHolders(list, time.Now), unreached,
+		source := mirror.NewSource(mirror.KindInstances, store, mirror.NewHolders(list, time.Now), watcher,
 			mirror.SourceSettings{Wait: time.Second, MaxAge: time.Minute, StorePause: pause}, zap.NewNop())
-		began := time.Now()
+		start := time.Now()
 		for range 5 {
 			_, err := source.Watch(t.Context(), 7, 2*time.Second)
 			assert.NilError(t, err)
 		}
-		assert.Equal(t, time.Since(began), 4*pause)
-		unreached.answers = map[netip.AddrPort]mirror.Answer{holderA: current(9)}
+		assert.Equal(t, time.Since(start), 4*pause)
+		watcher.answers = map[netip.AddrPort]mirror.Answer{holderA: currentAnswer(9)}
 		time.Sleep(3 * time.Second)
-		began = time.Now()
+		start = time.Now()
 		for range 5 {
 			_, err := source.Watch(t.Context(), 9, 2*time.Second)
 			assert.NilError(t, err)
 		}
-		assert.Equal(t, time.Since(began), time.Duration(0), "a holder is followed without pauses")
+		assert.Equal(t, time.Since(start), time.Duration(0), "a holder is followed without pauses")
 	})
 }
 
-// TestHolderThatGoesDarkAfterItLostTheStore is waited for like any that is out of reach:
-// the longer patience is for holders that answer.
-func TestHolderThatGoesDarkAfterItLostTheStore(t *testing.T) {
-	patience := mirror.Patience{Unreached: time.Second, Lost: time.Minute}
-	w := newPatientWorld(map[netip.AddrPort]mirror.Answer{holderA: mirror.Lost{}}, patience)
-	w.listed = []netip.AddrPort{holderA}
+// TestLostHolderBecomesUnreachable checks that the longer delay for holders that have lost
+// the store ends when these don't answer any more.
+func TestLostHolderBecomesUnreachable(t *testing.T) {
+	delays := mirror.Patience{Unreached: time.Second, Lost: time.Minute}
+	f := newDelayedSourceFixture(map[netip.AddrPort]mirror.Answer{holderA: mirror.Lost{}}, delays)
+	f.addresses = []netip.AddrPort{holderA}
 	for range 20 {
-		_, err := w.source.Watch(t.Context(), 7, time.Second)
+		_, err := f.source.Watch(t.Context(), 7, time.Second)
 		assert.ErrorIs(t, err, follow.ErrNobodyAsked)
-		w.now = w.now.Add(250 * time.Millisecond)
+		f.now = f.now.Add(250 * time.Millisecond)
 	}
-	delete(w.holders.answers, holderA)
-	w.now = w.now.Add(2 * time.Second)
-	assert.Equal(t, w.watch(t, 7).At, int64(9))
+	delete(f.watcher.answers, holderA)
+	f.now = f.now.Add(2 * time.Second)
+	assert.Equal(t, f.watch(t, 7).At, int64(9))
 }
 
-// TestOnlyTheFirstHolderOfACallHoldsIt: while one that went dark is found out, changes are
-// kept back; the next ones are asked for what they can tell at once, as is every one while
-// the store itself is followed.
-func TestOnlyTheFirstHolderOfACallHoldsIt(t *testing.T) {
-	w := newPatientWorld(map[netip.AddrPort]mirror.Answer{holderC: current(8)}, mirror.Patience{Unreached: time.Minute})
-	w.watch(t, 7)
-	assert.DeepEqual(t, w.holders.waits, []time.Duration{time.Second, 0, 0})
-	clear(w.holders.answers)
-	w.now = w.now.Add(2 * time.Minute)
-	w.watch(t, 8)
-	w.holders.waits = nil
-	w.now = w.now.Add(time.Second)
-	w.watch(t, 9)
-	assert.DeepEqual(t, w.holders.waits, []time.Duration{0, 0, 0})
+// TestOnlyFirstHolderMayHoldCall checks that further holders of a call, and all holders while
+// the store is followed, are asked without a wait: an unreachable holder delays changes until
+// the call times out.
+func TestOnlyFirstHolderMayHoldCall(t *testing.T) {
+	f := newDelayedSourceFixture(map[netip.AddrPort]mirror.Answer{holderC: currentAnswer(8)}, mirror.Patience{Unreached: time.Minute})
+	f.watch(t, 7)
+	assert.DeepEqual(t, f.watcher.waits, []time.Duration{time.Second, 0, 0})
+	clear(f.watcher.answers)
+	f.now = f.now.Add(2 * time.Minute)
+	f.watch(t, 8)
+	f.watcher.waits = nil
+	f.now = f.now.Add(time.Second)
+	f.watch(t, 9)
+	assert.DeepEqual(t, f.watcher.waits, []time.Duration{0, 0, 0})
 }
 
-// TestOneCallAsksFewHolders: those that lose all holders at once go on with the
-// others after a pause of their followers.
-func TestOneCallAsksFewHolders(t *testing.T) {
-	w := newPatientWorld(map[netip.AddrPort]mirror.Answer{}, mirror.Patience{Unreached: time.Second, Lost: time.Second})
-	w.listed = nil
+// TestHoldersPerCallAreLimited checks that a source that loses all of its holders at once
+// doesn't ask every one of them in one call.
+func TestHoldersPerCallAreLimited(t *testing.T) {
+	f := newDelayedSourceFixture(map[netip.AddrPort]mirror.Answer{}, mirror.Patience{Unreached: time.Second, Lost: time.Second})
+	f.addresses = nil
 	for index := range 20 {
 		holder := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 1, byte(index)}), 1)
-		w.listed = append(w.listed, holder)
-		w.holders.answers[holder] = mirror.Lost{}
+		f.addresses = append(f.addresses, holder)
+		f.watcher.answers[holder] = mirror.Lost{}
 	}
-	_, err := w.source.Watch(t.Context(), 7, time.Second)
+	_, err := f.source.Watch(t.Context(), 7, time.Second)
 	assert.Assert(t, err != nil)
-	assert.Equal(t, len(w.holders.asked), 2, "that have lost the store")
-	w.now = w.now.Add(time.Minute)
-	clear(w.holders.answers)
-	w.holders.asked = nil
-	_, err = w.source.Watch(t.Context(), 7, time.Second)
+	assert.Equal(t, len(f.watcher.asked), 2, "holders that have lost the store")
+	f.now = f.now.Add(time.Minute)
+	clear(f.watcher.answers)
+	f.watcher.asked = nil
+	_, err = f.source.Watch(t.Context(), 7, time.Second)
 	assert.NilError(t, err, "the store is asked after a minute")
-	assert.Equal(t, len(w.holders.asked), 4, "that are out of reach")
+	assert.Equal(t, len(f.watcher.asked), 4, "unreachable holders")
 }
 
-// TestHolderThatRegainsTheStoreIsFoundSoon: one that answered that it has lost the
-// store is asked again within 250 ms, however often it said so before.
-func TestHolderThatRegainsTheStoreIsFoundSoon(t *testing.T) {
-	w := newPatientWorld(map[netip.AddrPort]mirror.Answer{holderA: mirror.Lost{}}, mirror.Patience{Lost: time.Minute})
-	w.listed = []netip.AddrPort{holderA}
+// TestRecoveredHolderIsUsedSoon checks that a holder that has lost the store is asked again
+// within 250 ms, however often it has answered so before.
+func TestRecoveredHolderIsUsedSoon(t *testing.T) {
+	f := newDelayedSourceFixture(map[netip.AddrPort]mirror.Answer{holderA: mirror.Lost{}}, mirror.Patience{Lost: time.Minute})
+	f.addresses = []netip.AddrPort{holderA}
 	for range 20 {
-		_, err := w.source.List(t.Context())
+		_, err := f.source.List(t.Context())
 		assert.Assert(t, err != nil)
-		w.now = w.now.Add(250 * time.Millisecond)
+		f.now = f.now.Add(250 * time.Millisecond)
 	}
-	w.holders.answers[holderA] = whole(12, 0)
-	listed, err := w.source.List(t.Context())
+	f.watcher.answers[holderA] = wholeAnswer(12, 0)
+	listed, err := f.source.List(t.Context())
 	assert.NilError(t, err)
 	assert.Equal(t, listed.At, int64(12))
 }
 
-// TestFailuresOfOneMomentCountOnce: a node follows several kinds through the same
-// holders. Where one of these refuses connections for a moment, all kinds notice, and
-// it must not be avoided for as long as one that went on failing.
-func TestFailuresOfOneMomentCountOnce(t *testing.T) {
-	w := newPatientWorld(map[netip.AddrPort]mirror.Answer{}, mirror.Patience{Unreached: time.Minute, Lost: time.Minute})
-	holders := mirror.NewHolders(func() []netip.AddrPort { return w.listed }, func() time.Time { return w.now })
-	bounds := mirror.SourceSettings{Wait: time.Second, MaxAge: 4 * time.Second, Patience: mirror.Patience{Unreached: time.Minute, Lost: time.Minute}}
+// TestConcurrentFailuresCountOnce checks that a holder that fails the calls of several kinds
+// at the same moment backs off as after one failure.
+func TestConcurrentFailuresCountOnce(t *testing.T) {
+	f := newDelayedSourceFixture(map[netip.AddrPort]mirror.Answer{}, mirror.Patience{Unreached: time.Minute, Lost: time.Minute})
+	holders := mirror.NewHolders(func() []netip.AddrPort { return f.addresses }, func() time.Time { return f.now })
+	settings := mirror.SourceSettings{Wait: time.Second, MaxAge: 4 * time.Second, Patience: mirror.Patience{Unreached: time.Minute, Lost: time.Minute}}
 	var sources []*mirror.Source
 	for _, kind := range mirror.Kinds() {
-		sources = append(sources, mirror.NewSource(kind, &w.store, holders, &w.holders, bounds, zap.NewNop()))
+		sources = append(sources, mirror.NewSource(kind, &f.store, holders, &f.watcher, settings, zap.NewNop()))
 	}
-	w.holders.together = &sync.WaitGroup{}
-	w.holders.together.Add(len(sources))
-	w.listed = []netip.AddrPort{holderA}
+	f.watcher.barrier = &sync.WaitGroup{}
+	f.watcher.barrier.Add(len(sources))
+	f.addresses = []netip.AddrPort{holderA}
 	var calls sync.WaitGroup
 	for _, source := range sources {
 		calls.Go(func() {
@@ -417,9 +417,9 @@
 		})
 	}
 	calls.Wait()
-	w.holders.together = nil
-	w.holders.answers[holderA] = current(8)
-	w.now = w.now.Add(600 * time.Millisecond)
+	f.watcher.barrier = nil
+	f.watcher.answers[holderA] = currentAnswer(8)
+	f.now = f.now.Add(600 * time.Millisecond)
 	changes, err := sources[0].Watch(context.Background(), 7, time.Second)
 	assert.NilError(t, err)
 	assert.Equal(t, changes.At, int64(8))
