--- a/coordination/mirror/changes_test.go
+++ b/coordination/mirror/changes_test.go
@@ -20,8 +20,8 @@
 	"github.com/marblering/marblering/state/replica"
 )
 
-// TestMain fixes the seed and the size of the property tests, which the command
-// line may override.
+// TestMain sets the default seed and number of checks of the property tests. Flags override
+// them.
 func TestMain(m *testing.M) {
 	for name, value := range map[string]string{"rapid.seed": "1", "rapid.checks": "500", "rapid.nofailfile": "true"} {
 		if err := flag.Set(name, value); err != nil {
@@ -32,23 +32,23 @@
 	os.Exit(m.Run())
 }
 
-// upstream is a holder's way to the store.
-type upstream struct {
+// fakeUpstream is an upstream in a fixed state.
+type fakeUpstream struct {
 	age    time.Duration
 	lost   bool
 	proved time.Time
 }
 
-func (u *upstream) Age() (time.Duration, bool) { return u.age, true }
-func (u *upstream) IsLost() bool               { return u.lost }
-func (u *upstream) Proved() time.Time          { return u.proved }
+func (u *fakeUpstream) Age() (time.Duration, bool) { return u.age, true }
+func (u *fakeUpstream) IsLost() bool               { return u.lost }
+func (u *fakeUpstream) Proved() time.Time          { return u.proved }
 
-// history is what the store held at each of its revisions: names with the
-// revision of their last change.
+// history holds the state of the store at each revision: the names of the objects with the
+// revisions of their last changes.
 type history []map[string]int64
 
-// draw makes a history of objects that are made, changed and removed, some made
-// anew under the same name.
+// drawHistory generates a history in which objects are created, changed and removed, and some
+// are created again under the same name.
 func drawHistory(rt *rapid.T) history {
 	states := history{{}}
 	for range rapid.IntRange(1, 40).Draw(rt, "changes") {
@@ -72,8 +72,8 @@
 	return taken
 }
 
-// take applies changes as a follower does.
-func take(known map[string]int64, changes follow.Changes) {
+// applyChanges applies changes to the known objects as a follower does.
+func applyChanges(known map[string]int64, changes follow.Changes) {
 	for _, event := range changes.Events {
 		revision, exists := known[event.Object.Name]
 		switch {
@@ -86,46 +86,46 @@
 	}
 }
 
-// TestChangesLeadToTheStoresState: whoever knows the store as it was at any
-// revision, and takes in what any holder says changed, knows it as the holder
-// does, or as it did where the holder is behind.
-func TestChangesLeadToTheStoresState(t *testing.T) {
+// TestChangesReproduceStoreState checks that the changes from a holder turn the state at any
+// earlier revision into the holder's state, and leave a state newer than the holder's as it
+// is.
+func TestChangesReproduceStoreState(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		states := drawHistory(rt)
 		last := int64(len(states) - 1)
 		holder, err := mirror.NewHolder(mirror.Kinds(), replica.NewMemory(), time.Now, zap.NewNop())
 		assert.NilError(rt, err)
-		holder.Through(mirror.KindInstances, &upstream{})
-		at := rapid.Int64Range(0, last).Draw(rt, "holder begins")
+		holder.Through(mirror.KindInstances, &fakeUpstream{})
+		at := rapid.Int64Range(0, last).Draw(rt, "first revision of the holder")
 		holder.Keep(mirror.KindInstances, states.snapshot(at))
-		steps := []int64{at}
-		for range rapid.IntRange(0, 10).Draw(rt, "steps") {
-			at = rapid.Int64Range(at, last).Draw(rt, "holder at")
+		revisions := []int64{at}
+		for range rapid.IntRange(0, 10).Draw(rt, "updates") {
+			at = rapid.Int64Range(at, last).Draw(rt, "next revision of the holder")
 			holder.Keep(mirror.KindInstances, states.snapshot(at))
-			steps = append(steps, at)
+			revisions = append(revisions, at)
 		}
-		from := rapid.Int64Range(0, last).Draw(rt, "known")
+		from := rapid.Int64Range(0, last).Draw(rt, "known revision")
 		known := maps.Clone(states[from])
-		switch said := holder.Watch(context.Background(), mirror.KindInstances, from, 0).(type) {
+		switch answer := holder.Watch(context.Background(), mirror.KindInstances, from, 0).(type) {
 		case mirror.Current:
-			if said.Changes.IsWhole {
-				assert.Assert(rt, from < at && !slices.Contains(steps, from), "%d is one of %v", from, steps)
+			if answer.Changes.IsWhole {
+				assert.Assert(rt, from < at && !slices.Contains(revisions, from), "unexpected whole snapshot for revision %d; the holder had %v", from, revisions)
 				clear(known)
 			}
-			take(known, said.Changes)
-			assert.Equal(rt, said.Changes.At, max(from, at))
+			applyChanges(known, answer.Changes)
+			assert.Equal(rt, answer.Changes.At, max(from, at))
 			assert.DeepEqual(rt, known, states[max(from, at)])
 		default:
-			rt.Fatalf("answered %T", said)
+			rt.Fatalf("unexpected answer %T", answer)
 		}
 	})
 }
 
-// TestRemovalsAreForgottenInOrder: who asks from before the oldest remembered
-// removal is told all that there is.
-func TestRemovalsAreForgottenInOrder(t *testing.T) {
+// TestOldRemovalsAreForgotten checks that a caller at a revision before the oldest recorded
+// removal is sent the whole snapshot.
+func TestOldRemovalsAreForgotten(t *testing.T) {
 	holder := newHolder(t, replica.NewMemory())
-	holder.Through(mirror.KindInstances, &upstream{})
+	holder.Through(mirror.KindInstances, &fakeUpstream{})
 	const removals = 600
 	for at := int64(1); at <= removals+1; at++ {
 		holder.Keep(mirror.KindInstances, follow.Snapshot{At: at, Objects: []follow.Object{{Name: fmt.Sprint(at), Revision: at}}})
@@ -140,27 +140,27 @@
 	assert.Equal(t, len(recent.Changes.Events), 12)
 }
 
-// TestLossIsToldAtOnce, to those that wait for a change as well.
-func TestLossIsToldAtOnce(t *testing.T) {
+// TestLossIsReportedAtOnce checks that the loss of the store ends a waiting call.
+func TestLossIsReportedAtOnce(t *testing.T) {
 	holder := newHolder(t, replica.NewMemory())
-	way := &upstream{}
-	holder.Through(mirror.KindConfiguration, way)
+	upstream := &fakeUpstream{}
+	holder.Through(mirror.KindConfiguration, upstream)
 	holder.Keep(mirror.KindConfiguration, snapshot(5))
-	said := make(chan mirror.Answer, 1)
-	go func() { said <- holder.Watch(context.Background(), mirror.KindConfiguration, 5, time.Hour) }()
+	answers := make(chan mirror.Answer, 1)
+	go func() { answers <- holder.Watch(context.Background(), mirror.KindConfiguration, 5, time.Hour) }()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		holder.Lost(mirror.KindConfiguration)
 		return poll.Success()
 	})
-	// Waking without a loss is no answer.
+	// A wake-up without a loss doesn't end the call.
 	select {
-	case answer := <-said:
-		t.Fatalf("answered %T", answer)
+	case answer := <-answers:
+		t.Fatalf("unexpected answer %T", answer)
 	case <-time.After(20 * time.Millisecond):
 	}
-	lostWay := &upstream{lost: true}
-	holder.Through(mirror.KindConfiguration, lostWay)
+	lostUpstream := &fakeUpstream{lost: true}
+	holder.Through(mirror.KindConfiguration, lostUpstream)
 	holder.Lost(mirror.KindConfiguration)
-	_, isLost := (<-said).(mirror.Lost)
+	_, isLost := (<-answers).(mirror.Lost)
 	assert.Assert(t, isLost)
 }
--- a/coordination/mirror/holders_test.go
+++ b/coordination/mirror/holders_test.go
@@ -20,10 +20,10 @@
 	}
 }
 
-// TestFewStorageNodesAskTheStore: however many zones there are. They stand in as
-// many zones as they can, and the others follow through them, through that of their
-// own zone first, so that no chain is longer and none is a ring.
-func TestFewStorageNodesAskTheStore(t *testing.T) {
+// TestFewNodesFollowStoreDirectly checks the number of direct nodes, that they are spread over
+// as many zones as possible, and that all others follow through direct nodes only, that of
+// their own zone first. Chains and cycles of followers are thus impossible.
+func TestFewNodesFollowStoreDirectly(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var members []register.Member
 		zones := make(map[string]bool)
@@ -32,34 +32,34 @@
 			members = append(members, member)
 			zones[member.Zone] = true
 		}
-		asking := make(map[string]register.Member)
-		askingZones := make(map[string]bool)
+		direct := make(map[string]register.Member)
+		directZones := make(map[string]bool)
 		for _, member := range members {
 			if len(mirror.Upstreams(member, members, nil)) == 0 {
-				asking[member.Address] = member
-				askingZones[member.Zone] = true
+				direct[member.Address] = member
+				directZones[member.Zone] = true
 			}
 		}
-		assert.Equal(t, len(asking), min(len(members), max(3, (len(members)+15)/16)))
-		assert.Equal(t, len(askingZones), min(len(zones), len(asking)))
+		assert.Equal(t, len(direct), min(len(members), max(3, (len(members)+15)/16)))
+		assert.Equal(t, len(directZones), min(len(zones), len(direct)))
 		for _, member := range members {
 			upstreams := mirror.Upstreams(member, members, nil)
 			if len(upstreams) == 0 {
 				continue
 			}
-			assert.Equal(t, len(upstreams), len(asking))
-			assert.Equal(t, asking[upstreams[0].String()].Zone == member.Zone, askingZones[member.Zone])
+			assert.Equal(t, len(upstreams), len(direct))
+			assert.Equal(t, direct[upstreams[0].String()].Zone == member.Zone, directZones[member.Zone])
 			for _, upstream := range upstreams {
-				_, asks := asking[upstream.String()]
-				assert.Assert(t, asks, "%s follows through %s, which follows through others", member.Node, upstream)
+				_, isDirect := direct[upstream.String()]
+				assert.Assert(t, isDirect, "%s follows through %s, which doesn't follow the store directly", member.Node, upstream)
 			}
 		}
 	})
 }
 
-// TestFollowersSpreadOverTheNodesThatAsk: those of zones without such a node take
-// them in different orders.
-func TestFollowersSpreadOverTheNodesThatAsk(t *testing.T) {
+// TestFollowersSpreadOverDirectNodes checks that nodes whose zone has no direct node are
+// spread over the direct nodes.
+func TestFollowersSpreadOverDirectNodes(t *testing.T) {
 	var members []register.Member
 	for index := range 36 {
 		members = append(members, storageNode(index, index%6))
@@ -76,27 +76,28 @@
 	}
 }
 
-// TestNodeOutsideTheSetsFollowsThroughMembers, whatever its name. Before there are
-// members it asks the store.
-func TestNodeOutsideTheSetsFollowsThroughMembers(t *testing.T) {
+// TestNonMemberFollowsThroughMembers checks that a node outside all replica sets follows
+// through members, whatever its name, and follows the store if there are no members.
+func TestNonMemberFollowsThroughMembers(t *testing.T) {
 	members := []register.Member{storageNode(1, 0), storageNode(2, 1)}
 	assert.Equal(t, len(mirror.Upstreams(storageNode(5, 0), members, nil)), 2)
 	assert.Equal(t, len(mirror.Upstreams(storageNode(0, 0), members, nil)), 2)
 	assert.Equal(t, len(mirror.Upstreams(storageNode(5, 0), nil, nil)), 0)
 }
 
-// TestNodesOfAZoneSpreadOverItsHolders, and ask those of other zones last.
-func TestNodesOfAZoneSpreadOverItsHolders(t *testing.T) {
+// TestNodesSpreadOverHoldersOfTheirZone checks that nodes prefer holders of their own zone,
+// and not all the same one.
+func TestNodesSpreadOverHoldersOfTheirZone(t *testing.T) {
 	members := []register.Member{storageNode(0, 1), storageNode(1, 0), storageNode(2, 0), storageNode(3, 1)}
-	heads := make(map[netip.AddrPort]bool)
+	first := make(map[netip.AddrPort]bool)
 	for reader := range 40 {
 		ordered := mirror.Near("zone-0", fmt.Sprint("edge-", reader), members)
 		assert.Equal(t, len(ordered), len(members))
-		heads[ordered[0]] = true
+		first[ordered[0]] = true
 	}
 	own := []netip.AddrPort{netip.MustParseAddrPort("10.0.0.2:1"), netip.MustParseAddrPort("10.0.0.3:1")}
-	for head := range heads {
-		assert.Assert(t, slices.Contains(own, head), "%s is of another zone", head)
+	for holder := range first {
+		assert.Assert(t, slices.Contains(own, holder), "%s is of another zone", holder)
 	}
-	assert.Equal(t, len(heads), len(own))
+	assert.Equal(t, len(first), len(own))
 }
--- a/coordination/mirror/mirror_test.go
+++ b/coordination/mirror/mirror_test.go
@@ -17,7 +17,7 @@
 	"github.com/marblering/marblering/state/replica"
 )
 
-// snapshot has one object whose content names the revision.
+// snapshot returns a snapshot with one object, both at the given revision.
 func snapshot(at int64) follow.Snapshot {
 	return follow.Snapshot{At: at, Objects: []follow.Object{{Name: "main", Revision: at, Spec: []byte(`{"a":1}`)}}}
 }
@@ -44,9 +44,9 @@
 	})
 }
 
-// TestCopiesOutliveAProcess: what a holder kept is there for its next life, whose
-// copies don't claim an age.
-func TestCopiesOutliveAProcess(t *testing.T) {
+// TestCopiesSurviveRestart checks that a restarted holder has the saved copies, with an
+// unknown age.
+func TestCopiesSurviveRestart(t *testing.T) {
 	medium := replica.NewMemory()
 	first := newHolder(t, medium)
 	serve(t, first)
@@ -55,7 +55,7 @@
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		copies := newHolder(t, medium).Copies()
 		if len(copies) == 0 {
-			return poll.Continue("nothing was written yet")
+			return poll.Continue("no copy was saved yet")
 		}
 		assert.DeepEqual(t, copies, []mirror.Copy{{Kind: mirror.KindConfiguration, Snapshot: snapshot(7)}})
 		return poll.Success()
@@ -63,20 +63,20 @@
 	assert.Assert(t, !first.Copies()[0].Heard.IsZero())
 }
 
-// TestDamagedCopyIsLeftOut: a holder starts without it.
-func TestDamagedCopyIsLeftOut(t *testing.T) {
+// TestDamagedCopyIsIgnored checks that a holder starts without a copy that can't be decoded.
+func TestDamagedCopyIsIgnored(t *testing.T) {
 	medium := replica.NewMemory()
 	assert.NilError(t, medium.SaveMeta(1<<32-2, "mirror-"+mirror.KindSets, []byte("{")))
 	assert.Equal(t, len(newHolder(t, medium).Copies()), 0)
 }
 
-// silentStore answers no listing until it is opened.
-type silentStore struct {
+// blockedStore blocks listings until it is opened, and watches until they are cancelled.
+type blockedStore struct {
 	opened chan struct{}
 	at     int64
 }
 
-func (s *silentStore) List(ctx context.Context) (follow.Snapshot, error) {
+func (s *blockedStore) List(ctx context.Context) (follow.Snapshot, error) {
 	select {
 	case <-s.opened:
 		return snapshot(s.at), nil
@@ -85,34 +85,34 @@
 	}
 }
 
-func (s *silentStore) Watch(ctx context.Context, _ int64, _ time.Duration) (follow.Changes, error) {
+func (s *blockedStore) Watch(ctx context.Context, _ int64, _ time.Duration) (follow.Changes, error) {
 	<-ctx.Done()
 	return follow.Changes{}, ctx.Err()
 }
 
-// holders answers with the copies of each address, or not at all.
-type holders map[netip.AddrPort][]mirror.Copy
+// fakeFetcher returns the copies of each address, and an error for other addresses.
+type fakeFetcher map[netip.AddrPort][]mirror.Copy
 
-func (h holders) FetchMirror(_ context.Context, address netip.AddrPort) ([]mirror.Copy, error) {
-	if copies, found := h[address]; found {
+func (f fakeFetcher) FetchMirror(_ context.Context, address netip.AddrPort) ([]mirror.Copy, error) {
+	if copies, found := f[address]; found {
 		return copies, nil
 	}
 	return nil, errors.New("no answer")
 }
 
-// applied notes the revisions that a follower put in force.
-type applied struct {
+// appliedRevisions records the revisions that a follower applied.
+type appliedRevisions struct {
 	mutex     sync.Mutex
 	revisions []int64
 }
 
-func (a *applied) apply(s follow.Snapshot) {
+func (a *appliedRevisions) apply(s follow.Snapshot) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	a.revisions = append(a.revisions, s.At)
 }
 
-func (a *applied) last() int64 {
+func (a *appliedRevisions) last() int64 {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	if len(a.revisions) == 0 {
@@ -121,79 +121,79 @@
 	return a.revisions[len(a.revisions)-1]
 }
 
-func (a *applied) await(t *testing.T, revision int64) {
+func (a *appliedRevisions) await(t *testing.T, revision int64) {
 	t.Helper()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if a.last() == revision {
 			return poll.Success()
 		}
-		return poll.Continue("revision %d is in force", a.last())
+		return poll.Continue("revision %d is applied", a.last())
 	})
 }
 
-// TestStartWithoutStore: a node that starts while the store is silent begins with
-// the newest copy of any holder, claims nothing about its age, goes on to the
-// store's own once it answers, and takes no copy from then on.
+// TestStartWithoutStore checks that a node that starts while the store doesn't answer uses
+// the newest copy of any holder, with an unknown age, and follows the store once it answers.
 func TestStartWithoutStore(t *testing.T) {
-	store := &silentStore{opened: make(chan struct{}), at: 12}
-	seen := &applied{}
+	store := &blockedStore{opened: make(chan struct{}), at: 12}
+	applied := &appliedRevisions{}
 	settings := follow.DefaultSettings()
 	settings.ListTimeout = 200 * time.Millisecond
 	follower := follow.New(follow.Options{
-		Name: mirror.KindConfiguration, Source: store, Settings: settings, Apply: seen.apply, Logger: zap.NewNop(), Now: time.Now,
+		Name: mirror.KindConfiguration, Source: store, Settings: settings, Apply: applied.apply, Logger: zap.NewNop(), Now: time.Now,
 	})
-	first, second, dead := netip.MustParseAddrPort("10.0.0.1:1"), netip.MustParseAddrPort("10.0.0.2:1"), netip.MustParseAddrPort("10.0.0.3:1")
-	reader := mirror.NewReader(func() []netip.AddrPort { return []netip.AddrPort{first, second, dead} }, holders{
+	first, second, unreachable := netip.MustParseAddrPort("10.0.0.1:1"), netip.MustParseAddrPort("10.0.0.2:1"), netip.MustParseAddrPort("10.0.0.3:1")
+	reader := mirror.NewReader(func() []netip.AddrPort { return []netip.AddrPort{first, second, unreachable} }, fakeFetcher{
 		first:  {{Kind: mirror.KindConfiguration, Snapshot: snapshot(9)}},
 		second: {{Kind: mirror.KindConfiguration, Snapshot: snapshot(11)}, {Kind: "unknown", Snapshot: snapshot(30)}},
 	}, map[string]mirror.Follower{mirror.KindConfiguration: follower}, time.Now, zap.NewNop())
 	serve(t, follower)
 	serve(t, reader)
-	seen.await(t, 11)
+	applied.await(t, 11)
 	_, heard := follower.Age()
-	assert.Assert(t, !heard, "a copy says nothing of what the store holds now")
+	assert.Assert(t, !heard, "a copy doesn't tell how old it is")
 	close(store.opened)
-	seen.await(t, 12)
-	seen.mutex.Lock()
-	defer seen.mutex.Unlock()
-	for i := 1; i < len(seen.revisions); i++ {
-		assert.Assert(t, seen.revisions[i] > seen.revisions[i-1], "%v", seen.revisions)
+	applied.await(t, 12)
+	applied.mutex.Lock()
+	defer applied.mutex.Unlock()
+	for i := 1; i < len(applied.revisions); i++ {
+		assert.Assert(t, applied.revisions[i] > applied.revisions[i-1], "%v", applied.revisions)
 	}
 }
 
-// TestNothingIsTakenFromCopiesWhileTheStoreAnswers, however new they claim to be.
-func TestNothingIsTakenFromCopiesWhileTheStoreAnswers(t *testing.T) {
-	store := &silentStore{opened: make(chan struct{}), at: 12}
+// TestReaderIsIdleWhileStoreAnswers checks that no copy is fetched, however new, while the
+// follower hears from the store.
+func TestReaderIsIdleWhileStoreAnswers(t *testing.T) {
+	store := &blockedStore{opened: make(chan struct{}), at: 12}
 	close(store.opened)
-	seen := &applied{}
+	applied := &appliedRevisions{}
 	follower := follow.New(follow.Options{
-		Name: mirror.KindConfiguration, Source: store, Settings: follow.DefaultSettings(), Apply: seen.apply, Logger: zap.NewNop(), Now: time.Now,
+		Name: mirror.KindConfiguration, Source: store, Settings: follow.DefaultSettings(), Apply: applied.apply, Logger: zap.NewNop(), Now: time.Now,
 	})
 	serve(t, follower)
-	seen.await(t, 12)
-	asked := &countingHolder{}
-	serve(t, mirror.NewReader(func() []netip.AddrPort { return []netip.AddrPort{netip.MustParseAddrPort("10.0.0.1:1")} }, asked,
+	applied.await(t, 12)
+	fetcher := &countingFetcher{}
+	serve(t, mirror.NewReader(func() []netip.AddrPort { return []netip.AddrPort{netip.MustParseAddrPort("10.0.0.1:1")} }, fetcher,
 		map[string]mirror.Follower{mirror.KindConfiguration: follower}, time.Now, zap.NewNop()))
 	time.Sleep(300 * time.Millisecond)
-	assert.Equal(t, asked.count(), 0)
-	assert.Equal(t, seen.last(), int64(12))
+	assert.Equal(t, fetcher.count(), 0)
+	assert.Equal(t, applied.last(), int64(12))
 }
 
-// countingHolder counts how often it is asked.
-type countingHolder struct {
+// countingFetcher counts its calls and returns a copy that is newer than the store.
+type countingFetcher struct {
 	mutex sync.Mutex
-	asked int
+	calls int
 }
 
-func (c *countingHolder) FetchMirror(context.Context, netip.AddrPort) ([]mirror.Copy, error) {
+func (c *countingFetcher) FetchMirror(context.Context, netip.AddrPort) ([]mirror.Copy, error) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.asked++
+	c.calls++
 	return []mirror.Copy{{Kind: mirror.KindConfiguration, Snapshot: snapshot(99)}}, nil
 }
 
-func (c *countingHolder) count() int {
+func (c *countingFetcher) count() int {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return c.asked
+	return c.calls
 }
