--- a/coordination/mirror/upstreams.go
+++ b/coordination/mirror/upstreams.go
@@ -10,54 +10,51 @@
 )
 
 const (
-	// leastAskers is how many storage nodes ask the store at least. It is one more than
-	// may be lost at once (two), so that one is left.
-	leastAskers = 3
-	// membersPerAsker bounds the nodes that follow through one that asks. Each holds two
-	// calls of 0.3 s and three of 2 s there, 8 calls a second; 15 of them come to 120 a
-	// second (counted from the waits, not measured).
-	membersPerAsker = 16
+	// minDirectNodes is the minimum number of storage nodes that follow the store directly:
+	// one more than may be lost at once.
+	minDirectNodes = 3
+	// membersPerDirectNode limits the members per direct node, itself included, and thereby
+	// the calls of their followers to it.
+	membersPerDirectNode = 16
 )
 
-// Upstreams returns the storage nodes through which a storage node follows the store,
-// those of its own zone first; none for a node that asks the store itself. Before any
-// member is known the seeds take the place of members.
+// Upstreams returns the storage nodes through which a storage node follows the store, those
+// of its own zone first; none for a node that follows the store directly. Before any member
+// is known the seeds take the place of members.
 //
-// Only few ask the store, since each call is work for it, and held calls end every few
-// seconds though nothing has changed. With three such nodes in place of one in each of
-// five zones the quiet start of 36 storage nodes costs the store 84 to 92 calls in place
-// of 140 (virtual time, one kind, 140 instances that register).
+// Only a few nodes follow the store directly, to limit its load: their calls end every few
+// seconds even if nothing has changed.
 func Upstreams(self register.Member, members []register.Member, seeds []netip.AddrPort) []netip.AddrPort {
 	if len(members) == 0 {
 		return seedUpstreams(self, seeds)
 	}
-	asking := askers(members)
+	direct := directMembers(members)
 	isSelf := func(member register.Member) bool { return member.Node == self.Node }
-	if slices.ContainsFunc(asking, isSelf) {
+	if slices.ContainsFunc(direct, isSelf) {
 		return nil
 	}
-	return Near(self.Zone, self.Node, asking)
+	return Near(self.Zone, self.Node, direct)
 }
 
-// askers chooses the members that ask the store, from as many zones as it can. All
-// nodes that know the same members choose the same.
-func askers(members []register.Member) []register.Member {
-	ordered := alternateZones(members)
-	wanted := max(leastAskers, (len(members)+membersPerAsker-1)/membersPerAsker)
-	return ordered[:min(len(ordered), wanted)]
+// directMembers chooses the members that follow the store directly, from as many zones as
+// possible. All nodes that know the same members choose the same.
+func directMembers(members []register.Member) []register.Member {
+	ordered := interleaveZones(members)
+	count := max(minDirectNodes, (len(members)+membersPerDirectNode-1)/membersPerDirectNode)
+	return ordered[:min(len(ordered), count)]
 }
 
-// alternateZones orders members by name so that the first of each zone come before
-// the second of any.
-func alternateZones(members []register.Member) []register.Member {
+// interleaveZones orders members by name, with the first member of each zone before the
+// second of any.
+func interleaveZones(members []register.Member) []register.Member {
 	byName := slices.SortedFunc(slices.Values(members), func(a, b register.Member) int {
 		return strings.Compare(a.Node, b.Node)
 	})
-	seen := make(map[string]int)
+	countByZone := make(map[string]int)
 	rank := make(map[string]int, len(byName))
 	for _, member := range byName {
-		rank[member.Node] = seen[member.Zone]
-		seen[member.Zone]++
+		rank[member.Node] = countByZone[member.Zone]
+		countByZone[member.Zone]++
 	}
 	slices.SortStableFunc(byName, func(a, b register.Member) int {
 		return cmp.Compare(rank[a.Node], rank[b.Node])
@@ -65,7 +62,7 @@
 	return byName
 }
 
-// seedUpstreams leaves the seeds to ask the store themselves.
+// seedUpstreams returns the seeds as upstreams, and none for the seeds themselves.
 func seedUpstreams(self register.Member, seeds []netip.AddrPort) []netip.AddrPort {
 	for _, seed := range seeds {
 		if seed.String() == self.Address {
