--- a/coordination/mirror/reader.go
+++ b/coordination/mirror/reader.go
@@ -12,39 +12,38 @@
 	"github.com/marblering/marblering/coordination/sleep"
 )
 
-// Bounds of the reader (chosen, not measured).
+// Timing and limits of the reader.
 const (
-	// firstPatience is how long a node that has just started waits for the store itself.
-	firstPatience = 100 * time.Millisecond
-	// fetchTimeout bounds one request to a holder.
+	// startDelay is how long a node that has just started waits for the store itself.
+	startDelay = 100 * time.Millisecond
+	// fetchTimeout is the timeout of a refresh, or of one round of a search.
 	fetchTimeout = 400 * time.Millisecond
-	// searchStagger lies between asking one holder and the next before anything is known,
-	// so that nodes that start together don't have every holder send all it has to every
-	// one of them.
+	// searchStagger delays each further request of a search, so that nodes that start at the
+	// same time don't each fetch the copies of every holder.
 	searchStagger = 60 * time.Millisecond
-	// searchedAtOnce bounds the holders that are asked in one round of a search.
-	searchedAtOnce = 4
-	// searchPause lies between two rounds before anything is known.
-	searchPause = 100 * time.Millisecond
-	// firstRefresh is the first pause between two requests while the store is away. It
-	// doubles up to lastRefresh: what holders know then hardly changes, and 259 gateways
-	// that asked for three whole copies a second would fill the links of the first ones.
-	firstRefresh = 500 * time.Millisecond
-	lastRefresh  = 4 * time.Second
+	// maxSearchedHolders is the maximum number of holders asked in one round of a search.
+	maxSearchedHolders = 4
+	// searchInterval is the pause between two rounds of a search.
+	searchInterval = 100 * time.Millisecond
+	// minRefreshInterval is the first pause between two refreshes while the store is
+	// unavailable. It doubles up to maxRefreshInterval, since the copies hardly change then
+	// and fetching them loads the holders' network links.
+	minRefreshInterval = 500 * time.Millisecond
+	maxRefreshInterval = 4 * time.Second
 )
 
-// Follower follows one kind of objects. follow.Follower is one.
+// Follower follows one kind of objects. follow.Follower implements it.
 type Follower interface {
-	// Offer takes in a snapshot that is newer than what is known, and tells
-	// whether it did.
+	// Offer applies the snapshot if it is newer than the known one, and reports whether it
+	// did.
 	Offer(snapshot follow.Snapshot) bool
-	// IsLost tells that the store doesn't answer.
+	// IsLost reports whether the store doesn't answer.
 	IsLost() bool
-	// IsKnown tells that any snapshot was taken in.
+	// IsKnown reports whether any snapshot was applied.
 	IsKnown() bool
 }
 
-// Fetcher asks one holder for all it has. peer.Client is one.
+// Fetcher fetches all copies of one holder. peer.Client implements it.
 type Fetcher interface {
 	FetchMirror(ctx context.Context, address netip.AddrPort) ([]Copy, error)
 }
@@ -57,43 +56,42 @@
 	followers map[string]Follower
 	now       func() time.Time
 	logger    *zap.Logger
-	// next counts the requests that refreshed what is known, so that each goes to the next
-	// holder.
-	next int
+	// refreshCount counts the refreshes, so that each goes to the next holder.
+	refreshCount int
 }
 
-// NewReader makes a reader that asks the holders, which are listed in the order of
-// preference. The followers are named by their kinds.
+// NewReader creates a reader that asks the listed holders, most preferred first. The
+// followers are keyed by kind.
 func NewReader(holders func() []netip.AddrPort, fetcher Fetcher, followers map[string]Follower, now func() time.Time, logger *zap.Logger) *Reader {
 	return &Reader{holders: holders, fetcher: fetcher, followers: followers, now: now, logger: logger}
 }
 
 // String names the service in the supervisor's messages.
-func (r *Reader) String() string { return "reader of mirrored objects" }
+func (r *Reader) String() string { return "mirror reader" }
 
-// Serve asks holders while any follower needs that, until the context ends.
+// Serve fetches copies while any follower needs them, until the context ends.
 func (r *Reader) Serve(ctx context.Context) error {
-	pause, refresh := firstPatience, firstRefresh
+	pause, refresh := startDelay, minRefreshInterval
 	for {
 		if sleep.For(ctx, pause) != nil {
 			return ctx.Err()
 		}
 		switch {
-		case r.isSearching():
+		case r.needsSearch():
 			r.search(ctx)
-			pause, refresh = searchPause, firstRefresh
-		case r.isNeeded():
+			pause, refresh = searchInterval, minRefreshInterval
+		case r.needsRefresh():
 			r.refresh(ctx)
 			pause = sleep.Jitter(refresh)
-			refresh = min(2*refresh, lastRefresh)
+			refresh = min(2*refresh, maxRefreshInterval)
 		default:
-			pause, refresh = firstRefresh, firstRefresh
+			pause, refresh = minRefreshInterval, minRefreshInterval
 		}
 	}
 }
 
-// isNeeded tells that a follower hears nothing from the store or knows nothing yet.
-func (r *Reader) isNeeded() bool {
+// needsRefresh reports whether any follower has lost the store or has no snapshot yet.
+func (r *Reader) needsRefresh() bool {
 	for _, follower := range r.followers {
 		if follower.IsLost() || !follower.IsKnown() {
 			return true
@@ -102,8 +100,8 @@
 	return false
 }
 
-// isSearching tells that a kind isn't known at all.
-func (r *Reader) isSearching() bool {
+// needsSearch reports whether any follower has no snapshot yet.
+func (r *Reader) needsSearch() bool {
 	for _, follower := range r.followers {
 		if !follower.IsKnown() {
 			return true
@@ -112,28 +110,28 @@
 	return false
 }
 
-// search asks holder after holder, without waiting for the answer of the one
-// before for long, until something is known of every kind.
+// search asks the first holders with staggered, overlapping requests until every follower has
+// a snapshot.
 func (r *Reader) search(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
 	holders := r.holders()
-	var asking sync.WaitGroup
-	for index, holder := range holders[:min(len(holders), searchedAtOnce)] {
-		asking.Go(func() {
+	var requests sync.WaitGroup
+	for index, holder := range holders[:min(len(holders), maxSearchedHolders)] {
+		requests.Go(func() {
 			if sleep.For(ctx, time.Duration(index)*searchStagger) != nil {
 				return
 			}
 			r.fetch(ctx, holder)
-			if !r.isSearching() {
+			if !r.needsSearch() {
 				cancel()
 			}
 		})
 	}
-	asking.Wait()
+	requests.Wait()
 }
 
-// refresh asks the next holder, since the one before may have been behind the others.
+// refresh fetches the copies of the next holder, as the previous one may be behind others.
 func (r *Reader) refresh(ctx context.Context) {
 	holders := r.holders()
 	if len(holders) == 0 {
@@ -141,35 +139,35 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
-	r.next++
-	r.fetch(ctx, holders[r.next%len(holders)])
+	r.refreshCount++
+	r.fetch(ctx, holders[r.refreshCount%len(holders)])
 }
 
-// fetch asks one holder and offers what it has.
+// fetch fetches the copies of one holder and offers them to the followers.
 func (r *Reader) fetch(ctx context.Context, holder netip.AddrPort) {
 	copies, err := r.fetcher.FetchMirror(ctx, holder)
 	if err != nil {
-		r.logger.Debug("mirroring storage node did not answer", zap.Stringer("holder", holder), zap.Error(err))
+		r.logger.Debug("cannot fetch mirrored objects", zap.Stringer("holder", holder), zap.Error(err))
 		return
 	}
 	r.offer(holder, copies)
 }
 
-// offer gives each follower the copy of its kind, unless it hears from the store.
+// offer offers each follower the copy of its kind, unless it hears from the store.
 func (r *Reader) offer(holder netip.AddrPort, copies []Copy) {
-	for _, offered := range copies {
-		follower, followed := r.followers[offered.Kind]
-		if !followed || follower.IsKnown() && !follower.IsLost() || !follower.Offer(offered.Snapshot) {
+	for _, received := range copies {
+		follower, followed := r.followers[received.Kind]
+		if !followed || follower.IsKnown() && !follower.IsLost() || !follower.Offer(received.Snapshot) {
 			continue
 		}
-		r.logger.Info("mirrored objects taken", zap.String("objects", offered.Kind), zap.Stringer("holder", holder),
-			zap.Int64("revision", offered.Snapshot.At), zap.Int("count", len(offered.Snapshot.Objects)), r.age(offered))
+		r.logger.Info("mirrored objects taken", zap.String("objects", received.Kind), zap.Stringer("holder", holder),
+			zap.Int64("revision", received.Snapshot.At), zap.Int("count", len(received.Snapshot.Objects)), r.age(received))
 	}
 }
 
-func (r *Reader) age(offered Copy) zap.Field {
-	if offered.Heard.IsZero() {
+func (r *Reader) age(received Copy) zap.Field {
+	if received.Heard.IsZero() {
 		return zap.String("age", "unknown")
 	}
-	return zap.Duration("age", r.now().Sub(offered.Heard))
+	return zap.Duration("age", r.now().Sub(received.Heard))
 }
