--- a/coordination/mirror/source.go
+++ b/coordination/mirror/source.go
@@ -14,68 +14,67 @@
 )
 
 const (
-	// holderSlack is how much longer than its wait a holder's answer may take: one that
-	// went silent is noticed after both (chosen, not measured).
+	// holderSlack is the time beyond its wait after which a call to a holder times out.
 	holderSlack = 400 * time.Millisecond
-	// probeTimeout bounds a call at a holder that isn't to be held. A holder that is well
-	// answers within a few milliseconds (chosen, not measured).
+	// probeTimeout is the timeout of a call to a holder without a wait. A healthy holder
+	// answers within a few milliseconds.
 	probeTimeout = 200 * time.Millisecond
-	// insteadWait is how long the store itself may hold a call in place of holders: a
-	// store that says nothing is then noticed about as soon as by a listing, which has
-	// 1.5 s (chosen, not measured).
-	insteadWait = time.Second
-	// leastWait is the shortest wait of a call at the store itself that comes after
-	// holders were asked in vain (chosen, not measured).
-	leastWait = 100 * time.Millisecond
-	// unseen is a revision that no holder has been at, so that a holder that is asked for
-	// what came after it tells all that there is.
-	unseen int64 = -1
+	// maxStoreWait is the longest wait of a call to the store in place of holders. With
+	// holderSlack an unresponsive store is detected about as soon as by a listing.
+	maxStoreWait = time.Second
+	// minStoreWait is the shortest wait of a call to the store after holders were asked in
+	// vain.
+	minStoreWait = 100 * time.Millisecond
+	// noRevision precedes every revision. A holder asked for the changes since then sends its
+	// whole snapshot.
+	noRevision int64 = -1
 )
 
-// Watcher asks one holder for changes. peer.Client is one.
+// Watcher asks one holder for changes. peer.Client implements it.
 type Watcher interface {
 	WatchMirror(ctx context.Context, address netip.AddrPort, kind string, revision int64, wait time.Duration) (Answer, error)
 }
 
-// SourceSettings are the bounds of a Source.
+// SourceSettings configure a Source.
 type SourceSettings struct {
-	// Wait is how long a holder may hold a call without changes.
+	// Wait is the longest time that a holder may hold a call until there are changes.
 	Wait time.Duration
-	// MaxAge is how long ago the store may have confirmed what a holder says.
+	// MaxAge is the longest time since the store confirmed a holder's data.
 	MaxAge time.Duration
-	// Patience is how long holders are waited for before the store itself is asked. Where
-	// there are no holders at all the store is asked at once.
+	// Patience holds the delays before the store itself is asked. If there are no holders at
+	// all, it is asked at once.
 	Patience Patience
-	// StorePause is the least time between two calls at the store itself while it is
-	// followed in place of holders: changes that come meanwhile cost one call.
+	// StorePause is the shortest time between two calls to the store while it is followed in
+	// place of holders, so that changes in quick succession cost one call.
 	StorePause time.Duration
 }
 
-// Source follows one kind of objects through holders, so that a change costs the store
-// one call a holder rather than one a node. The store itself is asked where no holder
-// could be relied on for a while. It implements follow.Source; calls have to be made one
+// Source follows one kind of objects through holders, so that a change costs the store one
+// call for each holder rather than for each node. It falls back to the store itself when no
+// holder has been usable for a while. It implements follow.Source; calls must be made one
 // at a time.
 type Source struct {
 	kind     string
-	direct   follow.Source
+	store    follow.Source
 	holders  *Holders
 	watcher  Watcher
 	settings SourceSettings
 	logger   *zap.Logger
 	gate     gate
-	// storeAnswered is when the store itself last answered. Only the goroutine of the
-	// source's follower uses it.
-	storeAnswered time.Time
-	// newest is the newest revision that was handed out.
-	newest atomic.Int64
-	// through is the holder that answered last; nil for the store itself.
-	through atomic.Pointer[netip.AddrPort]
+	// lastStoreAnswer is when the store itself last answered. Only the goroutine of the
+	// follower uses it.
+	lastStoreAnswer time.Time
+	// newestRevision is the newest revision that was returned.
+	newestRevision atomic.Int64
+	// lastHolder is the holder that is followed; nil for the store itself.
+	lastHolder atomic.Pointer[netip.AddrPort]
 }
 
-// NewSource makes a source of the kind.
-func NewSource(kind string, direct follow.Source, holders *Holders, watcher Watcher, settings SourceSettings, logger *zap.Logger) *Source {
+// NewSource creates a source of the kind that follows the holders, and the store as a
+// fallback.
+func NewSource(kind string, store follow.Source, holders *Holders, watcher Watcher, settings SourceSettings, logger *zap.Logger) *Source {
 	return &Source{
-		kind: kind, direct: direct, holders: holders, watcher: watcher, settings: settings, logger: logger,
+		kind: kind, store: store, holders: holders, watcher: watcher, settings: settings, logger: logger,
 		gate: newGate(settings.Patience, holders.now()),
 	}
 }
@@ -83,53 +82,53 @@
 // List implements follow.Source.
 func (s *Source) List(ctx context.Context) (follow.Snapshot, error) {
 	var snapshot follow.Snapshot
-	found := s.askHolders(ctx, unseen, func(holder netip.AddrPort, _ int) (err error) {
-		snapshot, err = s.listBy(ctx, holder)
+	found := s.askHolders(ctx, noRevision, func(holder netip.AddrPort, _ int) (err error) {
+		snapshot, err = s.listFromHolder(ctx, holder)
 		return err
 	})
 	if found {
 		return snapshot, nil
 	}
-	if err := s.passGate(ctx); err != nil {
+	if err := s.switchToStore(ctx); err != nil {
 		return follow.Snapshot{}, err
 	}
-	snapshot, err := s.direct.List(ctx)
-	s.storeAsked(snapshot.At, err)
+	snapshot, err := s.store.List(ctx)
+	s.recordStoreCall(snapshot.At, err)
 	return snapshot, err
 }
 
-// askHolders asks one holder after the other until one answers, and tells whether one
-// did. ask is also given how many were asked before in this call.
-func (s *Source) askHolders(ctx context.Context, from int64, ask func(holder netip.AddrPort, before int) error) bool {
-	began := s.holders.now()
-	asked := round{mayAskStore: func() bool { return s.mayAskStore(s.holders.now()) }}
+// askHolders calls ask with one holder after the other, and the number of earlier ones, until
+// one gives a usable answer. It reports whether one did.
+func (s *Source) askHolders(ctx context.Context, from int64, ask func(holder netip.AddrPort, earlier int) error) bool {
+	start := s.holders.now()
+	attempts := round{mayAskStore: func() bool { return s.mayAskStore(s.holders.now()) }}
 	for ctx.Err() == nil {
-		asked.took = s.holders.now().Sub(began)
-		if !asked.goesOn() {
+		attempts.took = s.holders.now().Sub(start)
+		if !attempts.goesOn() {
 			return false
 		}
 		holder, found := s.holders.pick()
 		if !found {
 			return false
 		}
-		err := ask(holder, asked.holders)
+		err := ask(holder, attempts.holders)
 		if err == nil {
 			return true
 		}
-		asked.add(err)
-		s.leave(ctx, holder, from, err)
+		attempts.add(err)
+		s.recordHolderFailure(ctx, holder, from, err)
 	}
 	return false
 }
 
-// mayAskStore tells whether the store itself may be asked.
+// mayAskStore reports whether the store itself may be asked.
 func (s *Source) mayAskStore(now time.Time) bool {
 	return s.gate.isOpen(now) || s.holders.isEmpty()
 }
 
-// passGate returns nil where the store itself may be asked now, and why it may not
-// otherwise: errNoHolder, or that the caller gave up.
-func (s *Source) passGate(ctx context.Context) error {
+// switchToStore makes the source follow the store itself. It fails with errNoHolder if the
+// store may not be asked yet, and with the context's error if that has ended.
+func (s *Source) switchToStore(ctx context.Context) error {
 	if err := ctx.Err(); err != nil {
 		return err
 	}
@@ -137,112 +136,111 @@
 	if !s.mayAskStore(now) {
 		return errNoHolder
 	}
-	if s.through.Swap(nil) != nil {
+	if s.lastHolder.Swap(nil) != nil {
 		s.logger.Info("following the store directly", zap.String("objects", s.kind))
 	}
 	return nil
 }
 
-// listBy has the holder tell all that there is. One that is behind what was handed out
-// already is of no use: revisions never go back.
-func (s *Source) listBy(ctx context.Context, holder netip.AddrPort) (follow.Snapshot, error) {
-	changes, err := s.probe(ctx, holder, unseen)
+// listFromHolder returns the holder's whole snapshot. One that is older than the newest
+// returned revision can't be used, since revisions must not decrease.
+func (s *Source) listFromHolder(ctx context.Context, holder netip.AddrPort) (follow.Snapshot, error) {
+	changes, err := s.probe(ctx, holder, noRevision)
 	if err != nil {
 		return follow.Snapshot{}, err
 	}
-	if !changes.IsWhole || changes.At < s.newest.Load() {
+	if !changes.IsWhole || changes.At < s.newestRevision.Load() {
 		return follow.Snapshot{}, errHolderBehind
 	}
-	s.trust(holder, changes.At)
+	s.recordHolderAnswer(holder, changes.At)
 	return changes.Snapshot(), nil
 }
 
-// Watch implements follow.Source. A holder that can't be relied on may have kept changes
-// back; whoever is asked next tells them all, since they are asked for from the same
-// revision on. Only the first holder may hold the call, and none may while the store
-// itself is followed: one that went dark must not keep changes back for long.
+// Watch implements follow.Source. Changes that an unusable holder withheld aren't missed,
+// since the next holder or the store is asked from the same revision. Only the first holder
+// may hold the call, and none may while the store itself is followed, so that unreachable
+// holders don't delay changes for long.
 func (s *Source) Watch(ctx context.Context, from int64, wait time.Duration) (follow.Changes, error) {
-	began := s.holders.now()
-	if err := s.pauseAtStore(ctx); err != nil {
+	start := s.holders.now()
+	if err := s.waitStorePause(ctx); err != nil {
 		return follow.Changes{}, err
 	}
 	var changes follow.Changes
-	found := s.askHolders(ctx, from, func(holder netip.AddrPort, before int) (err error) {
-		if before > 0 || s.gate.followsStore() {
+	found := s.askHolders(ctx, from, func(holder netip.AddrPort, earlier int) (err error) {
+		if earlier > 0 || s.gate.followsStore() {
 			changes, err = s.probe(ctx, holder, from)
 		} else {
-			changes, err = s.ask(ctx, holder, from, s.settings.Wait)
+			changes, err = s.watchHolder(ctx, holder, from, s.settings.Wait)
 		}
 		if err == nil {
-			s.trust(holder, changes.At)
+			s.recordHolderAnswer(holder, changes.At)
 		}
 		return err
 	})
 	if found {
 		return changes, nil
 	}
-	if err := s.passGate(ctx); err != nil {
+	if err := s.switchToStore(ctx); err != nil {
 		return follow.Changes{}, err
 	}
-	taken := s.holders.now().Sub(began)
-	return s.watchStore(ctx, from, max(wait-taken, leastWait))
+	elapsed := s.holders.now().Sub(start)
+	return s.watchStore(ctx, from, max(wait-elapsed, minStoreWait))
 }
 
-// pauseAtStore waits until the store itself may be asked again where it is followed.
-func (s *Source) pauseAtStore(ctx context.Context) error {
+// waitStorePause waits for the rest of StorePause if the store is followed in place of
+// holders.
+func (s *Source) waitStorePause(ctx context.Context) error {
 	if !s.gate.followsStore() || s.holders.isEmpty() {
 		return nil
 	}
-	return sleep.For(ctx, s.settings.StorePause-s.holders.now().Sub(s.storeAnswered))
+	return sleep.For(ctx, s.settings.StorePause-s.holders.now().Sub(s.lastStoreAnswer))
 }
 
-// watchStore asks the store itself. In place of holders the call is held for insteadWait
-// at most: holders are to be tried again, and a store that says nothing has to be noticed
-// as soon as it would be by a listing.
+// watchStore asks the store itself for changes. In place of holders the wait is at most
+// maxStoreWait, so that holders are tried again and an unresponsive store is detected soon.
 func (s *Source) watchStore(ctx context.Context, from int64, wait time.Duration) (follow.Changes, error) {
 	if !s.holders.isEmpty() {
-		wait = min(wait, insteadWait)
+		wait = min(wait, maxStoreWait)
 		bounded, cancel := context.WithTimeout(ctx, wait+holderSlack)
 		defer cancel()
 		ctx = bounded
 	}
-	changes, err := s.direct.Watch(ctx, from, wait)
-	s.storeAsked(changes.At, err)
+	changes, err := s.store.Watch(ctx, from, wait)
+	s.recordStoreCall(changes.At, err)
 	return changes, err
 }
 
-// probe asks a holder for what it can tell at once.
+// probe asks a holder for changes without a wait.
 func (s *Source) probe(ctx context.Context, holder netip.AddrPort, from int64) (follow.Changes, error) {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	return s.ask(ctx, holder, from, 0)
+	return s.watchHolder(ctx, holder, from, 0)
 }
 
-// ask has the holder tell what changed after the revision, and held for the wait where
-// nothing did.
-func (s *Source) ask(ctx context.Context, holder netip.AddrPort, from int64, wait time.Duration) (follow.Changes, error) {
+// watchHolder asks a holder for changes after the revision. The holder may hold the call for
+// the wait until there are any.
+func (s *Source) watchHolder(ctx context.Context, holder netip.AddrPort, from int64, wait time.Duration) (follow.Changes, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+holderSlack)
 	defer cancel()
-	said, err := s.watcher.WatchMirror(ctx, holder, s.kind, from, wait)
+	answer, err := s.watcher.WatchMirror(ctx, holder, s.kind, from, wait)
 	if err != nil {
 		return follow.Changes{}, err
 	}
-	return trusted(said, s.settings.MaxAge)
+	return trusted(answer, s.settings.MaxAge)
 }
 
-// trust notes that the holder's answer is handed out.
-func (s *Source) trust(holder netip.AddrPort, at int64) {
-	s.handOut(at)
+// recordHolderAnswer records a usable answer of the holder.
+func (s *Source) recordHolderAnswer(holder netip.AddrPort, at int64) {
+	s.advanceRevision(at)
 	s.gate.holderAnswered(s.holders.now())
 	s.holders.answered(holder)
-	if before := s.through.Swap(&holder); before == nil || *before != holder {
+	if previous := s.lastHolder.Swap(&holder); previous == nil || *previous != holder {
 		s.logger.Info("following through a storage node", zap.String("objects", s.kind), zap.Stringer("holder", holder))
 	}
 }
 
-// leave has the holder asked last for a while, unless it was the caller who gave
-// the call up.
-func (s *Source) leave(ctx context.Context, holder netip.AddrPort, from int64, err error) {
+// recordHolderFailure puts the holder into backoff, unless the caller cancelled the call.
+func (s *Source) recordHolderFailure(ctx context.Context, holder netip.AddrPort, from int64, err error) {
 	if ctx.Err() != nil {
 		return
 	}
@@ -256,22 +254,22 @@
 		zap.Int64("revision", from), zap.Error(err))
 }
 
-// Through names for logs whom this source heard from last.
+// Through describes, for logs, the holder or store that is followed.
 func (s *Source) Through() string {
-	if holder := s.through.Load(); holder != nil {
+	if holder := s.lastHolder.Load(); holder != nil {
 		return "storage node " + holder.String()
 	}
 	return "the store itself"
 }
 
-// storeAsked notes how a call at the store itself ended. Where the store says that it has
-// forgotten the changes, it has answered.
-func (s *Source) storeAsked(at int64, err error) {
+// recordStoreCall records the result of a call to the store itself. ErrHistoryGone counts as
+// an answer.
+func (s *Source) recordStoreCall(at int64, err error) {
 	now := s.holders.now()
 	switch {
 	case err == nil:
-		s.handOut(at)
-		s.storeAnswered = now
+		s.advanceRevision(at)
+		s.lastStoreAnswer = now
 		s.gate.storeAnswered(now)
 	case errors.Is(err, follow.ErrHistoryGone):
 		s.gate.storeAnswered(now)
@@ -280,10 +278,10 @@
 	}
 }
 
-// handOut notes the revision that the follower is brought to.
-func (s *Source) handOut(at int64) {
-	for known := s.newest.Load(); at > known; known = s.newest.Load() {
-		if s.newest.CompareAndSwap(known, at) {
+// advanceRevision raises the newest returned revision.
+func (s *Source) advanceRevision(at int64) {
+	for known := s.newestRevision.Load(); at > known; known = s.newestRevision.Load() {
+		if s.newestRevision.CompareAndSwap(known, at) {
 			return
 		}
 	}
