--- a/coordination/mirror/gate.go
+++ b/coordination/mirror/gate.go
@@ -6,101 +6,97 @@
 	"time"
 )
 
-// Patience is how long a source waits for holders before it asks the store itself. The
-// store serves a few nodes; were it asked by every node that misses a holder for a
-// moment, its load would grow with their number just when it is disturbed or when all
-// nodes start: of the 3,670 calls of a quiet run with 295 nodes 3,500 were made by
-// gateways whose first holder hadn't started yet. The zero value asks at once.
+// Patience holds the delays before a source that hears from no holder asks the store itself.
+// Without a delay the load on the store would grow with the number of nodes whenever holders
+// fail or all nodes start. The zero value asks at once.
 type Patience struct {
-	// Unreached is for holders that can't be reached or answer what is too old,
-	// counted from the last answer of any.
+	// Unreached applies while holders can't be reached or their answers are stale, counted
+	// from the last usable answer.
 	Unreached time.Duration
-	// Lost is for holders that answer but have lost the store, counted from when one
-	// had it: it is then likely to be lost for all.
+	// Lost applies while holders answer that they have lost the store, counted from the last
+	// usable answer. The store is then probably unavailable to this node too.
 	Lost time.Duration
 }
 
-// storeRetries is how many calls in a row may fail at a store that answered before, until
-// it counts as lost to this node as well: held calls are cut now and then (chosen, not
-// measured).
-const storeRetries = 2
+// maxStoreFailures is the number of consecutive failed calls after which a store that
+// answered before counts as lost. A single long call may fail without an outage.
+const maxStoreFailures = 2
 
-// gate decides when a source may ask the store itself. It has no I/O: it is told how
-// calls ended, and when.
+// storeGate decides when a source may ask the store itself. It does no I/O: it is told when
+// and how calls ended.
 //
-//   - Holders are waited for until none of them has told what the store has for the
-//     patience. While holders answer that they have lost the store the patience is
-//     longer, unless these have gone as well since.
-//   - From then on the store is followed until a holder tells again what it has. Were the
-//     patience waited for before each call, changes would be late by as much for as long
-//     as all holders are gone: up to 3.3 s lay between two answers where changes are due
-//     within 2 s, seen with three holders that had lost their power.
-//   - Where calls at the store fail storeRetries times in a row, holders are waited for
-//     again.
+//   - It opens when no holder has given a usable answer for the delay. The delay is longer
+//     while holders answer that they have lost the store, unless they have become
+//     unreachable since.
+//   - Once the store has answered, the gate stays open until a holder gives a usable answer.
+//     If the delay applied to each call, every change would be late while no holder is
+//     available.
+//   - After maxStoreFailures failed calls to the store in a row the delay applies again.
 //
 // Only the goroutine of the source's follower uses it.
-type gate struct {
-	patience Patience
-	// stretch, from 1 to 2, differs between sources, so that those that lost their
-	// holders together don't turn to the store together.
-	stretch float64
-	// since is when a holder last told what the store has, or the store itself last
-	// answered or was last asked in vain.
-	since time.Time
-	// reached is when a holder last said that it has lost the store; zero where one
-	// had it since, or the store itself answered.
-	reached time.Time
-	// retries is how many calls may still fail at the store that this source follows;
-	// zero while it follows holders.
-	retries int
+type storeGate struct {
+	delays Patience
+	// jitterFactor, from 1 to 2, multiplies the delays, so that sources that lose their
+	// holders at the same time don't ask the store at the same time.
+	jitterFactor float64
+	// delayStart is when the delay began: when the source was created, at the last usable
+	// answer of a holder or answer of the store, or at the last failed call to a store that
+	// isn't followed.
+	delayStart time.Time
+	// lostReported is when a holder last answered that it has lost the store; zero after a
+	// usable answer of a holder or an answer of the store.
+	lostReported time.Time
+	// failuresLeft is the number of further failed calls until the store counts as lost;
+	// zero while the store isn't followed.
+	failuresLeft int
 }
 
-func newGate(patience Patience, now time.Time) gate {
-	return gate{patience: patience, stretch: 1 + rand.Float64(), since: now}
+func newStoreGate(delays Patience, now time.Time) storeGate {
+	return storeGate{delays: delays, jitterFactor: 1 + rand.Float64(), delayStart: now}
 }
 
-// isOpen tells whether the store itself may be asked.
-func (g *gate) isOpen(now time.Time) bool {
+// isOpen reports whether the store itself may be asked.
+func (g *storeGate) isOpen(now time.Time) bool {
 	switch {
 	case g.followsStore():
 		return true
-	case !g.reached.IsZero():
-		// Those that answered may have gone as well since.
-		haveGone := now.After(g.reached) && g.isOver(now, g.reached, g.patience.Unreached)
-		return haveGone || g.isOver(now, g.since, g.patience.Lost)
+	case !g.lostReported.IsZero():
+		// The holders that answered may have become unreachable since.
+		unreachable := now.After(g.lostReported) && g.hasElapsed(now, g.lostReported, g.delays.Unreached)
+		return unreachable || g.hasElapsed(now, g.delayStart, g.delays.Lost)
 	}
-	return g.isOver(now, g.since, g.patience.Unreached)
+	return g.hasElapsed(now, g.delayStart, g.delays.Unreached)
 }
 
-// isOver tells that the patience since the moment is over.
-func (g *gate) isOver(now, since time.Time, patience time.Duration) bool {
-	return now.Sub(since) >= time.Duration(g.stretch*float64(patience))
+// hasElapsed reports whether the delay, with jitter, has passed since the given time.
+func (g *storeGate) hasElapsed(now, since time.Time, delay time.Duration) bool {
+	return now.Sub(since) >= time.Duration(g.jitterFactor*float64(delay))
 }
 
-// followsStore tells that the store answered last, and no holder has since.
-func (g *gate) followsStore() bool { return g.retries > 0 }
+// followsStore reports whether the source follows the store rather than a holder.
+func (g *storeGate) followsStore() bool { return g.failuresLeft > 0 }
 
-// holderFailed takes in why a holder's answer isn't used.
-func (g *gate) holderFailed(now time.Time, err error) {
+// holderFailed records a failed call to a holder or an unusable answer.
+func (g *storeGate) holderFailed(now time.Time, err error) {
 	if errors.Is(err, errHolderLost) {
-		g.reached = now
+		g.lostReported = now
 	}
 }
 
-// holderAnswered takes in that a holder told what the store has.
-func (g *gate) holderAnswered(now time.Time) { g.answered(now, 0) }
+// holderAnswered records a usable answer of a holder.
+func (g *storeGate) holderAnswered(now time.Time) { g.recordAnswer(now, 0) }
 
-// storeAnswered takes in that the store itself answered.
-func (g *gate) storeAnswered(now time.Time) { g.answered(now, storeRetries) }
+// storeAnswered records an answer of the store.
+func (g *storeGate) storeAnswered(now time.Time) { g.recordAnswer(now, maxStoreFailures) }
 
-func (g *gate) answered(now time.Time, retries int) {
-	g.since, g.reached, g.retries = now, time.Time{}, retries
+func (g *storeGate) recordAnswer(now time.Time, failuresLeft int) {
+	g.delayStart, g.lostReported, g.failuresLeft = now, time.Time{}, failuresLeft
 }
 
-// storeFailed takes in that the store itself was asked in vain.
-func (g *gate) storeFailed(now time.Time) {
-	g.retries = max(g.retries-1, 0)
+// storeFailed records a failed call to the store.
+func (g *storeGate) storeFailed(now time.Time) {
+	g.failuresLeft = max(g.failuresLeft-1, 0)
 	if !g.followsStore() {
-		g.since = now
+		g.delayStart = now
 	}
 }
--- a/coordination/mirror/source.go
+++ b/coordination/mirror/source.go
@@ -60,7 +60,7 @@
 	watcher  Watcher
 	settings SourceSettings
 	logger   *zap.Logger
-	gate     gate
+	gate     storeGate
 	// lastStoreAnswer is when the store itself last answered. Only the goroutine of the
 	// follower uses it.
 	lastStoreAnswer time.Time
@@ -75,7 +75,7 @@
 func NewSource(kind string, store follow.Source, holders *Holders, watcher Watcher, settings SourceSettings, logger *zap.Logger) *Source {
 	return &Source{
 		kind: kind, store: store, holders: holders, watcher: watcher, settings: settings, logger: logger,
-		gate: newGate(settings.Patience, holders.now()),
+		gate: newStoreGate(settings.Patience, holders.now()),
 	}
 }
 
--- a/coordination/mirror/trust_test.go
+++ b/coordination/mirror/trust_test.go
@@ -79,55 +79,55 @@
 	assert.Equal(t, a.unanswered(a.until).length, 500*time.Millisecond)
 }
 
-// gateStep is what a gate is told at a moment, and whether it is open then.
+// gateStep is an event at a gate, and whether the gate is open afterwards.
 type gateStep struct {
 	at     time.Duration
-	tell   func(g *gate, now time.Time)
+	apply  func(g *storeGate, now time.Time)
 	isOpen bool
 }
 
-func TestGate(t *testing.T) {
+func TestStoreGate(t *testing.T) {
 	const ms = time.Millisecond
 	start := time.Unix(1000, 0)
-	look := func(*gate, time.Time) {}
-	answered := func(g *gate, now time.Time) { g.holderAnswered(now) }
-	lost := func(g *gate, now time.Time) { g.holderFailed(now, errHolderLost) }
-	silent := func(g *gate, now time.Time) { g.holderFailed(now, errors.New("connection refused")) }
-	store := func(g *gate, now time.Time) { g.storeAnswered(now) }
-	noStore := func(g *gate, now time.Time) { g.storeFailed(now) }
-	// The patience is 1 s without any holder, and 4 s while holders answer that they have
-	// lost the store.
+	noEvent := func(*storeGate, time.Time) {}
+	holderAnswered := func(g *storeGate, now time.Time) { g.holderAnswered(now) }
+	holderLost := func(g *storeGate, now time.Time) { g.holderFailed(now, errHolderLost) }
+	holderSilent := func(g *storeGate, now time.Time) { g.holderFailed(now, errors.New("connection refused")) }
+	storeAnswered := func(g *storeGate, now time.Time) { g.storeAnswered(now) }
+	storeFailed := func(g *storeGate, now time.Time) { g.storeFailed(now) }
+	// The delay is 1 s while holders are unreachable, and 4 s while they answer that they
+	// have lost the store.
 	cases := map[string][]gateStep{
-		"holders are waited for": {
-			{0, look, false}, {999 * ms, silent, false}, {1000 * ms, look, true},
+		"holders are unreachable": {
+			{0, noEvent, false}, {999 * ms, holderSilent, false}, {1000 * ms, noEvent, true},
 		},
 		"a holder answers": {
-			{900 * ms, answered, false}, {1800 * ms, look, false}, {1900 * ms, look, true},
+			{900 * ms, holderAnswered, false}, {1800 * ms, noEvent, false}, {1900 * ms, noEvent, true},
 		},
 		"holders have lost the store": {
-			{0, lost, false}, {900 * ms, lost, false}, {1800 * ms, lost, false}, {2700 * ms, lost, false},
-			{3600 * ms, lost, false}, {3999 * ms, look, false}, {4000 * ms, look, true},
+			{0, holderLost, false}, {900 * ms, holderLost, false}, {1800 * ms, holderLost, false}, {2700 * ms, holderLost, false},
+			{3600 * ms, holderLost, false}, {3999 * ms, noEvent, false}, {4000 * ms, noEvent, true},
 		},
-		"holders have lost the store and go": {
-			{500 * ms, lost, false}, {1499 * ms, silent, false}, {1500 * ms, silent, true},
+		"holders have lost the store and become unreachable": {
+			{500 * ms, holderLost, false}, {1499 * ms, holderSilent, false}, {1500 * ms, holderSilent, true},
 		},
 		"the store is followed until a holder answers": {
-			{1000 * ms, store, true}, {1001 * ms, lost, true}, {5000 * ms, store, true}, {5001 * ms, answered, false},
+			{1000 * ms, storeAnswered, true}, {1001 * ms, holderLost, true}, {5000 * ms, storeAnswered, true}, {5001 * ms, holderAnswered, false},
 		},
-		"one call at the store may fail": {
-			{1000 * ms, store, true}, {1500 * ms, noStore, true}, {2000 * ms, store, true},
+		"one call to the store fails": {
+			{1000 * ms, storeAnswered, true}, {1500 * ms, storeFailed, true}, {2000 * ms, storeAnswered, true},
 		},
-		"two calls in a row may not": {
-			{1000 * ms, store, true}, {1500 * ms, noStore, true}, {2000 * ms, noStore, false}, {2999 * ms, look, false},
-			{3000 * ms, look, true},
+		"two calls to the store in a row fail": {
+			{1000 * ms, storeAnswered, true}, {1500 * ms, storeFailed, true}, {2000 * ms, storeFailed, false}, {2999 * ms, noEvent, false},
+			{3000 * ms, noEvent, true},
 		},
 	}
 	for name, steps := range cases {
 		t.Run(name, func(t *testing.T) {
-			g := gate{patience: Patience{Unreached: time.Second, Lost: 4 * time.Second}, stretch: 1, since: start}
+			g := storeGate{delays: Patience{Unreached: time.Second, Lost: 4 * time.Second}, jitterFactor: 1, delayStart: start}
 			for _, step := range steps {
 				now := start.Add(step.at)
-				step.tell(&g, now)
+				step.apply(&g, now)
 				assert.Equal(t, g.isOpen(now), step.isOpen, "%s", step.at)
 			}
 		})
