--- a/coordination/mirror/holders.go
+++ b/coordination/mirror/holders.go
@@ -6,53 +6,54 @@
 	"time"
 )
 
-// Holders are the storage nodes through which a node follows the store, in its order of
-// preference, less those that failed lately. It is safe for concurrent use.
+// Holders selects the storage node through which a node follows the store: the first one in
+// the order of preference that isn't in backoff. It is safe for concurrent use.
 type Holders struct {
 	list func() []netip.AddrPort
 	now  func() time.Time
 
-	mutex   sync.Mutex
-	avoided map[netip.AddrPort]avoidance
+	mutex    sync.Mutex
+	backoffs map[netip.AddrPort]backoff
 }
 
-// NewHolders makes the holders of the list, which may change from call to call.
+// NewHolders creates Holders over the listed addresses, most preferred first. The list may
+// change between calls.
 func NewHolders(list func() []netip.AddrPort, now func() time.Time) *Holders {
-	return &Holders{list: list, now: now, avoided: make(map[netip.AddrPort]avoidance)}
+	return &Holders{list: list, now: now, backoffs: make(map[netip.AddrPort]backoff)}
 }
 
-// pick returns the first holder that isn't avoided.
+// pick returns the first holder that isn't in backoff.
 func (h *Holders) pick() (holder netip.AddrPort, found bool) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	for _, holder := range h.list() {
-		if h.avoided[holder].isOver(h.now()) {
+		if h.backoffs[holder].hasExpired(h.now()) {
 			return holder, true
 		}
 	}
 	return netip.AddrPort{}, false
 }
 
-// isEmpty tells that there are no holders, avoided ones included.
+// isEmpty reports whether there are no holders at all, with or without backoff.
 func (h *Holders) isEmpty() bool { return len(h.list()) == 0 }
 
-// failed notes a holder that didn't answer.
-func (h *Holders) failed(holder netip.AddrPort) {
+// recordFailure puts a holder that didn't answer into backoff.
+func (h *Holders) recordFailure(holder netip.AddrPort) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	h.avoided[holder] = h.avoided[holder].unanswered(h.now())
+	h.backoffs[holder] = h.backoffs[holder].afterFailure(h.now())
 }
 
-// useless notes a holder whose answer is of no use.
-func (h *Holders) useless(holder netip.AddrPort) {
+// recordUnusable puts a holder whose answer can't be used into a short backoff.
+func (h *Holders) recordUnusable(holder netip.AddrPort) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	h.avoided[holder] = h.avoided[holder].useless(h.now())
+	h.backoffs[holder] = h.backoffs[holder].afterUnusable(h.now())
 }
 
-// answered notes a holder whose answer is of use.
-func (h *Holders) answered(holder netip.AddrPort) {
+// recordSuccess ends the backoff of a holder whose answer was used.
+func (h *Holders) recordSuccess(holder netip.AddrPort) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	delete(h.avoided, holder)
+	delete(h.backoffs, holder)
 }
--- a/coordination/mirror/source.go
+++ b/coordination/mirror/source.go
@@ -233,7 +233,7 @@
 func (s *Source) recordHolderAnswer(holder netip.AddrPort, at int64) {
 	s.advanceRevision(at)
 	s.gate.holderAnswered(s.holders.now())
-	s.holders.answered(holder)
+	s.holders.recordSuccess(holder)
 	if previous := s.lastHolder.Swap(&holder); previous == nil || *previous != holder {
 		s.logger.Info("following through a storage node", zap.String("objects", s.kind), zap.Stringer("holder", holder))
 	}
@@ -245,9 +245,9 @@
 		return
 	}
 	if isUseless(err) {
-		s.holders.useless(holder)
+		s.holders.recordUnusable(holder)
 	} else {
-		s.holders.failed(holder)
+		s.holders.recordFailure(holder)
 	}
 	s.gate.holderFailed(s.holders.now(), err)
 	s.logger.Info("storage node no longer followed", zap.String("objects", s.kind), zap.Stringer("holder", holder),
--- a/coordination/mirror/trust_test.go
+++ b/coordination/mirror/trust_test.go
@@ -62,21 +62,21 @@
 	}
 }
 
-func TestAvoidance(t *testing.T) {
+func TestBackoff(t *testing.T) {
 	start := time.Unix(1000, 0)
-	var a avoidance
-	assert.Assert(t, a.isOver(start))
+	var b backoff
+	assert.Assert(t, b.hasExpired(start))
 	at := start
 	for _, want := range []time.Duration{500, 1000, 2000, 3000, 3000} {
-		a = a.unanswered(at)
-		assert.Equal(t, a.until.Sub(at), want*time.Millisecond)
-		assert.Equal(t, a.unanswered(a.until.Add(-1)), a, "a failure of the same time counts once")
-		at = a.until
-		assert.Assert(t, a.isOver(at))
+		b = b.afterFailure(at)
+		assert.Equal(t, b.until.Sub(at), want*time.Millisecond)
+		assert.Equal(t, b.afterFailure(b.until.Add(-1)), b, "a failure during the backoff doesn't extend it")
+		at = b.until
+		assert.Assert(t, b.hasExpired(at))
 	}
-	a = a.useless(at)
-	assert.Equal(t, a.until.Sub(at), 250*time.Millisecond)
-	assert.Equal(t, a.unanswered(a.until).length, 500*time.Millisecond)
+	b = b.afterUnusable(at)
+	assert.Equal(t, b.until.Sub(at), 250*time.Millisecond)
+	assert.Equal(t, b.afterFailure(b.until).delay, 500*time.Millisecond)
 }
 
 // gateStep is an event at a gate, and whether the gate is open afterwards.
