--- a/coordination/mirror/trust_test.go
+++ b/coordination/mirror/rules_test.go
@@ -10,54 +10,54 @@
 	"github.com/marblering/marblering/coordination/follow"
 )
 
-func TestTrusted(t *testing.T) {
+func TestUsableChanges(t *testing.T) {
 	const maxAge = 2 * time.Second
 	aged := func(age time.Duration) Answer { return Current{Changes: follow.Changes{At: 7, Age: age}} }
 	cases := []struct {
-		name    string
-		said    Answer
-		want    error
-		useless bool
+		name     string
+		answer   Answer
+		want     error
+		unusable bool
 	}{
 		{"just confirmed", aged(0), nil, false},
-		{"confirmed as long ago as is allowed", aged(maxAge), nil, false},
-		{"confirmed too long ago", aged(maxAge + 1), errHolderOld, true},
+		{"confirmed at the limit", aged(maxAge), nil, false},
+		{"confirmed too long ago", aged(maxAge + 1), errHolderStale, true},
 		{"has lost the store", Lost{}, errHolderLost, true},
-		{"doesn't follow the kind", Missed{}, errHolderMissed, true},
+		{"doesn't follow the kind", Missed{}, errHolderNotFollowing, true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			changes, err := trusted(c.said, maxAge)
+			changes, err := usableChanges(c.answer, maxAge)
 			assert.Equal(t, err, c.want)
 			assert.Equal(t, changes.At == 7, c.want == nil)
-			assert.Equal(t, isUseless(err), c.useless)
+			assert.Equal(t, isUnusable(err), c.unusable)
 		})
 	}
-	assert.Assert(t, isUseless(errHolderBehind))
-	assert.Assert(t, !isUseless(errors.New("connection refused")))
+	assert.Assert(t, isUnusable(errHolderBehind))
+	assert.Assert(t, !isUnusable(errors.New("connection refused")))
 }
 
-func TestRoundGoesOn(t *testing.T) {
+func TestHolderAttempts(t *testing.T) {
 	cases := []struct {
-		name          string
-		holders, lost int
-		took          time.Duration
-		mayAskStore   bool
-		want          bool
+		name         string
+		failed, lost int
+		elapsed      time.Duration
+		mayAskStore  bool
+		want         bool
 	}{
-		{"begins", 0, 0, 0, true, true},
+		{"first holder", 0, 0, 0, true, true},
 		{"three didn't answer", 3, 0, 0, true, true},
 		{"four didn't answer", 4, 0, 0, false, false},
 		{"one has lost the store", 1, 1, 0, false, true},
 		{"two have lost the store", 2, 2, 0, false, false},
-		{"long, and the store may be asked", 1, 0, 200 * time.Millisecond, true, false},
-		{"long, and the store may not be asked", 1, 0, 200 * time.Millisecond, false, true},
-		{"not yet long", 1, 0, 199 * time.Millisecond, true, true},
+		{"time limit reached, and the store may be asked", 1, 0, 200 * time.Millisecond, true, false},
+		{"time limit reached, and the store may not be asked", 1, 0, 200 * time.Millisecond, false, true},
+		{"time limit not reached", 1, 0, 199 * time.Millisecond, true, true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			asked := round{holders: c.holders, lost: c.lost, took: c.took, mayAskStore: func() bool { return c.mayAskStore }}
-			assert.Equal(t, asked.goesOn(), c.want)
+			attempts := holderAttempts{failed: c.failed, lost: c.lost, elapsed: c.elapsed, mayAskStore: func() bool { return c.mayAskStore }}
+			assert.Equal(t, attempts.mayContinue(), c.want)
 		})
 	}
 }
--- a/coordination/mirror/source.go
+++ b/coordination/mirror/source.go
@@ -101,21 +101,21 @@
 // one gives a usable answer. It reports whether one did.
 func (s *Source) askHolders(ctx context.Context, from int64, ask func(holder netip.AddrPort, earlier int) error) bool {
 	start := s.holders.now()
-	attempts := round{mayAskStore: func() bool { return s.mayAskStore(s.holders.now()) }}
+	attempts := holderAttempts{mayAskStore: func() bool { return s.mayAskStore(s.holders.now()) }}
 	for ctx.Err() == nil {
-		attempts.took = s.holders.now().Sub(start)
-		if !attempts.goesOn() {
+		attempts.elapsed = s.holders.now().Sub(start)
+		if !attempts.mayContinue() {
 			return false
 		}
 		holder, found := s.holders.pick()
 		if !found {
 			return false
 		}
-		err := ask(holder, attempts.holders)
+		err := ask(holder, attempts.failed)
 		if err == nil {
 			return true
 		}
-		attempts.add(err)
+		attempts.recordFailure(err)
 		s.recordHolderFailure(ctx, holder, from, err)
 	}
 	return false
@@ -226,7 +226,7 @@
 	if err != nil {
 		return follow.Changes{}, err
 	}
-	return trusted(answer, s.settings.MaxAge)
+	return usableChanges(answer, s.settings.MaxAge)
 }
 
 // recordHolderAnswer records a usable answer of the holder.
@@ -244,7 +244,7 @@
 	if ctx.Err() != nil {
 		return
 	}
-	if isUseless(err) {
+	if isUnusable(err) {
 		s.holders.recordUnusable(holder)
 	} else {
 		s.holders.recordFailure(holder)
