--- a/coordination/mirror/attempts.go
+++ b/coordination/mirror/attempts.go
@@ -16,8 +16,8 @@
 	errHolderBehind       = errors.New("holder's listing is incomplete or older than the known revision")
 )
 
-// errNoHolder is returned if no holder gives a usable answer and the store itself may not be
-// asked yet.
+// errNoHolder is returned if no holder gives a usable answer and the store may not be asked
+// yet.
 var errNoHolder = fmt.Errorf("no holder answers: %w", follow.ErrNobodyAsked)
 
 // usableChanges returns the changes of a holder's answer, or the reason why it can't be used.
@@ -48,9 +48,9 @@
 
 // Limits of the attempts at holders within one call.
 const (
-	// maxHoldersPerCall and maxLostPerCall limit the holders that are asked in vain, and those
-	// of them that have lost the store: nodes that lose all holders at once must not ask
-	// every one of them in quick succession.
+	// maxHoldersPerCall and maxLostPerCall limit the failed attempts, and those at holders
+	// that have lost the store: nodes that lose all holders at once must not ask every one of
+	// them in quick succession.
 	maxHoldersPerCall = 4
 	maxLostPerCall    = 2
 	// holderTimeLimit is the time after which no further holder is asked if the store may be
@@ -58,14 +58,14 @@
 	holderTimeLimit = 200 * time.Millisecond
 )
 
-// holderAttempts tracks the holders that one call has asked in vain.
+// holderAttempts counts the failed attempts of one call.
 type holderAttempts struct {
-	// failed counts the holders asked in vain, and lost those of them that have lost the
-	// store.
+	// failed counts the holders that gave no usable answer, and lost those of them that have
+	// lost the store.
 	failed, lost int
 	// elapsed is the time since the start of the call.
 	elapsed time.Duration
-	// mayAskStore reports whether the store itself may be asked. It is called only if
+	// mayAskStore reports whether the store may be asked directly. It is called only if
 	// needed.
 	mayAskStore func() bool
 }
@@ -78,7 +78,7 @@
 	return a.elapsed < holderTimeLimit || !a.mayAskStore()
 }
 
-// recordFailure counts a holder that was asked in vain.
+// recordFailure counts a holder that gave no usable answer.
 func (a *holderAttempts) recordFailure(err error) {
 	a.failed++
 	if errors.Is(err, errHolderLost) {
--- a/coordination/mirror/doc.go
+++ b/coordination/mirror/doc.go
@@ -3,7 +3,7 @@
 //
 // A Holder, on each storage node, keeps the latest snapshot of every followed kind, persists
 // some of them, and serves changes. A Source follows one kind through holders and falls back
-// to the store itself. Gateways use it, and storage nodes that don't follow the store
+// to the store. Gateways use it, and storage nodes that don't follow the store
 // directly (Upstreams). A Reader offers the copies of holders to the followers of a node
 // while these hear nothing from the store.
 //
@@ -13,7 +13,7 @@
 //
 // The rules are functions without I/O: the order in which nodes are asked (order.go,
 // upstreams.go, backoff.go), whether an answer is used and whether another holder is asked
-// (attempts.go), and when the store itself may be asked (gate.go).
+// (attempts.go), and when the store may be asked directly (gate.go).
 //
 // A mirrored snapshot is the store's own at one of its revisions, so followers continue from
 // it as from a listing. One that a Reader offered may be out of date, so nothing may be
--- a/coordination/mirror/gate.go
+++ b/coordination/mirror/gate.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Patience holds the delays before a source that hears from no holder asks the store itself.
+// Patience holds the delays before a source that hears from no holder asks the store.
 // Without a delay the load on the store would grow with the number of nodes whenever holders
 // fail or all nodes start. The zero value asks at once.
 type Patience struct {
@@ -22,8 +22,8 @@
 // answered before counts as lost. A single long call may fail without an outage.
 const maxStoreFailures = 2
 
-// storeGate decides when a source may ask the store itself. It does no I/O: it is told when
-// and how calls ended.
+// storeGate decides when a source may ask the store directly. It does no I/O: the source
+// reports when and how calls ended.
 //
 //   - It opens when no holder has given a usable answer for the delay. The delay is longer
 //     while holders answer that they have lost the store, unless they have become
@@ -55,7 +55,7 @@
 	return storeGate{delays: delays, jitterFactor: 1 + rand.Float64(), delayStart: now}
 }
 
-// isOpen reports whether the store itself may be asked.
+// isOpen reports whether the store may be asked directly.
 func (g *storeGate) isOpen(now time.Time) bool {
 	switch {
 	case g.followsStore():
--- a/coordination/mirror/reader.go
+++ b/coordination/mirror/reader.go
@@ -14,7 +14,7 @@
 
 // Timing and limits of the reader.
 const (
-	// startDelay is how long a node that has just started waits for the store itself.
+	// startDelay is how long a node that has just started waits for the store.
 	startDelay = 100 * time.Millisecond
 	// fetchTimeout is the timeout of a refresh, or of one round of a search.
 	fetchTimeout = 400 * time.Millisecond
@@ -153,7 +153,7 @@
 	r.offer(holder, copies)
 }
 
-// offer offers each follower the copy of its kind, unless it hears from the store.
+// offer passes each copy to the follower of its kind, unless that hears from the store.
 func (r *Reader) offer(holder netip.AddrPort, copies []Copy) {
 	for _, received := range copies {
 		follower, followed := r.followers[received.Kind]
--- a/coordination/mirror/source.go
+++ b/coordination/mirror/source.go
@@ -22,8 +22,7 @@
 	// maxStoreWait is the longest wait of a call to the store in place of holders. With
 	// holderSlack an unresponsive store is detected about as soon as by a listing.
 	maxStoreWait = time.Second
-	// minStoreWait is the shortest wait of a call to the store after holders were asked in
-	// vain.
+	// minStoreWait is the shortest wait of a call to the store after the attempts at holders.
 	minStoreWait = 100 * time.Millisecond
 	// noRevision precedes every revision. A holder asked for the changes since then sends its
 	// whole snapshot.
@@ -41,8 +40,8 @@
 	Wait time.Duration
 	// MaxAge is the longest time since the store confirmed a holder's data.
 	MaxAge time.Duration
-	// Patience holds the delays before the store itself is asked. If there are no holders at
-	// all, it is asked at once.
+	// Patience holds the delays before the store is asked directly. If there are no holders
+	// at all, it is asked at once.
 	Patience Patience
 	// StorePause is the shortest time between two calls to the store while it is followed in
 	// place of holders, so that changes in quick succession cost one call.
@@ -50,7 +49,7 @@
 }
 
 // Source follows one kind of objects through holders, so that a change costs the store one
-// call for each holder rather than for each node. It falls back to the store itself when no
+// call for each holder rather than for each node. It falls back to the store when no
 // holder has been usable for a while. It implements follow.Source; calls must be made one
 // at a time.
 type Source struct {
@@ -61,12 +60,12 @@
 	settings SourceSettings
 	logger   *zap.Logger
 	gate     storeGate
-	// lastStoreAnswer is when the store itself last answered. Only the goroutine of the
+	// lastStoreAnswer is when the store last answered a direct call. Only the goroutine of the
 	// follower uses it.
 	lastStoreAnswer time.Time
 	// newestRevision is the newest revision that was returned.
 	newestRevision atomic.Int64
-	// lastHolder is the holder that is followed; nil for the store itself.
+	// lastHolder is the holder that is followed; nil for the store.
 	lastHolder atomic.Pointer[netip.AddrPort]
 }
 
@@ -121,12 +120,12 @@
 	return false
 }
 
-// mayAskStore reports whether the store itself may be asked.
+// mayAskStore reports whether the store may be asked directly.
 func (s *Source) mayAskStore(now time.Time) bool {
 	return s.gate.isOpen(now) || s.holders.isEmpty()
 }
 
-// switchToStore makes the source follow the store itself. It fails with errNoHolder if the
+// switchToStore makes the source follow the store directly. It fails with errNoHolder if the
 // store may not be asked yet, and with the context's error if that has ended.
 func (s *Source) switchToStore(ctx context.Context) error {
 	if err := ctx.Err(); err != nil {
@@ -158,7 +157,7 @@
 
 // Watch implements follow.Source. Changes that an unusable holder withheld aren't missed,
 // since the next holder or the store is asked from the same revision. Only the first holder
-// may hold the call, and none may while the store itself is followed, so that unreachable
+// may hold the call, and none may while the store is followed, so that unreachable
 // holders don't delay changes for long.
 func (s *Source) Watch(ctx context.Context, from int64, wait time.Duration) (follow.Changes, error) {
 	start := s.holders.now()
@@ -196,7 +195,7 @@
 	return sleep.For(ctx, s.settings.StorePause-s.holders.now().Sub(s.lastStoreAnswer))
 }
 
-// watchStore asks the store itself for changes. In place of holders the wait is at most
+// watchStore asks the store for changes. In place of holders the wait is at most
 // maxStoreWait, so that holders are tried again and an unresponsive store is detected soon.
 func (s *Source) watchStore(ctx context.Context, from int64, wait time.Duration) (follow.Changes, error) {
 	if !s.holders.isEmpty() {
@@ -262,8 +261,8 @@
 	return "the store itself"
 }
 
-// recordStoreCall records the result of a call to the store itself. ErrHistoryGone counts as
-// an answer.
+// recordStoreCall records the result of a call to the store. ErrHistoryGone counts as an
+// answer.
 func (s *Source) recordStoreCall(at int64, err error) {
 	now := s.holders.now()
 	switch {
--- a/coordination/mirror/upstreams.go
+++ b/coordination/mirror/upstreams.go
@@ -11,7 +11,7 @@
 
 const (
 	// minDirectNodes is the minimum number of storage nodes that follow the store directly:
-	// one more than may be lost at once.
+	// one more than the two that may be lost at once.
 	minDirectNodes = 3
 	// membersPerDirectNode limits the members per direct node, itself included, and thereby
 	// the calls of their followers to it.
