--- a/node/gateway/configuration.go
+++ b/node/gateway/configuration.go
@@ -19,15 +19,15 @@
 		table, err = routetable.NewTable(decoded)
 	}
 	if err != nil {
-		g.unusable.Store(true)
+		g.configurationInvalid.Store(true)
 		g.logger.Error("configuration refused", zap.Int64("revision", snapshot.At), zap.Error(err))
 		return
 	}
-	g.unusable.Store(false)
-	if !g.tables.Install(table) {
+	g.configurationInvalid.Store(false)
+	if !g.activeTable.Install(table) {
 		return
 	}
-	g.callers.limit(table.Limits())
+	g.callers.setLimits(table.Limits())
 	g.logger.Info("configuration in force", zap.Int64("version", table.Version()),
 		zap.Int64("revision", snapshot.At), zap.Int("routes", table.Routes()))
 }
--- a/node/gateway/drain.go
+++ b/node/gateway/drain.go
@@ -8,12 +8,12 @@
 )
 
 const (
-	// noticePart of the drain's time is left for balancers to notice that this node
+	// readinessNoticeFraction of the drain's time is left for balancers to notice that this node
 	// isn't ready (chosen, not measured). New connections still come meanwhile and are
 	// served.
-	noticePart = 0.4
-	// reservedPart is left at the end for the process to exit (chosen, not measured).
-	reservedPart = 0.08
+	readinessNoticeFraction = 0.4
+	// exitFraction is left at the end for the process to exit (chosen, not measured).
+	exitFraction = 0.08
 )
 
 // Drain ends the gateway without cutting an answer: it calls itself not ready,
@@ -24,17 +24,17 @@
 	began := time.Now()
 	g.draining.Store(true)
 	g.logger.Info("draining", zap.Int64("in_flight", g.relay.InFlight()), zap.Duration("limit", g.settings.DrainTimeout))
-	time.Sleep(part(noticePart, g.settings.DrainTimeout))
-	left := part(1-noticePart-reservedPart, g.settings.DrainTimeout)
-	bounded, cancel := context.WithTimeout(context.Background(), left)
+	time.Sleep(fractionOf(readinessNoticeFraction, g.settings.DrainTimeout))
+	shutdownTimeout := fractionOf(1-readinessNoticeFraction-exitFraction, g.settings.DrainTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
-	err := g.callers.shutdown(bounded)
-	g.state.budgets.Flush(bounded)
-	g.state.peers.Close()
+	err := g.callers.shutdown(ctx)
+	g.storage.budgets.Flush(ctx)
+	g.storage.peers.Close()
 	g.logger.Info("stopped", zap.Int64("in_flight", g.relay.InFlight()),
 		zap.Duration("took", time.Since(began)), zap.Error(err))
 }
 
-func part(share float64, of time.Duration) time.Duration {
-	return time.Duration(share * float64(of))
+func fractionOf(fraction float64, duration time.Duration) time.Duration {
+	return time.Duration(fraction * float64(duration))
 }
--- a/node/gateway/followers.go
+++ b/node/gateway/followers.go
@@ -17,7 +17,7 @@
 type followers struct {
 	configuration *follow.Follower
 	instances     *follow.Follower
-	sets          *follow.Follower
+	replicaSets   *follow.Follower
 	// configurationSource is the way by which the configuration comes.
 	configurationSource *mirror.Source
 	holders             *mirror.Holders
@@ -27,25 +27,25 @@
 	logger *zap.Logger
 }
 
-// follow makes the followers of all kinds. They begin once they are served.
-func (g *Gateway) follow() {
+// createFollowers makes the followers of all kinds. They begin once they are served.
+func (g *Gateway) createFollowers() {
 	f := &g.followers
-	f.holders = mirror.NewHolders(g.holderOrder, time.Now)
+	f.holders = mirror.NewHolders(g.orderedHolders, time.Now)
 	f.storeCalls = telemetry.NewStoreCalls()
 	f.logger = telemetry.Following(g.logger)
 	f.configuration, f.configurationSource = g.newFollower(mirror.KindConfiguration, g.parts.Configuration, g.applyConfiguration)
 	f.instances, _ = g.newFollower(mirror.KindInstances, g.parts.Instances, g.applyInstances)
-	f.sets, _ = g.newFollower(mirror.KindSets, g.parts.Sets, g.state.lookup.Apply)
+	f.replicaSets, _ = g.newFollower(mirror.KindSets, g.parts.Sets, g.storage.lookup.Apply)
 }
 
 // newFollower follows the kind through holders where it can; direct is the store itself.
-func (g *Gateway) newFollower(kind string, direct follow.Source, apply func(follow.Snapshot)) (*follow.Follower, *mirror.Source) {
-	plan := followingOf(kind, g.settings)
+func (g *Gateway) newFollower(kind string, store follow.Source, apply func(follow.Snapshot)) (*follow.Follower, *mirror.Source) {
+	plan := newFollowPlan(kind, g.settings)
 	if plan.pollInterval > 0 {
-		direct = follow.Polled(direct, plan.pollInterval, time.Now)
+		store = follow.Polled(store, plan.pollInterval, time.Now)
 	}
-	counted := follow.Counted(direct, g.followers.storeCalls.WithLabelValues(kind))
-	source := mirror.NewSource(kind, counted, g.followers.holders, g.state.peers, plan.holders, g.followers.logger)
+	counted := follow.Counted(store, g.followers.storeCalls.WithLabelValues(kind))
+	source := mirror.NewSource(kind, counted, g.followers.holders, g.storage.peers, plan.holders, g.followers.logger)
 	follower := follow.New(follow.Options{
 		Name: kind, Source: source, Settings: plan.calls,
 		Apply: apply, Logger: g.logger, Now: time.Now,
@@ -53,21 +53,21 @@
 	return follower, source
 }
 
-// reader takes over what storage nodes had from the store while it is out of reach of
+// mirrorReader takes over what storage nodes had from the store while it is out of reach of
 // this node.
-func (g *Gateway) reader() *mirror.Reader {
+func (g *Gateway) mirrorReader() *mirror.Reader {
 	followed := map[string]mirror.Follower{
 		mirror.KindConfiguration: g.followers.configuration,
 		mirror.KindInstances:     g.followers.instances,
-		mirror.KindSets:          g.followers.sets,
+		mirror.KindSets:          g.followers.replicaSets,
 	}
-	return mirror.NewReader(g.holderOrder, g.state.peers, followed, time.Now, g.logger)
+	return mirror.NewReader(g.orderedHolders, g.storage.peers, followed, time.Now, g.logger)
 }
 
-// holderOrder lists the storage nodes of all replica sets, those of this gateway's
+// orderedHolders lists the storage nodes of all replica sets, those of this gateway's
 // zone first; before the sets are known, those that the settings name.
-func (g *Gateway) holderOrder() []netip.AddrPort {
-	views := g.state.lookup.Map()
+func (g *Gateway) orderedHolders() []netip.AddrPort {
+	views := g.storage.lookup.Map()
 	if views == nil {
 		return mirror.Spread(g.settings.Name, g.settings.Seeds)
 	}
--- a/node/gateway/following_test.go
+++ b/node/gateway/followplan_test.go
@@ -16,7 +16,7 @@
 	limits := settings.Gateway{ApplyLimit: 2 * time.Second, UndisturbedTime: 3 * time.Second}
 	revoking := limits
 	revoking.RevokeLimit = 2400 * ms
-	usual := following{
+	usual := followPlan{
 		calls: follow.Settings{
 			ListTimeout: 1500 * ms, WatchWait: 1500 * ms, WatchSlack: 700 * ms,
 			Gather: 150 * ms, MinPause: 50 * ms, MaxPause: 250 * ms,
@@ -26,7 +26,7 @@
 			Patience: mirror.Patience{Unreached: 1125 * ms, Lost: 4000 * ms},
 		},
 	}
-	sets := following{
+	sets := followPlan{
 		calls: follow.Settings{
 			ListTimeout: 1500 * ms, WatchWait: 20_000 * ms, WatchSlack: 700 * ms,
 			Gather: 150 * ms, MinPause: 50 * ms, MaxPause: 400 * ms,
@@ -44,7 +44,7 @@
 		name   string
 		kind   string
 		limits settings.Gateway
-		want   following
+		want   followPlan
 	}{
 		{"configuration", mirror.KindConfiguration, limits, usual},
 		{"instances", mirror.KindInstances, limits, usual},
@@ -55,17 +55,17 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			assert.Equal(t, followingOf(c.kind, c.limits), c.want)
+			assert.Equal(t, newFollowPlan(c.kind, c.limits), c.want)
 		})
 	}
 }
 
 func TestHolderPatience(t *testing.T) {
 	cases := map[time.Duration]time.Duration{
-		0:                shortestPatience,
+		0:                minUnreachedPatience,
 		3 * time.Second:  1125 * time.Millisecond,
-		4 * time.Second:  longestPatience,
-		10 * time.Second: longestPatience,
+		4 * time.Second:  maxUnreachedPatience,
+		10 * time.Second: maxUnreachedPatience,
 	}
 	for undisturbed, want := range cases {
 		assert.Equal(t, holderPatience(undisturbed), mirror.Patience{Unreached: want, Lost: lostPatience}, undisturbed)
@@ -80,5 +80,5 @@
 		noticed := watchWait(undisturbed) + watchSlack
 		assert.Assert(t, noticed+min(relistTime, undisturbed/10) <= undisturbed, "%s: noticed after %s", undisturbed, noticed)
 	}
-	assert.Equal(t, watchWait(0), leastWatchWait)
+	assert.Equal(t, watchWait(0), minWatchWait)
 }
--- a/node/gateway/gateway.go
+++ b/node/gateway/gateway.go
@@ -45,16 +45,16 @@
 	// maxInFlight bounds the requests under way, for the sake of the memory of the
 	// smallest gateways (chosen, not measured).
 	maxInFlight = 2000
-	// failureLines and answerLines bound the log lines a second about requests that
+	// failureLogRate and answerLines bound the log lines a second about requests that
 	// failed and that were answered, refusalLines those about entries of instances that
 	// can't be read. burstLines is what each may save up (all chosen, not measured).
-	failureLines = 200
-	answerLines  = 10
-	refusalLines = 10
-	burstLines   = 100
-	// memoryPart of the memory limit is where the garbage collector works harder
+	failureLogRate      = 200
+	accessLogRate       = 10
+	invalidEntryLogRate = 10
+	logBurst            = 100
+	// memoryLimitFraction of the memory limit is where the garbage collector works harder
 	// (chosen, not measured).
-	memoryPart = 0.8
+	memoryLimitFraction = 0.8
 )
 
 // Gateway is one running daemon.
@@ -64,27 +64,27 @@
 	logger   *zap.Logger
 
 	// What is known of the deployment, and the ways by which it comes.
-	followers followers
-	tables    *routetable.InForce
-	backends  *backend.Pool
-	entries   entries
-	// unusable is set while the newest configuration can't be used, so that an older one
+	followers      followers
+	activeTable    *routetable.InForce
+	backends       *backend.Pool
+	invalidEntries invalidEntries
+	// configurationInvalid is set while the newest configuration can't be used, so that an older one
 	// is in force.
-	unusable atomic.Bool
-	// listed is set once the instances are known.
-	listed atomic.Bool
+	configurationInvalid atomic.Bool
+	// instancesListed is set once the instances are known.
+	instancesListed atomic.Bool
 
 	// What serves requests.
 	callers  *callerServer
 	relay    *relay.Handler
 	upstream *upstream.Client
-	state    *state
+	storage  *storageClients
 	draining atomic.Bool
 
-	// What serves operators.
-	operators *listener.Listener
-	metrics   *prometheus.Registry
-	ejections prometheus.Counter
+	// What serves operatorListener.
+	operatorListener *listener.Listener
+	metrics          *prometheus.Registry
+	ejections        prometheus.Counter
 
 	// stop ends the services; stopped then says why they ended.
 	stop    context.CancelFunc
@@ -93,7 +93,7 @@
 
 // Run runs a gateway until the context ends, then drains it.
 func Run(ctx context.Context, loaded settings.Gateway, parts Parts, logger *zap.Logger) error {
-	debug.SetMemoryLimit(int64(memoryPart * float64(loaded.MemoryLimit)))
+	debug.SetMemoryLimit(int64(memoryLimitFraction * float64(loaded.MemoryLimit)))
 	g, err := Start(loaded, parts, logger)
 	if err != nil {
 		return err
@@ -114,11 +114,11 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := g.listen(); err != nil {
+	if err := g.openListeners(); err != nil {
 		return nil, err
 	}
 	services, stop := context.WithCancel(context.Background())
-	supervisor := suture.New("gateway", suture.Spec{EventHook: g.logEvent})
+	supervisor := suture.New("gateway", suture.Spec{EventHook: g.logSupervisorEvent})
 	for _, service := range g.services() {
 		supervisor.Add(service)
 	}
@@ -132,8 +132,8 @@
 // services are the parts that run by themselves.
 func (g *Gateway) services() []suture.Service {
 	return []suture.Service{
-		g.followers.configuration, g.followers.instances, g.followers.sets, g.reader(), g.prober(), g.announcer(),
-		g.callers, g.operators, idleCloser{g.upstream},
+		g.followers.configuration, g.followers.instances, g.followers.replicaSets, g.mirrorReader(), g.prober(), g.quotaAnnouncer(),
+		g.callers, g.operatorListener, idleCloser{g.upstream},
 	}
 }
 
@@ -141,23 +141,23 @@
 func (g *Gateway) CallerAddress() string { return g.callers.address().String() }
 
 // OperatorAddress is where operators are served.
-func (g *Gateway) OperatorAddress() string { return g.operators.Address() }
+func (g *Gateway) OperatorAddress() string { return g.operatorListener.Address() }
 
 // newGateway makes the parts, of which none runs yet.
 func newGateway(loaded settings.Gateway, parts Parts, logger *zap.Logger) (*Gateway, error) {
 	g := &Gateway{
 		settings: loaded, parts: parts, logger: logger,
-		tables:  &routetable.InForce{},
-		metrics: telemetry.NewRegistry(),
+		activeTable: &routetable.InForce{},
+		metrics:     telemetry.NewRegistry(),
 	}
 	g.buildBackends()
 	var err error
-	if g.state, err = newState(loaded, g.metrics, logger); err != nil {
+	if g.storage, err = newStorageClients(loaded, g.metrics, logger); err != nil {
 		return nil, err
 	}
-	g.follow()
+	g.createFollowers()
 	g.buildRelay()
-	g.register()
+	g.registerMetrics()
 	return g, nil
 }
 
@@ -166,43 +166,43 @@
 	g.ejections = prometheus.NewCounter(prometheus.CounterOpts{
 		Name: "marblering_gateway_ejections_total", Help: "Instances left out for a while.",
 	})
-	g.entries = entries{
-		refused: prometheus.NewCounter(prometheus.CounterOpts{
+	g.invalidEntries = invalidEntries{
+		counter: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "marblering_gateway_refused_entries_total", Help: "Entries of instances that can't be read, once a change of each.",
 		}),
-		logger: telemetry.Limited(g.logger, refusalLines, burstLines),
+		logger: telemetry.Limited(g.logger, invalidEntryLogRate, logBurst),
 	}
 	g.backends = backend.NewPool(backend.EjectionPolicy(), time.Now)
-	g.backends.OnEjected(g.instanceEjected)
-	g.backends.OnRestarted(g.instanceRestarted)
-	bounds := upstream.DefaultSettings()
-	bounds.IDHeader = g.parts.IDHeader
-	g.upstream = upstream.NewClient(bounds, time.Now)
+	g.backends.OnEjected(g.onInstanceEjected)
+	g.backends.OnRestarted(g.onInstanceRestarted)
+	upstreamSettings := upstream.DefaultSettings()
+	upstreamSettings.IDHeader = g.parts.IDHeader
+	g.upstream = upstream.NewClient(upstreamSettings, time.Now)
 }
 
 // buildRelay makes the handler of callers' requests.
 func (g *Gateway) buildRelay() {
 	g.relay = relay.New(relay.Options{
-		Tables: g.tables, Backends: g.backends, Exchanger: g.upstream, Dialect: g.parts.Dialect,
-		Turns: g.state.conversations, Quotas: g.state.quotas,
-		Certain: g.isCertain, TableAge: g.followers.configuration.Age, Proof: proof{g},
-		Unready: g.isUnready, MaxInFlight: maxInFlight, Gone: g.instanceGone,
+		Tables: g.activeTable, Backends: g.backends, Exchanger: g.upstream, Dialect: g.parts.Dialect,
+		Turns: g.storage.conversations, Quotas: g.storage.quotas,
+		Certain: g.isConfigurationNewest, TableAge: g.followers.configuration.Age, Proof: configurationFreshness{g},
+		Unready: g.isUnready, MaxInFlight: maxInFlight, Gone: g.onInstanceGone,
 		Retries: limit.NewRetryBudget(relay.RetryPolicy(), time.Now()),
 		Metrics: relay.NewMetrics(g.metrics), Now: time.Now,
-		Logger:   telemetry.Limited(g.logger, failureLines, burstLines),
-		Answered: telemetry.Limited(g.logger, answerLines, burstLines),
+		Logger:   telemetry.Limited(g.logger, failureLogRate, logBurst),
+		Answered: telemetry.Limited(g.logger, accessLogRate, logBurst),
 	})
 }
 
-func (g *Gateway) listen() (err error) {
+func (g *Gateway) openListeners() (err error) {
 	if g.callers, err = listenCallers(g.settings.CallerListen, g.relay, g.logger); err != nil {
 		return err
 	}
 	operators := &http.Server{Handler: g.operatorHandler(), ReadHeaderTimeout: listener.HeaderTimeout}
-	g.operators, err = listener.Open("operators", g.settings.OperatorListen.String(), operators)
+	g.operatorListener, err = listener.Open("operators", g.settings.OperatorListen.String(), operators)
 	return err
 }
 
-func (g *Gateway) logEvent(event suture.Event) {
+func (g *Gateway) logSupervisorEvent(event suture.Event) {
 	g.logger.Warn("supervisor event", zap.String("event", event.String()))
 }
--- a/node/gateway/idle.go
+++ b/node/gateway/idle.go
@@ -7,9 +7,9 @@
 	"github.com/marblering/marblering/transport/upstream"
 )
 
-// idleSweep is the pause between two looks at the resting connections to back ends
+// idleCheckInterval is the pause between two looks at the resting connections to back ends
 // (chosen, not measured).
-const idleSweep = time.Second
+const idleCheckInterval = time.Second
 
 // idleCloser closes connections to back ends that have rested too long. It is a suture
 // service.
@@ -22,7 +22,7 @@
 
 // Serve implements suture.Service.
 func (c idleCloser) Serve(ctx context.Context) error {
-	ticker := time.NewTicker(idleSweep)
+	ticker := time.NewTicker(idleCheckInterval)
 	defer ticker.Stop()
 	for {
 		select {
--- a/node/gateway/instances.go
+++ b/node/gateway/instances.go
@@ -10,24 +10,24 @@
 	"github.com/marblering/marblering/coordination/follow"
 )
 
-// entries are the entries of instances that can't be read. Only applyInstances uses
+// invalidEntries are the invalidEntries of instances that can't be read. Only applyInstances uses
 // them, which is called one at a time.
-type entries struct {
+type invalidEntries struct {
 	// revisions are the revisions of these entries, by name.
 	revisions map[string]int64
-	// refused counts such entries, once a change of each; logger logs them, within
+	// counter counts such entries, once a change of each; logger logs them, within
 	// bounds.
-	refused prometheus.Counter
+	counter prometheus.Counter
 	logger  *zap.Logger
 }
 
-// refuse notes an entry that can't be read, unless it was noted before. isKnown tells
+// record notes an entry that can't be read, unless it was noted before. isKnown tells
 // that an earlier entry of the name could be read.
-func (e *entries) refuse(object follow.Object, isKnown bool, err error) {
+func (e *invalidEntries) record(object follow.Object, isKnown bool, err error) {
 	if e.revisions[object.Name] == object.Revision {
 		return
 	}
-	e.refused.Inc()
+	e.counter.Inc()
 	e.logger.Warn("instance refused", zap.String("instance", object.Name),
 		zap.Int64("revision", object.Revision), zap.Bool("known", isKnown), zap.Error(err))
 }
@@ -35,12 +35,12 @@
 // applyInstances replaces the instances that requests are sent to.
 func (g *Gateway) applyInstances(snapshot follow.Snapshot) {
 	gone, kept := g.backends.Replace(g.decodeInstances(snapshot))
-	g.forget(gone)
+	g.closeConnections(gone)
 	if kept > 0 {
 		g.logger.Warn("entries of instances have lapsed", zap.Int64("revision", snapshot.At), zap.Int("kept", kept))
 		time.AfterFunc(backend.LapseTime, g.expireInstances)
 	}
-	g.listed.Store(true)
+	g.instancesListed.Store(true)
 	known, leaving := g.backends.Count()
 	g.logger.Info("instances changed", zap.Int64("revision", snapshot.At),
 		zap.Int("known", known), zap.Int("leaving", leaving), zap.Strings("gone", gone))
@@ -51,67 +51,67 @@
 // ends what it has.
 func (g *Gateway) decodeInstances(snapshot follow.Snapshot) []backend.Instance {
 	instances := make([]backend.Instance, 0, len(snapshot.Objects))
-	refused := make(map[string]int64)
+	invalid := make(map[string]int64)
 	for _, object := range snapshot.Objects {
 		instance, err := g.parts.DecodeInstance(object)
 		if err == nil {
 			instances = append(instances, instance)
 			continue
 		}
-		refused[object.Name] = object.Revision
+		invalid[object.Name] = object.Revision
 		known, isKnown := g.backends.Known(object.Name)
 		if isKnown {
 			known.Leaving = true
 			instances = append(instances, known)
 		}
-		g.entries.refuse(object, isKnown, err)
+		g.invalidEntries.record(object, isKnown, err)
 	}
-	g.entries.revisions = refused
+	g.invalidEntries.revisions = invalid
 	return instances
 }
 
 // expireInstances drops the instances that lapsed and didn't come back.
 func (g *Gateway) expireInstances() {
 	gone := g.backends.Expire()
-	g.forget(gone)
+	g.closeConnections(gone)
 	if len(gone) > 0 {
 		g.logger.Info("lapsed instances dropped", zap.Strings("gone", gone))
 	}
 }
 
-// forget closes the connections to instances that are gone.
-func (g *Gateway) forget(gone []string) {
+// closeConnections closes the connections to instances that are gone.
+func (g *Gateway) closeConnections(gone []string) {
 	for _, instance := range gone {
 		g.upstream.Forget(instance)
 	}
 }
 
-// instanceGone leaves out an instance whose address another one has, and closes its
+// onInstanceGone leaves out an instance whose address another one has, and closes its
 // connections. It is used again once it is started again.
-func (g *Gateway) instanceGone(life backend.Life) {
+func (g *Gateway) onInstanceGone(life backend.Life) {
 	g.backends.Gone(life)
 	g.upstream.Forget(life.ID)
-	g.logger.Info("instance lost its address", zap.String("instance", life.ID), startedField("started", life))
+	g.logger.Info("instance lost its address", zap.String("instance", life.ID), startTimeField("started", life))
 }
 
-// instanceRestarted closes the connections to an instance that was started again under
+// onInstanceRestarted closes the connections to an instance that was started again under
 // its id: its earlier process answers nobody any more.
-func (g *Gateway) instanceRestarted(restart backend.Restart) {
+func (g *Gateway) onInstanceRestarted(restart backend.Restart) {
 	g.upstream.Forget(restart.Is.ID)
 	g.logger.Info("instance started again", zap.String("instance", restart.Is.ID),
-		startedField("before", restart.Was), startedField("started", restart.Is), zap.Int64("under_way", restart.UnderWay))
+		startTimeField("before", restart.Was), startTimeField("started", restart.Is), zap.Int64("under_way", restart.UnderWay))
 }
 
-func startedField(key string, life backend.Life) zap.Field {
+func startTimeField(key string, life backend.Life) zap.Field {
 	if life.Started.IsZero() {
 		return zap.String(key, "unknown")
 	}
 	return zap.Time(key, life.Started)
 }
 
-// instanceEjected logs an instance that is left out for a while, with how the request
+// onInstanceEjected logs an instance that is left out for a while, with how the request
 // ended that decided it.
-func (g *Gateway) instanceEjected(instance backend.Instance, ending backend.Ending) {
+func (g *Gateway) onInstanceEjected(instance backend.Instance, ending backend.Ending) {
 	fields := []zap.Field{zap.String("instance", instance.ID), zap.String("service", instance.Service), zap.String("address", instance.Address)}
 	switch e := ending.(type) {
 	case backend.Answered:
--- a/node/gateway/listen.go
+++ b/node/gateway/listen.go
@@ -17,24 +17,24 @@
 
 // Bounds of callers' connections before the first configuration (chosen, not measured).
 const (
-	firstHeaderTimeout = 10 * time.Second
-	firstIdleTimeout   = time.Minute
-	// leastHeaderBytes is what net/http reads of a head at least. The relay
+	initialHeaderTimeout = 10 * time.Second
+	initialIdleTimeout   = time.Minute
+	// minHeaderBytes is what net/http reads of a head at least. The relay
 	// holds the configured limit itself, which may be less.
-	leastHeaderBytes = 64 << 10
+	minHeaderBytes = 64 << 10
 )
 
 // callerServer accepts callers' connections. net/http fixes the time-outs of a
 // connection when its server is made, so a change of the limits makes a new
 // server for new connections; those at hand keep their limits.
 type callerServer struct {
-	socket  net.Listener
-	handler http.Handler
-	logger  *zap.Logger
+	listener net.Listener
+	handler  http.Handler
+	logger   *zap.Logger
 
 	mutex   sync.Mutex
 	limits  routetable.Limits
-	current *feed
+	newest  *handoffListener
 	servers []*http.Server
 	closed  bool
 }
@@ -44,37 +44,37 @@
 	if err != nil {
 		return nil, merry.Prependf(err, "listening for callers on %s", address)
 	}
-	server := &callerServer{socket: socket, handler: handler, logger: logger}
-	server.limit(routetable.Limits{HeaderTimeout: firstHeaderTimeout, IdleTimeout: firstIdleTimeout})
+	server := &callerServer{listener: socket, handler: handler, logger: logger}
+	server.setLimits(routetable.Limits{HeaderTimeout: initialHeaderTimeout, IdleTimeout: initialIdleTimeout})
 	return server, nil
 }
 
-func (s *callerServer) address() net.Addr { return s.socket.Addr() }
+func (s *callerServer) address() net.Addr { return s.listener.Addr() }
 
 // String names the service in the supervisor's messages.
 func (s *callerServer) String() string { return "listener of callers" }
 
-// limit sets the bounds of connections that are accepted from now on.
-func (s *callerServer) limit(limits routetable.Limits) {
+// setLimits sets the bounds of connections that are accepted from now on.
+func (s *callerServer) setLimits(limits routetable.Limits) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if s.closed || s.current != nil && limits == s.limits {
+	if s.closed || s.newest != nil && limits == s.limits {
 		return
 	}
 	s.limits = limits
-	s.current = newFeed(s.socket.Addr())
+	s.newest = newHandoffListener(s.listener.Addr())
 	server := &http.Server{
 		Handler:           s.handler,
 		ReadHeaderTimeout: limits.HeaderTimeout,
 		IdleTimeout:       limits.IdleTimeout,
-		MaxHeaderBytes:    max(leastHeaderBytes, 2*int(limits.HeaderBytes)),
+		MaxHeaderBytes:    max(minHeaderBytes, 2*int(limits.HeaderBytes)),
 		ErrorLog:          zap.NewStdLog(s.logger.Named("http")),
 	}
 	s.servers = append(s.servers, server)
-	go s.serve(server, s.current)
+	go s.serve(server, s.newest)
 }
 
-func (s *callerServer) serve(server *http.Server, connections *feed) {
+func (s *callerServer) serve(server *http.Server, connections *handoffListener) {
 	if err := server.Serve(connections); !errors.Is(err, http.ErrServerClosed) {
 		s.logger.Error("server of callers ended", zap.Error(err))
 	}
@@ -82,36 +82,36 @@
 
 // Serve accepts connections until the context ends or the socket is closed.
 func (s *callerServer) Serve(ctx context.Context) error {
-	stop := context.AfterFunc(ctx, func() { _ = s.socket.Close() })
+	stop := context.AfterFunc(ctx, func() { _ = s.listener.Close() })
 	defer stop()
 	for {
-		connection, err := s.socket.Accept()
+		connection, err := s.listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			<-ctx.Done()
 			return ctx.Err()
 		}
 		if err != nil {
 			s.logger.Warn("connection not accepted", zap.Error(err))
-			time.Sleep(acceptPause)
+			time.Sleep(acceptRetryDelay)
 			continue
 		}
-		s.newest().push(connection)
+		s.newestListener().handOff(connection)
 	}
 }
 
-// acceptPause follows a failed accept, such as one without free descriptors (chosen, not
+// acceptRetryDelay follows a failed accept, such as one without free descriptors (chosen, not
 // measured).
-const acceptPause = 20 * time.Millisecond
+const acceptRetryDelay = 20 * time.Millisecond
 
-func (s *callerServer) newest() *feed {
+func (s *callerServer) newestListener() *handoffListener {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.current
+	return s.newest
 }
 
 // shutdown takes no more connections and waits for the answers under way.
 func (s *callerServer) shutdown(ctx context.Context) error {
-	_ = s.socket.Close()
+	_ = s.listener.Close()
 	s.mutex.Lock()
 	s.closed = true
 	servers := s.servers
@@ -123,19 +123,19 @@
 	return errors.Join(failures...)
 }
 
-// feed is a net.Listener that is handed its connections.
-type feed struct {
+// handoffListener is a net.Listener that is handed its connections.
+type handoffListener struct {
 	connections chan net.Conn
 	closed      chan struct{}
 	once        sync.Once
-	at          net.Addr
+	address     net.Addr
 }
 
-func newFeed(at net.Addr) *feed {
-	return &feed{connections: make(chan net.Conn), closed: make(chan struct{}), at: at}
+func newHandoffListener(address net.Addr) *handoffListener {
+	return &handoffListener{connections: make(chan net.Conn), closed: make(chan struct{}), address: address}
 }
 
-func (f *feed) push(connection net.Conn) {
+func (f *handoffListener) handOff(connection net.Conn) {
 	select {
 	case f.connections <- connection:
 	case <-f.closed:
@@ -144,7 +144,7 @@
 }
 
 // Accept implements net.Listener.
-func (f *feed) Accept() (net.Conn, error) {
+func (f *handoffListener) Accept() (net.Conn, error) {
 	select {
 	case connection := <-f.connections:
 		return connection, nil
@@ -154,10 +154,10 @@
 }
 
 // Close implements net.Listener.
-func (f *feed) Close() error {
+func (f *handoffListener) Close() error {
 	f.once.Do(func() { close(f.closed) })
 	return nil
 }
 
 // Addr implements net.Listener.
-func (f *feed) Addr() net.Addr { return f.at }
+func (f *handoffListener) Addr() net.Addr { return f.address }
--- a/node/gateway/prober.go
+++ b/node/gateway/prober.go
@@ -14,9 +14,9 @@
 )
 
 const (
-	// probePause lies between two looks, and between two probes of storage nodes
+	// probeInterval lies between two looks, and between two probes of storage nodes
 	// (chosen, not measured).
-	probePause = 200 * time.Millisecond
+	probeInterval = 200 * time.Millisecond
 	// probeTimeout bounds one probe; a node that is well answers within a few
 	// milliseconds (chosen, not measured).
 	probeTimeout = 300 * time.Millisecond
@@ -26,16 +26,16 @@
 // Turns are refused then, so that nothing else would notice their return. It is a suture
 // service.
 type prober struct {
-	reach   *reach.Tracker
-	nodes   func() []netip.AddrPort
-	watcher mirror.Watcher
-	logger  *zap.Logger
-	wasCut  bool
-	next    int
+	reachability *reach.Tracker
+	nodes        func() []netip.AddrPort
+	watcher      mirror.Watcher
+	logger       *zap.Logger
+	wasCutOff    bool
+	next         int
 }
 
 func (g *Gateway) prober() *prober {
-	return &prober{reach: g.state.reach, nodes: g.holderOrder, watcher: g.state.peers, logger: g.logger}
+	return &prober{reachability: g.storage.reachability, nodes: g.orderedHolders, watcher: g.storage.peers, logger: g.logger}
 }
 
 // String names the service in the supervisor's messages.
@@ -43,13 +43,13 @@
 
 // Serve implements suture.Service.
 func (p *prober) Serve(ctx context.Context) error {
-	for sleep.For(ctx, probePause) == nil {
-		isCut := p.reach.IsCutOff()
-		if isCut != p.wasCut {
-			p.logger.Info("reach of storage nodes changed", zap.Bool("cut_off", isCut))
+	for sleep.For(ctx, probeInterval) == nil {
+		isCutOff := p.reachability.IsCutOff()
+		if isCutOff != p.wasCutOff {
+			p.logger.Info("reach of storage nodes changed", zap.Bool("cut_off", isCutOff))
 		}
-		p.wasCut = isCut
-		if isCut {
+		p.wasCutOff = isCutOff
+		if isCutOff {
 			p.probe(ctx)
 		}
 	}
@@ -67,6 +67,6 @@
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	if _, err := p.watcher.WatchMirror(ctx, node, mirror.KindSets, math.MaxInt64, 0); err == nil {
-		p.reach.Heard(node.String())
+		p.reachability.Heard(node.String())
 	}
 }
--- a/node/gateway/readiness.go
+++ b/node/gateway/readiness.go
@@ -10,11 +10,11 @@
 
 // What the checks of readiness report.
 var (
-	errNoConfiguration = errors.New("no configuration yet")
-	errNoInstances     = errors.New("the instances aren't listed yet")
-	errCutOff          = errors.New("no storage node can be reached")
-	errStale           = errors.New("the configuration isn't proved to be new enough for keys")
-	errDraining        = errors.New("draining")
+	errNoConfiguration    = errors.New("no configuration yet")
+	errNoInstances        = errors.New("the instances aren't listed yet")
+	errCutOff             = errors.New("no storage node can be reached")
+	errStaleConfiguration = errors.New("the configuration isn't proved to be new enough for keys")
+	errDraining           = errors.New("draining")
 )
 
 // operatorHandler serves metrics, health and readiness.
@@ -29,29 +29,29 @@
 }
 
 func (g *Gateway) checkConfiguration(context.Context) error {
-	if g.tables.Table() == nil {
+	if g.activeTable.Table() == nil {
 		return errNoConfiguration
 	}
 	return nil
 }
 
 func (g *Gateway) checkInstances(context.Context) error {
-	if !g.listed.Load() {
+	if !g.instancesListed.Load() {
 		return errNoInstances
 	}
 	return nil
 }
 
 func (g *Gateway) checkStorage(context.Context) error {
-	if g.state.reach.IsCutOff() {
+	if g.storage.reachability.IsCutOff() {
 		return errCutOff
 	}
 	return nil
 }
 
 func (g *Gateway) checkProof(context.Context) error {
-	if g.isStale() {
-		return errStale
+	if g.isTooStaleForKeys() {
+		return errStaleConfiguration
 	}
 	return nil
 }
@@ -68,5 +68,5 @@
 // valid. Callers keep their connections: without a sign they come back to it with each
 // turn.
 func (g *Gateway) isUnready() bool {
-	return g.draining.Load() || g.state.reach.IsCutOff() || g.isStale()
+	return g.draining.Load() || g.storage.reachability.IsCutOff() || g.isTooStaleForKeys()
 }
--- a/node/gateway/refusal.go
+++ b/node/gateway/refusal.go
@@ -6,15 +6,15 @@
 type refusal int
 
 const (
-	// refuseForNow promises nothing: a newer configuration may have the route or key.
+	// refuseTemporarily promises nothing: a newer configuration may have the route or key.
 	// The caller is told to ask again.
-	refuseForNow refusal = iota
-	// refuseForGood says that the route or key doesn't exist.
-	refuseForGood
+	refuseTemporarily refusal = iota
+	// refusePermanently says that the route or key doesn't exist.
+	refusePermanently
 )
 
-// tableFacts is what a gateway knows of how new its table of routes and keys is.
-type tableFacts struct {
+// tableFreshness is what a gateway knows of how new its table of routes and keys is.
+type tableFreshness struct {
 	// applyLimit is the time within which a change has to be in force here.
 	applyLimit time.Duration
 	// watchWait is how long a watch may be held without changes.
@@ -30,11 +30,11 @@
 	// and age is how long ago it last did.
 	isConfirmed bool
 	age         time.Duration
-	// isLost is set while the last call failed.
-	isLost bool
+	// lastCallFailed is set while the last call failed.
+	lastCallFailed bool
 }
 
-// refusalOf decides how a request is refused whose route or key the table lacks.
+// decideRefusal decides how a request is refused whose route or key the table lacks.
 //
 // Refusing for good is right only if no newer configuration can have the route or key.
 // A caller that is refused for now asks again and loses some time; one that is refused
@@ -45,18 +45,18 @@
 //     added later is not due yet.
 //   - Otherwise the store has to have confirmed it within trustTime.
 //   - Without any proof or confirmation a request is refused for now.
-func refusalOf(facts tableFacts) refusal {
-	isNew := facts.isConfirmed && facts.age < facts.trustTime()
-	if facts.needsProof {
-		isNew = facts.isProved && facts.staleness < facts.applyLimit
+func decideRefusal(table tableFreshness) refusal {
+	isNewest := table.isConfirmed && table.age < table.maxConfirmationAge()
+	if table.needsProof {
+		isNewest = table.isProved && table.staleness < table.applyLimit
 	}
-	if isNew {
-		return refuseForGood
+	if isNewest {
+		return refusePermanently
 	}
-	return refuseForNow
+	return refuseTemporarily
 }
 
-// trustTime is how long a table that isn't proved counts as the newest after the store
+// maxConfirmationAge is how long a table that isn't proved counts as the newest after the store
 // confirmed it.
 //
 // While a watch is held there is nothing to tell, and its answer confirms the table
@@ -65,25 +65,27 @@
 // only those that are not yet due can't be among them: with the longer time a gateway
 // refused a route for good that had been added 2.2 s before, where changes are due
 // within 2 s.
-func (f tableFacts) trustTime() time.Duration {
-	if f.isLost {
+func (f tableFreshness) maxConfirmationAge() time.Duration {
+	if f.lastCallFailed {
 		return f.applyLimit
 	}
 	return f.watchWait + 2*watchSlack
 }
 
-// isCertain tells the relay whether to refuse a missing route or unknown key for good.
-func (g *Gateway) isCertain() bool { return refusalOf(g.tableFacts()) == refuseForGood }
+// isConfigurationNewest tells the relay whether to refuse a missing route or unknown key for good.
+func (g *Gateway) isConfigurationNewest() bool {
+	return decideRefusal(g.tableFreshness()) == refusePermanently
+}
 
-// tableFacts gathers what is known now.
-func (g *Gateway) tableFacts() tableFacts {
-	facts := tableFacts{
+// tableFreshness gathers what is known now.
+func (g *Gateway) tableFreshness() tableFreshness {
+	freshness := tableFreshness{
 		applyLimit: g.settings.ApplyLimit,
 		watchWait:  watchWait(g.settings.UndisturbedTime),
 		needsProof: g.settings.RevokeLimit > 0,
 	}
-	facts.staleness, facts.isProved = proof{g}.Staleness()
-	facts.age, facts.isConfirmed = g.followers.configuration.Age()
-	facts.isLost = g.followers.configuration.IsLost()
-	return facts
+	freshness.staleness, freshness.isProved = configurationFreshness{g}.Staleness()
+	freshness.age, freshness.isConfirmed = g.followers.configuration.Age()
+	freshness.lastCallFailed = g.followers.configuration.IsLost()
+	return freshness
 }
--- a/node/gateway/refusal_test.go
+++ b/node/gateway/refusal_test.go
@@ -14,25 +14,25 @@
 	const applyLimit, watchWait = 3 * time.Second, 2500 * time.Millisecond
 	cases := []struct {
 		name  string
-		facts tableFacts
+		facts tableFreshness
 		want  refusal
 	}{
-		{"nothing was heard", tableFacts{}, refuseForNow},
-		{"confirmed just now", tableFacts{isConfirmed: true}, refuseForGood},
-		{"confirmed before a held call", tableFacts{isConfirmed: true, age: 3800 * time.Millisecond}, refuseForGood},
-		{"confirmed too long ago", tableFacts{isConfirmed: true, age: 3900 * time.Millisecond}, refuseForNow},
-		{"the last call failed", tableFacts{isConfirmed: true, isLost: true, age: 2900 * time.Millisecond}, refuseForGood},
-		{"the last call failed, and changes are due", tableFacts{isConfirmed: true, isLost: true, age: applyLimit}, refuseForNow},
-		{"confirmed, but not proved", tableFacts{needsProof: true, isConfirmed: true}, refuseForNow},
-		{"proved just now", tableFacts{needsProof: true, isProved: true}, refuseForGood},
-		{"proved within the limit, the last call failed", tableFacts{needsProof: true, isProved: true, isLost: true, staleness: 2900 * time.Millisecond}, refuseForGood},
-		{"proved when changes are due", tableFacts{needsProof: true, isProved: true, isConfirmed: true, staleness: applyLimit}, refuseForNow},
-		{"proved, though no proof is needed", tableFacts{isProved: true}, refuseForNow},
+		{"nothing was heard", tableFreshness{}, refuseTemporarily},
+		{"confirmed just now", tableFreshness{isConfirmed: true}, refusePermanently},
+		{"confirmed before a held call", tableFreshness{isConfirmed: true, age: 3800 * time.Millisecond}, refusePermanently},
+		{"confirmed too long ago", tableFreshness{isConfirmed: true, age: 3900 * time.Millisecond}, refuseTemporarily},
+		{"the last call failed", tableFreshness{isConfirmed: true, lastCallFailed: true, age: 2900 * time.Millisecond}, refusePermanently},
+		{"the last call failed, and changes are due", tableFreshness{isConfirmed: true, lastCallFailed: true, age: applyLimit}, refuseTemporarily},
+		{"confirmed, but not proved", tableFreshness{needsProof: true, isConfirmed: true}, refuseTemporarily},
+		{"proved just now", tableFreshness{needsProof: true, isProved: true}, refusePermanently},
+		{"proved within the limit, the last call failed", tableFreshness{needsProof: true, isProved: true, lastCallFailed: true, staleness: 2900 * time.Millisecond}, refusePermanently},
+		{"proved when changes are due", tableFreshness{needsProof: true, isProved: true, isConfirmed: true, staleness: applyLimit}, refuseTemporarily},
+		{"proved, though no proof is needed", tableFreshness{isProved: true}, refuseTemporarily},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			c.facts.applyLimit, c.facts.watchWait = applyLimit, watchWait
-			assert.Equal(t, refusalOf(c.facts), c.want)
+			assert.Equal(t, decideRefusal(c.facts), c.want)
 		})
 	}
 }
@@ -46,10 +46,10 @@
 		{UndisturbedTime: 3 * time.Second, ApplyLimit: 2 * time.Second},
 		{UndisturbedTime: 5 * time.Second, ApplyLimit: 4 * time.Second},
 	} {
-		facts := tableFacts{applyLimit: limits.ApplyLimit, watchWait: watchWait(limits.UndisturbedTime)}
+		facts := tableFreshness{applyLimit: limits.ApplyLimit, watchWait: watchWait(limits.UndisturbedTime)}
 		held := watchWait(limits.UndisturbedTime) + watchSlack
-		assert.Assert(t, facts.trustTime() > held, "calls are held for as long as that")
-		facts.isLost = true
-		assert.Equal(t, facts.trustTime(), limits.ApplyLimit)
+		assert.Assert(t, facts.maxConfirmationAge() > held, "calls are held for as long as that")
+		facts.lastCallFailed = true
+		assert.Equal(t, facts.maxConfirmationAge(), limits.ApplyLimit)
 	}
 }
--- a/node/gateway/revoke_model_test.go
+++ b/node/gateway/revocation_test.go
@@ -209,9 +209,9 @@
 	}, time.Now)
 	limits := settings.Gateway{ApplyLimit: 3 * time.Second, UndisturbedTime: 4 * time.Second}
 	started.follower = follow.New(follow.Options{
-		Name: mirror.KindConfiguration, Settings: followBounds(limits), Logger: zap.NewNop(), Now: time.Now,
+		Name: mirror.KindConfiguration, Settings: callSettings(limits), Logger: zap.NewNop(), Now: time.Now,
 		Source: mirror.NewSource(mirror.KindConfiguration, w.source(node), holders, modelNetwork{w, node},
-			provenBounds(revokeLimit, holderBounds(limits)), zap.NewNop()),
+			provenHolderSettings(revokeLimit, holderSettings(limits)), zap.NewNop()),
 		Apply: func(snapshot follow.Snapshot) {
 			started.mutex.Lock()
 			defer started.mutex.Unlock()
--- a/node/gateway/state.go
+++ b/node/gateway/storage.go
@@ -21,41 +21,41 @@
 const (
 	// peerTimeout bounds one request to a replica (chosen, not measured).
 	peerTimeout = time.Second
-	// cachePart of the memory limit holds turns that were used lately (chosen, not
+	// turnCacheFraction of the memory limit holds turns that were used lately (chosen, not
 	// measured).
-	cachePart = 0.15
+	turnCacheFraction = 0.15
 )
 
-// state is this gateway's way to the programs' records and turns and the tenants'
+// storageClients is this gateway's way to the programs' records and turns and the tenants'
 // quotas, which the storage nodes keep.
-type state struct {
+type storageClients struct {
 	lookup        *directory.Lookup
 	peers         *peer.Client
-	reach         *reach.Tracker
+	reachability  *reach.Tracker
 	budgets       *tokenbudget.Client
 	conversations *conversation.Service
 	quotas        *quota.Client
 }
 
-// announcer has the slots of quotas held once the configuration has tenants.
-func (g *Gateway) announcer() *quota.Announcer {
-	return quota.NewAnnouncer(g.state.quotas, func() bool {
-		table := g.tables.Table()
+// quotaAnnouncer has the slots of quotas held once the configuration has tenants.
+func (g *Gateway) quotaAnnouncer() *quota.Announcer {
+	return quota.NewAnnouncer(g.storage.quotas, func() bool {
+		table := g.activeTable.Table()
 		return table != nil && table.KeysRequired()
 	})
 }
 
-func newState(loaded settings.Gateway, metrics prometheus.Registerer, logger *zap.Logger) (*state, error) {
+func newStorageClients(loaded settings.Gateway, metrics prometheus.Registerer, logger *zap.Logger) (*storageClients, error) {
 	lookup := directory.NewLookup(nil, logger)
 	peers := peer.NewClient(peer.NewHTTPClient(), peerTimeout, peer.NewMetrics(metrics))
 	tracker := reach.New(time.Now)
 	budgets := tokenbudget.NewClient(peers.Budgets(), lookup, tracker, time.Now, logger)
-	turns, err := turnstore.New(loaded.Zone, peers, lookup, tracker, int(cachePart*float64(loaded.MemoryLimit)))
+	turns, err := turnstore.New(loaded.Zone, peers, lookup, tracker, int(turnCacheFraction*float64(loaded.MemoryLimit)))
 	if err != nil {
 		return nil, err
 	}
-	return &state{
-		lookup: lookup, peers: peers, reach: tracker, budgets: budgets,
+	return &storageClients{
+		lookup: lookup, peers: peers, reachability: tracker, budgets: budgets,
 		conversations: conversation.New(turns, budgets, tracker.IsCutOff, time.Now, rand.Uint64, logger),
 		quotas: quota.NewClient(peers, lookup, tracker, quota.Bounds{
 			Window: loaded.QuotaWindow, Over: loaded.QuotaOver, Slack: loaded.QuotaSlack,
--- a/node/gateway/dark_test.go
+++ b/node/gateway/storageoutage_test.go
@@ -173,8 +173,8 @@
 	seen := &applications{first: make(map[string]time.Time)}
 	holders := mirror.NewHolders(func() []netip.AddrPort { return mirror.Near("zone-0", name, f.members) }, time.Now)
 	follower := follow.New(follow.Options{
-		Name: mirror.KindInstances, Settings: followBounds(limits), Logger: zap.NewNop(), Now: time.Now, Apply: seen.apply,
-		Source: mirror.NewSource(mirror.KindInstances, roleCalls{store: f.store, role: "gateway"}, holders, network, holderBounds(limits), zap.NewNop()),
+		Name: mirror.KindInstances, Settings: callSettings(limits), Logger: zap.NewNop(), Now: time.Now, Apply: seen.apply,
+		Source: mirror.NewSource(mirror.KindInstances, roleCalls{store: f.store, role: "gateway"}, holders, network, holderSettings(limits), zap.NewNop()),
 	})
 	go func() { _ = follower.Serve(ctx) }()
 	return seen
--- a/node/gateway/start_test.go
+++ b/node/gateway/storeload_test.go
@@ -250,8 +250,8 @@
 	limits := f.gatewayLimits()
 	var heard, heardLate sync.Once
 	follower := follow.New(follow.Options{
-		Name: mirror.KindInstances, Settings: followBounds(limits), Logger: zap.NewNop(), Now: time.Now,
-		Source: mirror.NewSource(mirror.KindInstances, roleCalls{store: f.store, role: "gateway"}, holders, f.network, holderBounds(limits), zap.NewNop()),
+		Name: mirror.KindInstances, Settings: callSettings(limits), Logger: zap.NewNop(), Now: time.Now,
+		Source: mirror.NewSource(mirror.KindInstances, roleCalls{store: f.store, role: "gateway"}, holders, f.network, holderSettings(limits), zap.NewNop()),
 		Apply: func(snapshot follow.Snapshot) {
 			if len(snapshot.Objects) > 0 {
 				heard.Do(func() { f.knowing.Add(1) })
