--- a/node/gateway/configuration.go
+++ b/node/gateway/configuration.go
@@ -7,8 +7,8 @@
 	"github.com/marblering/marblering/coordination/routetable"
 )
 
-// applyConfiguration puts a newer configuration in force. One that can't be
-// used changes nothing.
+// applyConfiguration makes a newer configuration the active one. An invalid one leaves the
+// active one in place.
 func (g *Gateway) applyConfiguration(snapshot follow.Snapshot) {
 	decoded, found, err := g.parts.DecodeConfiguration(snapshot)
 	if !found && err == nil {
--- a/node/gateway/gateway.go
+++ b/node/gateway/gateway.go
@@ -22,76 +22,74 @@
 	"github.com/marblering/marblering/transport/upstream"
 )
 
-// Parts are what differs between deployments.
+// Parts are the parts of a gateway that differ between deployments.
 type Parts struct {
-	// Dialect reads what callers send and writes what they are told.
+	// Dialect reads and writes the headers of requests and responses.
 	Dialect relay.Dialect
-	// IDHeader is the header in which back ends repeat a request's id.
+	// IDHeader is the header in which backends echo the ID of a request.
 	IDHeader string
-	// Configuration and Instances are the objects to follow.
+	// Configuration and Instances are the sources of these kinds of objects.
 	Configuration follow.Source
 	Instances     follow.Source
-	// Sets are the replica sets of the storage nodes, as package
-	// coordination/directory publishes them.
+	// Sets is the source of the replica sets of the storage nodes, which package
+	// coordination/directory publishes.
 	Sets follow.Source
-	// DecodeConfiguration finds the configuration among its objects. Found is false
-	// where there is none yet; an error says that there is one that can't be read.
+	// DecodeConfiguration decodes the configuration in a snapshot. found is false if there
+	// is none yet; the error is non-nil if there is one that cannot be decoded.
 	DecodeConfiguration func(follow.Snapshot) (configuration routetable.Configuration, found bool, err error)
-	// DecodeInstance reads one instance; an error says that the entry names none.
+	// DecodeInstance decodes the entry of one instance.
 	DecodeInstance func(follow.Object) (backend.Instance, error)
 }
 
 const (
-	// maxInFlight bounds the requests under way, for the sake of the memory of the
-	// smallest gateways (chosen, not measured).
+	// maxInFlight bounds concurrent requests to fit the memory of the smallest gateways.
 	maxInFlight = 2000
-	// failureLogRate and answerLines bound the log lines a second about requests that
-	// failed and that were answered, refusalLines those about entries of instances that
-	// can't be read. burstLines is what each may save up (all chosen, not measured).
+	// Limits of log lines per second for failed requests, answered requests and invalid
+	// entries of instances. Each may burst to logBurst lines.
 	failureLogRate      = 200
 	accessLogRate       = 10
 	invalidEntryLogRate = 10
 	logBurst            = 100
-	// memoryLimitFraction of the memory limit is where the garbage collector works harder
-	// (chosen, not measured).
+	// memoryLimitFraction of the configured memory limit is the soft memory limit of the
+	// Go runtime.
 	memoryLimitFraction = 0.8
 )
 
-// Gateway is one running daemon.
+// Gateway is a running gateway daemon.
 type Gateway struct {
 	settings settings.Gateway
 	parts    Parts
 	logger   *zap.Logger
 
-	// What is known of the deployment, and the ways by which it comes.
+	// Copies of the objects in the store.
 	followers      followers
 	activeTable    *routetable.InForce
 	backends       *backend.Pool
 	invalidEntries invalidEntries
-	// configurationInvalid is set while the newest configuration can't be used, so that an older one
-	// is in force.
+	// configurationInvalid is set while the newest configuration is invalid and an older
+	// one stays active.
 	configurationInvalid atomic.Bool
-	// instancesListed is set once the instances are known.
+	// instancesListed is set after the first listing of the instances.
 	instancesListed atomic.Bool
 
-	// What serves requests.
+	// Request path.
 	callers  *callerServer
 	relay    *relay.Handler
 	upstream *upstream.Client
 	storage  *storageClients
 	draining atomic.Bool
 
-	// What serves operatorListener.
+	// Operator endpoints and metrics.
 	operatorListener *listener.Listener
 	metrics          *prometheus.Registry
 	ejections        prometheus.Counter
 
-	// stop ends the services; stopped then says why they ended.
+	// stop ends the services; stopped then receives the reason why they ended.
 	stop    context.CancelFunc
 	stopped <-chan error
 }
 
-// Run runs a gateway until the context ends, then drains it.
+// Run runs a gateway until ctx is done, then drains it.
 func Run(ctx context.Context, loaded settings.Gateway, parts Parts, logger *zap.Logger) error {
 	debug.SetMemoryLimit(int64(memoryLimitFraction * float64(loaded.MemoryLimit)))
 	g, err := Start(loaded, parts, logger)
@@ -107,8 +105,8 @@
 	}
 }
 
-// Start opens the listeners and starts the services. It fails where an address can't be
-// listened on.
+// Start opens the listeners and starts the services. It fails if a listener cannot be
+// opened.
 func Start(loaded settings.Gateway, parts Parts, logger *zap.Logger) (*Gateway, error) {
 	g, err := newGateway(loaded, parts, logger)
 	if err != nil {
@@ -129,7 +127,7 @@
 	return g, nil
 }
 
-// services are the parts that run by themselves.
+// services returns the background services for the supervisor.
 func (g *Gateway) services() []suture.Service {
 	return []suture.Service{
 		g.followers.configuration, g.followers.instances, g.followers.replicaSets, g.mirrorReader(), g.prober(), g.quotaAnnouncer(),
@@ -137,13 +135,13 @@
 	}
 }
 
-// CallerAddress is where callers are served.
+// CallerAddress returns the address that serves callers.
 func (g *Gateway) CallerAddress() string { return g.callers.address().String() }
 
-// OperatorAddress is where operators are served.
+// OperatorAddress returns the address that serves metrics and health checks.
 func (g *Gateway) OperatorAddress() string { return g.operatorListener.Address() }
 
-// newGateway makes the parts, of which none runs yet.
+// newGateway builds a gateway without starting anything.
 func newGateway(loaded settings.Gateway, parts Parts, logger *zap.Logger) (*Gateway, error) {
 	g := &Gateway{
 		settings: loaded, parts: parts, logger: logger,
@@ -161,7 +159,7 @@
 	return g, nil
 }
 
-// buildBackends makes the pool of instances and the client that speaks to them.
+// buildBackends creates the pool of instances and the HTTP client for them.
 func (g *Gateway) buildBackends() {
 	g.ejections = prometheus.NewCounter(prometheus.CounterOpts{
 		Name: "marblering_gateway_ejections_total", Help: "Instances left out for a while.",
@@ -180,7 +178,7 @@
 	g.upstream = upstream.NewClient(upstreamSettings, time.Now)
 }
 
-// buildRelay makes the handler of callers' requests.
+// buildRelay creates the handler of requests.
 func (g *Gateway) buildRelay() {
 	g.relay = relay.New(relay.Options{
 		Tables: g.activeTable, Backends: g.backends, Exchanger: g.upstream, Dialect: g.parts.Dialect,
--- a/node/gateway/storage.go
+++ b/node/gateway/storage.go
@@ -19,15 +19,14 @@
 )
 
 const (
-	// peerTimeout bounds one request to a replica (chosen, not measured).
+	// peerTimeout bounds one request to a storage node.
 	peerTimeout = time.Second
-	// turnCacheFraction of the memory limit holds turns that were used lately (chosen, not
-	// measured).
+	// turnCacheFraction of the memory limit is the size of the cache of recent turns.
 	turnCacheFraction = 0.15
 )
 
-// storageClients is this gateway's way to the programs' records and turns and the tenants'
-// quotas, which the storage nodes keep.
+// storageClients are the clients for what storage nodes keep: the turns and token budgets
+// of programs, and the quotas of tenants.
 type storageClients struct {
 	lookup        *directory.Lookup
 	peers         *peer.Client
@@ -37,7 +36,8 @@
 	quotas        *quota.Client
 }
 
-// quotaAnnouncer has the slots of quotas held once the configuration has tenants.
+// quotaAnnouncer returns the service that makes storage nodes hold quota slots once the
+// configuration has tenants.
 func (g *Gateway) quotaAnnouncer() *quota.Announcer {
 	return quota.NewAnnouncer(g.storage.quotas, func() bool {
 		table := g.activeTable.Table()
