--- a/node/gateway/followers.go
+++ b/node/gateway/followers.go
@@ -13,21 +13,21 @@
 	"github.com/marblering/marblering/telemetry"
 )
 
-// followers keep this gateway's copies of what the store has.
+// followers keep the copies of objects in the store up to date.
 type followers struct {
 	configuration *follow.Follower
 	instances     *follow.Follower
 	replicaSets   *follow.Follower
-	// configurationSource is the way by which the configuration comes.
+	// configurationSource is the source of the follower of the configuration.
 	configurationSource *mirror.Source
 	holders             *mirror.Holders
-	// storeCalls counts by kind of objects what this gateway itself asks the store.
+	// storeCalls counts the direct calls of this gateway to the store, by kind of object.
 	storeCalls *prometheus.CounterVec
-	// logger takes which holders are followed, within bounds.
+	// logger logs which holders are used; it is rate-limited.
 	logger *zap.Logger
 }
 
-// createFollowers makes the followers of all kinds. They begin once they are served.
+// createFollowers creates the followers of all kinds of objects without starting them.
 func (g *Gateway) createFollowers() {
 	f := &g.followers
 	f.holders = mirror.NewHolders(g.orderedHolders, time.Now)
@@ -38,7 +38,7 @@
 	f.replicaSets, _ = g.newFollower(mirror.KindSets, g.parts.Sets, g.storage.lookup.Apply)
 }
 
-// newFollower follows the kind through holders where it can; direct is the store itself.
+// newFollower creates a follower that asks holders first and falls back to the store.
 func (g *Gateway) newFollower(kind string, store follow.Source, apply func(follow.Snapshot)) (*follow.Follower, *mirror.Source) {
 	plan := newFollowPlan(kind, g.settings)
 	if plan.pollInterval > 0 {
@@ -53,8 +53,8 @@
 	return follower, source
 }
 
-// mirrorReader takes over what storage nodes had from the store while it is out of reach of
-// this node.
+// mirrorReader returns the service that offers the snapshots of storage nodes to the
+// followers while this gateway cannot reach the store.
 func (g *Gateway) mirrorReader() *mirror.Reader {
 	followed := map[string]mirror.Follower{
 		mirror.KindConfiguration: g.followers.configuration,
@@ -64,8 +64,8 @@
 	return mirror.NewReader(g.orderedHolders, g.storage.peers, followed, time.Now, g.logger)
 }
 
-// orderedHolders lists the storage nodes of all replica sets, those of this gateway's
-// zone first; before the sets are known, those that the settings name.
+// orderedHolders returns the storage nodes of all replica sets, those in the zone of this
+// gateway first, or the configured seeds until the replica sets are known.
 func (g *Gateway) orderedHolders() []netip.AddrPort {
 	views := g.storage.lookup.Map()
 	if views == nil {
--- a/node/gateway/instances.go
+++ b/node/gateway/instances.go
@@ -10,19 +10,19 @@
 	"github.com/marblering/marblering/coordination/follow"
 )
 
-// invalidEntries are the invalidEntries of instances that can't be read. Only applyInstances uses
-// them, which is called one at a time.
+// invalidEntries tracks the entries of instances that cannot be decoded. It needs no lock:
+// only applyInstances uses it, which is never called concurrently.
 type invalidEntries struct {
-	// revisions are the revisions of these entries, by name.
+	// revisions maps the names of these entries to their revisions.
 	revisions map[string]int64
-	// counter counts such entries, once a change of each; logger logs them, within
-	// bounds.
+	// counter and logger record each revision of such an entry once; logger is
+	// rate-limited.
 	counter prometheus.Counter
 	logger  *zap.Logger
 }
 
-// record notes an entry that can't be read, unless it was noted before. isKnown tells
-// that an earlier entry of the name could be read.
+// record counts and logs an entry that cannot be decoded, unless this revision was
+// recorded before. isKnown reports whether the instance is known from an earlier entry.
 func (e *invalidEntries) record(object follow.Object, isKnown bool, err error) {
 	if e.revisions[object.Name] == object.Revision {
 		return
@@ -32,12 +32,12 @@
 		zap.Int64("revision", object.Revision), zap.Bool("known", isKnown), zap.Error(err))
 }
 
-// applyInstances replaces the instances that requests are sent to.
+// applyInstances replaces the set of instances.
 func (g *Gateway) applyInstances(snapshot follow.Snapshot) {
 	gone, kept := g.backends.Replace(g.decodeInstances(snapshot))
 	g.closeConnections(gone)
 	if kept > 0 {
-		g.logger.Warn("entries of instances have lapsed", zap.Int64("revision", snapshot.At), zap.Int("kept", kept))
+		g.logger.Warn("many instance entries expired at once, keeping the instances", zap.Int64("revision", snapshot.At), zap.Int("kept", kept))
 		time.AfterFunc(backend.LapseTime, g.expireInstances)
 	}
 	g.instancesListed.Store(true)
@@ -46,9 +46,9 @@
 		zap.Int("known", known), zap.Int("leaving", leaving), zap.Strings("gone", gone))
 }
 
-// decodeInstances reads the entries. One that can't be read names no instance: where an
-// earlier entry did, that instance gets nothing new until an entry names it again, and
-// ends what it has.
+// decodeInstances decodes the entries and skips invalid ones. If an invalid entry replaces
+// a valid one, the instance completes its requests but gets no new ones until its entry is
+// valid again.
 func (g *Gateway) decodeInstances(snapshot follow.Snapshot) []backend.Instance {
 	instances := make([]backend.Instance, 0, len(snapshot.Objects))
 	invalid := make(map[string]int64)
@@ -70,32 +70,32 @@
 	return instances
 }
 
-// expireInstances drops the instances that lapsed and didn't come back.
+// expireInstances removes the instances whose entries expired and did not return in time.
 func (g *Gateway) expireInstances() {
 	gone := g.backends.Expire()
 	g.closeConnections(gone)
 	if len(gone) > 0 {
-		g.logger.Info("lapsed instances dropped", zap.Strings("gone", gone))
+		g.logger.Info("expired instances removed", zap.Strings("gone", gone))
 	}
 }
 
-// closeConnections closes the connections to instances that are gone.
+// closeConnections closes the connections to removed instances.
 func (g *Gateway) closeConnections(gone []string) {
 	for _, instance := range gone {
 		g.upstream.Forget(instance)
 	}
 }
 
-// onInstanceGone leaves out an instance whose address another one has, and closes its
-// connections. It is used again once it is started again.
+// onInstanceGone excludes an instance whose address now belongs to another one, until it
+// restarts, and closes its connections.
 func (g *Gateway) onInstanceGone(life backend.Life) {
 	g.backends.Gone(life)
 	g.upstream.Forget(life.ID)
-	g.logger.Info("instance lost its address", zap.String("instance", life.ID), startTimeField("started", life))
+	g.logger.Info("instance address taken over by another instance", zap.String("instance", life.ID), startTimeField("started", life))
 }
 
-// onInstanceRestarted closes the connections to an instance that was started again under
-// its id: its earlier process answers nobody any more.
+// onInstanceRestarted closes the connections to the earlier process of an instance that
+// restarted with the same ID.
 func (g *Gateway) onInstanceRestarted(restart backend.Restart) {
 	g.upstream.Forget(restart.Is.ID)
 	g.logger.Info("instance started again", zap.String("instance", restart.Is.ID),
@@ -109,8 +109,8 @@
 	return zap.Time(key, life.Started)
 }
 
-// onInstanceEjected logs an instance that is left out for a while, with how the request
-// ended that decided it.
+// onInstanceEjected counts and logs the ejection of an instance, with the outcome of the
+// request that caused it.
 func (g *Gateway) onInstanceEjected(instance backend.Instance, ending backend.Ending) {
 	fields := []zap.Field{zap.String("instance", instance.ID), zap.String("service", instance.Service), zap.String("address", instance.Address)}
 	switch e := ending.(type) {
