--- a/node/gateway/drain.go
+++ b/node/gateway/drain.go
@@ -8,17 +8,16 @@
 )
 
 const (
-	// readinessNoticeFraction of the drain's time is left for balancers to notice that this node
-	// isn't ready (chosen, not measured). New connections still come meanwhile and are
-	// served.
+	// readinessNoticeFraction of the drain timeout is left for load balancers to detect
+	// that this gateway is not ready. New connections are still served during that time.
 	readinessNoticeFraction = 0.4
-	// exitFraction is left at the end for the process to exit (chosen, not measured).
+	// exitFraction of the drain timeout is reserved for the exit of the process.
 	exitFraction = 0.08
 )
 
-// Drain ends the gateway without cutting an answer: it calls itself not ready,
-// serves on while callers still come, then takes no more connections and waits
-// for what is under way.
+// Drain shuts the gateway down gracefully: it reports that it is not ready, serves new
+// connections until load balancers have noticed, then stops accepting connections and waits
+// for requests in flight.
 func (g *Gateway) Drain() {
 	defer g.stop()
 	began := time.Now()
--- a/node/gateway/idle.go
+++ b/node/gateway/idle.go
@@ -7,18 +7,17 @@
 	"github.com/marblering/marblering/transport/upstream"
 )
 
-// idleCheckInterval is the pause between two looks at the resting connections to back ends
-// (chosen, not measured).
+// idleCheckInterval is the interval between checks for idle connections to backends.
 const idleCheckInterval = time.Second
 
-// idleCloser closes connections to back ends that have rested too long. It is a suture
-// service.
+// idleCloser is a suture service that closes connections to backends that were idle for
+// too long.
 type idleCloser struct {
 	client *upstream.Client
 }
 
-// String names the service in the supervisor's messages.
-func (idleCloser) String() string { return "closer of idle connections" }
+// String returns the name of the service in supervisor events.
+func (idleCloser) String() string { return "idle connection closer" }
 
 // Serve implements suture.Service.
 func (c idleCloser) Serve(ctx context.Context) error {
--- a/node/gateway/listen.go
+++ b/node/gateway/listen.go
@@ -15,18 +15,18 @@
 	"github.com/marblering/marblering/coordination/routetable"
 )
 
-// Bounds of callers' connections before the first configuration (chosen, not measured).
+// Bounds of connections of callers before the first configuration.
 const (
 	initialHeaderTimeout = 10 * time.Second
 	initialIdleTimeout   = time.Minute
-	// minHeaderBytes is what net/http reads of a head at least. The relay
-	// holds the configured limit itself, which may be less.
+	// minHeaderBytes is the smallest limit of net/http. The relay enforces the configured
+	// limit, which may be smaller.
 	minHeaderBytes = 64 << 10
 )
 
-// callerServer accepts callers' connections. net/http fixes the time-outs of a
-// connection when its server is made, so a change of the limits makes a new
-// server for new connections; those at hand keep their limits.
+// callerServer accepts connections of callers. The timeouts of an http.Server cannot change
+// while it serves, so each change of the limits starts a new server for new connections.
+// Open connections keep their limits.
 type callerServer struct {
 	listener net.Listener
 	handler  http.Handler
@@ -40,21 +40,21 @@
 }
 
 func listenCallers(address netip.AddrPort, handler http.Handler, logger *zap.Logger) (*callerServer, error) {
-	socket, err := net.Listen("tcp", address.String())
+	listener, err := net.Listen("tcp", address.String())
 	if err != nil {
-		return nil, merry.Prependf(err, "listening for callers on %s", address)
+		return nil, merry.Prependf(err, "listen for callers on %s", address)
 	}
-	server := &callerServer{listener: socket, handler: handler, logger: logger}
+	server := &callerServer{listener: listener, handler: handler, logger: logger}
 	server.setLimits(routetable.Limits{HeaderTimeout: initialHeaderTimeout, IdleTimeout: initialIdleTimeout})
 	return server, nil
 }
 
 func (s *callerServer) address() net.Addr { return s.listener.Addr() }
 
-// String names the service in the supervisor's messages.
-func (s *callerServer) String() string { return "listener of callers" }
+// String returns the name of the service in supervisor events.
+func (s *callerServer) String() string { return "caller listener" }
 
-// setLimits sets the bounds of connections that are accepted from now on.
+// setLimits sets the limits of connections that are accepted from now on.
 func (s *callerServer) setLimits(limits routetable.Limits) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -76,11 +76,12 @@
 
 func (s *callerServer) serve(server *http.Server, connections *handoffListener) {
 	if err := server.Serve(connections); !errors.Is(err, http.ErrServerClosed) {
-		s.logger.Error("server of callers ended", zap.Error(err))
+		s.logger.Error("server for callers failed", zap.Error(err))
 	}
 }
 
-// Serve accepts connections until the context ends or the socket is closed.
+// Serve implements suture.Service. It accepts connections until ctx is done or shutdown
+// closes the listener.
 func (s *callerServer) Serve(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, func() { _ = s.listener.Close() })
 	defer stop()
@@ -91,7 +92,7 @@
 			return ctx.Err()
 		}
 		if err != nil {
-			s.logger.Warn("connection not accepted", zap.Error(err))
+			s.logger.Warn("cannot accept connection", zap.Error(err))
 			time.Sleep(acceptRetryDelay)
 			continue
 		}
@@ -99,8 +100,8 @@
 	}
 }
 
-// acceptRetryDelay follows a failed accept, such as one without free descriptors (chosen, not
-// measured).
+// acceptRetryDelay is the delay after a failed accept, such as one for lack of file
+// descriptors.
 const acceptRetryDelay = 20 * time.Millisecond
 
 func (s *callerServer) newestListener() *handoffListener {
@@ -109,7 +110,7 @@
 	return s.newest
 }
 
-// shutdown takes no more connections and waits for the answers under way.
+// shutdown stops accepting connections and waits for requests in flight.
 func (s *callerServer) shutdown(ctx context.Context) error {
 	_ = s.listener.Close()
 	s.mutex.Lock()
@@ -123,7 +124,7 @@
 	return errors.Join(failures...)
 }
 
-// handoffListener is a net.Listener that is handed its connections.
+// handoffListener is a net.Listener for connections that were accepted elsewhere.
 type handoffListener struct {
 	connections chan net.Conn
 	closed      chan struct{}
@@ -135,29 +136,29 @@
 	return &handoffListener{connections: make(chan net.Conn), closed: make(chan struct{}), address: address}
 }
 
-func (f *handoffListener) handOff(connection net.Conn) {
+func (l *handoffListener) handOff(connection net.Conn) {
 	select {
-	case f.connections <- connection:
-	case <-f.closed:
+	case l.connections <- connection:
+	case <-l.closed:
 		_ = connection.Close()
 	}
 }
 
 // Accept implements net.Listener.
-func (f *handoffListener) Accept() (net.Conn, error) {
+func (l *handoffListener) Accept() (net.Conn, error) {
 	select {
-	case connection := <-f.connections:
+	case connection := <-l.connections:
 		return connection, nil
-	case <-f.closed:
+	case <-l.closed:
 		return nil, net.ErrClosed
 	}
 }
 
 // Close implements net.Listener.
-func (f *handoffListener) Close() error {
-	f.once.Do(func() { close(f.closed) })
+func (l *handoffListener) Close() error {
+	l.once.Do(func() { close(l.closed) })
 	return nil
 }
 
 // Addr implements net.Listener.
-func (f *handoffListener) Addr() net.Addr { return f.address }
+func (l *handoffListener) Addr() net.Addr { return l.address }
