--- a/node/gateway/refusal.go
+++ b/node/gateway/refusal.go
@@ -2,49 +2,48 @@
 
 import "time"
 
-// refusal says how a request is refused whose route is missing or whose key is unknown.
+// refusal is how a request with a missing route or an unknown key is refused.
 type refusal int
 
 const (
-	// refuseTemporarily promises nothing: a newer configuration may have the route or key.
-	// The caller is told to ask again.
+	// refuseTemporarily tells the caller to retry, since a newer configuration may have the
+	// route or key.
 	refuseTemporarily refusal = iota
-	// refusePermanently says that the route or key doesn't exist.
+	// refusePermanently tells the caller that the route or key does not exist.
 	refusePermanently
 )
 
-// tableFreshness is what a gateway knows of how new its table of routes and keys is.
+// tableFreshness is what a gateway knows about the freshness of its table of routes and
+// keys.
 type tableFreshness struct {
-	// applyLimit is the time within which a change has to be in force here.
+	// applyLimit is the time within which a change must be applied.
 	applyLimit time.Duration
-	// watchWait is how long a watch may be held without changes.
+	// watchWait is how long the store may hold a watch call without changes.
 	watchWait time.Duration
-	// needsProof is set where there is a limit for the use of removed keys, so that the
-	// answers to this gateway's calls prove how new they are.
+	// needsProof is set if there is a revoke limit, so that answers prove their freshness.
 	needsProof bool
-	// isProved is set once anything proved how new the table is, and staleness is how
-	// long ago the store is known to have had nothing newer.
+	// isProved is set after the first proof of freshness. staleness is how long ago the
+	// table was last proven to be the newest.
 	isProved  bool
 	staleness time.Duration
-	// isConfirmed is set once the store has answered, itself or through a storage node,
-	// and age is how long ago it last did.
+	// isConfirmed is set after the first answer of the store, directly or through a storage
+	// node. age is the time since the last one.
 	isConfirmed bool
 	age         time.Duration
-	// lastCallFailed is set while the last call failed.
+	// lastCallFailed is set if the last call to follow the configuration failed.
 	lastCallFailed bool
 }
 
-// decideRefusal decides how a request is refused whose route or key the table lacks.
+// decideRefusal decides how to refuse a request whose route or key is not in the table.
 //
-// Refusing for good is right only if no newer configuration can have the route or key.
-// A caller that is refused for now asks again and loses some time; one that is refused
-// for good by an old table gives up what it was entitled to. So the table has to be
-// new:
+// A temporary refusal costs the caller a retry. A permanent one is wrong if a newer
+// configuration has the route or key, since the caller does not retry. It therefore
+// requires a table that is known to be the newest:
 //
-//   - Where proofs are needed, it has to be proved newer than the apply limit. What was
-//     added later is not due yet.
-//   - Otherwise the store has to have confirmed it within trustTime.
-//   - Without any proof or confirmation a request is refused for now.
+//   - If proofs are needed, the staleness must be below the apply limit: later changes need
+//     not be applied yet.
+//   - Otherwise the last confirmation by the store must be younger than maxConfirmationAge.
+//   - Without any proof or confirmation the refusal is temporary.
 func decideRefusal(table tableFreshness) refusal {
 	isNewest := table.isConfirmed && table.age < table.maxConfirmationAge()
 	if table.needsProof {
@@ -56,15 +55,12 @@
 	return refuseTemporarily
 }
 
-// maxConfirmationAge is how long a table that isn't proved counts as the newest after the store
-// confirmed it.
+// maxConfirmationAge returns how long a table without proofs counts as the newest after a
+// confirmation by the store.
 //
-// While a watch is held there is nothing to tell, and its answer confirms the table
-// again within the wait and the slack; a second slack is for the call that follows
-// (chosen, not measured). Where the last call failed, changes may have been missed, and
-// only those that are not yet due can't be among them: with the longer time a gateway
-// refused a route for good that had been added 2.2 s before, where changes are due
-// within 2 s.
+// A watch call without changes confirms the table again within its wait and slack. The
+// second slack covers the next call. After a failed call, changes may have been missed, so
+// the table counts as the newest only until those must be applied.
 func (f tableFreshness) maxConfirmationAge() time.Duration {
 	if f.lastCallFailed {
 		return f.applyLimit
@@ -72,12 +68,13 @@
 	return f.watchWait + 2*watchSlack
 }
 
-// isConfigurationNewest tells the relay whether to refuse a missing route or unknown key for good.
+// isConfigurationNewest reports whether a missing route or an unknown key is refused
+// permanently.
 func (g *Gateway) isConfigurationNewest() bool {
 	return decideRefusal(g.tableFreshness()) == refusePermanently
 }
 
-// tableFreshness gathers what is known now.
+// tableFreshness returns the current freshness of the active table.
 func (g *Gateway) tableFreshness() tableFreshness {
 	freshness := tableFreshness{
 		applyLimit: g.settings.ApplyLimit,
