--- a/node/gateway/metrics.go
+++ b/node/gateway/metrics.go
@@ -2,8 +2,8 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// registerMetrics adds what this package itself counts to the metrics. Other parts have
-// registered theirs when they were made.
+// registerMetrics registers the metrics of this package. Other packages register theirs in
+// their constructors.
 func (g *Gateway) registerMetrics() {
 	g.registerGauge("marblering_gateway_in_flight_requests", "Requests under way.",
 		func() float64 { return float64(g.relay.InFlight()) })
@@ -15,12 +15,12 @@
 	g.metrics.MustRegister(g.ejections, g.followers.storeCalls, g.invalidEntries.counter)
 }
 
-// registerGauge registers a value that is read when metrics are gathered.
+// registerGauge registers a gauge whose value is read on each scrape.
 func (g *Gateway) registerGauge(name, help string, value func() float64) {
 	g.metrics.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: name, Help: help}, value))
 }
 
-// registerCounter does the same for one that never falls.
+// registerCounter registers a counter whose value is read on each scrape.
 func (g *Gateway) registerCounter(name, help string, value func() uint64) {
 	g.metrics.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{Name: name, Help: help},
 		func() float64 { return float64(value()) }))
--- a/node/gateway/prober.go
+++ b/node/gateway/prober.go
@@ -14,17 +14,14 @@
 )
 
 const (
-	// probeInterval lies between two looks, and between two probes of storage nodes
-	// (chosen, not measured).
+	// probeInterval is the interval between checks of reachability, and between probes.
 	probeInterval = 200 * time.Millisecond
-	// probeTimeout bounds one probe; a node that is well answers within a few
-	// milliseconds (chosen, not measured).
+	// probeTimeout bounds one probe. A healthy node answers within a few milliseconds.
 	probeTimeout = 300 * time.Millisecond
 )
 
-// prober asks storage nodes whether they can be reached while none of them can be.
-// Turns are refused then, so that nothing else would notice their return. It is a suture
-// service.
+// prober is a suture service that probes storage nodes while none is reachable. Turns are
+// refused during that time, so no other call would detect that a node is back.
 type prober struct {
 	reachability *reach.Tracker
 	nodes        func() []netip.AddrPort
@@ -38,15 +35,15 @@
 	return &prober{reachability: g.storage.reachability, nodes: g.orderedHolders, watcher: g.storage.peers, logger: g.logger}
 }
 
-// String names the service in the supervisor's messages.
-func (p *prober) String() string { return "prober of storage nodes" }
+// String returns the name of the service in supervisor events.
+func (p *prober) String() string { return "storage node prober" }
 
 // Serve implements suture.Service.
 func (p *prober) Serve(ctx context.Context) error {
 	for sleep.For(ctx, probeInterval) == nil {
 		isCutOff := p.reachability.IsCutOff()
 		if isCutOff != p.wasCutOff {
-			p.logger.Info("reach of storage nodes changed", zap.Bool("cut_off", isCutOff))
+			p.logger.Info("storage node reachability changed", zap.Bool("cut_off", isCutOff))
 		}
 		p.wasCutOff = isCutOff
 		if isCutOff {
@@ -56,7 +53,7 @@
 	return ctx.Err()
 }
 
-// probe asks the next node for nothing in particular; any answer will do.
+// probe calls the next node. Any answer shows that the node is reachable.
 func (p *prober) probe(ctx context.Context) {
 	nodes := p.nodes()
 	if len(nodes) == 0 {
--- a/node/gateway/readiness.go
+++ b/node/gateway/readiness.go
@@ -8,16 +8,16 @@
 	"github.com/marblering/marblering/telemetry"
 )
 
-// What the checks of readiness report.
+// Failures of the readiness checks.
 var (
 	errNoConfiguration    = errors.New("no configuration yet")
-	errNoInstances        = errors.New("the instances aren't listed yet")
-	errCutOff             = errors.New("no storage node can be reached")
-	errStaleConfiguration = errors.New("the configuration isn't proved to be new enough for keys")
+	errNoInstances        = errors.New("no list of instances yet")
+	errCutOff             = errors.New("no storage node is reachable")
+	errStaleConfiguration = errors.New("the configuration is not proven fresh enough to accept keys")
 	errDraining           = errors.New("draining")
 )
 
-// operatorHandler serves metrics, health and readiness.
+// operatorHandler returns the handler of metrics, health and readiness checks.
 func (g *Gateway) operatorHandler() http.Handler {
 	readiness := telemetry.NewReadiness()
 	readiness.Add("configuration", g.checkConfiguration)
@@ -63,10 +63,9 @@
 	return nil
 }
 
-// isUnready tells that callers are better served elsewhere: this gateway is being
-// stopped, reaches no storage node and so can only refuse turns, or can't prove keys
-// valid. Callers keep their connections: without a sign they come back to it with each
-// turn.
+// isUnready reports whether callers should use another gateway: this one is draining,
+// reaches no storage node and must refuse turns, or cannot prove that keys are valid.
+// The relay then closes their connections, which they would otherwise reuse for each turn.
 func (g *Gateway) isUnready() bool {
 	return g.draining.Load() || g.storage.reachability.IsCutOff() || g.isTooStaleForKeys()
 }
