--- a/node/gateway/followplan_test.go
+++ b/node/gateway/followplan_test.go
@@ -11,12 +11,12 @@
 	"github.com/marblering/marblering/settings"
 )
 
-func TestFollowingOf(t *testing.T) {
+func TestNewFollowPlan(t *testing.T) {
 	const ms = time.Millisecond
 	limits := settings.Gateway{ApplyLimit: 2 * time.Second, UndisturbedTime: 3 * time.Second}
 	revoking := limits
 	revoking.RevokeLimit = 2400 * ms
-	usual := followPlan{
+	defaults := followPlan{
 		calls: follow.Settings{
 			ListTimeout: 1500 * ms, WatchWait: 1500 * ms, WatchSlack: 700 * ms,
 			Gather: 150 * ms, MinPause: 50 * ms, MaxPause: 250 * ms,
@@ -26,7 +26,7 @@
 			Patience: mirror.Patience{Unreached: 1125 * ms, Lost: 4000 * ms},
 		},
 	}
-	sets := followPlan{
+	replicaSets := followPlan{
 		calls: follow.Settings{
 			ListTimeout: 1500 * ms, WatchWait: 20_000 * ms, WatchSlack: 700 * ms,
 			Gather: 150 * ms, MinPause: 50 * ms, MaxPause: 400 * ms,
@@ -36,22 +36,22 @@
 			Patience: mirror.Patience{Unreached: 700 * ms, Lost: 4000 * ms},
 		},
 	}
-	proved := usual
-	proved.calls.MaxPause = 100 * ms
-	proved.holders.Wait, proved.holders.MaxAge, proved.holders.StorePause = 240*ms, 800*ms, 0
-	proved.pollInterval = 240 * ms
+	proven := defaults
+	proven.calls.MaxPause = 100 * ms
+	proven.holders.Wait, proven.holders.MaxAge, proven.holders.StorePause = 240*ms, 800*ms, 0
+	proven.pollInterval = 240 * ms
 	cases := []struct {
 		name   string
 		kind   string
 		limits settings.Gateway
 		want   followPlan
 	}{
-		{"configuration", mirror.KindConfiguration, limits, usual},
-		{"instances", mirror.KindInstances, limits, usual},
-		{"replica sets", mirror.KindSets, limits, sets},
-		{"configuration that has to be proved", mirror.KindConfiguration, revoking, proved},
-		{"instances beside it", mirror.KindInstances, revoking, usual},
-		{"replica sets beside it", mirror.KindSets, revoking, sets},
+		{"configuration", mirror.KindConfiguration, limits, defaults},
+		{"instances", mirror.KindInstances, limits, defaults},
+		{"replica sets", mirror.KindSets, limits, replicaSets},
+		{"configuration with a revoke limit", mirror.KindConfiguration, revoking, proven},
+		{"instances with a revoke limit", mirror.KindInstances, revoking, defaults},
+		{"replica sets with a revoke limit", mirror.KindSets, revoking, replicaSets},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -72,13 +72,13 @@
 	}
 }
 
-// TestHungCallIsNoticedBeforeTheLimitBinds again: a store that forgot a held call
-// while it was disturbed has kept a configuration back, and once it has been well
-// for the undisturbed time the gateway is answerable for using the newest.
-func TestHungCallIsNoticedBeforeTheLimitBinds(t *testing.T) {
+// TestHungWatchTimesOutWithinUndisturbedTime checks that a watch call that the store never
+// answers because of an outage times out before the apply limit applies again. Until then it
+// hides newer configurations.
+func TestHungWatchTimesOutWithinUndisturbedTime(t *testing.T) {
 	for _, undisturbed := range []time.Duration{2 * time.Second, 3 * time.Second, 4 * time.Second, time.Minute} {
-		noticed := watchWait(undisturbed) + watchSlack
-		assert.Assert(t, noticed+min(relistTime, undisturbed/10) <= undisturbed, "%s: noticed after %s", undisturbed, noticed)
+		detectedAfter := watchWait(undisturbed) + watchSlack
+		assert.Assert(t, detectedAfter+min(relistTime, undisturbed/10) <= undisturbed, "undisturbed time %s: detected after %s", undisturbed, detectedAfter)
 	}
 	assert.Equal(t, watchWait(0), minWatchWait)
 }
