--- a/node/gateway/revocation_test.go
+++ b/node/gateway/revocation_test.go
@@ -22,334 +22,332 @@
 	"github.com/marblering/marblering/test/bubble"
 )
 
-var revokeSequences = flag.Int("revoke-sequences", 150, "sequences of the model of revocation")
+var revokeSequences = flag.Int("revoke-sequences", 150, "number of sequences of the simulation of revocation")
 
-// The model: one object in a store, two storage nodes that ask it, two that follow
-// through these, two gateways. Every way between them may be slow, cut, or hold what
-// was sent back and deliver it late, which is also what a process that stands still
-// does to its own calls; nodes are started anew. Everything but the network is the
-// product's.
+// The simulation has a store with one object, two storage nodes that poll it, two that follow
+// through these, and two gateways. Links between them drop or delay requests and responses,
+// which also covers processes that pause, and storage nodes restart. Only the store and the
+// network are simulated.
 const (
-	revokeLimit    = 5 * time.Second
-	revokeDuration = 25 * time.Second
-	// revokeLookPause lies between two looks at what gateways would let in: a bound is
-	// broken for some tenths of a second at most.
-	revokeLookPause = 20 * time.Millisecond
-	revokeAskers    = 2
-	revokeHolders   = 4
-	revokeGateways  = 2
+	revokeLimit        = 5 * time.Second
+	revocationDuration = 25 * time.Second
+	// revocationCheckInterval is short, since violations last only some tenths of a second.
+	revocationCheckInterval = 20 * time.Millisecond
+	revocationStoreReaders  = 2
+	revocationHolders       = 4
+	revocationGateways      = 2
 )
 
-// revokeWorld is one sequence.
-type revokeWorld struct {
+// revocationSimulation is the state of one sequence.
+type revocationSimulation struct {
 	random *rand.Rand
-	// clockFromAnswer is a deliberate fault: proofs count from when the store answered.
-	clockFromAnswer bool
+	// proofFromResponse injects a bug: proofs count from the response instead of the request.
+	proofFromResponse bool
 
 	mutex sync.Mutex
-	// changed is when each revision of the object was acknowledged, from revision 1.
-	changed []time.Time
-	// troubled are the ways that are in trouble, by their ends.
-	troubled map[string]trouble
-	holders  map[netip.AddrPort]*mirror.Holder
+	// acknowledgedAt holds the time at which each revision was acknowledged, from revision 1.
+	acknowledgedAt []time.Time
+	// faults maps the names of links to their current faults.
+	faults  map[string]linkFault
+	holders map[netip.AddrPort]*mirror.Holder
 }
 
-// trouble is what happens to calls on one way.
-type trouble struct {
+// linkFault is a temporary fault of one link.
+type linkFault struct {
 	until time.Time
-	// isCut loses calls; else they are held up on the way there and back for so long.
-	isCut       bool
-	there, back time.Duration
+	// drops loses calls; otherwise they are delayed.
+	drops                       bool
+	requestDelay, responseDelay time.Duration
 }
 
-var errCut = errors.New("cut off")
+var errUnreachable = errors.New("unreachable")
 
-// travel makes a call on the way take its course.
-func (w *revokeWorld) travel(ctx context.Context, way string, act func() error) error {
-	w.mutex.Lock()
-	met := w.troubled[way]
-	w.mutex.Unlock()
-	if !time.Now().Before(met.until) {
-		met = trouble{there: time.Millisecond, back: time.Millisecond}
+// call simulates a call over the link; serve handles it at the other end.
+func (s *revocationSimulation) call(ctx context.Context, link string, serve func() error) error {
+	s.mutex.Lock()
+	fault := s.faults[link]
+	s.mutex.Unlock()
+	if !time.Now().Before(fault.until) {
+		fault = linkFault{requestDelay: time.Millisecond, responseDelay: time.Millisecond}
 	}
-	if met.isCut {
+	if fault.drops {
 		<-ctx.Done()
-		return errCut
+		return errUnreachable
 	}
-	if err := sleep.For(ctx, met.there); err != nil {
+	if err := sleep.For(ctx, fault.requestDelay); err != nil {
 		return err
 	}
-	if err := act(); err != nil {
+	if err := serve(); err != nil {
 		return err
 	}
-	return sleep.For(ctx, met.back)
+	return sleep.For(ctx, fault.responseDelay)
 }
 
-// modelStore is the store as one node asks it. It implements follow.Source.
-type modelStore struct {
-	world *revokeWorld
-	node  string
+// simulatedStore is the store as called by one node. It implements follow.Source.
+type simulatedStore struct {
+	simulation *revocationSimulation
+	node       string
 }
 
-func (s modelStore) List(ctx context.Context) (follow.Snapshot, error) {
+func (s simulatedStore) List(ctx context.Context) (follow.Snapshot, error) {
 	var snapshot follow.Snapshot
-	err := s.world.travel(ctx, s.node+" store", func() error {
-		s.world.mutex.Lock()
-		defer s.world.mutex.Unlock()
-		at := int64(len(s.world.changed))
+	err := s.simulation.call(ctx, s.node+" store", func() error {
+		s.simulation.mutex.Lock()
+		defer s.simulation.mutex.Unlock()
+		at := int64(len(s.simulation.acknowledgedAt))
 		snapshot = follow.Snapshot{At: at, Objects: []follow.Object{{Name: "main", Revision: at}}}
 		return nil
 	})
 	return snapshot, err
 }
 
-func (modelStore) Watch(context.Context, int64, time.Duration) (follow.Changes, error) {
-	return follow.Changes{}, errors.New("the model's store is only listed")
+func (simulatedStore) Watch(context.Context, int64, time.Duration) (follow.Changes, error) {
+	return follow.Changes{}, errors.New("the simulated store has no watch calls")
 }
 
-// fromAnswer is the deliberate fault.
-type fromAnswer struct{ follow.Source }
+// proofFromResponseSource injects the bug of proofFromResponse.
+type proofFromResponseSource struct{ follow.Source }
 
-func (f fromAnswer) List(ctx context.Context) (follow.Snapshot, error) {
+func (f proofFromResponseSource) List(ctx context.Context) (follow.Snapshot, error) {
 	snapshot, err := f.Source.List(ctx)
 	snapshot.Proved = time.Now()
 	return snapshot, err
 }
 
-func (f fromAnswer) Watch(ctx context.Context, from int64, wait time.Duration) (follow.Changes, error) {
+func (f proofFromResponseSource) Watch(ctx context.Context, from int64, wait time.Duration) (follow.Changes, error) {
 	changes, err := f.Source.Watch(ctx, from, wait)
 	changes.Proved = time.Now()
 	return changes, err
 }
 
-// modelNetwork is the network as one node sees it. It implements mirror.Watcher as
-// peer.Client does: what a holder knows counts from when it was asked.
-type modelNetwork struct {
-	world *revokeWorld
-	node  string
+// simulatedNetwork is the network as used by one node. It implements mirror.Watcher like
+// peer.Client: the proof in an answer counts from the request.
+type simulatedNetwork struct {
+	simulation *revocationSimulation
+	node       string
 }
 
-func (n modelNetwork) WatchMirror(ctx context.Context, address netip.AddrPort, kind string, revision int64, wait time.Duration) (mirror.Answer, error) {
-	asked := time.Now()
-	var said mirror.Answer
+func (n simulatedNetwork) WatchMirror(ctx context.Context, address netip.AddrPort, kind string, revision int64, wait time.Duration) (mirror.Answer, error) {
+	sent := time.Now()
+	var answer mirror.Answer
 	var arrived time.Time
-	err := n.world.travel(ctx, n.node+" "+address.String(), func() error {
-		n.world.mutex.Lock()
-		holder := n.world.holders[address]
-		n.world.mutex.Unlock()
+	err := n.simulation.call(ctx, n.node+" "+address.String(), func() error {
+		n.simulation.mutex.Lock()
+		holder := n.simulation.holders[address]
+		n.simulation.mutex.Unlock()
 		if holder == nil {
-			return errCut
+			return errUnreachable
 		}
 		arrived = time.Now()
-		said = holder.Watch(ctx, kind, revision, wait)
+		answer = holder.Watch(ctx, kind, revision, wait)
 		return nil
 	})
 	if err != nil {
 		return nil, err
 	}
-	if current, is := said.(mirror.Current); is && !current.Changes.Proved.IsZero() {
-		current.Changes.Proved = asked.Add(-arrived.Sub(current.Changes.Proved))
+	if current, ok := answer.(mirror.Current); ok && !current.Changes.Proved.IsZero() {
+		current.Changes.Proved = sent.Add(-arrived.Sub(current.Changes.Proved))
 		return current, nil
 	}
-	return said, nil
+	return answer, nil
 }
 
-func modelAddress(index int) netip.AddrPort {
+func holderAddress(index int) netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(index + 1)}), 1)
 }
 
-// source is the store as a node polls it.
-func (w *revokeWorld) source(node string) follow.Source {
-	polled := follow.Polled(modelStore{w, node}, mirror.ProofInterval(revokeLimit), time.Now)
-	if w.clockFromAnswer {
-		return fromAnswer{polled}
+// source returns the store as polled by the node.
+func (s *revocationSimulation) source(node string) follow.Source {
+	polled := follow.Polled(simulatedStore{s, node}, mirror.ProofInterval(revokeLimit), time.Now)
+	if s.proofFromResponse {
+		return proofFromResponseSource{polled}
 	}
 	return polled
 }
 
-func (w *revokeWorld) startHolder(ctx context.Context, t *testing.T, index int) {
+func (s *revocationSimulation) startHolder(ctx context.Context, t *testing.T, index int) {
 	t.Helper()
-	address := modelAddress(index)
+	address := holderAddress(index)
 	holder, err := mirror.NewHolder(mirror.Kinds(), replica.NewMemory(), time.Now, zap.NewNop())
 	assert.NilError(t, err)
 	upstreams := mirror.NewHolders(func() []netip.AddrPort {
-		if index < revokeAskers {
+		if index < revocationStoreReaders {
 			return nil
 		}
-		return []netip.AddrPort{modelAddress(index % revokeAskers), modelAddress((index + 1) % revokeAskers)}
+		return []netip.AddrPort{holderAddress(index % revocationStoreReaders), holderAddress((index + 1) % revocationStoreReaders)}
 	}, time.Now)
-	bounds := follow.DefaultSettings()
-	bounds.ListTimeout, bounds.WatchWait, bounds.WatchSlack = time.Second, mirror.ProofInterval(revokeLimit), 400*time.Millisecond
+	calls := follow.DefaultSettings()
+	calls.ListTimeout, calls.WatchWait, calls.WatchSlack = time.Second, mirror.ProofInterval(revokeLimit), 400*time.Millisecond
 	patience := mirror.Patience{Unreached: time.Second, Lost: mirror.ProofInterval(revokeLimit)}
 	follower := follow.New(follow.Options{
-		Name: mirror.KindConfiguration, Settings: bounds, Logger: zap.NewNop(), Now: time.Now,
-		Source: mirror.NewSource(mirror.KindConfiguration, w.source(address.String()), upstreams, modelNetwork{w, address.String()},
+		Name: mirror.KindConfiguration, Settings: calls, Logger: zap.NewNop(), Now: time.Now,
+		Source: mirror.NewSource(mirror.KindConfiguration, s.source(address.String()), upstreams, simulatedNetwork{s, address.String()},
 			mirror.SourceSettings{Wait: 300 * time.Millisecond, MaxAge: 3 * time.Second, Patience: patience}, zap.NewNop()),
 		Apply: func(snapshot follow.Snapshot) { holder.Keep(mirror.KindConfiguration, snapshot) },
 		Lost:  func() { holder.Lost(mirror.KindConfiguration) },
 	})
 	holder.Through(mirror.KindConfiguration, follower)
-	w.mutex.Lock()
-	w.holders[address] = holder
-	w.mutex.Unlock()
+	s.mutex.Lock()
+	s.holders[address] = holder
+	s.mutex.Unlock()
 	go func() { _ = follower.Serve(ctx) }()
 }
 
-// modelGateway is a gateway's follower and the revision that it applied.
-type modelGateway struct {
+// simulatedGateway is the follower of a gateway and the revision that it applied.
+type simulatedGateway struct {
 	follower *follow.Follower
 	mutex    sync.Mutex
-	known    int64
+	revision int64
 }
 
-func (w *revokeWorld) startGateway(ctx context.Context, node string) *modelGateway {
-	started := &modelGateway{}
+func (s *revocationSimulation) startGateway(ctx context.Context, node string) *simulatedGateway {
+	gateway := &simulatedGateway{}
 	holders := mirror.NewHolders(func() []netip.AddrPort {
-		return mirror.Spread(node, []netip.AddrPort{modelAddress(0), modelAddress(1), modelAddress(2), modelAddress(3)})
+		return mirror.Spread(node, []netip.AddrPort{holderAddress(0), holderAddress(1), holderAddress(2), holderAddress(3)})
 	}, time.Now)
 	limits := settings.Gateway{ApplyLimit: 3 * time.Second, UndisturbedTime: 4 * time.Second}
-	started.follower = follow.New(follow.Options{
+	gateway.follower = follow.New(follow.Options{
 		Name: mirror.KindConfiguration, Settings: callSettings(limits), Logger: zap.NewNop(), Now: time.Now,
-		Source: mirror.NewSource(mirror.KindConfiguration, w.source(node), holders, modelNetwork{w, node},
+		Source: mirror.NewSource(mirror.KindConfiguration, s.source(node), holders, simulatedNetwork{s, node},
 			provenHolderSettings(revokeLimit, holderSettings(limits)), zap.NewNop()),
 		Apply: func(snapshot follow.Snapshot) {
-			started.mutex.Lock()
-			defer started.mutex.Unlock()
-			started.known = max(started.known, snapshot.Objects[0].Revision)
+			gateway.mutex.Lock()
+			defer gateway.mutex.Unlock()
+			gateway.revision = max(gateway.revision, snapshot.Objects[0].Revision)
 		},
 	})
-	go func() { _ = started.follower.Serve(ctx) }()
-	return started
+	go func() { _ = gateway.follower.Serve(ctx) }()
+	return gateway
 }
 
-// isBroken tells that the gateway would let a key in though a configuration without
-// it was acknowledged longer ago than the limit; isServing that it lets keys in.
-func (w *revokeWorld) isBroken(g *modelGateway) (broken, serving bool) {
+// check reports whether the gateway accepts a key that was revoked longer ago than the limit,
+// and whether it accepts keys at all.
+func (s *revocationSimulation) check(g *simulatedGateway) (violated, serving bool) {
 	staleness, known := g.follower.Staleness()
 	if !known || staleness > revokeLimit {
 		return false, false
 	}
 	g.mutex.Lock()
-	revision := g.known
+	revision := g.revision
 	g.mutex.Unlock()
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	if revision >= int64(len(w.changed)) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	if revision >= int64(len(s.acknowledgedAt)) {
 		return false, true
 	}
-	return time.Since(w.changed[revision]) > revokeLimit, true
+	return time.Since(s.acknowledgedAt[revision]) > revokeLimit, true
 }
 
-// trouble brings one way into trouble, or the store for several nodes.
-func (w *revokeWorld) trouble() {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	span := func(most time.Duration) time.Duration { return time.Duration(w.random.Int64N(int64(most))) }
-	// Mostly delays that calls bear: those that are longer only end them.
-	longest := []time.Duration{300 * time.Millisecond, 490 * time.Millisecond, 4 * time.Second}[w.random.IntN(3)]
-	met := trouble{until: time.Now().Add(span(8 * time.Second)), isCut: w.random.IntN(2) == 0, there: span(longest), back: span(longest)}
+// injectFault injects a fault of one link, or of the links of several nodes to the store.
+func (s *revocationSimulation) injectFault() {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	randomDuration := func(limit time.Duration) time.Duration { return time.Duration(s.random.Int64N(int64(limit))) }
+	// Mostly delays below the timeouts of calls: longer ones only make calls fail.
+	longest := []time.Duration{300 * time.Millisecond, 490 * time.Millisecond, 4 * time.Second}[s.random.IntN(3)]
+	fault := linkFault{until: time.Now().Add(randomDuration(8 * time.Second)), drops: s.random.IntN(2) == 0, requestDelay: randomDuration(longest), responseDelay: randomDuration(longest)}
 	nodes := []string{"edge-0", "edge-1"}
-	for index := range revokeHolders {
-		nodes = append(nodes, modelAddress(index).String())
+	for index := range revocationHolders {
+		nodes = append(nodes, holderAddress(index).String())
 	}
-	if w.random.IntN(3) > 0 {
+	if s.random.IntN(3) > 0 {
 		ends := append(nodes[:len(nodes):len(nodes)], "store")
-		w.troubled[nodes[w.random.IntN(len(nodes))]+" "+ends[w.random.IntN(len(ends))]] = met
+		s.faults[nodes[s.random.IntN(len(nodes))]+" "+ends[s.random.IntN(len(ends))]] = fault
 		return
 	}
-	share := w.random.Float64()
+	fraction := s.random.Float64()
 	for _, node := range nodes {
-		if w.random.Float64() < share {
-			w.troubled[node+" store"] = met
+		if s.random.Float64() < fraction {
+			s.faults[node+" store"] = fault
 		}
 	}
 }
 
-// play runs one sequence. It returns how many of its looks found the bound broken, and
-// how many found a gateway that serves keys.
-func playRevocation(t *testing.T, seed uint64, clockFromAnswer bool) (broken, serving, looks int) {
+// simulateRevocation runs one sequence. It returns the number of checks of gateways, of
+// those that found a violation and of those that found the gateway accepting keys.
+func simulateRevocation(t *testing.T, seed uint64, proofFromResponse bool) (violations, serving, checks int) {
 	bubble.Test(t, func(t *testing.T) {
-		w := &revokeWorld{
-			random: rand.New(rand.NewPCG(seed, 1)), clockFromAnswer: clockFromAnswer,
-			changed: []time.Time{time.Now()}, troubled: make(map[string]trouble), holders: make(map[netip.AddrPort]*mirror.Holder),
+		s := &revocationSimulation{
+			random: rand.New(rand.NewPCG(seed, 1)), proofFromResponse: proofFromResponse,
+			acknowledgedAt: []time.Time{time.Now()}, faults: make(map[string]linkFault), holders: make(map[netip.AddrPort]*mirror.Holder),
 		}
 		ctx, cancel := context.WithCancel(t.Context())
-		lives := make([]context.CancelFunc, revokeHolders)
-		for index := range revokeHolders {
-			life, end := context.WithCancel(ctx)
-			lives[index] = end
-			w.startHolder(life, t, index)
+		stopHolder := make([]context.CancelFunc, revocationHolders)
+		for index := range revocationHolders {
+			holderCtx, stop := context.WithCancel(ctx)
+			stopHolder[index] = stop
+			s.startHolder(holderCtx, t, index)
 		}
-		gateways := make([]*modelGateway, revokeGateways)
+		gateways := make([]*simulatedGateway, revocationGateways)
 		for index := range gateways {
-			gateways[index] = w.startGateway(ctx, []string{"edge-0", "edge-1"}[index])
+			gateways[index] = s.startGateway(ctx, []string{"edge-0", "edge-1"}[index])
 		}
-		look := func() {
-			for _, one := range gateways {
-				isBroken, isServing := w.isBroken(one)
-				looks++
-				if isBroken {
-					broken++
+		checkGateways := func() {
+			for _, gateway := range gateways {
+				isViolated, isServing := s.check(gateway)
+				checks++
+				if isViolated {
+					violations++
 				}
 				if isServing {
 					serving++
 				}
 			}
 		}
-		for began := time.Now(); time.Since(began) < revokeDuration; {
-			next := time.Now().Add(time.Duration(w.random.Int64N(int64(300 * time.Millisecond))))
+		for began := time.Now(); time.Since(began) < revocationDuration; {
+			next := time.Now().Add(time.Duration(s.random.Int64N(int64(300 * time.Millisecond))))
 			for time.Now().Before(next) {
-				time.Sleep(min(revokeLookPause, time.Until(next)))
+				time.Sleep(min(revocationCheckInterval, time.Until(next)))
 				synctest.Wait()
-				look()
+				checkGateways()
 			}
-			switch w.random.IntN(12) {
+			switch s.random.IntN(12) {
 			case 0, 4:
-				w.mutex.Lock()
-				w.changed = append(w.changed, time.Now())
-				w.mutex.Unlock()
+				s.mutex.Lock()
+				s.acknowledgedAt = append(s.acknowledgedAt, time.Now())
+				s.mutex.Unlock()
 			case 1, 2:
-				w.trouble()
+				s.injectFault()
 			case 3:
-				if index := w.random.IntN(4 * revokeHolders); index < revokeHolders {
-					lives[index]()
-					life, end := context.WithCancel(ctx)
-					lives[index] = end
-					w.startHolder(life, t, index)
+				if index := s.random.IntN(4 * revocationHolders); index < revocationHolders {
+					stopHolder[index]()
+					holderCtx, stop := context.WithCancel(ctx)
+					stopHolder[index] = stop
+					s.startHolder(holderCtx, t, index)
 				}
 			}
 		}
 		cancel()
 		synctest.Wait()
 	})
-	return broken, serving, looks
+	return violations, serving, checks
 }
 
-// TestNoKeyOutlivesTheLimit plays random troubles: no gateway takes a key for valid
-// longer after its removal than the limit, and most of the time keys are served.
-func TestNoKeyOutlivesTheLimit(t *testing.T) {
-	serving, looks := 0, 0
+// TestRevokedKeysAreRefusedWithinLimit checks under random faults that no gateway accepts a
+// key after the revoke limit, and that gateways accept valid keys most of the time.
+func TestRevokedKeysAreRefusedWithinLimit(t *testing.T) {
+	serving, checks := 0, 0
 	for seed := range uint64(*revokeSequences) {
-		broken, served, looked := playRevocation(t, seed, false)
-		assert.Equal(t, broken, 0, "seed %d", seed)
-		serving, looks = serving+served, looks+looked
+		violations, served, checked := simulateRevocation(t, seed, false)
+		assert.Equal(t, violations, 0, "seed %d", seed)
+		serving, checks = serving+served, checks+checked
 	}
-	t.Logf("%d sequences, keys served in %.3f of %d looks", *revokeSequences, float64(serving)/float64(looks), looks)
-	assert.Assert(t, 2*serving > looks)
+	t.Logf("%d sequences, keys accepted in %.3f of %d checks", *revokeSequences, float64(serving)/float64(checks), checks)
+	assert.Assert(t, 2*serving > checks)
 }
 
-// TestModelOfRevocationFindsAClockThatCountsFromTheAnswer shows that the check can
-// fail. Nodes pause for times of their own, so that sequences differ between runs: 21 of
-// 4500 find the fault, and 4000 miss it once in a hundred million runs.
-func TestModelOfRevocationFindsAClockThatCountsFromTheAnswer(t *testing.T) {
+// TestRevocationSimulationDetectsInjectedBug checks that the simulation can fail. Pauses of
+// nodes are random, so the sequences of a seed differ between runs, and few of them detect
+// the bug.
+func TestRevocationSimulationDetectsInjectedBug(t *testing.T) {
 	const sequences = 4000
-	broken := 0
+	violations := 0
 	for seed := range uint64(sequences) {
-		found, _, _ := playRevocation(t, seed, true)
-		if broken += found; broken > 0 {
-			t.Logf("found with seed %d", seed)
+		found, _, _ := simulateRevocation(t, seed, true)
+		if violations += found; violations > 0 {
+			t.Logf("detected with seed %d", seed)
 			break
 		}
 	}
-	assert.Assert(t, broken > 0, "the fault isn't found in %d sequences", sequences)
+	assert.Assert(t, violations > 0, "the injected bug was not detected in %d sequences", sequences)
 }
--- a/node/gateway/storeload_test.go
+++ b/node/gateway/storeload_test.go
@@ -23,23 +23,23 @@
 	"github.com/marblering/marblering/test/bubble"
 )
 
-// fleetStore is one kind in a store that many nodes follow. It counts the calls of
-// storage nodes and of gateways.
-type fleetStore struct {
-	mutex    sync.Mutex
-	objects  []follow.Object
-	revision int64
-	changed  chan struct{}
-	silent   bool
-	calls    map[string]int
+// fakeStore is a store with one kind of object. It counts the calls of storage nodes and of
+// gateways.
+type fakeStore struct {
+	mutex        sync.Mutex
+	objects      []follow.Object
+	revision     int64
+	changed      chan struct{}
+	unresponsive bool
+	calls        map[string]int
 }
 
-func newFleetStore() *fleetStore {
-	return &fleetStore{revision: 1, changed: make(chan struct{}), calls: make(map[string]int)}
+func newFakeStore() *fakeStore {
+	return &fakeStore{revision: 1, changed: make(chan struct{}), calls: make(map[string]int)}
 }
 
-// add makes one object more, and wakes the calls that are held.
-func (s *fleetStore) add(name string) {
+// add adds an object and completes waiting watch calls.
+func (s *fakeStore) add(name string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.revision++
@@ -48,20 +48,20 @@
 	s.changed = make(chan struct{})
 }
 
-func (s *fleetStore) setSilent(silent bool) {
+func (s *fakeStore) setUnresponsive(unresponsive bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.silent = silent
+	s.unresponsive = unresponsive
 }
 
-func (s *fleetStore) callsOf(role string) int {
+func (s *fakeStore) callCount(role string) int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.calls[role]
 }
 
-// look returns what there is after the revision.
-func (s *fleetStore) look(from int64) (found []follow.Object, at int64, changed chan struct{}, silent bool) {
+// changesAfter returns the objects that are newer than the revision.
+func (s *fakeStore) changesAfter(from int64) (found []follow.Object, at int64, changed chan struct{}, unresponsive bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	for _, object := range s.objects {
@@ -69,49 +69,49 @@
 			found = append(found, object)
 		}
 	}
-	return found, s.revision, s.changed, s.silent
+	return found, s.revision, s.changed, s.unresponsive
 }
 
-// roleCalls are the calls of one role's nodes. It implements follow.Source.
-type roleCalls struct {
-	store *fleetStore
+// roleSource is a follow.Source whose calls are counted for a role.
+type roleSource struct {
+	store *fakeStore
 	role  string
-	// quiet is a kind of which nothing is ever made: the store's revision rises
-	// without it.
-	quiet bool
+	// empty hides all objects, as for a kind without objects in a store whose revision
+	// increases.
+	empty bool
 }
 
-func (c roleCalls) count() {
-	c.store.mutex.Lock()
-	defer c.store.mutex.Unlock()
-	c.store.calls[c.role]++
+func (s roleSource) countCall() {
+	s.store.mutex.Lock()
+	defer s.store.mutex.Unlock()
+	s.store.calls[s.role]++
 }
 
-func (c roleCalls) look(from int64) (found []follow.Object, at int64, changed chan struct{}, silent bool) {
-	found, at, changed, silent = c.store.look(from)
-	if c.quiet {
+func (s roleSource) changesAfter(from int64) (found []follow.Object, at int64, changed chan struct{}, unresponsive bool) {
+	found, at, changed, unresponsive = s.store.changesAfter(from)
+	if s.empty {
 		found = nil
 	}
-	return found, at, changed, silent
+	return found, at, changed, unresponsive
 }
 
-func (c roleCalls) List(ctx context.Context) (follow.Snapshot, error) {
-	c.count()
-	found, at, _, silent := c.look(0)
-	if silent {
+func (s roleSource) List(ctx context.Context) (follow.Snapshot, error) {
+	s.countCall()
+	found, at, _, unresponsive := s.changesAfter(0)
+	if unresponsive {
 		<-ctx.Done()
 		return follow.Snapshot{}, ctx.Err()
 	}
 	return follow.Snapshot{Objects: found, At: at}, nil
 }
 
-func (c roleCalls) Watch(ctx context.Context, from int64, wait time.Duration) (follow.Changes, error) {
-	c.count()
+func (s roleSource) Watch(ctx context.Context, from int64, wait time.Duration) (follow.Changes, error) {
+	s.countCall()
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	for {
-		found, at, changed, silent := c.look(from)
-		if len(found) > 0 && !silent {
+		found, at, changed, unresponsive := s.changesAfter(from)
+		if len(found) > 0 && !unresponsive {
 			changes := follow.Changes{At: at}
 			for _, object := range found {
 				changes.Events = append(changes.Events, follow.Event{Object: object})
@@ -121,7 +121,7 @@
 		select {
 		case <-changed:
 		case <-timer.C:
-			if !silent {
+			if !unresponsive {
 				return follow.Changes{At: at}, nil
 			}
 			<-ctx.Done()
@@ -132,15 +132,15 @@
 	}
 }
 
-// fleetNetwork reaches the holders that are up. It implements mirror.Watcher.
-type fleetNetwork struct {
+// fakeNetwork is a mirror.Watcher that calls the started holders.
+type fakeNetwork struct {
 	mutex   sync.Mutex
 	holders map[netip.AddrPort]*mirror.Holder
 }
 
 var errRefused = errors.New("connection refused")
 
-func (n *fleetNetwork) WatchMirror(ctx context.Context, address netip.AddrPort, kind string, revision int64, wait time.Duration) (mirror.Answer, error) {
+func (n *fakeNetwork) WatchMirror(ctx context.Context, address netip.AddrPort, kind string, revision int64, wait time.Duration) (mirror.Answer, error) {
 	if err := sleep.For(ctx, fleetRoundTrip); err != nil {
 		return nil, err
 	}
@@ -153,28 +153,26 @@
 	return holder.Watch(ctx, kind, revision, wait), nil
 }
 
-func (n *fleetNetwork) open(address netip.AddrPort, holder *mirror.Holder) {
+func (n *fakeNetwork) addHolder(address netip.AddrPort, holder *mirror.Holder) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	n.holders[address] = holder
 }
 
-// testFleet has storage nodes in five zones and many gateways, all of which start
-// at once and follow one kind.
+// testFleet has storage nodes in five zones and many gateways, which all start at once.
 type testFleet struct {
-	store   *fleetStore
-	network *fleetNetwork
+	store   *fakeStore
+	network *fakeNetwork
 	members []register.Member
-	// knowing counts the gateways that heard of any object, and current those that
-	// heard of lateObject.
-	knowing, current atomic.Int64
+	// Numbers of gateways that received any object, and lateObject.
+	gatewaysWithObjects, gatewaysWithLateObject atomic.Int64
 }
 
-// lateObject is made while the store says nothing.
+// lateObject is the object that is added while the store does not respond.
 const lateObject = "late"
 
-// fleetKinds are what storage nodes follow.
-var fleetKinds = []string{
+// holderKinds are the kinds of objects that storage nodes follow.
+var holderKinds = []string{
 	mirror.KindConfiguration, mirror.KindInstances, mirror.KindSets, mirror.KindNodes, mirror.KindRetirements,
 }
 
@@ -182,10 +180,10 @@
 	fleetStorageNodes = 36
 	fleetZones        = 5
 	fleetApplyLimit   = 4 * time.Second
-	// fleetRoundTrip is how long the way to another node and back takes.
+	// fleetRoundTrip is the round-trip time between nodes.
 	fleetRoundTrip = time.Millisecond
-	// fleetSeedDelay is how much later than gateways storage nodes listen.
-	fleetSeedDelay = 300 * time.Millisecond
+	// storeReaderStartDelay delays the storage nodes that ask the store directly.
+	storeReaderStartDelay = 300 * time.Millisecond
 )
 
 func (f *testFleet) start(ctx context.Context, t *testing.T, gateways int) {
@@ -209,30 +207,31 @@
 	holder, err := mirror.NewHolder(mirror.Kinds(), replica.NewMemory(), time.Now, zap.NewNop())
 	assert.NilError(t, err)
 	upstreams := mirror.NewHolders(func() []netip.AddrPort { return mirror.Upstreams(self, f.members, nil) }, time.Now)
-	for _, kind := range fleetKinds {
-		f.follow(ctx, kind, holder, upstreams)
+	for _, kind := range holderKinds {
+		f.startHolderFollower(ctx, kind, holder, upstreams)
 	}
-	// Those that ask the store start last, as the machines that the settings name do.
+	// Nodes that ask the store directly start last, as seeds do.
 	delay := time.Duration(0)
 	if len(mirror.Upstreams(self, f.members, nil)) == 0 {
-		delay = fleetSeedDelay
+		delay = storeReaderStartDelay
 	}
 	time.AfterFunc(delay, func() {
-		f.network.open(netip.MustParseAddrPort(self.Address), holder)
+		f.network.addHolder(netip.MustParseAddrPort(self.Address), holder)
 	})
 }
 
-// follow has a storage node follow a kind, through others where it has upstreams.
-func (f *testFleet) follow(ctx context.Context, kind string, holder *mirror.Holder, upstreams *mirror.Holders) {
-	through := mirror.SourceSettings{
+// startHolderFollower starts a follower of one kind for a storage node. It asks upstreams,
+// or the store if there are none.
+func (f *testFleet) startHolderFollower(ctx context.Context, kind string, holder *mirror.Holder, upstreams *mirror.Holders) {
+	sourceSettings := mirror.SourceSettings{
 		Wait: 300 * time.Millisecond, MaxAge: fleetApplyLimit,
 		Patience: mirror.Patience{Unreached: time.Second, Lost: 2 * time.Second},
 	}
-	bounds := follow.DefaultSettings()
-	bounds.ListTimeout, bounds.WatchWait, bounds.WatchSlack = time.Second, 3300*time.Millisecond, 400*time.Millisecond
+	calls := follow.DefaultSettings()
+	calls.ListTimeout, calls.WatchWait, calls.WatchSlack = time.Second, 3300*time.Millisecond, 400*time.Millisecond
 	follower := follow.New(follow.Options{
-		Name: kind, Settings: bounds, Logger: zap.NewNop(), Now: time.Now,
-		Source: mirror.NewSource(kind, roleCalls{store: f.store, role: "storage", quiet: kind != mirror.KindInstances}, upstreams, f.network, through, zap.NewNop()),
+		Name: kind, Settings: calls, Logger: zap.NewNop(), Now: time.Now,
+		Source: mirror.NewSource(kind, roleSource{store: f.store, role: "storage", empty: kind != mirror.KindInstances}, upstreams, f.network, sourceSettings, zap.NewNop()),
 		Apply:  func(snapshot follow.Snapshot) { holder.Keep(kind, snapshot) },
 		Lost:   func() { holder.Lost(kind) },
 	})
@@ -240,7 +239,7 @@
 	go func() { _ = follower.Serve(ctx) }()
 }
 
-// gatewayLimits are those that the gateways of the fleet are set to.
+// gatewayLimits returns the settings of the gateways.
 func (f *testFleet) gatewayLimits() settings.Gateway {
 	return settings.Gateway{ApplyLimit: fleetApplyLimit, UndisturbedTime: 5 * time.Second}
 }
@@ -248,17 +247,17 @@
 func (f *testFleet) startGateway(ctx context.Context, name, zone string) {
 	holders := mirror.NewHolders(func() []netip.AddrPort { return mirror.Near(zone, name, f.members) }, time.Now)
 	limits := f.gatewayLimits()
-	var heard, heardLate sync.Once
+	var received, receivedLate sync.Once
 	follower := follow.New(follow.Options{
 		Name: mirror.KindInstances, Settings: callSettings(limits), Logger: zap.NewNop(), Now: time.Now,
-		Source: mirror.NewSource(mirror.KindInstances, roleCalls{store: f.store, role: "gateway"}, holders, f.network, holderSettings(limits), zap.NewNop()),
+		Source: mirror.NewSource(mirror.KindInstances, roleSource{store: f.store, role: "gateway"}, holders, f.network, holderSettings(limits), zap.NewNop()),
 		Apply: func(snapshot follow.Snapshot) {
 			if len(snapshot.Objects) > 0 {
-				heard.Do(func() { f.knowing.Add(1) })
+				received.Do(func() { f.gatewaysWithObjects.Add(1) })
 			}
 			for _, object := range snapshot.Objects {
 				if object.Name == lateObject {
-					heardLate.Do(func() { f.current.Add(1) })
+					receivedLate.Do(func() { f.gatewaysWithLateObject.Add(1) })
 				}
 			}
 		},
@@ -266,49 +265,48 @@
 	go func() { _ = follower.Serve(ctx) }()
 }
 
-// regainedWithin is how soon after the store's return every gateway has to know of
-// what was changed meanwhile: the shortest undisturbed time of a deployment.
-const regainedWithin = 3 * time.Second
+// recoveryTime is the time after an outage of the store within which every gateway must
+// have received the changes: the shortest undisturbed time of a deployment.
+const recoveryTime = 3 * time.Second
 
-// TestGatewaysThatStartTogetherCostTheStoreNothing: what the store is asked for
-// grows with neither zones nor gateways, while instances register,
-// and while the store says nothing for some seconds. Where it is away for longer,
-// a gateway asks it itself once in a while. Either way all of them soon know of
-// what was changed meanwhile.
-func TestGatewaysThatStartTogetherCostTheStoreNothing(t *testing.T) {
+// TestStoreLoadIsIndependentOfGatewayCount checks that gateways do not call the store when
+// they start together, while instances register, or during a short outage of the store.
+// During a long outage each gateway calls it occasionally. After both, all gateways receive
+// the changes in time.
+func TestStoreLoadIsIndependentOfGatewayCount(t *testing.T) {
 	for name, c := range map[string]struct {
 		gateways int
-		silence  time.Duration
-		// most is the most calls of gateways, mostStorage of storage nodes for all kinds.
-		most, mostStorage int
+		outage   time.Duration
+		// Limits of the calls of gateways, and of storage nodes for all kinds.
+		maxGatewayCalls, maxStorageNodeCalls int
 	}{
-		"hundred":  {gateways: 100, silence: 4500 * time.Millisecond, mostStorage: 240},
-		"thousand": {gateways: 1000, silence: 4500 * time.Millisecond, mostStorage: 240},
-		"long":     {gateways: 100, silence: 12 * time.Second, most: 200, mostStorage: 900},
+		"hundred":     {gateways: 100, outage: 4500 * time.Millisecond, maxStorageNodeCalls: 240},
+		"thousand":    {gateways: 1000, outage: 4500 * time.Millisecond, maxStorageNodeCalls: 240},
+		"long outage": {gateways: 100, outage: 12 * time.Second, maxGatewayCalls: 200, maxStorageNodeCalls: 900},
 	} {
 		t.Run(name, func(t *testing.T) {
 			bubble.Test(t, func(t *testing.T) {
 				ctx, cancel := context.WithCancel(t.Context())
-				fleet := &testFleet{store: newFleetStore(), network: &fleetNetwork{holders: make(map[netip.AddrPort]*mirror.Holder)}}
+				fleet := &testFleet{store: newFakeStore(), network: &fakeNetwork{holders: make(map[netip.AddrPort]*mirror.Holder)}}
 				fleet.store.add("instance")
 				fleet.start(ctx, t, c.gateways)
 				time.Sleep(2 * time.Second)
 				synctest.Wait()
-				assert.Equal(t, fleet.knowing.Load(), int64(c.gateways))
-				fleet.register()
+				assert.Equal(t, fleet.gatewaysWithObjects.Load(), int64(c.gateways))
+				fleet.addInstances()
 				time.Sleep(5 * time.Second)
-				fleet.store.setSilent(true)
-				time.Sleep(c.silence)
+				fleet.store.setUnresponsive(true)
+				time.Sleep(c.outage)
 				fleet.store.add(lateObject)
-				fleet.store.setSilent(false)
-				time.Sleep(regainedWithin)
+				fleet.store.setUnresponsive(false)
+				time.Sleep(recoveryTime)
 				synctest.Wait()
-				assert.Equal(t, fleet.current.Load(), int64(c.gateways))
+				assert.Equal(t, fleet.gatewaysWithLateObject.Load(), int64(c.gateways))
 				time.Sleep(10 * time.Second)
-				ofStorage, ofGateways := fleet.store.callsOf("storage"), fleet.store.callsOf("gateway")
-				t.Logf("%d gateways: %d calls of storage nodes, %d of gateways", c.gateways, ofStorage, ofGateways)
-				assert.Assert(t, ofGateways <= c.most, "%d calls", ofGateways)
-				assert.Assert(t, ofStorage <= c.mostStorage, "%d calls", ofStorage)
+				storageNodeCalls, gatewayCalls := fleet.store.callCount("storage"), fleet.store.callCount("gateway")
+				t.Logf("%d gateways: %d calls of storage nodes, %d of gateways", c.gateways, storageNodeCalls, gatewayCalls)
+				assert.Assert(t, gatewayCalls <= c.maxGatewayCalls, "%d calls of gateways", gatewayCalls)
+				assert.Assert(t, storageNodeCalls <= c.maxStorageNodeCalls, "%d calls of storage nodes", storageNodeCalls)
 				cancel()
 				synctest.Wait()
 			})
@@ -316,8 +314,8 @@
 	}
 }
 
-// register adds instances one after the other.
-func (f *testFleet) register() {
+// addInstances adds instances one by one.
+func (f *testFleet) addInstances() {
 	const instances = 140
 	for index := range instances {
 		f.store.add(fmt.Sprint("instance-", index))
