--- a/node/gateway/gateway.go
+++ b/node/gateway/gateway.go
@@ -115,13 +115,13 @@
 	if err := g.openListeners(); err != nil {
 		return nil, err
 	}
-	services, stop := context.WithCancel(context.Background())
+	servicesCtx, stop := context.WithCancel(context.Background())
 	supervisor := suture.New("gateway", suture.Spec{EventHook: g.logSupervisorEvent})
 	for _, service := range g.services() {
 		supervisor.Add(service)
 	}
 	g.stop = stop
-	g.stopped = supervisor.ServeBackground(services)
+	g.stopped = supervisor.ServeBackground(servicesCtx)
 	logger.Info("started", zap.String("caller_address", g.CallerAddress()),
 		zap.String("operator_address", g.OperatorAddress()), zap.String("store", loaded.StoreURL))
 	return g, nil
@@ -196,8 +196,8 @@
 	if g.callers, err = listenCallers(g.settings.CallerListen, g.relay, g.logger); err != nil {
 		return err
 	}
-	operators := &http.Server{Handler: g.operatorHandler(), ReadHeaderTimeout: listener.HeaderTimeout}
-	g.operatorListener, err = listener.Open("operators", g.settings.OperatorListen.String(), operators)
+	operatorServer := &http.Server{Handler: g.operatorHandler(), ReadHeaderTimeout: listener.HeaderTimeout}
+	g.operatorListener, err = listener.Open("operators", g.settings.OperatorListen.String(), operatorServer)
 	return err
 }
 
--- a/node/gateway/instances.go
+++ b/node/gateway/instances.go
@@ -37,7 +37,7 @@
 	gone, kept := g.backends.Replace(g.decodeInstances(snapshot))
 	g.closeConnections(gone)
 	if kept > 0 {
-		g.logger.Warn("many instance entries expired at once, keeping the instances", zap.Int64("revision", snapshot.At), zap.Int("kept", kept))
+		g.logger.Warn("instance entries expired together, keeping the instances for now", zap.Int64("revision", snapshot.At), zap.Int("kept", kept))
 		time.AfterFunc(backend.LapseTime, g.expireInstances)
 	}
 	g.instancesListed.Store(true)
