--- a/node/gateway/refusal_test.go
+++ b/node/gateway/refusal_test.go
@@ -9,47 +9,45 @@
 	"github.com/marblering/marblering/settings"
 )
 
-func TestRefusalOf(t *testing.T) {
-	// The trust time of a table that isn't proved is 2.5 s and twice the slack: 3.9 s.
+func TestDecideRefusal(t *testing.T) {
+	// The greatest confirmation age is 3.9 s: watchWait and twice watchSlack.
 	const applyLimit, watchWait = 3 * time.Second, 2500 * time.Millisecond
 	cases := []struct {
 		name  string
-		facts tableFacts
+		table tableFreshness
 		want  refusal
 	}{
-		{"nothing was heard", tableFacts{}, refuseForNow},
-		{"confirmed just now", tableFacts{isConfirmed: true}, refuseForGood},
-		{"confirmed before a held call", tableFacts{isConfirmed: true, age: 3800 * time.Millisecond}, refuseForGood},
-		{"confirmed too long ago", tableFacts{isConfirmed: true, age: 3900 * time.Millisecond}, refuseForNow},
-		{"the last call failed", tableFacts{isConfirmed: true, isLost: true, age: 2900 * time.Millisecond}, refuseForGood},
-		{"the last call failed, and changes are due", tableFacts{isConfirmed: true, isLost: true, age: applyLimit}, refuseForNow},
-		{"confirmed, but not proved", tableFacts{needsProof: true, isConfirmed: true}, refuseForNow},
-		{"proved just now", tableFacts{needsProof: true, isProved: true}, refuseForGood},
-		{"proved within the limit, the last call failed", tableFacts{needsProof: true, isProved: true, isLost: true, staleness: 2900 * time.Millisecond}, refuseForGood},
-		{"proved when changes are due", tableFacts{needsProof: true, isProved: true, isConfirmed: true, staleness: applyLimit}, refuseForNow},
-		{"proved, though no proof is needed", tableFacts{isProved: true}, refuseForNow},
+		{"no answer yet", tableFreshness{}, refuseTemporarily},
+		{"confirmed just now", tableFreshness{isConfirmed: true}, refusePermanently},
+		{"confirmed before a watch call", tableFreshness{isConfirmed: true, age: 3800 * time.Millisecond}, refusePermanently},
+		{"confirmed too long ago", tableFreshness{isConfirmed: true, age: 3900 * time.Millisecond}, refuseTemporarily},
+		{"the last call failed", tableFreshness{isConfirmed: true, lastCallFailed: true, age: 2900 * time.Millisecond}, refusePermanently},
+		{"the last call failed, and changes must be applied", tableFreshness{isConfirmed: true, lastCallFailed: true, age: applyLimit}, refuseTemporarily},
+		{"confirmed, but not proven", tableFreshness{needsProof: true, isConfirmed: true}, refuseTemporarily},
+		{"proven just now", tableFreshness{needsProof: true, isProved: true}, refusePermanently},
+		{"proven within the limit, the last call failed", tableFreshness{needsProof: true, isProved: true, lastCallFailed: true, staleness: 2900 * time.Millisecond}, refusePermanently},
+		{"proven so long ago that changes must be applied", tableFreshness{needsProof: true, isProved: true, isConfirmed: true, staleness: applyLimit}, refuseTemporarily},
+		{"proven, though no proof is needed", tableFreshness{isProved: true}, refuseTemporarily},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			c.facts.applyLimit, c.facts.watchWait = applyLimit, watchWait
-			assert.Equal(t, refusalOf(c.facts), c.want)
+			c.table.applyLimit, c.table.watchWait = applyLimit, watchWait
+			assert.Equal(t, decideRefusal(c.table), c.want)
 		})
 	}
 }
 
-// TestNothingIsRefusedForGoodByAnOldConfiguration: a gateway that hears from nobody can't
-// tell a path that nobody serves from a route that was added meanwhile. One that was to
-// hear of changes within 2 s refused an added route for good 2.2 s after it had heard of
-// anything.
-func TestNothingIsRefusedForGoodByAnOldConfiguration(t *testing.T) {
+// TestMaxConfirmationAge checks that a gateway without contact to the store does not
+// permanently refuse a route that was added in the meantime.
+func TestMaxConfirmationAge(t *testing.T) {
 	for _, limits := range []settings.Gateway{
 		{UndisturbedTime: 3 * time.Second, ApplyLimit: 2 * time.Second},
 		{UndisturbedTime: 5 * time.Second, ApplyLimit: 4 * time.Second},
 	} {
-		facts := tableFacts{applyLimit: limits.ApplyLimit, watchWait: watchWait(limits.UndisturbedTime)}
-		held := watchWait(limits.UndisturbedTime) + watchSlack
-		assert.Assert(t, facts.trustTime() > held, "calls are held for as long as that")
-		facts.isLost = true
-		assert.Equal(t, facts.trustTime(), limits.ApplyLimit)
+		table := tableFreshness{applyLimit: limits.ApplyLimit, watchWait: watchWait(limits.UndisturbedTime)}
+		maxCallTime := watchWait(limits.UndisturbedTime) + watchSlack
+		assert.Assert(t, table.maxConfirmationAge() > maxCallTime, "a watch call may take that long")
+		table.lastCallFailed = true
+		assert.Equal(t, table.maxConfirmationAge(), limits.ApplyLimit)
 	}
 }
