--- a/coordination/backend/ending.go
+++ b/coordination/backend/ending.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// Ending is the result of a request as a signal of its instance's health: Answered,
+// Outcome is the result of a request as a signal of its instance's health: Answered,
 // Broken, Waited or Unjudged.
-type Ending interface{ isEnding() }
+type Outcome interface{ isEnding() }
 
 // Answered is a complete response.
 type Answered struct {
--- a/coordination/backend/health.go
+++ b/coordination/backend/health.go
@@ -81,7 +81,7 @@
 // observe records how a request of the route ended and returns the instance's health
 // afterwards. Errors of the instance count as failures. Waits, including those of
 // abandoned requests, are compared with the baseline of the route.
-func (h *serviceHealth) observe(instance, route string, ending Ending, now time.Time) limit.EngineHealth {
+func (h *serviceHealth) observe(instance, route string, ending Outcome, now time.Time) limit.EngineHealth {
 	switch e := ending.(type) {
 	case Answered:
 		outcome := limit.Outcome{Failed: e.Faulty, Took: e.Wait}
--- a/coordination/backend/health_test.go
+++ b/coordination/backend/health_test.go
@@ -12,7 +12,7 @@
 )
 
 // serve completes requests at all instances in turn, each with the result of end.
-func serve(t *testing.T, pool *backend.Pool, instances, rounds int, end func(instance string, round int) backend.Ending) {
+func serve(t *testing.T, pool *backend.Pool, instances, rounds int, end func(instance string, round int) backend.Outcome) {
 	t.Helper()
 	for round := range rounds {
 		for i := range instances {
@@ -49,12 +49,12 @@
 	return counts
 }
 
-func respondFast(string, int) backend.Ending { return backend.Answered{Wait: 50 * time.Millisecond} }
+func respondFast(string, int) backend.Outcome { return backend.Answered{Wait: 50 * time.Millisecond} }
 
 // TestOutlierIsEjected covers instances that are slow, hang or fail while the others of
 // their service don't.
 func TestOutlierIsEjected(t *testing.T) {
-	for name, ending := range map[string]backend.Ending{
+	for name, ending := range map[string]backend.Outcome{
 		"slow":   backend.Answered{Wait: 500 * time.Millisecond},
 		"hangs":  backend.Waited{Wait: 3 * time.Second},
 		"faulty": backend.Answered{Wait: 20 * time.Millisecond, Faulty: true},
@@ -62,10 +62,10 @@
 		t.Run(name, func(t *testing.T) {
 			pool := newPool(newClock(), 4)
 			var ejected []string
-			pool.OnEjected(func(instance backend.Instance, _ backend.Ending) { ejected = append(ejected, instance.ID) })
+			pool.OnEjected(func(instance backend.Instance, _ backend.Outcome) { ejected = append(ejected, instance.ID) })
 			serve(t, pool, 4, 10, respondFast)
 			assert.Assert(t, distribution(t, pool)["i2"] > 0)
-			serve(t, pool, 4, 5, func(instance string, round int) backend.Ending {
+			serve(t, pool, 4, 5, func(instance string, round int) backend.Outcome {
 				if instance == "i2" {
 					return ending
 				}
@@ -91,7 +91,7 @@
 func TestIntermittentFailuresEject(t *testing.T) {
 	pool := newPool(newClock(), 4)
 	serve(t, pool, 4, 10, respondFast)
-	serve(t, pool, 4, 12, func(instance string, round int) backend.Ending {
+	serve(t, pool, 4, 12, func(instance string, round int) backend.Outcome {
 		return backend.Answered{Wait: 50 * time.Millisecond, Faulty: instance == "i2" && round%2 == 0}
 	})
 	assert.Equal(t, distribution(t, pool)["i2"], 0)
@@ -100,7 +100,7 @@
 // TestOverloadEjectsNothing guards against ejections if all instances of a service are
 // slow or time out.
 func TestOverloadEjectsNothing(t *testing.T) {
-	for name, ending := range map[string]backend.Ending{
+	for name, ending := range map[string]backend.Outcome{
 		"slow":    backend.Answered{Wait: 2 * time.Second},
 		"timeout": backend.Waited{Wait: 3 * time.Second},
 	} {
@@ -108,7 +108,7 @@
 			pool := newPool(newClock(), 4)
 			serve(t, pool, 4, 10, respondFast)
 			for range 40 {
-				serve(t, pool, 4, 1, func(string, int) backend.Ending { return ending })
+				serve(t, pool, 4, 1, func(string, int) backend.Outcome { return ending })
 				for i := range 4 {
 					c := acquireAt(t, pool, fmt.Sprint("i", i), 4)
 					assert.Equal(t, c.Release(backend.Unjudged{}), limit.Healthy)
@@ -181,7 +181,7 @@
 func TestStallTimeoutFollowsBaseline(t *testing.T) {
 	clk := newClock()
 	pool := newPool(clk, 4)
-	serve(t, pool, 4, 100, func(string, int) backend.Ending { return backend.Answered{Wait: 400 * time.Millisecond} })
+	serve(t, pool, 4, 100, func(string, int) backend.Outcome { return backend.Answered{Wait: 400 * time.Millisecond} })
 	acquireAt(t, pool, "i2", 4)
 	clk.now = clk.now.Add(1500 * time.Millisecond)
 	assert.Assert(t, distribution(t, pool)["i2"] > 0)
--- a/coordination/backend/pool.go
+++ b/coordination/backend/pool.go
@@ -20,7 +20,7 @@
 	now    func() time.Time
 	policy limit.EjectionPolicy
 	// onEjected is called for each ejected instance, with the ending that caused it.
-	onEjected func(Instance, Ending)
+	onEjected func(Instance, Outcome)
 	// onRestarted is called for each instance that was restarted under its ID.
 	onRestarted func(Restart)
 
@@ -37,7 +37,7 @@
 func NewPool(policy limit.EjectionPolicy, now func() time.Time) *Pool {
 	pool := &Pool{
 		now: now, policy: policy, ended: make(map[string]endedIncarnation),
-		onEjected: func(Instance, Ending) {}, onRestarted: func(Restart) {},
+		onEjected: func(Instance, Outcome) {}, onRestarted: func(Restart) {},
 	}
 	pool.current.Store(newSnapshot(nil, nil, policy))
 	return pool
@@ -112,7 +112,7 @@
 
 // OnEjected sets the function that is called for each ejected instance, with the ending
 // that caused it. It must be called before the pool is used.
-func (p *Pool) OnEjected(callback func(Instance, Ending)) { p.onEjected = callback }
+func (p *Pool) OnEjected(callback func(Instance, Outcome)) { p.onEjected = callback }
 
 // Known returns the instance with the ID.
 func (p *Pool) Known(id string) (Instance, bool) {
@@ -198,7 +198,7 @@
 
 // Release ends the assignment and returns the instance's health afterwards. Only the first
 // call has an effect.
-func (c *Choice) Release(ending Ending) limit.EngineHealth {
+func (c *Choice) Release(ending Outcome) limit.EngineHealth {
 	now := c.pool.now()
 	if c.released.Swap(true) {
 		return c.health.ejector.Health(c.Instance.ID, now)
--- a/node/gateway/instances.go
+++ b/node/gateway/instances.go
@@ -111,7 +111,7 @@
 
 // onInstanceEjected counts and logs the ejection of an instance, with the outcome of the
 // request that caused it.
-func (g *Gateway) onInstanceEjected(instance backend.Instance, ending backend.Ending) {
+func (g *Gateway) onInstanceEjected(instance backend.Instance, ending backend.Outcome) {
 	fields := []zap.Field{zap.String("instance", instance.ID), zap.String("service", instance.Service), zap.String("address", instance.Address)}
 	switch e := ending.(type) {
 	case backend.Answered:
--- a/transport/relay/attempt.go
+++ b/transport/relay/attempt.go
@@ -27,7 +27,7 @@
 }
 
 // ending returns what the attempt tells about the health of the instance.
-func (a *attempt) ending(ended outcome, now time.Time) backend.Ending {
+func (a *attempt) ending(ended outcome, now time.Time) backend.Outcome {
 	waited := now.Sub(a.started)
 	if a.status == http.StatusGatewayTimeout {
 		return backend.Waited{Wait: waited}
