--- a/coordination/backend/bench_test.go
+++ b/coordination/backend/bench_test.go
@@ -22,6 +22,6 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		choice.Release(backend.Answered{Wait: 50 * time.Millisecond})
+		choice.Release(backend.Completed{Wait: 50 * time.Millisecond})
 	}
 }
--- a/coordination/backend/ending.go
+++ b/coordination/backend/ending.go
@@ -6,8 +6,8 @@
 // Broken, Waited or Unjudged.
 type Outcome interface{ isEnding() }
 
-// Answered is a complete response.
-type Answered struct {
+// Completed is a complete response.
+type Completed struct {
 	// Wait is the time to the first event of a stream, or to the end of a plain response.
 	Wait time.Duration
 	// Faulty is set if the instance responded with a server error.
@@ -27,7 +27,7 @@
 // indicates load.
 type Unjudged struct{}
 
-func (Answered) isEnding() {}
-func (Broken) isEnding()   {}
-func (Waited) isEnding()   {}
-func (Unjudged) isEnding() {}
+func (Completed) isEnding() {}
+func (Broken) isEnding()    {}
+func (Waited) isEnding()    {}
+func (Unjudged) isEnding()  {}
--- a/coordination/backend/health.go
+++ b/coordination/backend/health.go
@@ -83,7 +83,7 @@
 // abandoned requests, are compared with the baseline of the route.
 func (h *serviceHealth) observe(instance, route string, ending Outcome, now time.Time) limit.EngineHealth {
 	switch e := ending.(type) {
-	case Answered:
+	case Completed:
 		outcome := limit.Outcome{Failed: e.Faulty, Took: e.Wait}
 		if !e.Faulty {
 			outcome.Expected = h.recordWait(route, e.Wait, now)
--- a/coordination/backend/health_test.go
+++ b/coordination/backend/health_test.go
@@ -49,15 +49,15 @@
 	return counts
 }
 
-func respondFast(string, int) backend.Outcome { return backend.Answered{Wait: 50 * time.Millisecond} }
+func respondFast(string, int) backend.Outcome { return backend.Completed{Wait: 50 * time.Millisecond} }
 
 // TestOutlierIsEjected covers instances that are slow, hang or fail while the others of
 // their service don't.
 func TestOutlierIsEjected(t *testing.T) {
 	for name, ending := range map[string]backend.Outcome{
-		"slow":   backend.Answered{Wait: 500 * time.Millisecond},
+		"slow":   backend.Completed{Wait: 500 * time.Millisecond},
 		"hangs":  backend.Waited{Wait: 3 * time.Second},
-		"faulty": backend.Answered{Wait: 20 * time.Millisecond, Faulty: true},
+		"faulty": backend.Completed{Wait: 20 * time.Millisecond, Faulty: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			pool := newPool(newClock(), 4)
@@ -82,7 +82,7 @@
 func TestSingleSlowResponseDoesNotEject(t *testing.T) {
 	pool := newPool(newClock(), 4)
 	serve(t, pool, 4, 10, respondFast)
-	acquireAt(t, pool, "i2", 4).Release(backend.Answered{Wait: 30 * time.Second})
+	acquireAt(t, pool, "i2", 4).Release(backend.Completed{Wait: 30 * time.Second})
 	assert.Assert(t, distribution(t, pool)["i2"] > 0)
 }
 
@@ -92,7 +92,7 @@
 	pool := newPool(newClock(), 4)
 	serve(t, pool, 4, 10, respondFast)
 	serve(t, pool, 4, 12, func(instance string, round int) backend.Outcome {
-		return backend.Answered{Wait: 50 * time.Millisecond, Faulty: instance == "i2" && round%2 == 0}
+		return backend.Completed{Wait: 50 * time.Millisecond, Faulty: instance == "i2" && round%2 == 0}
 	})
 	assert.Equal(t, distribution(t, pool)["i2"], 0)
 }
@@ -101,7 +101,7 @@
 // slow or time out.
 func TestOverloadEjectsNothing(t *testing.T) {
 	for name, ending := range map[string]backend.Outcome{
-		"slow":    backend.Answered{Wait: 2 * time.Second},
+		"slow":    backend.Completed{Wait: 2 * time.Second},
 		"timeout": backend.Waited{Wait: 3 * time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -181,7 +181,7 @@
 func TestStallTimeoutFollowsBaseline(t *testing.T) {
 	clk := newClock()
 	pool := newPool(clk, 4)
-	serve(t, pool, 4, 100, func(string, int) backend.Outcome { return backend.Answered{Wait: 400 * time.Millisecond} })
+	serve(t, pool, 4, 100, func(string, int) backend.Outcome { return backend.Completed{Wait: 400 * time.Millisecond} })
 	acquireAt(t, pool, "i2", 4)
 	clk.now = clk.now.Add(1500 * time.Millisecond)
 	assert.Assert(t, distribution(t, pool)["i2"] > 0)
--- a/coordination/backend/pool_test.go
+++ b/coordination/backend/pool_test.go
@@ -30,7 +30,7 @@
 func Example() {
 	pool := newPool(newClock(), 3)
 	first, _ := pool.Acquire(backend.Query{Service: "app", Key: "program"})
-	first.Release(backend.Answered{})
+	first.Release(backend.Completed{})
 	second, _ := pool.Acquire(backend.Query{Service: "app", Key: "program"})
 	fmt.Println(first.Instance.ID == second.Instance.ID, second.Preferred)
 	// Output: true true
@@ -108,7 +108,7 @@
 		choice, err := pool.Acquire(backend.Query{Service: "app"})
 		assert.NilError(t, err)
 		assert.Assert(t, choice.Instance.ID != "i0")
-		choice.Release(backend.Answered{})
+		choice.Release(backend.Completed{})
 	}
 	clk.now = clk.now.Add(1100 * time.Millisecond)
 	probe, err := pool.Acquire(backend.Query{Service: "app"})
@@ -117,7 +117,7 @@
 	other, err := pool.Acquire(backend.Query{Service: "app"})
 	assert.NilError(t, err)
 	assert.Assert(t, other.Instance.ID != "i0", "one probe at a time")
-	assert.Equal(t, probe.Release(backend.Answered{}), limit.Probed)
+	assert.Equal(t, probe.Release(backend.Completed{}), limit.Probed)
 }
 
 // TestAllEjected checks that failing instances are used if there are no others.
--- a/coordination/backend/zones_test.go
+++ b/coordination/backend/zones_test.go
@@ -62,7 +62,7 @@
 					remaining = append(remaining, request)
 					continue
 				}
-				request.choice.Release(backend.Answered{Wait: request.waited})
+				request.choice.Release(backend.Completed{Wait: request.waited})
 			}
 			atInstance[id] = remaining
 		}
--- a/node/gateway/instances.go
+++ b/node/gateway/instances.go
@@ -114,7 +114,7 @@
 func (g *Gateway) onInstanceEjected(instance backend.Instance, ending backend.Outcome) {
 	fields := []zap.Field{zap.String("instance", instance.ID), zap.String("service", instance.Service), zap.String("address", instance.Address)}
 	switch e := ending.(type) {
-	case backend.Answered:
+	case backend.Completed:
 		fields = append(fields, zap.String("last", "answered"), zap.Duration("wait", e.Wait), zap.Bool("faulty", e.Faulty))
 	case backend.Broken:
 		fields = append(fields, zap.String("last", "broken"))
