--- a/coordination/backend/ending.go
+++ b/coordination/backend/ending.go
@@ -10,8 +10,8 @@
 type Completed struct {
 	// Wait is the time to the first event of a stream, or to the end of a plain response.
 	Wait time.Duration
-	// Faulty is set if the instance responded with a server error.
-	Faulty bool
+	// ServerError is set if the instance responded with a server error.
+	ServerError bool
 }
 
 // Broken is a failed connection or a malformed response.
--- a/coordination/backend/health.go
+++ b/coordination/backend/health.go
@@ -84,8 +84,8 @@
 func (h *serviceHealth) observe(instance, route string, ending Outcome, now time.Time) limit.EngineHealth {
 	switch e := ending.(type) {
 	case Completed:
-		outcome := limit.Outcome{Failed: e.Faulty, Took: e.Wait}
-		if !e.Faulty {
+		outcome := limit.Outcome{Failed: e.ServerError, Took: e.Wait}
+		if !e.ServerError {
 			outcome.Expected = h.recordWait(route, e.Wait, now)
 		}
 		return h.ejector.Observe(instance, outcome, now)
--- a/coordination/backend/health_test.go
+++ b/coordination/backend/health_test.go
@@ -57,7 +57,7 @@
 	for name, ending := range map[string]backend.Outcome{
 		"slow":   backend.Completed{Wait: 500 * time.Millisecond},
 		"hangs":  backend.Waited{Wait: 3 * time.Second},
-		"faulty": backend.Completed{Wait: 20 * time.Millisecond, Faulty: true},
+		"faulty": backend.Completed{Wait: 20 * time.Millisecond, ServerError: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			pool := newPool(newClock(), 4)
@@ -92,7 +92,7 @@
 	pool := newPool(newClock(), 4)
 	serve(t, pool, 4, 10, respondFast)
 	serve(t, pool, 4, 12, func(instance string, round int) backend.Outcome {
-		return backend.Completed{Wait: 50 * time.Millisecond, Faulty: instance == "i2" && round%2 == 0}
+		return backend.Completed{Wait: 50 * time.Millisecond, ServerError: instance == "i2" && round%2 == 0}
 	})
 	assert.Equal(t, distribution(t, pool)["i2"], 0)
 }
--- a/node/gateway/instances.go
+++ b/node/gateway/instances.go
@@ -115,7 +115,7 @@
 	fields := []zap.Field{zap.String("instance", instance.ID), zap.String("service", instance.Service), zap.String("address", instance.Address)}
 	switch e := ending.(type) {
 	case backend.Completed:
-		fields = append(fields, zap.String("last", "answered"), zap.Duration("wait", e.Wait), zap.Bool("faulty", e.Faulty))
+		fields = append(fields, zap.String("last", "answered"), zap.Duration("wait", e.Wait), zap.Bool("faulty", e.ServerError))
 	case backend.Broken:
 		fields = append(fields, zap.String("last", "broken"))
 	case backend.Waited:
--- a/transport/relay/attempt.go
+++ b/transport/relay/attempt.go
@@ -37,7 +37,7 @@
 		if a.timeToFirst == 0 {
 			a.timeToFirst = waited
 		}
-		return backend.Completed{Wait: a.timeToFirst, Faulty: a.status >= http.StatusInternalServerError}
+		return backend.Completed{Wait: a.timeToFirst, ServerError: a.status >= http.StatusInternalServerError}
 	case unsent, incomplete:
 		return backend.Broken{}
 	case abandoned:
