--- a/coordination/backend/ending.go
+++ b/coordination/backend/ending.go
@@ -14,8 +14,8 @@
 	ServerError bool
 }
 
-// Broken is a failed connection or a malformed response.
-type Broken struct{}
+// Failed is a failed connection or a malformed response.
+type Failed struct{}
 
 // Waited is a request that timed out or was abandoned before its response began.
 type Waited struct {
@@ -28,6 +28,6 @@
 type Unjudged struct{}
 
 func (Completed) isEnding() {}
-func (Broken) isEnding()    {}
+func (Failed) isEnding()    {}
 func (Waited) isEnding()    {}
 func (Unjudged) isEnding()  {}
--- a/coordination/backend/health.go
+++ b/coordination/backend/health.go
@@ -89,7 +89,7 @@
 			outcome.Expected = h.recordWait(route, e.Wait, now)
 		}
 		return h.ejector.Observe(instance, outcome, now)
-	case Broken:
+	case Failed:
 		return h.ejector.Observe(instance, limit.Outcome{Failed: true}, now)
 	case Waited:
 		return h.observeAbandoned(instance, route, e.Wait, now)
--- a/coordination/backend/health_test.go
+++ b/coordination/backend/health_test.go
@@ -164,7 +164,7 @@
 	pool.Replace(instances)
 	for range 3 {
 		for i := range 3 {
-			acquireAt(t, pool, fmt.Sprint("i", i), 3).Release(backend.Broken{})
+			acquireAt(t, pool, fmt.Sprint("i", i), 3).Release(backend.Failed{})
 		}
 	}
 	ejected := 0
--- a/coordination/backend/life_test.go
+++ b/coordination/backend/life_test.go
@@ -68,7 +68,7 @@
 			first := f.acquire(t, "i0")
 			second := f.acquire(t, "i0")
 			for range 3 {
-				f.acquire(t, "i0").Release(backend.Broken{})
+				f.acquire(t, "i0").Release(backend.Failed{})
 			}
 			assert.Equal(t, len(f.list(c.next)), 0)
 			assert.Equal(t, len(f.restarted), map[bool]int{true: 1}[c.isNew])
@@ -84,8 +84,8 @@
 			assert.Equal(t, next.Release(backend.Unjudged{}), wantHealth)
 			// Requests of the earlier incarnation don't affect the next one.
 			for range 5 {
-				first.Release(backend.Broken{})
-				second.Release(backend.Broken{})
+				first.Release(backend.Failed{})
+				second.Release(backend.Failed{})
 			}
 			assert.Equal(t, f.acquire(t, "i0").Release(backend.Unjudged{}), wantHealth)
 		})
--- a/coordination/backend/pool_test.go
+++ b/coordination/backend/pool_test.go
@@ -99,7 +99,7 @@
 	fail := func() {
 		choice, err := pool.Acquire(backend.Query{Service: "app", Tried: []string{"i1", "i2"}})
 		assert.NilError(t, err)
-		choice.Release(backend.Broken{})
+		choice.Release(backend.Failed{})
 	}
 	for range 3 {
 		fail()
@@ -126,7 +126,7 @@
 	for range 5 {
 		choice, err := pool.Acquire(backend.Query{Service: "app"})
 		assert.NilError(t, err)
-		choice.Release(backend.Broken{})
+		choice.Release(backend.Failed{})
 	}
 }
 
--- a/node/gateway/instances.go
+++ b/node/gateway/instances.go
@@ -116,7 +116,7 @@
 	switch e := ending.(type) {
 	case backend.Completed:
 		fields = append(fields, zap.String("last", "answered"), zap.Duration("wait", e.Wait), zap.Bool("faulty", e.ServerError))
-	case backend.Broken:
+	case backend.Failed:
 		fields = append(fields, zap.String("last", "broken"))
 	case backend.Waited:
 		fields = append(fields, zap.String("last", "given up"), zap.Duration("wait", e.Wait))
--- a/transport/relay/attempt.go
+++ b/transport/relay/attempt.go
@@ -39,7 +39,7 @@
 		}
 		return backend.Completed{Wait: a.timeToFirst, ServerError: a.status >= http.StatusInternalServerError}
 	case unsent, incomplete:
-		return backend.Broken{}
+		return backend.Failed{}
 	case abandoned:
 		if a.timeToFirst == 0 {
 			return backend.Waited{Wait: waited}
