--- a/coordination/backend/ending.go
+++ b/coordination/backend/ending.go
@@ -17,8 +17,8 @@
 // Failed is a failed connection or a malformed response.
 type Failed struct{}
 
-// Waited is a request that timed out or was abandoned before its response began.
-type Waited struct {
+// NoResponse is a request that timed out or was abandoned before its response began.
+type NoResponse struct {
 	// Wait is the time until the request ended.
 	Wait time.Duration
 }
@@ -27,7 +27,7 @@
 // indicates load.
 type Unjudged struct{}
 
-func (Completed) isEnding() {}
-func (Failed) isEnding()    {}
-func (Waited) isEnding()    {}
-func (Unjudged) isEnding()  {}
+func (Completed) isEnding()  {}
+func (Failed) isEnding()     {}
+func (NoResponse) isEnding() {}
+func (Unjudged) isEnding()   {}
--- a/coordination/backend/health.go
+++ b/coordination/backend/health.go
@@ -91,7 +91,7 @@
 		return h.ejector.Observe(instance, outcome, now)
 	case Failed:
 		return h.ejector.Observe(instance, limit.Outcome{Failed: true}, now)
-	case Waited:
+	case NoResponse:
 		return h.observeAbandoned(instance, route, e.Wait, now)
 	case Unjudged:
 	}
--- a/coordination/backend/health_test.go
+++ b/coordination/backend/health_test.go
@@ -56,7 +56,7 @@
 func TestOutlierIsEjected(t *testing.T) {
 	for name, ending := range map[string]backend.Outcome{
 		"slow":   backend.Completed{Wait: 500 * time.Millisecond},
-		"hangs":  backend.Waited{Wait: 3 * time.Second},
+		"hangs":  backend.NoResponse{Wait: 3 * time.Second},
 		"faulty": backend.Completed{Wait: 20 * time.Millisecond, ServerError: true},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -102,7 +102,7 @@
 func TestOverloadEjectsNothing(t *testing.T) {
 	for name, ending := range map[string]backend.Outcome{
 		"slow":    backend.Completed{Wait: 2 * time.Second},
-		"timeout": backend.Waited{Wait: 3 * time.Second},
+		"timeout": backend.NoResponse{Wait: 3 * time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
 			pool := newPool(newClock(), 4)
--- a/node/gateway/instances.go
+++ b/node/gateway/instances.go
@@ -118,7 +118,7 @@
 		fields = append(fields, zap.String("last", "answered"), zap.Duration("wait", e.Wait), zap.Bool("faulty", e.ServerError))
 	case backend.Failed:
 		fields = append(fields, zap.String("last", "broken"))
-	case backend.Waited:
+	case backend.NoResponse:
 		fields = append(fields, zap.String("last", "given up"), zap.Duration("wait", e.Wait))
 	case backend.Unjudged:
 	}
--- a/transport/relay/attempt.go
+++ b/transport/relay/attempt.go
@@ -30,7 +30,7 @@
 func (a *attempt) ending(ended outcome, now time.Time) backend.Outcome {
 	waited := now.Sub(a.started)
 	if a.status == http.StatusGatewayTimeout {
-		return backend.Waited{Wait: waited}
+		return backend.NoResponse{Wait: waited}
 	}
 	switch ended {
 	case delivered, turnNotStored:
@@ -42,7 +42,7 @@
 		return backend.Failed{}
 	case abandoned:
 		if a.timeToFirst == 0 {
-			return backend.Waited{Wait: waited}
+			return backend.NoResponse{Wait: waited}
 		}
 	case refused:
 	}
