--- a/coordination/backend/ending.go
+++ b/coordination/backend/ending.go
@@ -23,11 +23,11 @@
 	Wait time.Duration
 }
 
-// Unjudged says nothing about the instance's health. An example is a refusal, which
+// Inconclusive says nothing about the instance's health. An example is a refusal, which
 // indicates load.
-type Unjudged struct{}
+type Inconclusive struct{}
 
-func (Completed) isEnding()  {}
-func (Failed) isEnding()     {}
-func (NoResponse) isEnding() {}
-func (Unjudged) isEnding()   {}
+func (Completed) isEnding()    {}
+func (Failed) isEnding()       {}
+func (NoResponse) isEnding()   {}
+func (Inconclusive) isEnding() {}
--- a/coordination/backend/health.go
+++ b/coordination/backend/health.go
@@ -93,7 +93,7 @@
 		return h.ejector.Observe(instance, limit.Outcome{Failed: true}, now)
 	case NoResponse:
 		return h.observeAbandoned(instance, route, e.Wait, now)
-	case Unjudged:
+	case Inconclusive:
 	}
 	return h.ejector.Health(instance, now)
 }
--- a/coordination/backend/health_test.go
+++ b/coordination/backend/health_test.go
@@ -44,7 +44,7 @@
 		c, err := pool.Acquire(backend.Query{Service: "app", Route: "turns", Key: fmt.Sprint("program", i)})
 		assert.NilError(t, err)
 		counts[c.Instance.ID]++
-		c.Release(backend.Unjudged{})
+		c.Release(backend.Inconclusive{})
 	}
 	return counts
 }
@@ -111,7 +111,7 @@
 				serve(t, pool, 4, 1, func(string, int) backend.Outcome { return ending })
 				for i := range 4 {
 					c := acquireAt(t, pool, fmt.Sprint("i", i), 4)
-					assert.Equal(t, c.Release(backend.Unjudged{}), limit.Healthy)
+					assert.Equal(t, c.Release(backend.Inconclusive{}), limit.Healthy)
 				}
 			}
 		})
@@ -169,7 +169,7 @@
 	}
 	ejected := 0
 	for i := range 3 {
-		if acquireAt(t, pool, fmt.Sprint("i", i), 3).Release(backend.Unjudged{}) == limit.Ejected {
+		if acquireAt(t, pool, fmt.Sprint("i", i), 3).Release(backend.Inconclusive{}) == limit.Ejected {
 			ejected++
 		}
 	}
--- a/coordination/backend/life_test.go
+++ b/coordination/backend/life_test.go
@@ -81,13 +81,13 @@
 			next := f.acquire(t, "i0")
 			assert.Assert(t, next.Instance.Started.Equal(c.want), "%s", next.Instance.Started)
 			assert.Equal(t, next.Outstanding, map[bool]int64{true: 0, false: 2}[c.isNew])
-			assert.Equal(t, next.Release(backend.Unjudged{}), wantHealth)
+			assert.Equal(t, next.Release(backend.Inconclusive{}), wantHealth)
 			// Requests of the earlier incarnation don't affect the next one.
 			for range 5 {
 				first.Release(backend.Failed{})
 				second.Release(backend.Failed{})
 			}
-			assert.Equal(t, f.acquire(t, "i0").Release(backend.Unjudged{}), wantHealth)
+			assert.Equal(t, f.acquire(t, "i0").Release(backend.Inconclusive{}), wantHealth)
 		})
 	}
 }
@@ -133,7 +133,7 @@
 		if choice.Instance.ID == "i0" {
 			count++
 		}
-		choice.Release(backend.Unjudged{})
+		choice.Release(backend.Inconclusive{})
 	}
 	assert.Assert(t, count > 0)
 	f.Gone(backend.Life{ID: "i0", Started: startOf(200)})
@@ -141,6 +141,6 @@
 		choice, err := f.Acquire(backend.Query{Service: "app", Route: "r"})
 		assert.NilError(t, err)
 		assert.Assert(t, choice.Instance.ID != "i0")
-		choice.Release(backend.Unjudged{})
+		choice.Release(backend.Inconclusive{})
 	}
 }
--- a/node/gateway/instances.go
+++ b/node/gateway/instances.go
@@ -120,7 +120,7 @@
 		fields = append(fields, zap.String("last", "broken"))
 	case backend.NoResponse:
 		fields = append(fields, zap.String("last", "given up"), zap.Duration("wait", e.Wait))
-	case backend.Unjudged:
+	case backend.Inconclusive:
 	}
 	g.ejections.Inc()
 	g.logger.Info("instance ejected", fields...)
--- a/transport/relay/attempt.go
+++ b/transport/relay/attempt.go
@@ -46,5 +46,5 @@
 		}
 	case refused:
 	}
-	return backend.Unjudged{}
+	return backend.Inconclusive{}
 }
--- a/transport/relay/run.go
+++ b/transport/relay/run.go
@@ -20,7 +20,7 @@
 			return
 		}
 		if failure := c.reauthorize(); failure != nil {
-			choice.Release(backend.Unjudged{})
+			choice.Release(backend.Inconclusive{})
 			c.finishRevoked(ctx, failure)
 			return
 		}
