--- a/coordination/backend/instance.go
+++ b/coordination/backend/instance.go
@@ -82,7 +82,7 @@
 }
 
 // loadFor returns the load of the incarnation from the snapshot, or a new one.
-func (s *snapshot) loadFor(life Life) *load {
+func (s *snapshot) loadFor(life Incarnation) *load {
 	if s != nil {
 		if known, found := s.byID[life.ID]; found && known.Life().isSame(life) {
 			return known.load
--- a/coordination/backend/life.go
+++ b/coordination/backend/life.go
@@ -7,26 +7,26 @@
 // history of a store, after which no old entries are delivered.
 const endedRetention = time.Minute
 
-// Life identifies one incarnation of a backend process. A restarted instance may keep its
+// Incarnation identifies one incarnation of a backend process. A restarted instance may keep its
 // ID, but its requests, health, connections and memory belong to a single incarnation.
-type Life struct {
+type Incarnation struct {
 	ID string
 	// Started is the start time of the process by its own clock; zero if unknown.
 	Started time.Time
 }
 
 // Life returns the current incarnation of the instance.
-func (i Instance) Life() Life { return Life{ID: i.ID, Started: i.Started} }
+func (i Instance) Life() Incarnation { return Incarnation{ID: i.ID, Started: i.Started} }
 
 // isSame reports whether both may be the same incarnation. An unknown start time matches
 // any other, since older backends don't report it.
-func (l Life) isSame(other Life) bool {
+func (l Incarnation) isSame(other Incarnation) bool {
 	return l.ID == other.ID && (l.Started.IsZero() || other.Started.IsZero() || l.Started.Equal(other.Started))
 }
 
 // Restart describes an instance that was restarted under its ID.
 type Restart struct {
-	Was, Is Life
+	Was, Is Incarnation
 	// UnderWay is the number of requests that this node had in flight at the previous
 	// incarnation. They may have been processed.
 	UnderWay int64
--- a/coordination/backend/life_test.go
+++ b/coordination/backend/life_test.go
@@ -74,7 +74,7 @@
 			assert.Equal(t, len(f.restarted), map[bool]int{true: 1}[c.isNew])
 			if c.isNew {
 				assert.DeepEqual(t, f.restarted[0], backend.Restart{
-					Was: backend.Life{ID: "i0", Started: c.known}, Is: backend.Life{ID: "i0", Started: c.next}, UnderWay: 2,
+					Was: backend.Incarnation{ID: "i0", Started: c.known}, Is: backend.Incarnation{ID: "i0", Started: c.next}, UnderWay: 2,
 				})
 			}
 			wantHealth := map[bool]limit.EngineHealth{true: limit.Healthy, false: limit.Ejected}[c.isNew]
@@ -136,7 +136,7 @@
 		choice.Release(backend.Inconclusive{})
 	}
 	assert.Assert(t, count > 0)
-	f.Gone(backend.Life{ID: "i0", Started: startOf(200)})
+	f.Gone(backend.Incarnation{ID: "i0", Started: startOf(200)})
 	for range 50 {
 		choice, err := f.Acquire(backend.Query{Service: "app", Route: "r"})
 		assert.NilError(t, err)
--- a/coordination/backend/pool.go
+++ b/coordination/backend/pool.go
@@ -100,7 +100,7 @@
 
 // Gone records that another instance was found at the address of this incarnation, which
 // from then on gets requests only as a last resort.
-func (p *Pool) Gone(life Life) {
+func (p *Pool) Gone(life Incarnation) {
 	if known, found := p.current.Load().byID[life.ID]; found && known.Life().isSame(life) {
 		known.load.addressLost.Store(true)
 	}
--- a/node/gateway/instances.go
+++ b/node/gateway/instances.go
@@ -88,7 +88,7 @@
 
 // onInstanceGone excludes an instance whose address now belongs to another one, until it
 // restarts, and closes its connections.
-func (g *Gateway) onInstanceGone(life backend.Life) {
+func (g *Gateway) onInstanceGone(life backend.Incarnation) {
 	g.backends.Gone(life)
 	g.upstream.Forget(life.ID)
 	g.logger.Info("instance address taken over by another instance", zap.String("instance", life.ID), startTimeField("started", life))
@@ -102,7 +102,7 @@
 		startTimeField("before", restart.Was), startTimeField("started", restart.Is), zap.Int64("under_way", restart.UnderWay))
 }
 
-func startTimeField(key string, life backend.Life) zap.Field {
+func startTimeField(key string, life backend.Incarnation) zap.Field {
 	if life.Started.IsZero() {
 		return zap.String(key, "unknown")
 	}
--- a/transport/relay/handler.go
+++ b/transport/relay/handler.go
@@ -38,7 +38,7 @@
 	// MaxInFlight is the maximum number of requests in flight.
 	MaxInFlight int64
 	// Gone is called for an instance whose address now belongs to another one.
-	Gone func(backend.Life)
+	Gone func(backend.Incarnation)
 	// Retries is the retry budget of all requests. See RetryPolicy.
 	Retries *limit.RetryBudget
 	Metrics *Metrics
