--- a/coordination/backend/instance.go
+++ b/coordination/backend/instance.go
@@ -55,7 +55,7 @@
 func newSnapshot(instances []Instance, previous *snapshot, policy limit.EjectionPolicy) *snapshot {
 	next := &snapshot{services: make(map[string]*service), byID: make(map[string]*member, len(instances))}
 	for _, instance := range instances {
-		added := &member{Instance: instance, load: previous.loadFor(instance.Life()), hash: hashString(instance.ID)}
+		added := &member{Instance: instance, load: previous.loadFor(instance.Incarnation()), hash: hashString(instance.ID)}
 		next.byID[instance.ID] = added
 		svc := next.services[instance.Service]
 		if svc == nil {
@@ -84,7 +84,7 @@
 // loadFor returns the load of the incarnation from the snapshot, or a new one.
 func (s *snapshot) loadFor(life Incarnation) *load {
 	if s != nil {
-		if known, found := s.byID[life.ID]; found && known.Life().isSame(life) {
+		if known, found := s.byID[life.ID]; found && known.Incarnation().isSame(life) {
 			return known.load
 		}
 	}
--- a/coordination/backend/life.go
+++ b/coordination/backend/life.go
@@ -15,8 +15,8 @@
 	Started time.Time
 }
 
-// Life returns the current incarnation of the instance.
-func (i Instance) Life() Incarnation { return Incarnation{ID: i.ID, Started: i.Started} }
+// Incarnation returns the current incarnation of the instance.
+func (i Instance) Incarnation() Incarnation { return Incarnation{ID: i.ID, Started: i.Started} }
 
 // isSame reports whether both may be the same incarnation. An unknown start time matches
 // any other, since older backends don't report it.
--- a/coordination/backend/life_test.go
+++ b/coordination/backend/life_test.go
@@ -125,7 +125,7 @@
 	f.list(startOf(100))
 	before := f.acquire(t, "i0")
 	f.list(startOf(200))
-	f.Gone(before.Instance.Life())
+	f.Gone(before.Instance.Incarnation())
 	count := 0
 	for range 50 {
 		choice, err := f.Acquire(backend.Query{Service: "app", Route: "r"})
--- a/coordination/backend/pool.go
+++ b/coordination/backend/pool.go
@@ -82,7 +82,7 @@
 		case current.load != old.load:
 			p.endIncarnation(previous, old)
 			next.services[current.Service].health.ejector.Know(id)
-			restarts = append(restarts, Restart{Was: old.Life(), Is: current.Life(), UnderWay: old.load.outstanding.Load()})
+			restarts = append(restarts, Restart{Was: old.Incarnation(), Is: current.Incarnation(), UnderWay: old.load.outstanding.Load()})
 		}
 	}
 	p.current.Store(next)
@@ -101,7 +101,7 @@
 // Gone records that another instance was found at the address of this incarnation, which
 // from then on gets requests only as a last resort.
 func (p *Pool) Gone(life Incarnation) {
-	if known, found := p.current.Load().byID[life.ID]; found && known.Life().isSame(life) {
+	if known, found := p.current.Load().byID[life.ID]; found && known.Incarnation().isSame(life) {
 		known.load.addressLost.Store(true)
 	}
 }
--- a/transport/relay/run.go
+++ b/transport/relay/run.go
@@ -120,7 +120,7 @@
 		return refused, errRefused
 	case Misdirected:
 		drain(backendResponse)
-		c.handler.options.Gone(current.choice.Instance.Life())
+		c.handler.options.Gone(current.choice.Instance.Incarnation())
 		return unsent, errMisdirected
 	case Improper:
 		backendResponse.CloseBody()
