--- a/node/gateway/instances.go
+++ b/node/gateway/instances.go
@@ -99,7 +99,7 @@
 func (g *Gateway) onInstanceRestarted(restart backend.Restart) {
 	g.upstream.Forget(restart.Is.ID)
 	g.logger.Info("instance started again", zap.String("instance", restart.Is.ID),
-		startTimeField("before", restart.Was), startTimeField("started", restart.Is), zap.Int64("under_way", restart.UnderWay))
+		startTimeField("before", restart.Previous), startTimeField("started", restart.Is), zap.Int64("under_way", restart.UnderWay))
 }
 
 func startTimeField(key string, life backend.Incarnation) zap.Field {
