--- a/coordination/backend/life.go
+++ b/coordination/backend/life.go
@@ -26,7 +26,7 @@
 
 // Restart describes an instance that was restarted under its ID.
 type Restart struct {
-	Previous, Is Incarnation
+	Previous, Current Incarnation
 	// UnderWay is the number of requests that this node had in flight at the previous
 	// incarnation. They may have been processed.
 	UnderWay int64
--- a/node/gateway/instances.go
+++ b/node/gateway/instances.go
@@ -97,9 +97,9 @@
 // onInstanceRestarted closes the connections to the earlier process of an instance that
 // restarted with the same ID.
 func (g *Gateway) onInstanceRestarted(restart backend.Restart) {
-	g.upstream.Forget(restart.Is.ID)
-	g.logger.Info("instance started again", zap.String("instance", restart.Is.ID),
-		startTimeField("before", restart.Previous), startTimeField("started", restart.Is), zap.Int64("under_way", restart.UnderWay))
+	g.upstream.Forget(restart.Current.ID)
+	g.logger.Info("instance started again", zap.String("instance", restart.Current.ID),
+		startTimeField("before", restart.Previous), startTimeField("started", restart.Current), zap.Int64("under_way", restart.UnderWay))
 }
 
 func startTimeField(key string, life backend.Incarnation) zap.Field {
