--- a/coordination/backend/life.go
+++ b/coordination/backend/life.go
@@ -27,9 +27,9 @@
 // Restart describes an instance that was restarted under its ID.
 type Restart struct {
 	Previous, Current Incarnation
-	// UnderWay is the number of requests that this node had in flight at the previous
+	// InFlight is the number of requests that this node had in flight at the previous
 	// incarnation. They may have been processed.
-	UnderWay int64
+	InFlight int64
 }
 
 // endedIncarnation is the last incarnation of a removed instance.
--- a/coordination/backend/life_test.go
+++ b/coordination/backend/life_test.go
@@ -74,7 +74,7 @@
 			assert.Equal(t, len(f.restarted), map[bool]int{true: 1}[c.isNew])
 			if c.isNew {
 				assert.DeepEqual(t, f.restarted[0], backend.Restart{
-					Previous: backend.Incarnation{ID: "i0", Started: c.known}, Current: backend.Incarnation{ID: "i0", Started: c.next}, UnderWay: 2,
+					Previous: backend.Incarnation{ID: "i0", Started: c.known}, Current: backend.Incarnation{ID: "i0", Started: c.next}, InFlight: 2,
 				})
 			}
 			wantHealth := map[bool]limit.EngineHealth{true: limit.Healthy, false: limit.Ejected}[c.isNew]
--- a/coordination/backend/pool.go
+++ b/coordination/backend/pool.go
@@ -82,7 +82,7 @@
 		case current.load != old.load:
 			p.endIncarnation(previous, old)
 			next.services[current.Service].health.ejector.Know(id)
-			restarts = append(restarts, Restart{Previous: old.Incarnation(), Current: current.Incarnation(), UnderWay: old.load.outstanding.Load()})
+			restarts = append(restarts, Restart{Previous: old.Incarnation(), Current: current.Incarnation(), InFlight: old.load.outstanding.Load()})
 		}
 	}
 	p.current.Store(next)
--- a/node/gateway/instances.go
+++ b/node/gateway/instances.go
@@ -99,7 +99,7 @@
 func (g *Gateway) onInstanceRestarted(restart backend.Restart) {
 	g.upstream.Forget(restart.Current.ID)
 	g.logger.Info("instance started again", zap.String("instance", restart.Current.ID),
-		startTimeField("before", restart.Previous), startTimeField("started", restart.Current), zap.Int64("under_way", restart.UnderWay))
+		startTimeField("before", restart.Previous), startTimeField("started", restart.Current), zap.Int64("under_way", restart.InFlight))
 }
 
 func startTimeField(key string, life backend.Incarnation) zap.Field {
