--- a/coordination/backend/massexpiry.go
+++ b/coordination/backend/massexpiry.go
@@ -3,11 +3,11 @@
 import "time"
 
 const (
-	// LapseTime is how long instances are kept after a mass expiry of their registry
+	// ExpiryGracePeriod is how long instances are kept after a mass expiry of their registry
 	// entries, which happens when the store is unavailable. Live instances register again
 	// within about two seconds of its return. An instance that left meanwhile may get
 	// requests for as long.
-	LapseTime = 1800 * time.Millisecond
+	ExpiryGracePeriod = 1800 * time.Millisecond
 	// massExpiryFraction of a service's instances, and at least massExpiryMinimum of them,
 	// must vanish at once to count as a mass expiry.
 	massExpiryFraction = 1.0 / 3
@@ -57,7 +57,7 @@
 	if l.expiredAt.IsZero() && massExpiry {
 		l.expiredAt = now
 	}
-	return !l.expiredAt.IsZero() && now.Sub(l.expiredAt) < LapseTime
+	return !l.expiredAt.IsZero() && now.Sub(l.expiredAt) < ExpiryGracePeriod
 }
 
 // clearExpiry records that the instance has an entry again.
--- a/coordination/backend/massexpiry_test.go
+++ b/coordination/backend/massexpiry_test.go
@@ -53,7 +53,7 @@
 	f.list(f.all[:6])
 	assert.Equal(t, f.kept, 3)
 	assert.Equal(t, len(f.Expire()), 0)
-	f.now = f.now.Add(backend.LapseTime - time.Second)
+	f.now = f.now.Add(backend.ExpiryGracePeriod - time.Second)
 	expired := f.Expire()
 	slices.Sort(expired)
 	assert.DeepEqual(t, expired, []string{"i6", "i7", "i8"})
--- a/node/gateway/instances.go
+++ b/node/gateway/instances.go
@@ -38,7 +38,7 @@
 	g.closeConnections(gone)
 	if kept > 0 {
 		g.logger.Warn("instance entries expired together, keeping the instances for now", zap.Int64("revision", snapshot.At), zap.Int("kept", kept))
-		time.AfterFunc(backend.LapseTime, g.expireInstances)
+		time.AfterFunc(backend.ExpiryGracePeriod, g.expireInstances)
 	}
 	g.instancesListed.Store(true)
 	known, leaving := g.backends.Count()
