--- a/coordination/backend/choose.go
+++ b/coordination/backend/choose.go
@@ -132,9 +132,9 @@
 	return value ^ value>>33
 }
 
-// Draw hashes a key to a number in [0, 1), the same at every node. An empty key gives a
+// KeyFraction hashes a key to a number in [0, 1), the same at every node. An empty key gives a
 // random number.
-func Draw(key string) float64 {
+func KeyFraction(key string) float64 {
 	const fractionBits = 53
 	if key == "" {
 		return rand.Float64()
--- a/transport/relay/run.go
+++ b/transport/relay/run.go
@@ -40,7 +40,7 @@
 // acquire selects an instance that the request hasn't tried yet.
 func (c *call) acquire() (*backend.Choice, error) {
 	return c.handler.options.Backends.Acquire(backend.Query{
-		Service: c.routing.route.Pick(backend.Draw(c.input.facts.Key)), Route: c.routing.route.Name,
+		Service: c.routing.route.Pick(backend.KeyFraction(c.input.facts.Key)), Route: c.routing.route.Name,
 		Key: c.input.facts.Key, Tried: c.attempts.instances,
 	})
 }
