--- a/coordination/backend/life_test.go
+++ b/coordination/backend/life_test.go
@@ -125,7 +125,7 @@
 	f.list(startOf(100))
 	before := f.acquire(t, "i0")
 	f.list(startOf(200))
-	f.Gone(before.Instance.Incarnation())
+	f.MarkAddressLost(before.Instance.Incarnation())
 	count := 0
 	for range 50 {
 		choice, err := f.Acquire(backend.Query{Service: "app", Route: "r"})
@@ -136,7 +136,7 @@
 		choice.Release(backend.Inconclusive{})
 	}
 	assert.Assert(t, count > 0)
-	f.Gone(backend.Incarnation{ID: "i0", Started: startOf(200)})
+	f.MarkAddressLost(backend.Incarnation{ID: "i0", Started: startOf(200)})
 	for range 50 {
 		choice, err := f.Acquire(backend.Query{Service: "app", Route: "r"})
 		assert.NilError(t, err)
--- a/coordination/backend/pool.go
+++ b/coordination/backend/pool.go
@@ -98,9 +98,9 @@
 	previous.services[old.Service].health.ejector.Forget(old.ID)
 }
 
-// Gone records that another instance was found at the address of this incarnation, which
+// MarkAddressLost records that another instance was found at the address of this incarnation, which
 // from then on gets requests only as a last resort.
-func (p *Pool) Gone(life Incarnation) {
+func (p *Pool) MarkAddressLost(life Incarnation) {
 	if known, found := p.current.Load().byID[life.ID]; found && known.Incarnation().isSame(life) {
 		known.load.addressLost.Store(true)
 	}
--- a/coordination/backend/pool_test.go
+++ b/coordination/backend/pool_test.go
@@ -145,8 +145,8 @@
 // only if no other instance is left.
 func TestInstanceWithoutAddress(t *testing.T) {
 	pool := newPool(newClock(), 2)
-	pool.Gone(backend.Incarnation{ID: "i0"})
-	pool.Gone(backend.Incarnation{ID: "unknown"})
+	pool.MarkAddressLost(backend.Incarnation{ID: "i0"})
+	pool.MarkAddressLost(backend.Incarnation{ID: "unknown"})
 	for i := range 50 {
 		c, err := pool.Acquire(backend.Query{Service: "app", Key: fmt.Sprint(i)})
 		assert.NilError(t, err)
--- a/node/gateway/instances.go
+++ b/node/gateway/instances.go
@@ -89,7 +89,7 @@
 // onInstanceGone excludes an instance whose address now belongs to another one, until it
 // restarts, and closes its connections.
 func (g *Gateway) onInstanceGone(life backend.Incarnation) {
-	g.backends.Gone(life)
+	g.backends.MarkAddressLost(life)
 	g.upstream.Forget(life.ID)
 	g.logger.Info("instance address taken over by another instance", zap.String("instance", life.ID), startTimeField("started", life))
 }
