--- a/coordination/backend/pool.go
+++ b/coordination/backend/pool.go
@@ -114,8 +114,8 @@
 // that caused it. It must be called before the pool is used.
 func (p *Pool) OnEjected(callback func(Instance, Outcome)) { p.onEjected = callback }
 
-// Known returns the instance with the ID.
-func (p *Pool) Known(id string) (Instance, bool) {
+// Lookup returns the instance with the ID.
+func (p *Pool) Lookup(id string) (Instance, bool) {
 	known, found := p.current.Load().byID[id]
 	if !found {
 		return Instance{}, false
--- a/node/gateway/instances.go
+++ b/node/gateway/instances.go
@@ -59,7 +59,7 @@
 			continue
 		}
 		invalid[object.Name] = object.Revision
-		known, isKnown := g.backends.Known(object.Name)
+		known, isKnown := g.backends.Lookup(object.Name)
 		if isKnown {
 			known.Leaving = true
 			instances = append(instances, known)
