--- a/coordination/backend/health_test.go
+++ b/coordination/backend/health_test.go
@@ -23,7 +23,7 @@
 }
 
 // acquireAt acquires a request at the instance by marking all others as tried.
-func acquireAt(t *testing.T, pool *backend.Pool, id string, instances int) *backend.Choice {
+func acquireAt(t *testing.T, pool *backend.Pool, id string, instances int) *backend.Assignment {
 	t.Helper()
 	var others []string
 	for i := range instances {
--- a/coordination/backend/life_test.go
+++ b/coordination/backend/life_test.go
@@ -34,7 +34,7 @@
 }
 
 // acquire acquires a request at the instance by marking the others as tried.
-func (f *restartFixture) acquire(t *testing.T, id string) *backend.Choice {
+func (f *restartFixture) acquire(t *testing.T, id string) *backend.Assignment {
 	t.Helper()
 	tried := map[string][]string{"i0": {"i1", "i2"}, "i1": {"i0", "i2"}, "i2": {"i0", "i1"}}[id]
 	choice, err := f.Acquire(backend.Query{Service: "app", Route: "r", Tried: tried})
--- a/coordination/backend/load.go
+++ b/coordination/backend/load.go
@@ -21,20 +21,20 @@
 	// entry exists.
 	expiredAt time.Time
 	// inFlight holds this node's requests at the instance.
-	inFlight map[*Choice]struct{}
+	inFlight map[*Assignment]struct{}
 }
 
-func (l *load) add(c *Choice) {
+func (l *load) add(c *Assignment) {
 	l.outstanding.Add(1)
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if l.inFlight == nil {
-		l.inFlight = map[*Choice]struct{}{}
+		l.inFlight = map[*Assignment]struct{}{}
 	}
 	l.inFlight[c] = struct{}{}
 }
 
-func (l *load) remove(c *Choice) {
+func (l *load) remove(c *Assignment) {
 	l.outstanding.Add(-1)
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
--- a/coordination/backend/pool.go
+++ b/coordination/backend/pool.go
@@ -146,8 +146,8 @@
 	Tried []string
 }
 
-// Choice is the assignment of a request to an instance until Release.
-type Choice struct {
+// Assignment is the assignment of a request to an instance until Release.
+type Assignment struct {
 	Instance Instance
 	// Preferred is set if the instance ranks first for the key.
 	Preferred bool
@@ -167,7 +167,7 @@
 
 // Acquire chooses an instance and counts the request there until Release. It returns
 // ErrNoInstance if no instance of the service can take the request.
-func (p *Pool) Acquire(query Query) (*Choice, error) {
+func (p *Pool) Acquire(query Query) (*Assignment, error) {
 	now := p.now()
 	svc, ok := p.current.Load().services[query.Service]
 	if !ok {
@@ -183,7 +183,7 @@
 		isStalled:  func(c candidate) bool { return c.member.load.isStalled(now) },
 		random:     rand.IntN,
 	})
-	c := &Choice{
+	c := &Assignment{
 		Instance: chosen.member.Instance, Preferred: preferred, Outstanding: chosen.outstanding,
 		pool: p, load: chosen.member.load, health: svc.health,
 		route: query.Route, stallTimeout: svc.health.stallTimeout(query.Route, now),
@@ -194,11 +194,11 @@
 }
 
 // Heard records that a part of the response arrived.
-func (c *Choice) Heard() { c.lastActivity.Store(c.pool.now().UnixNano()) }
+func (c *Assignment) Heard() { c.lastActivity.Store(c.pool.now().UnixNano()) }
 
 // Release ends the assignment and returns the instance's health afterwards. Only the first
 // call has an effect.
-func (c *Choice) Release(ending Outcome) limit.EngineHealth {
+func (c *Assignment) Release(ending Outcome) limit.EngineHealth {
 	now := c.pool.now()
 	if c.released.Swap(true) {
 		return c.health.ejector.Health(c.Instance.ID, now)
--- a/coordination/backend/zones_test.go
+++ b/coordination/backend/zones_test.go
@@ -13,7 +13,7 @@
 
 // inFlight is a request at a simulated instance.
 type inFlight struct {
-	choice *backend.Choice
+	choice *backend.Assignment
 	ends   time.Time
 	waited time.Duration
 }
--- a/transport/relay/attempt.go
+++ b/transport/relay/attempt.go
@@ -9,7 +9,7 @@
 
 // attempt is one try of a request at an instance.
 type attempt struct {
-	choice  *backend.Choice
+	choice  *backend.Assignment
 	started time.Time
 	// timeToFirst is the time to the first event of a stream, or to the complete body (or
 	// its buffered part) of another response; zero until then.
--- a/transport/relay/dialect.go
+++ b/transport/relay/dialect.go
@@ -79,7 +79,7 @@
 
 // Backends selects instances for requests. backend.Pool implements it.
 type Backends interface {
-	Acquire(query backend.Query) (*backend.Choice, error)
+	Acquire(query backend.Query) (*backend.Assignment, error)
 }
 
 // Turns prepares turns of programs. conversation.Service implements it.
--- a/transport/relay/run.go
+++ b/transport/relay/run.go
@@ -38,7 +38,7 @@
 }
 
 // acquire selects an instance that the request hasn't tried yet.
-func (c *call) acquire() (*backend.Choice, error) {
+func (c *call) acquire() (*backend.Assignment, error) {
 	return c.handler.options.Backends.Acquire(backend.Query{
 		Service: c.routing.route.Pick(backend.KeyFraction(c.input.facts.Key)), Route: c.routing.route.Name,
 		Key: c.input.facts.Key, Tried: c.attempts.instances,
@@ -90,7 +90,7 @@
 }
 
 // tryInstance makes one attempt and reports its result to the backend pool.
-func (c *call) tryInstance(ctx context.Context, choice *backend.Choice) (outcome, error) {
+func (c *call) tryInstance(ctx context.Context, choice *backend.Assignment) (outcome, error) {
 	c.attempts.instances = append(c.attempts.instances, choice.Instance.ID)
 	current := &attempt{choice: choice, started: c.handler.options.Now()}
 	ended, cause := c.exchange(ctx, current)
@@ -130,7 +130,7 @@
 }
 
 // upstreamRequest builds the request to the instance.
-func (c *call) upstreamRequest(choice *backend.Choice) *upstream.Request {
+func (c *call) upstreamRequest(choice *backend.Assignment) *upstream.Request {
 	header := copyEndToEnd(c.request.Header)
 	c.handler.options.Dialect.Write(header, Attempt{
 		ID: c.input.facts.ID, Tenant: c.tenantName(),
@@ -146,7 +146,7 @@
 }
 
 // logRetry logs and counts a retry at another instance.
-func (c *call) logRetry(choice *backend.Choice, ended outcome, cause error) {
+func (c *call) logRetry(choice *backend.Assignment, ended outcome, cause error) {
 	c.handler.options.Metrics.retries.Inc()
 	c.handler.options.Logger.Info("trying another back end",
 		zap.String("request", c.input.facts.ID), zap.String("route", c.routing.route.Name),
