--- a/coordination/backend/health_test.go
+++ b/coordination/backend/health_test.go
@@ -129,7 +129,7 @@
 	assert.Assert(t, distribution(t, pool)["i2"] > 0, "a long prompt may take this long")
 	clk.now = clk.now.Add(20 * time.Millisecond)
 	assert.Equal(t, distribution(t, pool)["i2"], 0)
-	waiting.Heard()
+	waiting.RecordActivity()
 	assert.Assert(t, distribution(t, pool)["i2"] > 0)
 }
 
--- a/coordination/backend/pool.go
+++ b/coordination/backend/pool.go
@@ -193,8 +193,8 @@
 	return c, nil
 }
 
-// Heard records that a part of the response arrived.
-func (c *Assignment) Heard() { c.lastActivity.Store(c.pool.now().UnixNano()) }
+// RecordActivity records that a part of the response arrived.
+func (c *Assignment) RecordActivity() { c.lastActivity.Store(c.pool.now().UnixNano()) }
 
 // Release ends the assignment and returns the instance's health afterwards. Only the first
 // call has an effect.
--- a/transport/relay/attempt.go
+++ b/transport/relay/attempt.go
@@ -23,7 +23,7 @@
 	if a.timeToFirst == 0 {
 		a.timeToFirst = now.Sub(a.started)
 	}
-	a.choice.Heard()
+	a.choice.RecordActivity()
 }
 
 // ending returns what the attempt tells about the health of the instance.
