--- a/coordination/routetable/table.go
+++ b/coordination/routetable/table.go
@@ -110,19 +110,19 @@
 	return r.Targets[len(r.Targets)-1].Service
 }
 
-// InForce holds the newest table. It is safe for concurrent use; reads take no lock.
-type InForce struct {
+// ActiveTable holds the newest table. It is safe for concurrent use; reads take no lock.
+type ActiveTable struct {
 	current atomic.Pointer[Table]
 	// mutex is held while a table is installed.
 	mutex sync.Mutex
 }
 
 // Table returns the newest table, or nil if none was installed.
-func (f *InForce) Table() *Table { return f.current.Load() }
+func (f *ActiveTable) Table() *Table { return f.current.Load() }
 
 // Install replaces the table if the version of the new one is higher, and reports whether
 // it did.
-func (f *InForce) Install(table *Table) bool {
+func (f *ActiveTable) Install(table *Table) bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	if current := f.current.Load(); current != nil && table.Version() <= current.Version() {
--- a/coordination/routetable/table_test.go
+++ b/coordination/routetable/table_test.go
@@ -42,7 +42,7 @@
 		fmt.Println(err)
 		return
 	}
-	var inForce routetable.InForce
+	var inForce routetable.ActiveTable
 	inForce.Install(built)
 	found, _ := inForce.Table().Match("Shop.Example:80", "/cart/7")
 	fmt.Println(found.Name)
@@ -88,7 +88,7 @@
 }
 
 func TestInstallRejectsOlderVersions(t *testing.T) {
-	var inForce routetable.InForce
+	var inForce routetable.ActiveTable
 	assert.Assert(t, inForce.Table() == nil)
 	assert.Assert(t, inForce.Install(newTable(t, 5)))
 	assert.Assert(t, !inForce.Install(newTable(t, 4)))
--- a/node/gateway/gateway.go
+++ b/node/gateway/gateway.go
@@ -63,7 +63,7 @@
 
 	// Copies of the objects in the store.
 	followers      followers
-	activeTable    *routetable.InForce
+	activeTable    *routetable.ActiveTable
 	backends       *backend.Pool
 	invalidEntries invalidEntries
 	// configurationInvalid is set while the newest configuration is invalid and an older
@@ -145,7 +145,7 @@
 func newGateway(loaded settings.Gateway, parts Parts, logger *zap.Logger) (*Gateway, error) {
 	g := &Gateway{
 		settings: loaded, parts: parts, logger: logger,
-		activeTable: &routetable.InForce{},
+		activeTable: &routetable.ActiveTable{},
 		metrics:     telemetry.NewRegistry(),
 	}
 	g.buildBackends()
--- a/transport/relay/authorize_test.go
+++ b/transport/relay/authorize_test.go
@@ -52,7 +52,7 @@
 
 // keyFixture is a handler whose clients send an API key.
 type keyFixture struct {
-	tables    *routetable.InForce
+	tables    *routetable.ActiveTable
 	proof     *scriptedProof
 	exchanger *failingExchanger
 	handler   http.Handler
@@ -61,7 +61,7 @@
 
 func newKeyFixture(t *testing.T, kind routetable.Kind) *keyFixture {
 	t.Helper()
-	f := &keyFixture{tables: &routetable.InForce{}, proof: &scriptedProof{onCall: func(int) {}}, exchanger: &failingExchanger{afterAttempt: func() {}}}
+	f := &keyFixture{tables: &routetable.ActiveTable{}, proof: &scriptedProof{onCall: func(int) {}}, exchanger: &failingExchanger{afterAttempt: func() {}}}
 	f.install(t, kind, "key")
 	pool := backend.NewPool(backend.EjectionPolicy(), time.Now)
 	pool.Replace([]backend.Instance{{ID: "i-1", Service: "app"}, {ID: "i-2", Service: "app"}})
--- a/transport/relay/deadline_test.go
+++ b/transport/relay/deadline_test.go
@@ -59,7 +59,7 @@
 		}},
 	})
 	assert.NilError(t, err)
-	tables := &routetable.InForce{}
+	tables := &routetable.ActiveTable{}
 	tables.Install(table)
 	pool := backend.NewPool(backend.EjectionPolicy(), time.Now)
 	pool.Replace([]backend.Instance{{ID: "i-1", Service: "app"}, {ID: "i-2", Service: "app"}})
--- a/transport/relay/handler.go
+++ b/transport/relay/handler.go
@@ -17,7 +17,7 @@
 
 // Options configures a Handler.
 type Options struct {
-	Tables    *routetable.InForce
+	Tables    *routetable.ActiveTable
 	Backends  Backends
 	Exchanger Exchanger
 	Dialect   Dialect
