--- a/coordination/routetable/table.go
+++ b/coordination/routetable/table.go
@@ -50,8 +50,8 @@
 // Limits returns the limits of client input.
 func (t *Table) Limits() Limits { return t.configuration.Limits }
 
-// Routes returns the number of routes.
-func (t *Table) Routes() int { return len(t.configuration.Routes) }
+// RouteCount returns the number of routes.
+func (t *Table) RouteCount() int { return len(t.configuration.Routes) }
 
 // Service returns the service with the name, or the zero value if there is none.
 func (t *Table) Service(name string) Service {
--- a/node/gateway/configuration.go
+++ b/node/gateway/configuration.go
@@ -29,5 +29,5 @@
 	}
 	g.callers.setLimits(table.Limits())
 	g.logger.Info("configuration in force", zap.Int64("version", table.Version()),
-		zap.Int64("revision", snapshot.At), zap.Int("routes", table.Routes()))
+		zap.Int64("revision", snapshot.At), zap.Int("routes", table.RouteCount()))
 }
