--- a/node/gateway/gateway.go
+++ b/node/gateway/gateway.go
@@ -25,7 +25,7 @@
 // Parts are the parts of a gateway that differ between deployments.
 type Parts struct {
 	// Dialect reads and writes the headers of requests and responses.
-	Dialect relay.Dialect
+	Dialect relay.HeaderCodec
 	// IDHeader is the header in which backends echo the ID of a request.
 	IDHeader string
 	// Configuration and Instances are the sources of these kinds of objects.
--- a/transport/relay/dialect.go
+++ b/transport/relay/dialect.go
@@ -67,8 +67,8 @@
 	Improper
 )
 
-// Dialect maps the headers of a deployment.
-type Dialect interface {
+// HeaderCodec maps the headers of a deployment.
+type HeaderCodec interface {
 	// Read parses the headers of a request, or returns why it is rejected.
 	Read(request *http.Request) (Facts, *result.Error)
 	// Write removes the headers that clients may not set, and sets those of an attempt.
--- a/transport/relay/handler.go
+++ b/transport/relay/handler.go
@@ -20,7 +20,7 @@
 	Tables    *routetable.ActiveTable
 	Backends  Backends
 	Exchanger Exchanger
-	Dialect   Dialect
+	Dialect   HeaderCodec
 	Turns     Turns
 	Quotas    Quotas
 	// Certain tells whether the configuration in force is known to be the newest. Only then
