--- a/transport/relay/authorize_test.go
+++ b/transport/relay/authorize_test.go
@@ -24,7 +24,7 @@
 // keyDialect returns a fixed API key.
 type keyDialect struct{ plainDialect }
 
-func (keyDialect) Read(*http.Request) (relay.Facts, *result.Error) {
+func (keyDialect) ReadRequest(*http.Request) (relay.Facts, *result.Error) {
 	return relay.Facts{ID: "id", APIKey: "key"}, nil
 }
 
--- a/transport/relay/deadline_test.go
+++ b/transport/relay/deadline_test.go
@@ -23,7 +23,7 @@
 // plainDialect ignores all headers.
 type plainDialect struct{}
 
-func (plainDialect) Read(*http.Request) (relay.Facts, *result.Error) {
+func (plainDialect) ReadRequest(*http.Request) (relay.Facts, *result.Error) {
 	return relay.Facts{ID: "id"}, nil
 }
 func (plainDialect) Write(http.Header, relay.Attempt)       {}
--- a/transport/relay/dialect.go
+++ b/transport/relay/dialect.go
@@ -69,8 +69,8 @@
 
 // HeaderCodec maps the headers of a deployment.
 type HeaderCodec interface {
-	// Read parses the headers of a request, or returns why it is rejected.
-	Read(request *http.Request) (Facts, *result.Error)
+	// ReadRequest parses the headers of a request, or returns why it is rejected.
+	ReadRequest(request *http.Request) (Facts, *result.Error)
 	// Write removes the headers that clients may not set, and sets those of an attempt.
 	Write(header http.Header, attempt Attempt)
 	// Judge classifies a response.
--- a/transport/relay/handler.go
+++ b/transport/relay/handler.go
@@ -111,7 +111,7 @@
 	if limits.HeaderBytes > 0 && headerBytes(c.request) > limits.HeaderBytes {
 		return result.Errorf(result.HeaderTooLarge, "the limit is %d bytes", limits.HeaderBytes)
 	}
-	facts, failure := options.Dialect.Read(c.request)
+	facts, failure := options.Dialect.ReadRequest(c.request)
 	if failure != nil {
 		return failure
 	}
