--- a/transport/relay/dialect.go
+++ b/transport/relay/dialect.go
@@ -71,8 +71,8 @@
 type HeaderCodec interface {
 	// ReadRequest parses the headers of a request, or returns why it is rejected.
 	ReadRequest(request *http.Request) (Facts, *result.Error)
-	// Write removes the headers that clients may not set, and sets those of an attempt.
-	Write(header http.Header, attempt Attempt)
+	// WriteAttempt removes the headers that clients may not set, and sets those of an attempt.
+	WriteAttempt(header http.Header, attempt Attempt)
 	// Judge classifies a response.
 	Judge(response *upstream.Answer) Judgement
 }
