--- a/transport/relay/dialect.go
+++ b/transport/relay/dialect.go
@@ -73,8 +73,8 @@
 	ReadRequest(request *http.Request) (Facts, *result.Error)
 	// WriteAttempt removes the headers that clients may not set, and sets those of an attempt.
 	WriteAttempt(header http.Header, attempt Attempt)
-	// Judge classifies a response.
-	Judge(response *upstream.Answer) Judgement
+	// Classify classifies a response.
+	Classify(response *upstream.Answer) Judgement
 }
 
 // Backends selects instances for requests. backend.Pool implements it.
--- a/transport/relay/run.go
+++ b/transport/relay/run.go
@@ -114,7 +114,7 @@
 	if err != nil {
 		return outcomeOfError(err), err
 	}
-	switch c.handler.options.Dialect.Judge(backendResponse) {
+	switch c.handler.options.Dialect.Classify(backendResponse) {
 	case Refused:
 		drain(backendResponse)
 		return refused, errRefused
