--- a/transport/relay/deadline_test.go
+++ b/transport/relay/deadline_test.go
@@ -26,8 +26,8 @@
 func (plainDialect) ReadRequest(*http.Request) (relay.Facts, *result.Error) {
 	return relay.Facts{ID: "id"}, nil
 }
-func (plainDialect) WriteAttempt(http.Header, relay.Attempt)   {}
-func (plainDialect) Classify(*upstream.Answer) relay.Judgement { return relay.Proper }
+func (plainDialect) WriteAttempt(http.Header, relay.Attempt)       {}
+func (plainDialect) Classify(*upstream.Answer) relay.ResponseClass { return relay.Proper }
 
 // failingExchanger fails and counts all attempts.
 type failingExchanger struct {
--- a/transport/relay/dialect.go
+++ b/transport/relay/dialect.go
@@ -53,12 +53,12 @@
 	LastEvent string
 }
 
-// Judgement classifies a backend's response by its header.
-type Judgement int
+// ResponseClass classifies a backend's response by its header.
+type ResponseClass int
 
 const (
 	// Proper responses are passed on to the client.
-	Proper Judgement = iota
+	Proper ResponseClass = iota
 	// Refused responses promise that the request wasn't run.
 	Refused
 	// Misdirected responses promise it as well: the address belongs to another instance.
@@ -74,7 +74,7 @@
 	// WriteAttempt removes the headers that clients may not set, and sets those of an attempt.
 	WriteAttempt(header http.Header, attempt Attempt)
 	// Classify classifies a response.
-	Classify(response *upstream.Answer) Judgement
+	Classify(response *upstream.Answer) ResponseClass
 }
 
 // Backends selects instances for requests. backend.Pool implements it.
