--- a/transport/relay/deadline_test.go
+++ b/transport/relay/deadline_test.go
@@ -27,7 +27,7 @@
 	return relay.Facts{ID: "id"}, nil
 }
 func (plainDialect) WriteAttempt(http.Header, relay.Attempt)       {}
-func (plainDialect) Classify(*upstream.Answer) relay.ResponseClass { return relay.Proper }
+func (plainDialect) Classify(*upstream.Answer) relay.ResponseClass { return relay.ValidResponse }
 
 // failingExchanger fails and counts all attempts.
 type failingExchanger struct {
--- a/transport/relay/dialect.go
+++ b/transport/relay/dialect.go
@@ -57,8 +57,8 @@
 type ResponseClass int
 
 const (
-	// Proper responses are passed on to the client.
-	Proper ResponseClass = iota
+	// ValidResponse responses are passed on to the client.
+	ValidResponse ResponseClass = iota
 	// Refused responses promise that the request wasn't run.
 	Refused
 	// Misdirected responses promise it as well: the address belongs to another instance.
