--- a/transport/relay/dialect.go
+++ b/transport/relay/dialect.go
@@ -59,8 +59,8 @@
 const (
 	// ValidResponse responses are passed on to the client.
 	ValidResponse ResponseClass = iota
-	// Refused responses promise that the request wasn't run.
-	Refused
+	// RefusedResponse responses promise that the request wasn't run.
+	RefusedResponse
 	// Misdirected responses promise it as well: the address belongs to another instance.
 	Misdirected
 	// Improper responses can't be passed on, and the request may have run.
--- a/transport/relay/run.go
+++ b/transport/relay/run.go
@@ -115,7 +115,7 @@
 		return outcomeOfError(err), err
 	}
 	switch c.handler.options.Dialect.Classify(backendResponse) {
-	case Refused:
+	case RefusedResponse:
 		drain(backendResponse)
 		return refused, errRefused
 	case Misdirected:
