--- a/transport/relay/dialect.go
+++ b/transport/relay/dialect.go
@@ -61,8 +61,8 @@
 	ValidResponse ResponseClass = iota
 	// RefusedResponse responses promise that the request wasn't run.
 	RefusedResponse
-	// Misdirected responses promise it as well: the address belongs to another instance.
-	Misdirected
+	// MisdirectedResponse responses promise it as well: the address belongs to another instance.
+	MisdirectedResponse
 	// Improper responses can't be passed on, and the request may have run.
 	Improper
 )
--- a/transport/relay/run.go
+++ b/transport/relay/run.go
@@ -118,7 +118,7 @@
 	case RefusedResponse:
 		drain(backendResponse)
 		return refused, errRefused
-	case Misdirected:
+	case MisdirectedResponse:
 		drain(backendResponse)
 		c.handler.options.Gone(current.choice.Instance.Incarnation())
 		return unsent, errMisdirected
