--- a/transport/relay/dialect.go
+++ b/transport/relay/dialect.go
@@ -63,8 +63,8 @@
 	RefusedResponse
 	// MisdirectedResponse responses promise it as well: the address belongs to another instance.
 	MisdirectedResponse
-	// Improper responses can't be passed on, and the request may have run.
-	Improper
+	// InvalidResponse responses can't be passed on, and the request may have run.
+	InvalidResponse
 )
 
 // HeaderCodec maps the headers of a deployment.
--- a/transport/relay/run.go
+++ b/transport/relay/run.go
@@ -122,7 +122,7 @@
 		drain(backendResponse)
 		c.handler.options.Gone(current.choice.Instance.Incarnation())
 		return unsent, errMisdirected
-	case Improper:
+	case InvalidResponse:
 		backendResponse.CloseBody()
 		return incomplete, errInvalidResponse
 	}
