--- a/transport/relay/authorize_test.go
+++ b/transport/relay/authorize_test.go
@@ -24,8 +24,8 @@
 // keyDialect returns a fixed API key.
 type keyDialect struct{ plainDialect }
 
-func (keyDialect) ReadRequest(*http.Request) (relay.Facts, *result.Error) {
-	return relay.Facts{ID: "id", APIKey: "key"}, nil
+func (keyDialect) ReadRequest(*http.Request) (relay.RequestInfo, *result.Error) {
+	return relay.RequestInfo{ID: "id", APIKey: "key"}, nil
 }
 
 // unlimitedQuotas grants every permit.
--- a/transport/relay/deadline_test.go
+++ b/transport/relay/deadline_test.go
@@ -23,8 +23,8 @@
 // plainDialect ignores all headers.
 type plainDialect struct{}
 
-func (plainDialect) ReadRequest(*http.Request) (relay.Facts, *result.Error) {
-	return relay.Facts{ID: "id"}, nil
+func (plainDialect) ReadRequest(*http.Request) (relay.RequestInfo, *result.Error) {
+	return relay.RequestInfo{ID: "id"}, nil
 }
 func (plainDialect) WriteAttempt(http.Header, relay.Attempt)       {}
 func (plainDialect) Classify(*upstream.Answer) relay.ResponseClass { return relay.ValidResponse }
--- a/transport/relay/dialect.go
+++ b/transport/relay/dialect.go
@@ -12,8 +12,8 @@
 	"github.com/marblering/marblering/transport/upstream"
 )
 
-// Facts is the information in the headers of a client's request.
-type Facts struct {
+// RequestInfo is the information in the headers of a client's request.
+type RequestInfo struct {
 	// ID is the request id, which backends repeat in their responses.
 	ID string
 	// Remaining is the time that the client will wait; zero if it isn't given.
@@ -70,7 +70,7 @@
 // HeaderCodec maps the headers of a deployment.
 type HeaderCodec interface {
 	// ReadRequest parses the headers of a request, or returns why it is rejected.
-	ReadRequest(request *http.Request) (Facts, *result.Error)
+	ReadRequest(request *http.Request) (RequestInfo, *result.Error)
 	// WriteAttempt removes the headers that clients may not set, and sets those of an attempt.
 	WriteAttempt(header http.Header, attempt Attempt)
 	// Classify classifies a response.
