--- a/transport/relay/answer.go
+++ b/transport/relay/answer.go
@@ -47,7 +47,7 @@
 	took := c.handler.options.Now().Sub(c.timing.arrived)
 	c.handler.options.Metrics.observe(c, took)
 	fields := []zap.Field{
-		zap.String("request", c.input.facts.ID), zap.String("key", c.input.facts.Key),
+		zap.String("request", c.input.facts.ID), zap.String("key", c.input.facts.AffinityKey),
 		zap.String("route", c.routeName()), zap.Int64("configuration", c.routing.configVersion), c.ageField(),
 		zap.String("tenant", c.tenantName()),
 		zap.Int("status", c.response.status), zap.Uint32("code", uint32(c.response.code)),
--- a/transport/relay/dialect.go
+++ b/transport/relay/dialect.go
@@ -18,9 +18,9 @@
 	ID string
 	// Remaining is the time that the client will wait; zero if it isn't given.
 	Remaining time.Duration
-	// Key is the affinity key: requests with the same key, such as those of a program,
+	// AffinityKey is the affinity key: requests with the same key, such as those of a program,
 	// prefer the same instance. Empty for none.
-	Key string
+	AffinityKey string
 	// LastEvent is the id of the last event that the client received of a broken stream;
 	// empty for none.
 	LastEvent string
--- a/transport/relay/run.go
+++ b/transport/relay/run.go
@@ -40,8 +40,8 @@
 // acquire selects an instance that the request hasn't tried yet.
 func (c *call) acquire() (*backend.Assignment, error) {
 	return c.handler.options.Backends.Acquire(backend.Query{
-		Service: c.routing.route.Pick(backend.KeyFraction(c.input.facts.Key)), Route: c.routing.route.Name,
-		Key: c.input.facts.Key, Tried: c.attempts.instances,
+		Service: c.routing.route.Pick(backend.KeyFraction(c.input.facts.AffinityKey)), Route: c.routing.route.Name,
+		Key: c.input.facts.AffinityKey, Tried: c.attempts.instances,
 	})
 }
 
--- a/transport/relay/turn.go
+++ b/transport/relay/turn.go
@@ -20,7 +20,7 @@
 		// couldn't be stored completely.
 		return resumedRetainedTurn.errorf("a retained turn begins at its start")
 	}
-	service := table.Service(c.routing.route.Pick(backend.KeyFraction(c.input.facts.Key)))
+	service := table.Service(c.routing.route.Pick(backend.KeyFraction(c.input.facts.AffinityKey)))
 	turn, failure := c.handler.options.Turns.Begin(ctx, conversation.Request{
 		ID: c.input.facts.ID, Program: c.input.facts.Program, Tenant: c.tenantName(), Previous: c.input.facts.Previous,
 		Budget: c.input.facts.Budget, Most: c.input.facts.MostTokens, TokensPerEvent: service.TokensPerEvent,
