--- a/transport/relay/dialect.go
+++ b/transport/relay/dialect.go
@@ -21,9 +21,9 @@
 	// AffinityKey is the affinity key: requests with the same key, such as those of a program,
 	// prefer the same instance. Empty for none.
 	AffinityKey string
-	// LastEvent is the id of the last event that the client received of a broken stream;
+	// LastEventID is the id of the last event that the client received of a broken stream;
 	// empty for none.
-	LastEvent string
+	LastEventID string
 	// Program is the id of the program that the request belongs to; empty for none.
 	Program string
 	// APIKey authenticates the tenant; empty for none. It must not be logged.
--- a/transport/relay/turn.go
+++ b/transport/relay/turn.go
@@ -15,7 +15,7 @@
 	if c.routing.route.Kind != routetable.Stream || c.input.facts.Budget == 0 && !c.routing.route.Retained {
 		return nil
 	}
-	if c.routing.route.Retained && c.input.facts.LastEvent != "" {
+	if c.routing.route.Retained && c.input.facts.LastEventID != "" {
 		// The events that the client already received are unknown here, so the turn
 		// couldn't be stored completely.
 		return resumedRetainedTurn.errorf("a retained turn begins at its start")
