--- a/transport/relay/turn.go
+++ b/transport/relay/turn.go
@@ -12,7 +12,7 @@
 // beginTurn prepares a request that is a turn of a program: it prepends the previous turns
 // to the body and reserves tokens from the budget. It does nothing for other requests.
 func (c *call) beginTurn(ctx context.Context, table *routetable.Table) *result.Error {
-	if c.routing.route.Kind != routetable.Stream || c.input.facts.Budget == 0 && !c.routing.route.Retained {
+	if c.routing.route.Kind != routetable.Stream || c.input.facts.TokenBudget == 0 && !c.routing.route.Retained {
 		return nil
 	}
 	if c.routing.route.Retained && c.input.facts.LastEventID != "" {
@@ -23,7 +23,7 @@
 	service := table.Service(c.routing.route.Pick(backend.KeyFraction(c.input.facts.AffinityKey)))
 	turn, failure := c.handler.options.Turns.Begin(ctx, conversation.Request{
 		ID: c.input.facts.ID, Program: c.input.facts.Program, Tenant: c.tenantName(), Previous: c.input.facts.PreviousTurn,
-		Budget: c.input.facts.Budget, Most: c.input.facts.MostTokens, TokensPerEvent: service.TokensPerEvent,
+		Budget: c.input.facts.TokenBudget, Most: c.input.facts.MostTokens, TokensPerEvent: service.TokensPerEvent,
 		Retained: c.routing.route.Retained, Retention: c.routing.route.Retention, Timeout: c.timing.timeout(), Input: c.input.body,
 	})
 	if failure != nil {
