--- a/transport/relay/deadline_test.go
+++ b/transport/relay/deadline_test.go
@@ -26,7 +26,7 @@
 func (plainDialect) ReadRequest(*http.Request) (relay.RequestInfo, *result.Error) {
 	return relay.RequestInfo{ID: "id"}, nil
 }
-func (plainDialect) WriteAttempt(http.Header, relay.Attempt)       {}
+func (plainDialect) WriteAttempt(http.Header, relay.AttemptInfo)   {}
 func (plainDialect) Classify(*upstream.Answer) relay.ResponseClass { return relay.ValidResponse }
 
 // failingExchanger fails and counts all attempts.
--- a/transport/relay/dialect.go
+++ b/transport/relay/dialect.go
@@ -38,8 +38,8 @@
 	MaxTokens uint64
 }
 
-// Attempt is the information that an attempt adds to the headers of the request.
-type Attempt struct {
+// AttemptInfo is the information that an attempt adds to the headers of the request.
+type AttemptInfo struct {
 	// ID is the request id, as the client sent it.
 	ID string
 	// Tenant is the name of the client's tenant; empty for none.
@@ -72,7 +72,7 @@
 	// ReadRequest parses the headers of a request, or returns why it is rejected.
 	ReadRequest(request *http.Request) (RequestInfo, *result.Error)
 	// WriteAttempt removes the headers that clients may not set, and sets those of an attempt.
-	WriteAttempt(header http.Header, attempt Attempt)
+	WriteAttempt(header http.Header, attempt AttemptInfo)
 	// Classify classifies a response.
 	Classify(response *upstream.Answer) ResponseClass
 }
