--- a/transport/relay/dialect.go
+++ b/transport/relay/dialect.go
@@ -48,9 +48,9 @@
 	Remaining time.Duration
 	// Instance is the id of the instance that the request is meant for.
 	Instance string
-	// LastEvent is the id of the last event sent to the client; empty if the stream hasn't
+	// LastEventID is the id of the last event sent to the client; empty if the stream hasn't
 	// begun.
-	LastEvent string
+	LastEventID string
 }
 
 // ResponseClass classifies a backend's response by its header.
--- a/transport/relay/run.go
+++ b/transport/relay/run.go
@@ -134,9 +134,9 @@
 	header := copyEndToEnd(c.request.Header)
 	c.handler.options.Dialect.WriteAttempt(header, AttemptInfo{
 		ID: c.input.facts.ID, Tenant: c.tenantName(),
-		Remaining: c.timing.deadline.Sub(c.handler.options.Now()),
-		Instance:  choice.Instance.ID,
-		LastEvent: c.response.lastEventID,
+		Remaining:   c.timing.deadline.Sub(c.handler.options.Now()),
+		Instance:    choice.Instance.ID,
+		LastEventID: c.response.lastEventID,
 	})
 	return &upstream.Request{
 		Address: choice.Instance.Address, Instance: choice.Instance.ID, Started: choice.Instance.Started,
