--- a/transport/relay/dialect.go
+++ b/transport/relay/dialect.go
@@ -92,7 +92,7 @@
 	Take(ctx context.Context, request quota.Request) (quota.Permit, *result.Error)
 }
 
-// Exchanger sends a request to an instance. upstream.Client implements it.
-type Exchanger interface {
+// Upstream sends a request to an instance. upstream.Client implements it.
+type Upstream interface {
 	Do(ctx context.Context, request *upstream.Request) (*upstream.Answer, error)
 }
--- a/transport/relay/handler.go
+++ b/transport/relay/handler.go
@@ -19,7 +19,7 @@
 type Options struct {
 	Tables    *routetable.ActiveTable
 	Backends  Backends
-	Exchanger Exchanger
+	Exchanger Upstream
 	Dialect   HeaderCodec
 	Turns     Turns
 	Quotas    Quotas
