--- a/node/gateway/freshness.go
+++ b/node/gateway/freshness.go
@@ -14,7 +14,7 @@
 // configurationFreshness implements relay.Proof with the follower of the configuration.
 type configurationFreshness struct{ gateway *Gateway }
 
-var _ relay.Proof = configurationFreshness{}
+var _ relay.ConfigurationFreshness = configurationFreshness{}
 
 // Staleness implements relay.Proof. While the newest configuration is invalid, the
 // staleness of the active one is unknown.
--- a/transport/relay/freshness.go
+++ b/transport/relay/freshness.go
@@ -6,8 +6,8 @@
 	"github.com/marblering/marblering/state/result"
 )
 
-// Proof tells how recently the configuration in force was confirmed to be the newest.
-type Proof interface {
+// ConfigurationFreshness tells how recently the configuration in force was confirmed to be the newest.
+type ConfigurationFreshness interface {
 	// Staleness is the time since the last moment at which the store is known to have had
 	// no newer configuration than the one in force; ok is false if there was none yet.
 	Staleness() (staleness time.Duration, ok bool)
--- a/transport/relay/handler.go
+++ b/transport/relay/handler.go
@@ -31,7 +31,7 @@
 	TableAge func() (age time.Duration, ok bool)
 	// Proof tells how recently the configuration in force was confirmed; nil if keys are
 	// accepted at any age.
-	Proof Proof
+	Proof ConfigurationFreshness
 	// Unready tells that this gateway is stopping or can't serve turns. Each response then
 	// closes its connection, so that the client's next request goes to another gateway.
 	Unready func() bool
