--- a/transport/relay/handler.go
+++ b/transport/relay/handler.go
@@ -17,12 +17,12 @@
 
 // Options configures a Handler.
 type Options struct {
-	Tables    *routetable.ActiveTable
-	Backends  Backends
-	Exchanger Upstream
-	Dialect   HeaderCodec
-	Turns     Turns
-	Quotas    Quotas
+	Tables      *routetable.ActiveTable
+	Backends    Backends
+	Exchanger   Upstream
+	HeaderCodec HeaderCodec
+	Turns       Turns
+	Quotas      Quotas
 	// Certain tells whether the configuration in force is known to be the newest. Only then
 	// are the errors for a missing route and an unknown key permanent.
 	Certain func() bool
@@ -111,7 +111,7 @@
 	if limits.HeaderBytes > 0 && headerBytes(c.request) > limits.HeaderBytes {
 		return result.Errorf(result.HeaderTooLarge, "the limit is %d bytes", limits.HeaderBytes)
 	}
-	facts, failure := options.Dialect.ReadRequest(c.request)
+	facts, failure := options.HeaderCodec.ReadRequest(c.request)
 	if failure != nil {
 		return failure
 	}
--- a/transport/relay/run.go
+++ b/transport/relay/run.go
@@ -114,7 +114,7 @@
 	if err != nil {
 		return outcomeOfError(err), err
 	}
-	switch c.handler.options.Dialect.Classify(backendResponse) {
+	switch c.handler.options.HeaderCodec.Classify(backendResponse) {
 	case RefusedResponse:
 		drain(backendResponse)
 		return refused, errRefused
@@ -132,7 +132,7 @@
 // upstreamRequest builds the request to the instance.
 func (c *call) upstreamRequest(choice *backend.Assignment) *upstream.Request {
 	header := copyEndToEnd(c.request.Header)
-	c.handler.options.Dialect.WriteAttempt(header, AttemptInfo{
+	c.handler.options.HeaderCodec.WriteAttempt(header, AttemptInfo{
 		ID: c.input.facts.ID, Tenant: c.tenantName(),
 		Remaining:   c.timing.deadline.Sub(c.handler.options.Now()),
 		Instance:    choice.Instance.ID,
