--- a/node/gateway/gateway.go
+++ b/node/gateway/gateway.go
@@ -181,7 +181,7 @@
 // buildRelay creates the handler of requests.
 func (g *Gateway) buildRelay() {
 	g.relay = relay.New(relay.Options{
-		Tables: g.activeTable, Backends: g.backends, Exchanger: g.upstream, HeaderCodec: g.parts.Dialect,
+		Tables: g.activeTable, Backends: g.backends, Upstream: g.upstream, HeaderCodec: g.parts.Dialect,
 		Turns: g.storage.conversations, Quotas: g.storage.quotas,
 		Certain: g.isConfigurationNewest, TableAge: g.followers.configuration.Age, Proof: configurationFreshness{g},
 		Unready: g.isUnready, MaxInFlight: maxInFlight, Gone: g.onInstanceGone,
--- a/transport/relay/handler.go
+++ b/transport/relay/handler.go
@@ -19,7 +19,7 @@
 type Options struct {
 	Tables      *routetable.ActiveTable
 	Backends    Backends
-	Exchanger   Upstream
+	Upstream    Upstream
 	HeaderCodec HeaderCodec
 	Turns       Turns
 	Quotas      Quotas
--- a/transport/relay/run.go
+++ b/transport/relay/run.go
@@ -110,7 +110,7 @@
 
 // exchange sends the request to the instance and handles the response by its judgement.
 func (c *call) exchange(ctx context.Context, current *attempt) (outcome, error) {
-	backendResponse, err := c.handler.options.Exchanger.Do(ctx, c.upstreamRequest(current.choice))
+	backendResponse, err := c.handler.options.Upstream.Do(ctx, c.upstreamRequest(current.choice))
 	if err != nil {
 		return outcomeOfError(err), err
 	}
