--- a/transport/relay/authorize.go
+++ b/transport/relay/authorize.go
@@ -29,7 +29,7 @@
 // checkFreshness rejects requests with keys while the configuration isn't confirmed to be
 // recent enough.
 func (c *call) checkFreshness() *result.Error {
-	proof := c.handler.options.Proof
+	proof := c.handler.options.Freshness
 	if proof == nil || proof.Limit() == 0 {
 		return nil
 	}
--- a/transport/relay/handler.go
+++ b/transport/relay/handler.go
@@ -29,9 +29,9 @@
 	// TableAge is the time since the store confirmed the configuration in force, for the
 	// log; ok is false if it hasn't yet. It may be nil.
 	TableAge func() (age time.Duration, ok bool)
-	// Proof tells how recently the configuration in force was confirmed; nil if keys are
+	// Freshness tells how recently the configuration in force was confirmed; nil if keys are
 	// accepted at any age.
-	Proof ConfigurationFreshness
+	Freshness ConfigurationFreshness
 	// Unready tells that this gateway is stopping or can't serve turns. Each response then
 	// closes its connection, so that the client's next request goes to another gateway.
 	Unready func() bool
