--- a/transport/relay/handler.go
+++ b/transport/relay/handler.go
@@ -23,9 +23,9 @@
 	HeaderCodec HeaderCodec
 	Turns       Turns
 	Quotas      Quotas
-	// Certain tells whether the configuration in force is known to be the newest. Only then
+	// IsConfigurationNewest tells whether the configuration in force is known to be the newest. Only then
 	// are the errors for a missing route and an unknown key permanent.
-	Certain func() bool
+	IsConfigurationNewest func() bool
 	// TableAge is the time since the store confirmed the configuration in force, for the
 	// log; ok is false if it hasn't yet. It may be nil.
 	TableAge func() (age time.Duration, ok bool)
@@ -121,7 +121,7 @@
 	path, _, _ := strings.Cut(c.input.target, "?")
 	route, found := table.Match(c.request.Host, path)
 	if !found {
-		return missingRoute.toError(c.routing.configVersion, options.Certain())
+		return missingRoute.toError(c.routing.configVersion, options.IsConfigurationNewest())
 	}
 	c.setRoute(route)
 	c.routing.needsKey = table.NeedsKey(route)
