--- a/node/gateway/gateway.go
+++ b/node/gateway/gateway.go
@@ -183,7 +183,7 @@
 	g.relay = relay.New(relay.Options{
 		Tables: g.activeTable, Backends: g.backends, Upstream: g.upstream, HeaderCodec: g.parts.Dialect,
 		Turns: g.storage.conversations, Quotas: g.storage.quotas,
-		IsConfigurationNewest: g.isConfigurationNewest, TableAge: g.followers.configuration.Age, Freshness: configurationFreshness{g},
+		IsConfigurationNewest: g.isConfigurationNewest, ConfigurationAge: g.followers.configuration.Age, Freshness: configurationFreshness{g},
 		Unready: g.isUnready, MaxInFlight: maxInFlight, Gone: g.onInstanceGone,
 		Retries: limit.NewRetryBudget(relay.RetryPolicy(), time.Now()),
 		Metrics: relay.NewMetrics(g.metrics), Now: time.Now,
--- a/transport/relay/authorize_test.go
+++ b/transport/relay/authorize_test.go
@@ -161,9 +161,9 @@
 			f := newKeyFixture(t, routetable.Safe)
 			f.handler = relay.New(relay.Options{
 				Tables: f.tables, HeaderCodec: keyDialect{}, IsConfigurationNewest: func() bool { return true }, MaxInFlight: 10,
-				TableAge: func() (time.Duration, bool) { return 2200 * time.Millisecond, c.known },
-				Unready:  func() bool { return false },
-				Metrics:  relay.NewMetrics(prometheus.NewRegistry()), Logger: zap.New(core), Answered: zap.NewNop(), Now: time.Now,
+				ConfigurationAge: func() (time.Duration, bool) { return 2200 * time.Millisecond, c.known },
+				Unready:          func() bool { return false },
+				Metrics:          relay.NewMetrics(prometheus.NewRegistry()), Logger: zap.New(core), Answered: zap.NewNop(), Now: time.Now,
 			})
 			request := httptest.NewRequest(http.MethodGet, "/x", nil)
 			request.Host = "unknown.example"
--- a/transport/relay/handler.go
+++ b/transport/relay/handler.go
@@ -26,9 +26,9 @@
 	// IsConfigurationNewest tells whether the configuration in force is known to be the newest. Only then
 	// are the errors for a missing route and an unknown key permanent.
 	IsConfigurationNewest func() bool
-	// TableAge is the time since the store confirmed the configuration in force, for the
+	// ConfigurationAge is the time since the store confirmed the configuration in force, for the
 	// log; ok is false if it hasn't yet. It may be nil.
-	TableAge func() (age time.Duration, ok bool)
+	ConfigurationAge func() (age time.Duration, ok bool)
 	// Freshness tells how recently the configuration in force was confirmed; nil if keys are
 	// accepted at any age.
 	Freshness ConfigurationFreshness
@@ -104,8 +104,8 @@
 		return noConfiguration.errorf("no configuration yet")
 	}
 	c.routing.configVersion = table.Version()
-	if options.TableAge != nil {
-		c.routing.configAge, c.routing.configAgeKnown = options.TableAge()
+	if options.ConfigurationAge != nil {
+		c.routing.configAge, c.routing.configAgeKnown = options.ConfigurationAge()
 	}
 	limits := table.Limits()
 	if limits.HeaderBytes > 0 && headerBytes(c.request) > limits.HeaderBytes {
