--- a/transport/relay/handler.go
+++ b/transport/relay/handler.go
@@ -37,8 +37,8 @@
 	Unready func() bool
 	// MaxInFlight is the maximum number of requests in flight.
 	MaxInFlight int64
-	// Gone is called for an instance whose address now belongs to another one.
-	Gone func(backend.Incarnation)
+	// OnInstanceGone is called for an instance whose address now belongs to another one.
+	OnInstanceGone func(backend.Incarnation)
 	// Retries is the retry budget of all requests. See RetryPolicy.
 	Retries *limit.RetryBudget
 	Metrics *Metrics
--- a/transport/relay/run.go
+++ b/transport/relay/run.go
@@ -120,7 +120,7 @@
 		return refused, errRefused
 	case MisdirectedResponse:
 		drain(backendResponse)
-		c.handler.options.Gone(current.choice.Instance.Incarnation())
+		c.handler.options.OnInstanceGone(current.choice.Instance.Incarnation())
 		return unsent, errMisdirected
 	case InvalidResponse:
 		backendResponse.CloseBody()
