--- a/node/gateway/gateway.go
+++ b/node/gateway/gateway.go
@@ -184,7 +184,7 @@
 		Tables: g.activeTable, Backends: g.backends, Upstream: g.upstream, HeaderCodec: g.parts.Dialect,
 		Turns: g.storage.conversations, Quotas: g.storage.quotas,
 		IsConfigurationNewest: g.isConfigurationNewest, ConfigurationAge: g.followers.configuration.Age, Freshness: configurationFreshness{g},
-		Unready: g.isUnready, MaxInFlight: maxInFlight, OnInstanceGone: g.onInstanceGone,
+		IsUnready: g.isUnready, MaxInFlight: maxInFlight, OnInstanceGone: g.onInstanceGone,
 		Retries: limit.NewRetryBudget(relay.RetryPolicy(), time.Now()),
 		Metrics: relay.NewMetrics(g.metrics), Now: time.Now,
 		Logger:   telemetry.Limited(g.logger, failureLogRate, logBurst),
--- a/transport/relay/authorize_test.go
+++ b/transport/relay/authorize_test.go
@@ -67,7 +67,7 @@
 	pool.Replace([]backend.Instance{{ID: "i-1", Service: "app"}, {ID: "i-2", Service: "app"}})
 	f.handler = relay.New(relay.Options{
 		Tables: f.tables, Backends: pool, Upstream: f.exchanger, HeaderCodec: keyDialect{}, Quotas: unlimitedQuotas{}, Freshness: f.proof,
-		IsConfigurationNewest: func() bool { return true }, Unready: func() bool { return false }, MaxInFlight: 10,
+		IsConfigurationNewest: func() bool { return true }, IsUnready: func() bool { return false }, MaxInFlight: 10,
 		Retries: limit.NewRetryBudget(relay.RetryPolicy(), time.Now()),
 		Metrics: relay.NewMetrics(prometheus.NewRegistry()), Logger: zap.NewNop(), Answered: zap.NewNop(), Now: time.Now,
 	})
@@ -162,7 +162,7 @@
 			f.handler = relay.New(relay.Options{
 				Tables: f.tables, HeaderCodec: keyDialect{}, IsConfigurationNewest: func() bool { return true }, MaxInFlight: 10,
 				ConfigurationAge: func() (time.Duration, bool) { return 2200 * time.Millisecond, c.known },
-				Unready:          func() bool { return false },
+				IsUnready:        func() bool { return false },
 				Metrics:          relay.NewMetrics(prometheus.NewRegistry()), Logger: zap.New(core), Answered: zap.NewNop(), Now: time.Now,
 			})
 			request := httptest.NewRequest(http.MethodGet, "/x", nil)
--- a/transport/relay/deadline_test.go
+++ b/transport/relay/deadline_test.go
@@ -67,7 +67,7 @@
 	exchanger.afterAttempt = func() { passed.Store(int64(time.Minute)) }
 	handler := relay.New(relay.Options{
 		Tables: tables, Backends: pool, Upstream: exchanger, HeaderCodec: plainDialect{},
-		IsConfigurationNewest: func() bool { return true }, Unready: func() bool { return exchanger.unready }, MaxInFlight: 10,
+		IsConfigurationNewest: func() bool { return true }, IsUnready: func() bool { return exchanger.unready }, MaxInFlight: 10,
 		Retries: limit.NewRetryBudget(relay.RetryPolicy(), time.Now()),
 		Metrics: relay.NewMetrics(prometheus.NewRegistry()), Logger: zap.NewNop(), Answered: zap.NewNop(),
 		Now: func() time.Time { return time.Now().Add(time.Duration(passed.Load())) },
--- a/transport/relay/deliver.go
+++ b/transport/relay/deliver.go
@@ -143,7 +143,7 @@
 	c.response.headerWritten = true
 	c.response.status = status
 	c.timing.firstByte = c.handler.options.Now().Sub(c.timing.arrived)
-	if c.handler.options.Unready() {
+	if c.handler.options.IsUnready() {
 		c.writer.Header().Set("Connection", "close")
 	}
 	c.writer.WriteHeader(status)
--- a/transport/relay/handler.go
+++ b/transport/relay/handler.go
@@ -32,9 +32,9 @@
 	// Freshness tells how recently the configuration in force was confirmed; nil if keys are
 	// accepted at any age.
 	Freshness ConfigurationFreshness
-	// Unready tells that this gateway is stopping or can't serve turns. Each response then
+	// IsUnready tells that this gateway is stopping or can't serve turns. Each response then
 	// closes its connection, so that the client's next request goes to another gateway.
-	Unready func() bool
+	IsUnready func() bool
 	// MaxInFlight is the maximum number of requests in flight.
 	MaxInFlight int64
 	// OnInstanceGone is called for an instance whose address now belongs to another one.
