--- a/node/gateway/gateway.go
+++ b/node/gateway/gateway.go
@@ -187,8 +187,8 @@
 		IsUnready: g.isUnready, MaxInFlight: maxInFlight, OnInstanceGone: g.onInstanceGone,
 		Retries: limit.NewRetryBudget(relay.RetryPolicy(), time.Now()),
 		Metrics: relay.NewMetrics(g.metrics), Now: time.Now,
-		Logger:   telemetry.Limited(g.logger, failureLogRate, logBurst),
-		Answered: telemetry.Limited(g.logger, accessLogRate, logBurst),
+		Logger:       telemetry.Limited(g.logger, failureLogRate, logBurst),
+		AccessLogger: telemetry.Limited(g.logger, accessLogRate, logBurst),
 	})
 }
 
--- a/transport/relay/answer.go
+++ b/transport/relay/answer.go
@@ -57,7 +57,7 @@
 		zap.Duration("took", took), zap.Duration("allowed", c.timing.timeout()),
 	}
 	if c.response.code == result.OK {
-		c.handler.options.Answered.Info("answered", fields...)
+		c.handler.options.AccessLogger.Info("answered", fields...)
 		return
 	}
 	c.handler.options.Logger.Info("not answered", append(fields, zap.String("reason", c.response.reason))...)
--- a/transport/relay/authorize_test.go
+++ b/transport/relay/authorize_test.go
@@ -69,7 +69,7 @@
 		Tables: f.tables, Backends: pool, Upstream: f.exchanger, HeaderCodec: keyDialect{}, Quotas: unlimitedQuotas{}, Freshness: f.proof,
 		IsConfigurationNewest: func() bool { return true }, IsUnready: func() bool { return false }, MaxInFlight: 10,
 		Retries: limit.NewRetryBudget(relay.RetryPolicy(), time.Now()),
-		Metrics: relay.NewMetrics(prometheus.NewRegistry()), Logger: zap.NewNop(), Answered: zap.NewNop(), Now: time.Now,
+		Metrics: relay.NewMetrics(prometheus.NewRegistry()), Logger: zap.NewNop(), AccessLogger: zap.NewNop(), Now: time.Now,
 	})
 	return f
 }
@@ -163,7 +163,7 @@
 				Tables: f.tables, HeaderCodec: keyDialect{}, IsConfigurationNewest: func() bool { return true }, MaxInFlight: 10,
 				ConfigurationAge: func() (time.Duration, bool) { return 2200 * time.Millisecond, c.known },
 				IsUnready:        func() bool { return false },
-				Metrics:          relay.NewMetrics(prometheus.NewRegistry()), Logger: zap.New(core), Answered: zap.NewNop(), Now: time.Now,
+				Metrics:          relay.NewMetrics(prometheus.NewRegistry()), Logger: zap.New(core), AccessLogger: zap.NewNop(), Now: time.Now,
 			})
 			request := httptest.NewRequest(http.MethodGet, "/x", nil)
 			request.Host = "unknown.example"
--- a/transport/relay/deadline_test.go
+++ b/transport/relay/deadline_test.go
@@ -69,7 +69,7 @@
 		Tables: tables, Backends: pool, Upstream: exchanger, HeaderCodec: plainDialect{},
 		IsConfigurationNewest: func() bool { return true }, IsUnready: func() bool { return exchanger.unready }, MaxInFlight: 10,
 		Retries: limit.NewRetryBudget(relay.RetryPolicy(), time.Now()),
-		Metrics: relay.NewMetrics(prometheus.NewRegistry()), Logger: zap.NewNop(), Answered: zap.NewNop(),
+		Metrics: relay.NewMetrics(prometheus.NewRegistry()), Logger: zap.NewNop(), AccessLogger: zap.NewNop(),
 		Now: func() time.Time { return time.Now().Add(time.Duration(passed.Load())) },
 	})
 	request := httptest.NewRequest(http.MethodGet, "/x", nil)
--- a/transport/relay/handler.go
+++ b/transport/relay/handler.go
@@ -44,9 +44,9 @@
 	Metrics *Metrics
 	// Logger logs each failed request and each retry, Answered each request with a complete
 	// response. Both should be rate limited.
-	Logger   *zap.Logger
-	Answered *zap.Logger
-	Now      func() time.Time
+	Logger       *zap.Logger
+	AccessLogger *zap.Logger
+	Now          func() time.Time
 }
 
 // Handler serves the clients of a gateway. It is safe for concurrent use.
