--- a/transport/socket/socket.go
+++ b/transport/socket/socket.go
@@ -27,10 +27,10 @@
 	return &net.Dialer{Timeout: connectTimeout, KeepAlive: -1, Control: setUserTimeout(userTimeout)}
 }
 
-// ProbingDialer returns a Dialer whose connections also fail if the peer's host doesn't
+// KeepAliveDialer returns a Dialer whose connections also fail if the peer's host doesn't
 // answer keep-alive probes. Connections that wait for a response need them, since all sent
 // data may have been acknowledged long before.
-func ProbingDialer(connectTimeout, userTimeout time.Duration) *net.Dialer {
+func KeepAliveDialer(connectTimeout, userTimeout time.Duration) *net.Dialer {
 	dialer := Dialer(connectTimeout, userTimeout)
 	dialer.KeepAliveConfig = net.KeepAliveConfig{
 		Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveCount,
--- a/transport/socket/socket_test.go
+++ b/transport/socket/socket_test.go
@@ -38,7 +38,7 @@
 
 // TestProbingDialerEnablesKeepAlive also checks that Dialer disables it.
 func TestProbingDialerEnablesKeepAlive(t *testing.T) {
-	keepAlive, idle, interval, count := keepAliveOptions(t, socket.ProbingDialer(time.Second, time.Second))
+	keepAlive, idle, interval, count := keepAliveOptions(t, socket.KeepAliveDialer(time.Second, time.Second))
 	assert.Equal(t, keepAlive, 1)
 	assert.Equal(t, idle, 1)
 	assert.Equal(t, interval, 1)
--- a/transport/upstream/connection.go
+++ b/transport/upstream/connection.go
@@ -41,7 +41,7 @@
 }
 
 func dial(ctx context.Context, address string, settings Settings, onReceive func(*connection)) (*connection, error) {
-	dialer := socket.ProbingDialer(settings.DialTimeout, settings.UnacknowledgedTimeout)
+	dialer := socket.KeepAliveDialer(settings.DialTimeout, settings.UnacknowledgedTimeout)
 	opened, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return nil, err
