--- a/node/gateway/gateway.go
+++ b/node/gateway/gateway.go
@@ -22,8 +22,8 @@
 	"github.com/marblering/marblering/transport/upstream"
 )
 
-// Parts are the parts of a gateway that differ between deployments.
-type Parts struct {
+// Dependencies are the parts of a gateway that differ between deployments.
+type Dependencies struct {
 	// Dialect reads and writes the headers of requests and responses.
 	Dialect relay.HeaderCodec
 	// IDHeader is the header in which backends echo the ID of a request.
@@ -58,7 +58,7 @@
 // Gateway is a running gateway daemon.
 type Gateway struct {
 	settings settings.Gateway
-	parts    Parts
+	parts    Dependencies
 	logger   *zap.Logger
 
 	// Copies of the objects in the store.
@@ -90,7 +90,7 @@
 }
 
 // Run runs a gateway until ctx is done, then drains it.
-func Run(ctx context.Context, loaded settings.Gateway, parts Parts, logger *zap.Logger) error {
+func Run(ctx context.Context, loaded settings.Gateway, parts Dependencies, logger *zap.Logger) error {
 	debug.SetMemoryLimit(int64(memoryLimitFraction * float64(loaded.MemoryLimit)))
 	g, err := Start(loaded, parts, logger)
 	if err != nil {
@@ -107,7 +107,7 @@
 
 // Start opens the listeners and starts the services. It fails if a listener cannot be
 // opened.
-func Start(loaded settings.Gateway, parts Parts, logger *zap.Logger) (*Gateway, error) {
+func Start(loaded settings.Gateway, parts Dependencies, logger *zap.Logger) (*Gateway, error) {
 	g, err := newGateway(loaded, parts, logger)
 	if err != nil {
 		return nil, err
@@ -142,7 +142,7 @@
 func (g *Gateway) OperatorAddress() string { return g.operatorListener.Address() }
 
 // newGateway builds a gateway without starting anything.
-func newGateway(loaded settings.Gateway, parts Parts, logger *zap.Logger) (*Gateway, error) {
+func newGateway(loaded settings.Gateway, parts Dependencies, logger *zap.Logger) (*Gateway, error) {
 	g := &Gateway{
 		settings: loaded, parts: parts, logger: logger,
 		activeTable: &routetable.ActiveTable{},
