--- a/node/gateway/gateway.go
+++ b/node/gateway/gateway.go
@@ -24,8 +24,8 @@
 
 // Dependencies are the parts of a gateway that differ between deployments.
 type Dependencies struct {
-	// Dialect reads and writes the headers of requests and responses.
-	Dialect relay.HeaderCodec
+	// HeaderCodec reads and writes the headers of requests and responses.
+	HeaderCodec relay.HeaderCodec
 	// IDHeader is the header in which backends echo the ID of a request.
 	IDHeader string
 	// Configuration and Instances are the sources of these kinds of objects.
@@ -181,7 +181,7 @@
 // buildRelay creates the handler of requests.
 func (g *Gateway) buildRelay() {
 	g.relay = relay.New(relay.Options{
-		Tables: g.activeTable, Backends: g.backends, Upstream: g.upstream, HeaderCodec: g.parts.Dialect,
+		Tables: g.activeTable, Backends: g.backends, Upstream: g.upstream, HeaderCodec: g.parts.HeaderCodec,
 		Turns: g.storage.conversations, Quotas: g.storage.quotas,
 		IsConfigurationNewest: g.isConfigurationNewest, ConfigurationAge: g.followers.configuration.Age, Freshness: configurationFreshness{g},
 		IsUnready: g.isUnready, MaxInFlight: maxInFlight, OnInstanceGone: g.onInstanceGone,
