--- a/node/gateway/gateway.go
+++ b/node/gateway/gateway.go
@@ -26,8 +26,8 @@
 type Dependencies struct {
 	// HeaderCodec reads and writes the headers of requests and responses.
 	HeaderCodec relay.HeaderCodec
-	// IDHeader is the header in which backends echo the ID of a request.
-	IDHeader string
+	// RequestIDHeader is the header in which backends echo the ID of a request.
+	RequestIDHeader string
 	// Configuration and Instances are the sources of these kinds of objects.
 	Configuration follow.Source
 	Instances     follow.Source
@@ -174,7 +174,7 @@
 	g.backends.OnEjected(g.onInstanceEjected)
 	g.backends.OnRestarted(g.onInstanceRestarted)
 	upstreamSettings := upstream.DefaultSettings()
-	upstreamSettings.IDHeader = g.parts.IDHeader
+	upstreamSettings.IDHeader = g.parts.RequestIDHeader
 	g.upstream = upstream.NewClient(upstreamSettings, time.Now)
 }
 
