--- a/node/gateway/gateway.go
+++ b/node/gateway/gateway.go
@@ -31,9 +31,9 @@
 	// Configuration and Instances are the sources of these kinds of objects.
 	Configuration follow.Source
 	Instances     follow.Source
-	// Sets is the source of the replica sets of the storage nodes, which package
+	// ReplicaSets is the source of the replica sets of the storage nodes, which package
 	// coordination/directory publishes.
-	Sets follow.Source
+	ReplicaSets follow.Source
 	// DecodeConfiguration decodes the configuration in a snapshot. found is false if there
 	// is none yet; the error is non-nil if there is one that cannot be decoded.
 	DecodeConfiguration func(follow.Snapshot) (configuration routetable.Configuration, found bool, err error)
