--- a/transport/relay/deadline_test.go
+++ b/transport/relay/deadline_test.go
@@ -26,8 +26,8 @@
 func (plainDialect) ReadRequest(*http.Request) (relay.RequestInfo, *result.Error) {
 	return relay.RequestInfo{ID: "id"}, nil
 }
-func (plainDialect) WriteAttempt(http.Header, relay.AttemptInfo)   {}
-func (plainDialect) Classify(*upstream.Answer) relay.ResponseClass { return relay.ValidResponse }
+func (plainDialect) WriteAttempt(http.Header, relay.AttemptInfo)     {}
+func (plainDialect) Classify(*upstream.Response) relay.ResponseClass { return relay.ValidResponse }
 
 // failingExchanger fails and counts all attempts.
 type failingExchanger struct {
@@ -39,7 +39,7 @@
 	unready bool
 }
 
-func (e *failingExchanger) Do(context.Context, *upstream.Request) (*upstream.Answer, error) {
+func (e *failingExchanger) Do(context.Context, *upstream.Request) (*upstream.Response, error) {
 	e.attempts.Add(1)
 	e.afterAttempt()
 	if e.unsent {
--- a/transport/relay/deliver.go
+++ b/transport/relay/deliver.go
@@ -23,7 +23,7 @@
 const eventStream = "text/event-stream"
 
 // deliver passes a response on to the client.
-func (c *call) deliver(ctx context.Context, backendResponse *upstream.Answer, current *attempt) (outcome, error) {
+func (c *call) deliver(ctx context.Context, backendResponse *upstream.Response, current *attempt) (outcome, error) {
 	defer backendResponse.CloseBody()
 	if isEventStream(backendResponse) {
 		return c.deliverEvents(ctx, backendResponse, current)
@@ -34,14 +34,14 @@
 	return c.deliverBuffered(backendResponse, current)
 }
 
-func isEventStream(backendResponse *upstream.Answer) bool {
+func isEventStream(backendResponse *upstream.Response) bool {
 	mediaType, _, err := mime.ParseMediaType(backendResponse.Header.Get("Content-Type"))
 	return err == nil && mediaType == eventStream && backendResponse.Status == http.StatusOK
 }
 
 // deliverBuffered passes on a response that isn't a stream once it has arrived completely,
 // or hands it to deliverLarge if it is too large to buffer.
-func (c *call) deliverBuffered(backendResponse *upstream.Answer, current *attempt) (outcome, error) {
+func (c *call) deliverBuffered(backendResponse *upstream.Response, current *attempt) (outcome, error) {
 	body, err := io.ReadAll(io.LimitReader(backendResponse, maxBufferedBytes+1))
 	if err != nil {
 		return incomplete, err
@@ -68,7 +68,7 @@
 
 // deliverLarge streams a response that is too large to buffer. If the backend's connection
 // breaks, the client's is closed as well.
-func (c *call) deliverLarge(backendResponse *upstream.Answer, first []byte) (outcome, error) {
+func (c *call) deliverLarge(backendResponse *upstream.Response, first []byte) (outcome, error) {
 	copyResponseHeader(c.writer.Header(), backendResponse.Header)
 	if length := backendResponse.Header.Get("Content-Length"); length != "" {
 		c.writer.Header().Set("Content-Length", length)
@@ -85,7 +85,7 @@
 
 // deliverEvents passes on complete events as they arrive. The header is written with the
 // first event, so that another backend can be tried if the stream breaks before it.
-func (c *call) deliverEvents(ctx context.Context, backendResponse *upstream.Answer, current *attempt) (outcome, error) {
+func (c *call) deliverEvents(ctx context.Context, backendResponse *upstream.Response, current *attempt) (outcome, error) {
 	events := newEventReader(backendResponse)
 	controller := http.NewResponseController(c.writer)
 	for {
@@ -116,7 +116,7 @@
 
 // endStream stores the turn, if there is one, and writes the header of a stream without
 // events. If the turn can't be stored, the stream must not end normally.
-func (c *call) endStream(ctx context.Context, backendResponse *upstream.Answer) (outcome, error) {
+func (c *call) endStream(ctx context.Context, backendResponse *upstream.Response) (outcome, error) {
 	started := c.handler.options.Now()
 	err := c.completeTurn(ctx)
 	c.timing.storeTime = c.handler.options.Now().Sub(started)
@@ -129,7 +129,7 @@
 
 // writeStreamHeader writes the response header unless it is written: a resumed stream keeps
 // the header of its first backend.
-func (c *call) writeStreamHeader(backendResponse *upstream.Answer) {
+func (c *call) writeStreamHeader(backendResponse *upstream.Response) {
 	if c.response.headerWritten {
 		return
 	}
@@ -150,7 +150,7 @@
 }
 
 // drain discards a short response, so that its connection can be reused.
-func drain(backendResponse *upstream.Answer) {
+func drain(backendResponse *upstream.Response) {
 	_, _ = io.CopyN(io.Discard, backendResponse, maxDrainedBytes)
 	backendResponse.CloseBody()
 }
--- a/transport/relay/dialect.go
+++ b/transport/relay/dialect.go
@@ -74,7 +74,7 @@
 	// WriteAttempt removes the headers that clients may not set, and sets those of an attempt.
 	WriteAttempt(header http.Header, attempt AttemptInfo)
 	// Classify classifies a response.
-	Classify(response *upstream.Answer) ResponseClass
+	Classify(response *upstream.Response) ResponseClass
 }
 
 // Backends selects instances for requests. backend.Pool implements it.
@@ -94,5 +94,5 @@
 
 // Upstream sends a request to an instance. upstream.Client implements it.
 type Upstream interface {
-	Do(ctx context.Context, request *upstream.Request) (*upstream.Answer, error)
+	Do(ctx context.Context, request *upstream.Request) (*upstream.Response, error)
 }
--- a/transport/upstream/exchange.go
+++ b/transport/upstream/exchange.go
@@ -21,8 +21,8 @@
 	maxInlineBodyBytes = 4 << 10
 )
 
-// Answer is a backend's response. Its body must be read to the end or closed.
-type Answer struct {
+// Response is a backend's response. Its body must be read to the end or closed.
+type Response struct {
 	// Status is the HTTP status code.
 	Status int
 	Header http.Header
@@ -59,7 +59,7 @@
 
 // Do sends the request and returns the head of its response. The context bounds the
 // whole exchange including the response body. Every error is an *Error.
-func (c *Client) Do(ctx context.Context, request *Request) (*Answer, error) {
+func (c *Client) Do(ctx context.Context, request *Request) (*Response, error) {
 	to := endpointOf(request)
 	opened, err := c.connect(ctx, to)
 	if err != nil {
@@ -84,7 +84,7 @@
 	return answer, nil
 }
 
-func (e *exchange) run(request *Request) (*Answer, error) {
+func (e *exchange) run(request *Request) (*Response, error) {
 	if len(request.Body) > maxInlineBodyBytes {
 		go e.send(request)
 	} else if e.send(request); e.writeErr != nil {
@@ -110,7 +110,7 @@
 
 // receive reads the head of the next response. A response to another request is read to
 // its end and discarded; matches is then false.
-func (e *exchange) receive(request *Request) (answer *Answer, matches bool, err error) {
+func (e *exchange) receive(request *Request) (answer *Response, matches bool, err error) {
 	response, err := e.readHead(request)
 	if err != nil {
 		return nil, false, &Error{Sent: true, Stage: StageHead, Cause: e.stall.errorFor(err)}
@@ -123,7 +123,7 @@
 		return nil, false, nil
 	}
 	e.connection.limitIdleTime(response.Header, e.client.settings)
-	return &Answer{
+	return &Response{
 		Status: response.StatusCode, Header: response.Header,
 		Named:            id != "",
 		closesConnection: response.Close || hasCloseDelimitedBody(response),
@@ -184,7 +184,7 @@
 }
 
 // Read reads the body. It returns io.EOF only after the whole body.
-func (a *Answer) Read(buffer []byte) (int, error) {
+func (a *Response) Read(buffer []byte) (int, error) {
 	count, err := a.body.Read(buffer)
 	if err == io.EOF {
 		a.exchange.finish(a.closesConnection)
@@ -195,4 +195,4 @@
 
 // CloseBody discards the rest of the response. Unless the body was read to its end, it
 // closes the connection, which tells the backend that the client is gone.
-func (a *Answer) CloseBody() { a.exchange.abandon() }
+func (a *Response) CloseBody() { a.exchange.abandon() }
