--- a/transport/upstream/exchange.go
+++ b/transport/upstream/exchange.go
@@ -26,9 +26,9 @@
 	// Status is the HTTP status code.
 	Status int
 	Header http.Header
-	// Named is set if the response repeats the request's ID. A response without an ID may
+	// HasID is set if the response repeats the request's ID. A response without an ID may
 	// belong to another request.
-	Named bool
+	HasID bool
 
 	// closesConnection is set if the backend closes the connection after this response.
 	closesConnection bool
@@ -125,7 +125,7 @@
 	e.connection.limitIdleTime(response.Header, e.client.settings)
 	return &Response{
 		Status: response.StatusCode, Header: response.Header,
-		Named:            id != "",
+		HasID:            id != "",
 		closesConnection: response.Close || hasCloseDelimitedBody(response),
 		exchange:         e, body: response.Body,
 	}, true, nil
