--- a/node/gateway/instances.go
+++ b/node/gateway/instances.go
@@ -82,7 +82,7 @@
 // closeConnections closes the connections to removed instances.
 func (g *Gateway) closeConnections(gone []string) {
 	for _, instance := range gone {
-		g.upstream.Forget(instance)
+		g.upstream.CloseInstance(instance)
 	}
 }
 
@@ -90,14 +90,14 @@
 // restarts, and closes its connections.
 func (g *Gateway) onInstanceGone(life backend.Incarnation) {
 	g.backends.MarkAddressLost(life)
-	g.upstream.Forget(life.ID)
+	g.upstream.CloseInstance(life.ID)
 	g.logger.Info("instance address taken over by another instance", zap.String("instance", life.ID), startTimeField("started", life))
 }
 
 // onInstanceRestarted closes the connections to the earlier process of an instance that
 // restarted with the same ID.
 func (g *Gateway) onInstanceRestarted(restart backend.Restart) {
-	g.upstream.Forget(restart.Current.ID)
+	g.upstream.CloseInstance(restart.Current.ID)
 	g.logger.Info("instance started again", zap.String("instance", restart.Current.ID),
 		startTimeField("before", restart.Previous), startTimeField("started", restart.Current), zap.Int64("under_way", restart.InFlight))
 }
--- a/transport/upstream/client.go
+++ b/transport/upstream/client.go
@@ -120,9 +120,9 @@
 	c.idle[to] = append(c.idle[to], kept)
 }
 
-// Forget closes the idle connections to all processes of an instance that is gone or
+// CloseInstance closes the idle connections to all processes of an instance that is gone or
 // was restarted.
-func (c *Client) Forget(instance string) {
+func (c *Client) CloseInstance(instance string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	for to, idle := range c.idle {
