--- a/coordination/follow/counted.go
+++ b/coordination/follow/counted.go
@@ -5,26 +5,26 @@
 	"time"
 )
 
-// Counter counts. prometheus.Counter is one.
+// Counter is the part of prometheus.Counter that Counted needs.
 type Counter interface{ Inc() }
 
-// Counted returns a source that counts the calls to the given one: each is load for a
-// store that many nodes share.
-func Counted(source Source, calls Counter) Source { return counted{source, calls} }
+// Counted wraps a source and counts every call to it, since each is load on the store
+// that all nodes share.
+func Counted(source Source, calls Counter) Source { return countingSource{source, calls} }
 
-type counted struct {
+type countingSource struct {
 	source Source
 	calls  Counter
 }
 
 // List implements Source.
-func (c counted) List(ctx context.Context) (Snapshot, error) {
+func (c countingSource) List(ctx context.Context) (Snapshot, error) {
 	c.calls.Inc()
 	return c.source.List(ctx)
 }
 
 // Watch implements Source.
-func (c counted) Watch(ctx context.Context, from int64, wait time.Duration) (Changes, error) {
+func (c countingSource) Watch(ctx context.Context, from int64, wait time.Duration) (Changes, error) {
 	c.calls.Inc()
 	return c.source.Watch(ctx, from, wait)
 }
--- a/coordination/tokenbudget/admission.go
+++ b/coordination/tokenbudget/admission.go
@@ -12,117 +12,110 @@
 )
 
 const (
-	// runningTime is how long after its last turn a program counts as running: a
-	// few times the pause in which programs call their tools. Chosen, not measured.
-	runningTime = 10 * time.Second
-	// crowdedAfter is how long a change may take before this host refuses programs
-	// that begin: a few times what a change takes on an idle host, and well below
-	// tryTimeout, which a gateway waits for it. Chosen, not measured.
-	crowdedAfter = 100 * time.Millisecond
-	// cutOffAfter is how long all changes must have failed before this host counts
-	// as cut off rather than overloaded: longer than tryTimeout, so that one slow
-	// round doesn't count. Chosen, not measured.
-	cutOffAfter = 500 * time.Millisecond
+	// runningProgramWindow is how long after its last turn a program counts as running.
+	// It covers the pauses in which programs call their tools.
+	runningProgramWindow = 10 * time.Second
+	// slowChangeThreshold is the duration above which a change lowers the limit for
+	// low-priority changes. It is below attemptTimeout, after which the gateway has given
+	// the attempt up.
+	slowChangeThreshold = 100 * time.Millisecond
+	// isolationThreshold is how long all changes must have failed before the host reports
+	// that it can't reach records rather than that it is overloaded. It is longer than
+	// attemptTimeout, so that a single slow change doesn't exceed it.
+	isolationThreshold = 500 * time.Millisecond
 )
 
-// urgency says which changes of records go first where there are too many.
-type urgency int
+// priority tells which changes of records are admitted first under load.
+type priority int
 
 const (
-	// deferrable changes begin a program or give a reserve back: nothing is lost if
-	// they come later.
-	deferrable urgency = iota
-	// running changes let a program go on. A program that is refused in its middle
-	// has computed its earlier turns in vain.
-	running
+	// lowPriority changes begin a program or release a reserve. They can be repeated later
+	// without loss.
+	lowPriority priority = iota
+	// highPriority changes let a running program continue. Refusing one wastes the
+	// program's earlier turns.
+	highPriority
 )
 
 // admission decides whether this host begins another change of a record:
 //
-//   - A change is refused while as many are under way as the adaptive limit allows.
-//     The limit falls with each change that fails, so that under overload most of
-//     what begins also ends in time. Without it, hosts finished 7 of 5,000 changes
-//     at four times the load that they can do (virtual time,
-//     limit.TestOverloadFinishesWhatItBegins).
-//   - A deferrable change is refused by a second limit, which also falls with each
-//     change that takes longer than crowdedAfter. So programs that run go first:
-//     hosts offered 80, 160 and 320 programs a second finish 80.0, 89.2 and 88.8 of
-//     them a second, and 80.0, 39.8 and 8.8 without it (virtual time,
-//     TestOverloadFinishesPrograms).
-//   - A host that refuses says ErrOverloaded, which keeps gateways from asking
-//     another host; after cutOffAfter without any change that succeeded it says
-//     that it can't reach the record, so that they do ask another.
+//   - An adaptive limit bounds all changes in progress. It falls with each change that
+//     fails, so that under overload most of the changes that begin also finish in time.
+//   - A second adaptive limit bounds low-priority changes. It also falls with each change
+//     that takes longer than slowChangeThreshold, so that running programs go first.
+//   - A refusal is ErrOverloaded, which keeps gateways from asking another host. If no
+//     change has succeeded for isolationThreshold, the refusal says instead that records
+//     can't be reached, so that gateways do ask another host.
 //
 // It is safe for concurrent use.
 type admission struct {
 	now func() time.Time
-	// all bounds every change, crowd the deferrable ones.
-	all   *limit.Adaptive
-	crowd *limit.Adaptive
-	// decided is when a record was last changed, in nanoseconds since 1970.
-	decided atomic.Int64
+	// allChanges bounds every change, lowPriorityChanges those of low priority.
+	allChanges         *limit.Adaptive
+	lowPriorityChanges *limit.Adaptive
+	// lastSuccess is when a record was last changed, in Unix nanoseconds.
+	lastSuccess atomic.Int64
 
 	mutex sync.Mutex
-	// programs are those that had a turn here within runningTime.
-	programs *recent.Map[struct{}]
+	// runningPrograms holds the programs that had a turn here within runningProgramWindow.
+	runningPrograms *recent.Map[struct{}]
 }
 
-func newAdmission(all, crowd limit.AdaptivePolicy, now func() time.Time) *admission {
+func newAdmission(allPolicy, lowPriorityPolicy limit.AdaptivePolicy, now func() time.Time) *admission {
 	return &admission{
-		now: now, all: limit.NewAdaptive(all, now), crowd: limit.NewAdaptive(crowd, now),
-		programs: recent.New(runningTime, func(time.Time) struct{} { return struct{}{} }),
+		now: now, allChanges: limit.NewAdaptive(allPolicy, now), lowPriorityChanges: limit.NewAdaptive(lowPriorityPolicy, now),
+		runningPrograms: recent.New(runningProgramWindow, func(time.Time) struct{} { return struct{}{} }),
 	}
 }
 
-// urgencyOf says whether the reservation lets a program go on or begins one.
-func (a *admission) urgencyOf(wanted Reservation) urgency {
+// priorityOf returns highPriority for a turn of a running program, lowPriority otherwise.
+func (a *admission) priorityOf(reservation Reservation) priority {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	if wanted.Running || a.programs.Has(wanted.Program) {
-		return running
+	if reservation.Running || a.runningPrograms.Has(reservation.Program) {
+		return highPriority
 	}
-	return deferrable
+	return lowPriority
 }
 
-// began records that a turn of the program has begun.
-func (a *admission) began(program string) {
+// recordTurn records that a turn of the program has begun.
+func (a *admission) recordTurn(program string) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	a.programs.Get(program, a.now())
+	a.runningPrograms.Get(program, a.now())
 }
 
-// begin lets a change begin or returns why it is refused. After success, end must
-// be called with the time at which the change began.
-func (a *admission) begin(wanted urgency) error {
-	if wanted == running {
-		a.crowd.Enter()
-	} else if !a.crowd.Begin() {
-		return merry.Wrap(ErrOverloaded, merry.AppendMessagef("%d changes of budgets are under way, no program begins", a.crowd.Limit()))
+// beginChange admits a change or returns why it is refused. Each admitted change must be
+// ended by endChange, with the time at which it began.
+func (a *admission) beginChange(level priority) error {
+	if level == highPriority {
+		a.lowPriorityChanges.Enter()
+	} else if !a.lowPriorityChanges.Begin() {
+		return merry.Wrap(ErrOverloaded, merry.AppendMessagef("the limit of %d budget changes in progress is reached for new programs", a.lowPriorityChanges.Limit()))
 	}
-	if a.all.Begin() {
+	if a.allChanges.Begin() {
 		return nil
 	}
-	a.crowd.End(true)
-	return a.refusal()
+	a.lowPriorityChanges.End(true)
+	return a.refusalError()
 }
 
-// end records how a change ended.
-func (a *admission) end(began time.Time, err error) {
+// endChange records the result of a change.
+func (a *admission) endChange(began time.Time, err error) {
 	now := a.now()
-	a.all.End(err != nil)
-	a.crowd.End(err != nil || now.Sub(began) > crowdedAfter)
+	a.allChanges.End(err != nil)
+	a.lowPriorityChanges.End(err != nil || now.Sub(began) > slowChangeThreshold)
 	if err == nil {
-		a.decided.Store(now.UnixNano())
+		a.lastSuccess.Store(now.UnixNano())
 	}
 }
 
-// refusal is the error of a change that the limit refuses. A host that changes other
-// records is overloaded; one that changes none is cut off, and another host may
-// succeed.
-func (a *admission) refusal() error {
-	idle := a.now().Sub(time.Unix(0, a.decided.Load()))
-	if idle > cutOffAfter {
-		return merry.Errorf("no record was changed for %s", idle)
+// refusalError returns the error of a change that the limit refuses: ErrOverloaded while
+// other changes succeed, otherwise an error that sends gateways to another host.
+func (a *admission) refusalError() error {
+	idle := a.now().Sub(time.Unix(0, a.lastSuccess.Load()))
+	if idle > isolationThreshold {
+		return merry.Errorf("no budget record was changed for %s", idle)
 	}
-	return merry.Wrap(ErrOverloaded, merry.AppendMessagef("%d changes of budgets are under way", a.all.Limit()))
+	return merry.Wrap(ErrOverloaded, merry.AppendMessagef("the limit of %d budget changes in progress is reached", a.allChanges.Limit()))
 }
--- /dev/null
+++ b/coordination/tokenbudget/reserved_elsewhere_test.go
@@ -0,0 +1,110 @@
+package tokenbudget_test
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"go.uber.org/zap"
+	"gotest.tools/v3/assert"
+
+	"github.com/marblering/marblering/coordination/reach"
+	"github.com/marblering/marblering/coordination/tokenbudget"
+	"github.com/marblering/marblering/state/budget"
+)
+
+// TestReservedTokensAreNotReportedSpent guards against ending a program while another host
+// may still release tokens of its budget, however long that takes.
+func TestReservedTokensAreNotReportedSpent(t *testing.T) {
+	shared := newSharedRegister()
+	now := time.Now()
+	clock := func() time.Time { return now }
+	ledger := newLedger("a", shared)
+	first, second := tokenbudget.NewHost(ledger, clock), tokenbudget.NewHost(newLedger("b", shared), clock)
+	reservation := newReservation("t1")
+	reservation.Limit = 100
+	assert.NilError(t, first.Reserve(t.Context(), reservation))
+	reservation.Name = "t2"
+	for _, passed := range []time.Duration{0, 1600 * time.Millisecond, time.Minute} {
+		now = now.Add(passed)
+		assert.ErrorIs(t, second.Reserve(t.Context(), reservation), budget.ErrReserved)
+	}
+	first.End([]tokenbudget.Ended{{Program: "p", Reservation: "t1"}})
+	ledger.Flush(t.Context())
+	assert.NilError(t, second.Reserve(t.Context(), reservation))
+}
+
+// TestReserveHolderIsAsked: a host that failed holds a reserve and is asked last when it
+// answers again. If the rest of the budget is used up, it must be asked within the same
+// reservation and admit turns from its reserve.
+func TestReserveHolderIsAsked(t *testing.T) {
+	transport, views := newNetwork(newSharedRegister(), 3)
+	client := newClient(transport, views)
+	turns := 0
+	runTurn := func() {
+		assert.NilError(t, client.Reserve(t.Context(), newReservation(fmt.Sprint("t", turns))), "turn %d", turns)
+		client.End(tokenbudget.Ended{Program: "p", Reservation: fmt.Sprint("t", turns), HandedOut: 100})
+		client.Flush(t.Context())
+		turns++
+	}
+	runTurn()
+	primary := transport.asked[0]
+	transport.down[primary] = true
+	runTurn()
+	transport.down[primary] = false
+	for turns < 10 {
+		runTurn()
+	}
+	assert.ErrorIs(t, client.Reserve(t.Context(), newReservation("excess")), budget.ErrSpent)
+}
+
+// TestReserveOfFailedHostIsNotSpent: the reserve of a host that doesn't answer may be released
+// later, so the budget isn't reported as spent. Each host is asked once.
+func TestReserveOfFailedHostIsNotSpent(t *testing.T) {
+	transport, views := newNetwork(newSharedRegister(), 3)
+	client := newClient(transport, views)
+	reservation := newReservation("t1")
+	reservation.Limit = 100
+	assert.NilError(t, client.Reserve(t.Context(), reservation))
+	transport.down[transport.asked[0]] = true
+	reservation.Name = "t2"
+	before := transport.reservationCount()
+	assert.ErrorIs(t, client.Reserve(t.Context(), reservation), budget.ErrReserved)
+	assert.Equal(t, transport.reservationCount(), before+3)
+}
+
+// TestReserveOfEarlierIncarnationIsSpent: a restarted host knows that its earlier incarnation
+// won't release its reserve, and reports the budget as spent.
+func TestReserveOfEarlierIncarnationIsSpent(t *testing.T) {
+	shared := newSharedRegister()
+	reservation := newReservation("t1")
+	reservation.Limit = 100
+	assert.NilError(t, newLedger("rack/a/1", shared).Reserve(t.Context(), reservation))
+	for _, other := range []string{"a/2", "rack/b/1", "rack/a/1/x", "1"} {
+		assert.ErrorIs(t, newLedger(other, shared).Reserve(t.Context(), reservation), budget.ErrReserved, other)
+	}
+	assert.ErrorIs(t, newLedger("rack/a/2", shared).Reserve(t.Context(), reservation), budget.ErrSpent)
+	assert.Equal(t, shared.committed(t, "p"), uint64(100))
+}
+
+// TestRestartedHostReportsSpentBudget: only the restarted host can tell that the reserve of its
+// earlier incarnation is spent, so it must be asked even if it comes last.
+func TestRestartedHostReportsSpentBudget(t *testing.T) {
+	shared := newSharedRegister()
+	transport, views := newNetwork(shared, 3)
+	reservation := newReservation("t1")
+	reservation.Limit = 100
+	tracker := reach.New(time.Now)
+	client := tokenbudget.NewClient(transport, views, tracker, time.Now, zap.NewNop())
+	name := func(address string, incarnation int) string { return fmt.Sprint(address, "/", incarnation) }
+	for address := range transport.hosts {
+		transport.hosts[address] = tokenbudget.NewHost(newLedger(name(address, 1), shared), time.Now)
+	}
+	assert.NilError(t, client.Reserve(t.Context(), reservation))
+	primary := transport.asked[0]
+	transport.hosts[primary] = tokenbudget.NewHost(newLedger(name(primary, 2), shared), time.Now)
+	tracker.Failed(primary)
+	reservation.Name = "t2"
+	assert.ErrorIs(t, client.Reserve(t.Context(), reservation), budget.ErrSpent)
+	assert.Equal(t, transport.asked[len(transport.asked)-1], primary)
+}
--- a/node/gateway/drain.go
+++ b/node/gateway/drain.go
@@ -8,33 +8,32 @@
 )
 
 const (
-	// noticePart of the drain's time is left for balancers to notice that this node
-	// isn't ready (chosen, not measured). New connections still come meanwhile and are
-	// served.
-	noticePart = 0.4
-	// reservedPart is left at the end for the process to exit (chosen, not measured).
-	reservedPart = 0.08
+	// readinessNoticeFraction of the drain timeout is left for load balancers to detect
+	// that this gateway is not ready. New connections are still served during that time.
+	readinessNoticeFraction = 0.4
+	// exitFraction of the drain timeout is reserved for the exit of the process.
+	exitFraction = 0.08
 )
 
-// Drain ends the gateway without cutting an answer: it calls itself not ready,
-// serves on while callers still come, then takes no more connections and waits
-// for what is under way.
+// Drain shuts the gateway down gracefully: it reports that it is not ready, serves new
+// connections until load balancers have noticed, then stops accepting connections and waits
+// for requests in flight.
 func (g *Gateway) Drain() {
 	defer g.stop()
 	began := time.Now()
 	g.draining.Store(true)
 	g.logger.Info("draining", zap.Int64("in_flight", g.relay.InFlight()), zap.Duration("limit", g.settings.DrainTimeout))
-	time.Sleep(part(noticePart, g.settings.DrainTimeout))
-	left := part(1-noticePart-reservedPart, g.settings.DrainTimeout)
-	bounded, cancel := context.WithTimeout(context.Background(), left)
+	time.Sleep(fractionOf(readinessNoticeFraction, g.settings.DrainTimeout))
+	shutdownTimeout := fractionOf(1-readinessNoticeFraction-exitFraction, g.settings.DrainTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
-	err := g.callers.shutdown(bounded)
-	g.state.budgets.Flush(bounded)
-	g.state.peers.Close()
+	err := g.callers.shutdown(ctx)
+	g.storage.budgets.Flush(ctx)
+	g.storage.peers.Close()
 	g.logger.Info("stopped", zap.Int64("in_flight", g.relay.InFlight()),
 		zap.Duration("took", time.Since(began)), zap.Error(err))
 }
 
-func part(share float64, of time.Duration) time.Duration {
-	return time.Duration(share * float64(of))
+func fractionOf(fraction float64, duration time.Duration) time.Duration {
+	return time.Duration(fraction * float64(duration))
 }
--- a/node/gateway/followers.go
+++ b/node/gateway/followers.go
@@ -13,39 +13,39 @@
 	"github.com/marblering/marblering/telemetry"
 )
 
-// followers keep this gateway's copies of what the store has.
+// followers keep the copies of objects in the store up to date.
 type followers struct {
 	configuration *follow.Follower
 	instances     *follow.Follower
-	sets          *follow.Follower
-	// configurationSource is the way by which the configuration comes.
+	replicaSets   *follow.Follower
+	// configurationSource is the source of the follower of the configuration.
 	configurationSource *mirror.Source
 	holders             *mirror.Holders
-	// storeCalls counts by kind of objects what this gateway itself asks the store.
+	// storeCalls counts the direct calls of this gateway to the store, by kind of object.
 	storeCalls *prometheus.CounterVec
-	// logger takes which holders are followed, within bounds.
+	// logger logs which holders are used; it is rate-limited.
 	logger *zap.Logger
 }
 
-// follow makes the followers of all kinds. They begin once they are served.
-func (g *Gateway) follow() {
+// createFollowers creates the followers of all kinds of objects without starting them.
+func (g *Gateway) createFollowers() {
 	f := &g.followers
-	f.holders = mirror.NewHolders(g.holderOrder, time.Now)
+	f.holders = mirror.NewHolders(g.orderedHolders, time.Now)
 	f.storeCalls = telemetry.NewStoreCalls()
 	f.logger = telemetry.Following(g.logger)
 	f.configuration, f.configurationSource = g.newFollower(mirror.KindConfiguration, g.parts.Configuration, g.applyConfiguration)
 	f.instances, _ = g.newFollower(mirror.KindInstances, g.parts.Instances, g.applyInstances)
-	f.sets, _ = g.newFollower(mirror.KindSets, g.parts.Sets, g.state.lookup.Apply)
+	f.replicaSets, _ = g.newFollower(mirror.KindSets, g.parts.Sets, g.storage.lookup.Apply)
 }
 
-// newFollower follows the kind through holders where it can; direct is the store itself.
-func (g *Gateway) newFollower(kind string, direct follow.Source, apply func(follow.Snapshot)) (*follow.Follower, *mirror.Source) {
-	plan := followingOf(kind, g.settings)
+// newFollower creates a follower that asks holders first and falls back to the store.
+func (g *Gateway) newFollower(kind string, store follow.Source, apply func(follow.Snapshot)) (*follow.Follower, *mirror.Source) {
+	plan := newFollowPlan(kind, g.settings)
 	if plan.pollInterval > 0 {
-		direct = follow.Polled(direct, plan.pollInterval, time.Now)
+		store = follow.Polled(store, plan.pollInterval, time.Now)
 	}
-	counted := follow.Counted(direct, g.followers.storeCalls.WithLabelValues(kind))
-	source := mirror.NewSource(kind, counted, g.followers.holders, g.state.peers, plan.holders, g.followers.logger)
+	counted := follow.Counted(store, g.followers.storeCalls.WithLabelValues(kind))
+	source := mirror.NewSource(kind, counted, g.followers.holders, g.storage.peers, plan.holders, g.followers.logger)
 	follower := follow.New(follow.Options{
 		Name: kind, Source: source, Settings: plan.calls,
 		Apply: apply, Logger: g.logger, Now: time.Now,
@@ -53,21 +53,21 @@
 	return follower, source
 }
 
-// reader takes over what storage nodes had from the store while it is out of reach of
-// this node.
-func (g *Gateway) reader() *mirror.Reader {
+// mirrorReader returns the service that offers the snapshots of storage nodes to the
+// followers while this gateway cannot reach the store.
+func (g *Gateway) mirrorReader() *mirror.Reader {
 	followed := map[string]mirror.Follower{
 		mirror.KindConfiguration: g.followers.configuration,
 		mirror.KindInstances:     g.followers.instances,
-		mirror.KindSets:          g.followers.sets,
+		mirror.KindSets:          g.followers.replicaSets,
 	}
-	return mirror.NewReader(g.holderOrder, g.state.peers, followed, time.Now, g.logger)
+	return mirror.NewReader(g.orderedHolders, g.storage.peers, followed, time.Now, g.logger)
 }
 
-// holderOrder lists the storage nodes of all replica sets, those of this gateway's
-// zone first; before the sets are known, those that the settings name.
-func (g *Gateway) holderOrder() []netip.AddrPort {
-	views := g.state.lookup.Map()
+// orderedHolders returns the storage nodes of all replica sets, those in the zone of this
+// gateway first, or the configured seeds until the replica sets are known.
+func (g *Gateway) orderedHolders() []netip.AddrPort {
+	views := g.storage.lookup.Map()
 	if views == nil {
 		return mirror.Spread(g.settings.Name, g.settings.Seeds)
 	}
--- a/transport/relay/deliver.go
+++ b/transport/relay/deliver.go
@@ -10,97 +10,97 @@
 	"github.com/marblering/marblering/transport/upstream"
 )
 
-// Sizes of answers, in bytes. Chosen, not measured.
 const (
-	// bufferedAnswer is the largest answer that is read whole before its head is passed
-	// on, so that another back end can be tried if it breaks off.
-	bufferedAnswer = 256 << 10
-	// drainedAnswer is how much of an unwanted answer is read so that its connection can
-	// be used again.
-	drainedAnswer = 16 << 10
+	// maxBufferedBytes is the largest response that is buffered before its header is passed
+	// on, so that another backend can be tried if the connection breaks.
+	maxBufferedBytes = 256 << 10
+	// maxDrainedBytes is how much of a discarded response is read, so that its connection
+	// can be reused.
+	maxDrainedBytes = 16 << 10
 )
 
 // eventStream is the media type of streams (WHATWG HTML, section 9.2.4).
 const eventStream = "text/event-stream"
 
-// deliver passes a proper answer on to the client.
-func (c *call) deliver(ctx context.Context, answer *upstream.Answer, tried *attempt) (outcome, error) {
-	defer answer.CloseBody()
-	if isEventStream(answer) {
-		return c.deliverEvents(ctx, answer, tried)
+// deliver passes a response on to the client.
+func (c *call) deliver(ctx context.Context, backendResponse *upstream.Answer, current *attempt) (outcome, error) {
+	defer backendResponse.CloseBody()
+	if isEventStream(backendResponse) {
+		return c.deliverEvents(ctx, backendResponse, current)
 	}
-	if c.reply.began {
-		return lost, errNotResumed
+	if c.response.headerWritten {
+		return incomplete, errNotResumed
 	}
-	return c.deliverWhole(answer, tried)
+	return c.deliverBuffered(backendResponse, current)
 }
 
-func isEventStream(answer *upstream.Answer) bool {
-	kind, _, err := mime.ParseMediaType(answer.Header.Get("Content-Type"))
-	return err == nil && kind == eventStream && answer.Status == http.StatusOK
+func isEventStream(backendResponse *upstream.Answer) bool {
+	mediaType, _, err := mime.ParseMediaType(backendResponse.Header.Get("Content-Type"))
+	return err == nil && mediaType == eventStream && backendResponse.Status == http.StatusOK
 }
 
-// deliverWhole passes on an answer that isn't a stream once all of it has arrived.
-func (c *call) deliverWhole(answer *upstream.Answer, tried *attempt) (outcome, error) {
-	body, err := io.ReadAll(io.LimitReader(answer, bufferedAnswer+1))
+// deliverBuffered passes on a response that isn't a stream once it has arrived completely,
+// or hands it to deliverLarge if it is too large to buffer.
+func (c *call) deliverBuffered(backendResponse *upstream.Answer, current *attempt) (outcome, error) {
+	body, err := io.ReadAll(io.LimitReader(backendResponse, maxBufferedBytes+1))
 	if err != nil {
-		return lost, err
+		return incomplete, err
 	}
-	tried.status = answer.Status
-	tried.heard(c.handler.options.Now())
-	if len(body) > bufferedAnswer {
-		return c.deliverLarge(answer, body)
+	current.status = backendResponse.Status
+	current.recordProgress(c.handler.options.Now())
+	if len(body) > maxBufferedBytes {
+		return c.deliverLarge(backendResponse, body)
 	}
-	setAnswerHeader(c.writer.Header(), answer.Header)
-	if c.request.Method != http.MethodHead && mayHaveBody(answer.Status) {
+	copyResponseHeader(c.writer.Header(), backendResponse.Header)
+	if c.request.Method != http.MethodHead && mayHaveBody(backendResponse.Status) {
 		c.writer.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	}
-	c.begin(answer.Status)
+	c.writeHeader(backendResponse.Status)
 	_, _ = c.writer.Write(body)
 	return delivered, nil
 }
 
-// mayHaveBody tells whether answers with the status have a body (RFC 9110, sections 15.3.5
-// and 15.4.5).
+// mayHaveBody tells whether responses with the status may have a body (RFC 9110, sections
+// 15.3.5 and 15.4.5).
 func mayHaveBody(status int) bool {
 	return status != http.StatusNoContent && status != http.StatusNotModified
 }
 
-// deliverLarge passes a long answer on as it comes. If it breaks off, the client's
-// connection is broken as well.
-func (c *call) deliverLarge(answer *upstream.Answer, first []byte) (outcome, error) {
-	setAnswerHeader(c.writer.Header(), answer.Header)
-	if length := answer.Header.Get("Content-Length"); length != "" {
+// deliverLarge streams a response that is too large to buffer. If the backend's connection
+// breaks, the client's is closed as well.
+func (c *call) deliverLarge(backendResponse *upstream.Answer, first []byte) (outcome, error) {
+	copyResponseHeader(c.writer.Header(), backendResponse.Header)
+	if length := backendResponse.Header.Get("Content-Length"); length != "" {
 		c.writer.Header().Set("Content-Length", length)
 	}
-	c.begin(answer.Status)
+	c.writeHeader(backendResponse.Status)
 	if _, err := c.writer.Write(first); err != nil {
 		return abandoned, err
 	}
-	if _, err := io.Copy(c.writer, answer); err != nil {
-		return lost, err
+	if _, err := io.Copy(c.writer, backendResponse); err != nil {
+		return incomplete, err
 	}
 	return delivered, nil
 }
 
-// deliverEvents passes whole events on as they come. The head is passed on with the first
-// of them, so that another back end can be tried if the stream breaks off before.
-func (c *call) deliverEvents(ctx context.Context, answer *upstream.Answer, tried *attempt) (outcome, error) {
-	events := newEventReader(answer)
+// deliverEvents passes on complete events as they arrive. The header is written with the
+// first event, so that another backend can be tried if the stream breaks before it.
+func (c *call) deliverEvents(ctx context.Context, backendResponse *upstream.Answer, current *attempt) (outcome, error) {
+	events := newEventReader(backendResponse)
 	controller := http.NewResponseController(c.writer)
 	for {
 		event, err := events.next()
 		if err == io.EOF {
-			return c.endStream(ctx, answer)
+			return c.endStream(ctx, backendResponse)
 		}
 		if err != nil {
-			return lost, err
+			return incomplete, err
 		}
-		tried.heard(c.handler.options.Now())
-		if event.isOld(c.reply.lastEvent) {
+		current.recordProgress(c.handler.options.Now())
+		if event.isAlreadySent(c.response.lastEventID) {
 			continue
 		}
-		c.beginStream(answer)
+		c.writeStreamHeader(backendResponse)
 		c.countEvent(event)
 		if _, err := c.writer.Write(event.raw); err != nil {
 			return abandoned, err
@@ -109,47 +109,48 @@
 			return abandoned, err
 		}
 		if event.id != "" {
-			c.reply.lastEvent = event.id
+			c.response.lastEventID = event.id
 		}
 	}
 }
 
-// endStream stores the turn, if the request is one, and passes on the head of a stream
-// without events. A stream whose turn can't be stored isn't ended as a whole one.
-func (c *call) endStream(ctx context.Context, answer *upstream.Answer) (outcome, error) {
-	began := c.handler.options.Now()
+// endStream stores the turn, if there is one, and writes the header of a stream without
+// events. If the turn can't be stored, the stream must not end normally.
+func (c *call) endStream(ctx context.Context, backendResponse *upstream.Answer) (outcome, error) {
+	started := c.handler.options.Now()
 	err := c.completeTurn(ctx)
-	c.times.stored = c.handler.options.Now().Sub(began)
+	c.timing.storeTime = c.handler.options.Now().Sub(started)
 	if err != nil {
-		return unstored, err
+		return turnNotStored, err
 	}
-	c.beginStream(answer)
+	c.writeStreamHeader(backendResponse)
 	return delivered, nil
 }
 
-// beginStream writes the head once: a resumed stream keeps the head of its first back
-// end.
-func (c *call) beginStream(answer *upstream.Answer) {
-	if c.reply.began {
+// writeStreamHeader writes the response header unless it is written: a resumed stream keeps
+// the header of its first backend.
+func (c *call) writeStreamHeader(backendResponse *upstream.Answer) {
+	if c.response.headerWritten {
 		return
 	}
-	setAnswerHeader(c.writer.Header(), answer.Header)
-	c.begin(answer.Status)
+	copyResponseHeader(c.writer.Header(), backendResponse.Header)
+	c.writeHeader(backendResponse.Status)
 }
 
-// begin writes the head of the answer.
-func (c *call) begin(status int) {
-	c.reply.began = true
-	c.reply.status = status
-	c.times.firstByte = c.handler.options.Now().Sub(c.times.arrived)
+// writeHeader writes the response header. It closes the connection after the response if
+// the gateway is unready.
+func (c *call) writeHeader(status int) {
+	c.response.headerWritten = true
+	c.response.status = status
+	c.timing.firstByte = c.handler.options.Now().Sub(c.timing.arrived)
 	if c.handler.options.Unready() {
 		c.writer.Header().Set("Connection", "close")
 	}
 	c.writer.WriteHeader(status)
 }
 
-// drain reads a short answer to its end, so that its connection can be used again.
-func drain(answer *upstream.Answer) {
-	_, _ = io.CopyN(io.Discard, answer, drainedAnswer)
-	answer.CloseBody()
+// drain discards a short response, so that its connection can be reused.
+func drain(backendResponse *upstream.Answer) {
+	_, _ = io.CopyN(io.Discard, backendResponse, maxDrainedBytes)
+	backendResponse.CloseBody()
 }
--- a/transport/relay/header.go
+++ b/transport/relay/header.go
@@ -5,31 +5,31 @@
 	"strings"
 )
 
-// connectionHeaders belong to a single connection (RFC 9110, section 7.6.1) or are set
-// anew for each message.
-func connectionHeaders() []string {
+// hopByHopHeaders returns the names of headers that apply to a single connection (RFC 9110,
+// section 7.6.1) or are set anew for each message.
+func hopByHopHeaders() []string {
 	return []string{
 		"Connection", "Proxy-Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization",
 		"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length", "Expect",
 	}
 }
 
-// endToEnd copies the fields that aren't meant for this connection alone.
-func endToEnd(header http.Header) http.Header {
+// copyEndToEnd copies a header without its hop-by-hop fields.
+func copyEndToEnd(header http.Header) http.Header {
 	copied := header.Clone()
 	for _, line := range header.Values("Connection") {
 		for _, name := range strings.Split(line, ",") {
 			copied.Del(strings.TrimSpace(name))
 		}
 	}
-	for _, name := range connectionHeaders() {
+	for _, name := range hopByHopHeaders() {
 		copied.Del(name)
 	}
 	return copied
 }
 
-// originForm drops scheme and authority from a target in absolute form, which servers have
-// to accept (RFC 9112, section 3.2.2). Path and query stay as they are.
+// originForm removes scheme and authority from a target in absolute form, which servers
+// must accept (RFC 9112, section 3.2.2). Path and query are unchanged.
 func originForm(target string) string {
 	_, rest, ok := strings.Cut(target, "://")
 	if !ok || strings.HasPrefix(target, "/") {
@@ -45,7 +45,7 @@
 	return rest[start:]
 }
 
-// headerBytes is about the size of a request's head as it was received, in bytes.
+// headerBytes returns the approximate size of a request's line and header as received.
 func headerBytes(request *http.Request) int64 {
 	const separators = len(": \r\n")
 	size := len(request.Method) + len(request.RequestURI) + len(request.Host)
@@ -57,10 +57,10 @@
 	return int64(size)
 }
 
-// setAnswerHeader copies the header of a back end's answer. Fields that net/http would add
-// by itself are left out where the back end didn't set them.
-func setAnswerHeader(target, source http.Header) {
-	for name, values := range endToEnd(source) {
+// copyResponseHeader copies the header of a backend's response. It keeps net/http from
+// adding fields that the backend didn't set.
+func copyResponseHeader(target, source http.Header) {
+	for name, values := range copyEndToEnd(source) {
 		target[name] = values
 	}
 	for _, name := range []string{"Content-Type", "Date"} {
