--- a/node/storage/doc.go
+++ b/node/storage/doc.go
@@ -1,15 +1,13 @@
-// Package storage builds the daemon of a machine with a disk. It keeps replicas of
-// budgets, turns and leases of quotas, finds the other storage nodes through the
-// directory and gossip, keeps the replica sets whole, and mirrors the store for
-// gateways.
+// Package storage builds and runs a storage node. A storage node stores replicas of
+// budgets, turns and quota leases on its disk, finds other storage nodes through the
+// directory and gossip, repairs the replica sets, and mirrors objects of the object store
+// (the store) for gateways.
 //
-// It owns the data folder of its machine; everything else it can learn again. It
-// relies on the other members of its replica sets: what it stores is decided by
-// majorities of them. It relies on the store only for the first sets and for what it
-// mirrors. What the store of a deployment looks like is given to it as Parts.
+// The node's only durable state is its data folder. Changes of replicated state are decided
+// by majorities of the replica sets. The store is needed only to create the first replica
+// sets and for the mirrored objects. Parts connect a node to the store of a deployment.
 //
-// The rules it runs by are in the packages that it wires: who is founded in
-// coordination/directory (Plan), who is replaced in coordination/shard (Plan), when a
-// node is emptied in coordination/retirement, which turns are deleted in
-// coordination/expiry.
+// The package wires others that decide: coordination/directory, which nodes form the first
+// replica sets; coordination/shard, which members are replaced; coordination/retirement,
+// when a node is emptied; and coordination/expiry, which turns are deleted.
 package storage
--- a/node/storage/gossip.go
+++ b/node/storage/gossip.go
@@ -7,20 +7,23 @@
 	"github.com/marblering/marblering/transport/peer"
 )
 
-// Gossip among storage nodes. They are few, so that a node that has failed can be noticed
-// within two seconds at little cost. All are chosen, not measured.
+// Settings of the gossip between storage nodes. There are few of them, so failures can be
+// detected within two seconds at low cost.
 const (
 	exchangeInterval = 300 * time.Millisecond
 	exchangeTimeout  = 500 * time.Millisecond
-	// suspicionTime is how long a suspected node has to prove that it is alive.
+	// suspicionTime is how long a suspected node has to refute the suspicion.
 	suspicionTime = 900 * time.Millisecond
-	// contactInterval is the pause between two contacts with seeds.
+	// contactInterval is the interval between two attempts to contact seeds.
 	contactInterval = time.Second
-	syncDelay       = time.Second
-	settleTime      = 3 * time.Second
+	// syncDelay is how long tables may differ before a full copy is sent.
+	syncDelay = time.Second
+	// settleTime is how long after its first exchange a node starts to treat unknown
+	// incarnations as gone.
+	settleTime = 3 * time.Second
 )
 
-// buildMembership makes this node's part in the gossip.
+// buildMembership creates the gossip service of this node.
 func (n *Node) buildMembership() {
 	now := time.Now()
 	identity := membership.Identity{
@@ -34,17 +37,18 @@
 }
 
 func gossipSettings() membership.Settings {
-	derived := membership.DefaultSettings()
-	derived.ExchangeInterval = exchangeInterval
-	derived.ExchangeTimeout = exchangeTimeout
-	derived.SuspicionTime = suspicionTime
-	derived.ContactInterval = contactInterval
-	derived.SyncDelay = syncDelay
-	derived.SettleTime = settleTime
-	return derived
+	gossip := membership.DefaultSettings()
+	gossip.ExchangeInterval = exchangeInterval
+	gossip.ExchangeTimeout = exchangeTimeout
+	gossip.SuspicionTime = suspicionTime
+	gossip.ContactInterval = contactInterval
+	gossip.SyncDelay = syncDelay
+	gossip.SettleTime = settleTime
+	return gossip
 }
 
-// knownAddresses returns the addresses of the seeds and of the members of all known sets.
+// knownAddresses returns the addresses of the seeds and of the members of all known replica
+// sets.
 func (n *Node) knownAddresses() []string {
 	var addresses []string
 	for _, seed := range n.settings.Seeds {
