--- a/state/turn/stored_test.go
+++ b/state/turn/stored_test.go
@@ -13,7 +13,7 @@
 	"github.com/marblering/marblering/state/turn"
 )
 
-// storedTurn has every field set.
+// storedTurn returns a turn with every field set.
 func storedTurn() *statev1.RetainedTurn {
 	return &statev1.RetainedTurn{
 		Id: "r-3", Ancestors: []string{"r-1", "r-2"}, Input: []byte(`{"messages":[{"role":"user","content":"q"}]}`),
@@ -21,7 +21,8 @@
 	}
 }
 
-// TestStoredObjectIsRead: the turn that was stored in testdata is read in full.
+// TestStoredObjectIsRead checks that the object in testdata still decodes to the same
+// turn.
 func TestStoredObjectIsRead(t *testing.T) {
 	codec, err := turn.NewCodec()
 	assert.NilError(t, err)
@@ -33,8 +34,8 @@
 	assert.Assert(t, proto.Equal(whole, storedTurn()))
 }
 
-// TestStoredObjectIsWritten pins the bytes that are written now. Another version of
-// the compressor may change them, as long as TestStoredObjectIsRead passes.
+// TestStoredObjectIsWritten pins the encoded bytes. A new version of the compressor may
+// change them, as long as TestStoredObjectIsRead passes with the old object.
 func TestStoredObjectIsWritten(t *testing.T) {
 	codec, err := turn.NewCodec()
 	assert.NilError(t, err)
--- a/state/turn/turn.go
+++ b/state/turn/turn.go
@@ -1,9 +1,9 @@
-// Package turn is the stored form of a retained turn: encoded as protobuf, compressed
-// with zstd, and named by the id of its request and the SHA-256 digest of the compressed
-// bytes.
+// Package turn encodes and decodes the stored form of a retained turn: protobuf,
+// compressed with zstd, and identified by the id of its request and the SHA-256 digest of
+// the compressed bytes.
 //
-// It owns this form and does no I/O: coordination/turnstore stores and finds turns. It
-// relies on api/state for the fields of a turn.
+// It does no I/O: coordination/turnstore stores and finds turns. The fields of a turn are
+// defined in api/state.
 package turn
 
 import (
@@ -16,12 +16,12 @@
 	statev1 "github.com/marblering/marblering/api/state/v1"
 )
 
-// MaxBytes is the size of the largest encoding of a turn, before compression. It also
-// bounds what decoding may allocate (chosen, not measured; a usual turn has 14 kB).
+// MaxBytes is the maximum size of an encoded turn before compression. It also limits the
+// memory that decompression may allocate.
 const MaxBytes = 16 << 20
 
-// windowBytes is how far back the compressor looks for repetitions. Turns are some tens
-// of kilobytes, so that a wider window would only take memory (chosen, not measured).
+// windowBytes is the window size of the compressor. Turns are some tens of kilobytes, so
+// a larger window would only take memory.
 const windowBytes = 128 << 10
 
 // Codec encodes and decodes turns. It is safe for concurrent use.
@@ -30,9 +30,7 @@
 	decoder *zstd.Decoder
 }
 
-// NewCodec makes a codec that spends little time and memory. It compresses at the fastest
-// level, which took 162 µs for 14 kB in place of 258 µs at the default level and gave 5%
-// more bytes (the trial in docs/design/history.md).
+// NewCodec returns a codec that compresses at the fastest level and with little memory.
 func NewCodec() (*Codec, error) {
 	encoder, err := zstd.NewWriter(nil, zstd.WithEncoderLevel(zstd.SpeedFastest),
 		zstd.WithEncoderConcurrency(1), zstd.WithWindowSize(windowBytes), zstd.WithLowerEncoderMem(true))
@@ -46,25 +44,25 @@
 	return &Codec{encoder: encoder, decoder: decoder}, nil
 }
 
-// Encode returns the stored form and its digest. A turn whose encoding has more than
-// MaxBytes bytes is an error.
+// Encode returns the stored form of the turn and its digest. It returns an error for a
+// turn whose encoding exceeds MaxBytes.
 func (c *Codec) Encode(whole *statev1.RetainedTurn) (object []byte, digest [sha256.Size]byte, err error) {
 	plain, err := proto.MarshalOptions{Deterministic: true}.Marshal(whole)
 	if err != nil {
 		return nil, digest, err
 	}
 	if len(plain) > MaxBytes {
-		return nil, digest, merry.Errorf("turn %q has %d bytes, more than %d", whole.GetId(), len(plain), MaxBytes)
+		return nil, digest, merry.Errorf("turn %q has %d encoded bytes, the maximum is %d", whole.GetId(), len(plain), MaxBytes)
 	}
 	object = c.encoder.EncodeAll(plain, nil)
 	return object, sha256.Sum256(object), nil
 }
 
-// Decode reads the stored form of the turn with the id. It returns an error where the
-// object doesn't match the digest or holds another turn.
+// Decode decodes the stored form of the turn with the id. It returns an error if the
+// object doesn't match the digest or contains a different turn.
 func (c *Codec) Decode(id string, object []byte, digest [sha256.Size]byte) (*statev1.RetainedTurn, error) {
 	if sha256.Sum256(object) != digest {
-		return nil, merry.Errorf("turn %q doesn't match its digest", id)
+		return nil, merry.Errorf("object of turn %q doesn't match its digest", id)
 	}
 	plain, err := c.decoder.DecodeAll(object, nil)
 	if err != nil {
@@ -75,7 +73,7 @@
 		return nil, merry.Prependf(err, "decoding turn %q", id)
 	}
 	if whole.GetId() != id {
-		return nil, merry.Errorf("the object of turn %q is that of %q", id, whole.GetId())
+		return nil, merry.Errorf("object of turn %q contains turn %q", id, whole.GetId())
 	}
 	return whole, nil
 }
