--- a/state/budget/budget.go
+++ b/state/budget/budget.go
@@ -1,10 +1,10 @@
-// Package budget decides how many tokens the turns of one program may generate. Each
-// holder, a storage node that lets turns begin, has a part of the budget: what its turns
-// have generated, and a reserve for turns under way and some to come.
+// Package budget accounts for the tokens that the turns of one program may generate. Each
+// holder, a storage node that admits turns, has an entry in the record of the budget: the
+// tokens that its turns have generated, and a reserve for running and future turns.
 //
-// The package owns these rules and the encoding of the record. Its functions are pure:
-// coordination/tokenbudget keeps the record in a quorum register, which makes each
-// change atomic.
+// The package defines these rules and the encoding of the record, and does no I/O.
+// coordination/tokenbudget keeps the record in a quorum register, which makes each change
+// atomic.
 package budget
 
 import (
@@ -18,42 +18,40 @@
 )
 
 var (
-	// ErrSpent means that nothing is left of the program's budget.
+	// ErrSpent means that the program's budget is exhausted.
 	ErrSpent = errors.New("the program's budget is spent")
-	// ErrReserved means that nothing is left unless a holder gives a part of its
-	// reserve back.
+	// ErrReserved means that the rest of the budget is reserved by other holders, which
+	// may still release a part of it.
 	ErrReserved = errors.New("the rest of the program's budget is reserved elsewhere")
 )
 
 const (
-	// aheadTurns is how many turns beyond the one that asks a holder may reserve. Turns
-	// that begin from a reserve need no change of the record. The number was chosen; with
-	// it, and with storage nodes as holders in place of gateways, a simulated quiet day
-	// took 13.7 s of processor time in place of 26.5 s.
+	// aheadTurns is the maximum number of future turns for which a holder reserves
+	// tokens. A turn that begins from the reserve needs no change of the record.
 	aheadTurns = 3
-	// aheadShare limits the reserve ahead to one such part of what is left, so that
-	// reserves never keep a program from what it has (a quarter; chosen, not measured).
+	// aheadShare limits the reserve for future turns to 1/aheadShare of the unreserved
+	// tokens, so that the reserves of some holders don't block the turns of others.
 	aheadShare = 4
 )
 
-// Draw is a holder's request to let one turn begin. All amounts are in tokens.
+// Draw is a holder's request to begin one turn. All amounts are in tokens.
 type Draw struct {
-	// Holder names one life of the holder.
+	// Holder identifies one process of the holder.
 	Holder string
-	// Spent is what the holder's ended turns have generated in all, UnderWay the most
-	// that its turns under way may generate.
+	// Spent is the total that the holder's ended turns have generated, UnderWay the
+	// maximum that its running turns may generate.
 	Spent    uint64
 	UnderWay uint64
-	// Turn is the most that the new turn may generate.
+	// Turn is the maximum that the new turn may generate.
 	Turn uint64
 }
 
-// Reserve records the holder's spending and gives it a reserve for its turns under way
-// and the new one, and for some more where plenty is left. It lets a turn begin while
-// anything is left, so that all turns together generate less than the limit and the most
-// of one turn. It returns ErrSpent or ErrReserved for a turn that mustn't begin; the
-// spending is recorded all the same. Repeating a draw changes nothing. The limit is in
-// tokens; a record keeps the lowest that it was given.
+// Reserve records the holder's spending and sets its reserve to cover its running turns
+// and the new one, and future turns if enough tokens are left. It grants a turn as long as
+// any token is left, so all turns together generate less than the limit plus the maximum
+// of one turn. It returns ErrSpent or ErrReserved if the turn must not begin, and records
+// the spending in that case too. Reserve is idempotent. The limit is in tokens; the record
+// keeps the lowest limit that it was given.
 func Reserve(record *statev1.TokenBudget, limit uint64, draw Draw) error {
 	record.Limit = lowest(record.GetLimit(), limit)
 	own := holderOf(record, draw.Holder)
@@ -68,14 +66,14 @@
 	return nil
 }
 
-// Decided tells by the record that a draw has left whether the turn may begin, as Reserve
-// did, and how many tokens the holder may use beyond those it has spent.
+// Decided reads the result of a draw from the record that Reserve has left: the tokens
+// reserved for the holder, and the error that Reserve returned.
 func Decided(record *statev1.TokenBudget, draw Draw) (reserved uint64, refusal error) {
 	own := holderOf(record, draw.Holder)
 	isGranted := own.GetReserved() >= draw.UnderWay+draw.Turn
 	if draw.Turn == 0 {
-		// A turn that generates nothing needs no reserve, so that the holder's part is the
-		// same either way.
+		// A turn without tokens needs no reserve, so the holder's entry doesn't tell whether
+		// it was granted.
 		isGranted = Committed(record) < record.GetLimit()
 	}
 	if isGranted {
@@ -84,7 +82,8 @@
 	return own.GetReserved(), refusalOf(record, own)
 }
 
-// refusalOf tells whether others reserve what the holder lacks.
+// refusalOf returns ErrReserved if the turn could be granted without the reserves of
+// other holders, and ErrSpent otherwise.
 func refusalOf(record *statev1.TokenBudget, own *statev1.TokenHolder) error {
 	if Committed(record)-othersReserved(record, own) < record.GetLimit() {
 		return ErrReserved
@@ -92,8 +91,8 @@
 	return ErrSpent
 }
 
-// ahead returns the tokens to reserve for turns to come. They are a whole number of
-// turns, since a part of one lets none begin.
+// ahead returns the number of tokens to reserve for future turns, a multiple of the
+// tokens of one turn.
 func ahead(left, turn uint64) uint64 {
 	if turn == 0 || left <= turn {
 		return 0
@@ -101,10 +100,9 @@
 	return min(aheadTurns, (left-turn)/aheadShare/turn) * turn
 }
 
-// SettleEnded removes the holders that have ended without giving their reserves back.
-// Nobody knows what their last turns have generated, at most what they reserved, so that
-// all of it counts as spent, for good. Without this the rest of a program's budget stays
-// reserved by a holder that never gives it back.
+// SettleEnded removes holders that have ended without releasing their reserves. It is
+// unknown how much of a reserve their last turns have generated, so all of it counts as
+// spent.
 func SettleEnded(record *statev1.TokenBudget, hasEnded func(holder string) bool) {
 	record.Holders = slices.DeleteFunc(record.Holders, func(holder *statev1.TokenHolder) bool {
 		if !hasEnded(holder.GetHolder()) {
@@ -115,8 +113,8 @@
 	})
 }
 
-// Trim leaves the holder what its turns under way may generate. Nothing changes for a
-// holder that isn't listed.
+// Trim reduces the holder's reserve to what its running turns may generate. It does
+// nothing if the record doesn't list the holder.
 func Trim(record *statev1.TokenBudget, name string, spent, underWay uint64) {
 	for _, holder := range record.GetHolders() {
 		if holder.GetHolder() == name {
@@ -125,9 +123,8 @@
 	}
 }
 
-// Release removes the holder for good: the tokens that it spent count on, its reserve is
-// given back. Nothing changes for a holder that isn't listed, since it was released
-// before or never drew.
+// Release removes the holder, counts the tokens that it spent as settled and frees its
+// reserve. It does nothing if the record doesn't list the holder.
 func Release(record *statev1.TokenBudget, name string, spent uint64) {
 	record.Holders = slices.DeleteFunc(record.Holders, func(holder *statev1.TokenHolder) bool {
 		if holder.GetHolder() != name {
@@ -138,7 +135,7 @@
 	})
 }
 
-// holderOf returns the holder's part, a new one where it has none.
+// holderOf returns the holder's entry, which it adds if it doesn't exist.
 func holderOf(record *statev1.TokenBudget, name string) *statev1.TokenHolder {
 	for _, holder := range record.GetHolders() {
 		if holder.GetHolder() == name {
@@ -150,7 +147,7 @@
 	return added
 }
 
-// othersReserved returns the tokens that holders other than the given one reserve.
+// othersReserved returns the tokens reserved by holders other than the given one.
 func othersReserved(record *statev1.TokenBudget, own *statev1.TokenHolder) uint64 {
 	var reserved uint64
 	for _, holder := range record.GetHolders() {
@@ -161,15 +158,16 @@
 	return reserved
 }
 
-// lowest returns the lower of the known and the named limit, where there is a known one.
-func lowest(known, named uint64) uint64 {
-	if known == 0 {
-		return named
+// lowest returns the lower of the recorded and the requested limit. A recorded limit of
+// zero counts as none.
+func lowest(recorded, requested uint64) uint64 {
+	if recorded == 0 {
+		return requested
 	}
-	return min(known, named)
+	return min(recorded, requested)
 }
 
-// Committed returns the tokens that were generated and those that are reserved.
+// Committed returns the sum of the settled, spent and reserved tokens.
 func Committed(record *statev1.TokenBudget) uint64 {
 	committed := record.GetSettled()
 	for _, holder := range record.GetHolders() {
@@ -178,8 +176,8 @@
 	return committed
 }
 
-// Decode reads the record of the program. No bytes are a record without turns; the record
-// of another program is an error.
+// Decode decodes the record of the program. Empty input gives an empty record. It returns
+// an error for the record of a different program.
 func Decode(program string, encoded []byte) (*statev1.TokenBudget, error) {
 	record := &statev1.TokenBudget{Program: program}
 	if len(encoded) == 0 {
@@ -190,12 +188,13 @@
 		return nil, merry.Prependf(err, "decoding the budget of program %q", program)
 	}
 	if record.GetProgram() != program {
-		return nil, merry.Errorf("the record of program %q is that of %q", program, record.GetProgram())
+		return nil, merry.Errorf("budget record of program %q belongs to program %q", program, record.GetProgram())
 	}
 	return record, nil
 }
 
-// Encode is deterministic, so that a register recognises an unchanged record as a read.
+// Encode encodes the record deterministically, so that a register treats writing an
+// unchanged record as a read.
 func Encode(record *statev1.TokenBudget) ([]byte, error) {
 	return proto.MarshalOptions{Deterministic: true}.Marshal(record)
 }
--- a/state/budget/budget_test.go
+++ b/state/budget/budget_test.go
@@ -27,7 +27,7 @@
 	// the program's budget is spent
 }
 
-// gateway is one holder as a ledger keeps it.
+// gateway models the state that a ledger keeps for one holder.
 type gateway struct {
 	name            string
 	spent, underWay uint64
@@ -35,8 +35,8 @@
 	turns           []uint64
 }
 
-// TestLimitHolds lets gateways serve turns of one program in any order, some of
-// which vanish, and bounds what all of them hand out.
+// TestLimitHolds checks that holders together generate less than the limit plus the
+// maximum of one turn, in any order of turns and with holders that crash.
 func TestLimitHolds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := rapid.Uint64Range(1, 5000).Draw(t, "limit")
@@ -68,8 +68,8 @@
 					*g = gateway{name: fmt.Sprint(g.name, "+", step)}
 				}
 			case 4:
-				// It dies in the middle of its turns, which may have handed out all
-				// that they were allowed; another life takes its place.
+				// The holder crashes, and a new process replaces it. Its running turns
+				// may have generated as much as they were allowed.
 				handedOut += g.underWay
 				ended := g.name
 				*g = gateway{name: fmt.Sprint(g.name, "+", step)}
@@ -85,8 +85,8 @@
 	})
 }
 
-// begin starts a turn from the reserve, or asks for more. What a draw decided can be read
-// from the record that it left.
+// begin starts a turn from the holder's reserve, or reserves tokens first. It checks that
+// Decided agrees with Reserve and that Reserve is idempotent.
 func begin(t *rapid.T, record *statev1.TokenBudget, g *gateway, limit, most uint64) {
 	if g.reserved < g.underWay+most {
 		draw := budget.Draw{Holder: g.name, Spent: g.spent, UnderWay: g.underWay, Turn: most}
@@ -97,14 +97,15 @@
 			g.reserved = g.underWay
 			return
 		}
-		assert.NilError(t, budget.Reserve(record, limit, draw), "a repeated draw is the same")
+		assert.NilError(t, budget.Reserve(record, limit, draw), "repeating a draw changes the decision")
 		g.reserved = reserved
 	}
 	g.turns = append(g.turns, most)
 	g.underWay += most
 }
 
-// TestTurnWithoutTokensIsDecidedByTheRest: its draw leaves the same part either way.
+// TestTurnWithoutTokensIsDecidedByTheRest checks turns that reserve nothing, for which
+// the holder's entry is the same whether they are granted or refused.
 func TestTurnWithoutTokensIsDecidedByTheRest(t *testing.T) {
 	record := &statev1.TokenBudget{Program: "p"}
 	for _, c := range []struct {
@@ -118,7 +119,8 @@
 	}
 }
 
-// TestReservesNeverKeepFromATurn: tokens are reserved ahead only while much is left.
+// TestReservesNeverKeepFromATurn checks that reserves for future turns of some holders
+// don't cause a turn of another holder to be refused.
 func TestReservesNeverKeepFromATurn(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := rapid.Uint64Range(1, 10_000).Draw(t, "limit")
@@ -142,24 +144,24 @@
 	encoded, err := budget.Encode(&statev1.TokenBudget{Program: "a"})
 	assert.NilError(t, err)
 	_, err = budget.Decode("b", encoded)
-	assert.ErrorContains(t, err, `is that of "a"`)
+	assert.ErrorContains(t, err, `budget record of program "b" belongs to program "a"`)
 	_, err = budget.Decode("a", []byte{0xff})
 	assert.Assert(t, err != nil)
 }
 
-// TestStandingNamesWhoHoldsWhat, and stays short where many lives are listed.
+// TestStandingNamesWhoHoldsWhat checks that each holder is listed, up to the maximum.
 func TestStandingNamesWhoHoldsWhat(t *testing.T) {
 	record := &statev1.TokenBudget{Program: "p", Settled: 5}
 	assert.NilError(t, budget.Reserve(record, 100, budget.Draw{Holder: "a/1#1", Spent: 20, Turn: 60}))
 	assert.Equal(t, budget.Standing(record), "limit 100 settled 5, a/1#1 spent 20 reserved 60")
-	for life := range 10 {
-		record.Holders = append(record.Holders, &statev1.TokenHolder{Holder: fmt.Sprint("b/", life)})
+	for process := range 10 {
+		record.Holders = append(record.Holders, &statev1.TokenHolder{Holder: fmt.Sprint("b/", process)})
 	}
 	assert.Assert(t, strings.HasSuffix(budget.Standing(record), ", 3 more"), budget.Standing(record))
 }
 
-// TestEndedHoldersAreSpent: what they reserved is never given back, and no less is charged
-// than before.
+// TestEndedHoldersAreSpent checks that the reserves of ended holders count as spent and
+// that the committed tokens stay the same.
 func TestEndedHoldersAreSpent(t *testing.T) {
 	record := &statev1.TokenBudget{Program: "p"}
 	assert.NilError(t, budget.Reserve(record, 100, budget.Draw{Holder: "a/1", Spent: 10, Turn: 50}))
--- a/state/budget/stored_test.go
+++ b/state/budget/stored_test.go
@@ -12,7 +12,7 @@
 	"github.com/marblering/marblering/state/budget"
 )
 
-// storedRecord has every field set.
+// storedRecord returns a record with every field set.
 func storedRecord() *statev1.TokenBudget {
 	return &statev1.TokenBudget{
 		Program: "conversation", Limit: 5000, Settled: 9,
@@ -20,7 +20,8 @@
 	}
 }
 
-// TestStoredRecord pins the bytes of a record, which is read from them in full.
+// TestStoredRecord pins the encoded bytes of a record and checks that they decode to the
+// same record.
 func TestStoredRecord(t *testing.T) {
 	encoded, err := budget.Encode(storedRecord())
 	assert.NilError(t, err)
