--- a/coordination/turnstore/cache.go
+++ b/coordination/turnstore/cache.go
@@ -7,18 +7,17 @@
 	statev1 "github.com/marblering/marblering/api/state/v1"
 )
 
-// entryBytes is about how many bytes of memory an entry takes beside its texts
-// (estimated, not measured).
+// entryBytes is the estimated memory overhead of an entry in bytes.
 const entryBytes = 256
 
-// cache keeps the turns that were used last. It is safe for concurrent use.
+// cache is an LRU cache of turns. It is safe for concurrent use.
 type cache struct {
-	// limit and size are in bytes of memory, by sizeOf.
+	// limit and size are in bytes of memory, as computed by sizeOf.
 	limit int
 
 	mutex sync.Mutex
 	size  int
-	// order holds turns, the one used last first.
+	// order lists the turns, the most recently used first.
 	order   *list.List
 	entries map[string]*list.Element
 }
@@ -38,8 +37,8 @@
 	return element.Value.(*statev1.RetainedTurn), true
 }
 
-// put adds the turn and drops the oldest ones beyond the limit. The newest turn stays,
-// also where it alone exceeds the limit.
+// put adds the turn and evicts the least recently used ones while the size exceeds the
+// limit. The new turn stays even if it alone exceeds the limit.
 func (c *cache) put(whole *statev1.RetainedTurn) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -60,6 +59,7 @@
 	c.size -= sizeOf(dropped)
 }
 
+// sizeOf estimates the memory that a cached turn takes, in bytes.
 func sizeOf(whole *statev1.RetainedTurn) int {
 	size := entryBytes + len(whole.GetInput()) + len(whole.GetOutput())
 	for _, ancestor := range whole.GetAncestors() {
--- a/coordination/turnstore/find.go
+++ b/coordination/turnstore/find.go
@@ -15,16 +15,16 @@
 )
 
 const (
-	// readTimeout bounds the read of one shard: two slow members, and a change of a
-	// replica set, which takes about 0.3 s. A lookup goes on to the next shards for as
-	// long as shards answer, so that it ends early only where one can't be read.
+	// readTimeout limits the read of one shard. It allows for two slow members and for a
+	// change of the replica set. A lookup of several shards has no limit of its own: it
+	// fails early only if one of them can't be read.
 	readTimeout = 800 * time.Millisecond
-	// othersAtOnce bounds the shards that one lookup reads at once. Chosen, not measured.
+	// othersAtOnce is the maximum number of shards that one lookup reads concurrently.
 	othersAtOnce = 16
 )
 
-// find returns the turns in the order of their ids. It looks in the home shard first,
-// then in all others until none is missing.
+// find returns the turns in the order of their ids. It reads the home shard first, and
+// then the other shards until it has found all turns.
 func (s *Store) find(ctx context.Context, home uint32, ids []string) ([]*statev1.RetainedTurn, error) {
 	turns := make([]*statev1.RetainedTurn, len(ids))
 	missing := s.fromCache(ids, turns)
@@ -56,8 +56,7 @@
 	return others
 }
 
-// fromCache fills in the turns that the cache has and returns the ids of those that
-// are still missing.
+// fromCache fills in cached turns and returns the ids of the turns that are still missing.
 func (s *Store) fromCache(ids []string, turns []*statev1.RetainedTurn) (missing []string) {
 	for index, id := range ids {
 		if turns[index] == nil {
@@ -70,11 +69,9 @@
 	return missing
 }
 
-// read asks the members of the shards for the missing turns and fills in what they have.
-// If it returns no error, the shards don't keep the turns that it didn't fill in. It ends
-// once none is missing. The shards are read at the same time: read one after the other,
-// each with two members in turn, eight shards whose members take 0.07 s said after 1.12 s
-// that none has a turn, and now after 0.21 s (TestUnknownTurnIsDeniedInTime).
+// read reads the missing turns from the shards concurrently and fills in those that it
+// finds. It ends as soon as none is missing. If it returns no error, the shards don't have
+// the turns that it left out.
 func (s *Store) read(ctx context.Context, shards []uint32, ids []string, turns []*statev1.RetainedTurn, missing []string, first fanOut) error {
 	found := &foundTurns{wanted: len(missing), turns: make(map[string]*statev1.RetainedTurn, len(missing))}
 	reads, ctx := errgroup.WithContext(ctx)
@@ -90,10 +87,11 @@
 	return err
 }
 
-// errComplete ends the reads of other shards.
+// errComplete cancels the reads of other shards once all turns are found.
 var errComplete = errors.New("all turns are found")
 
-// readShard asks the members of one shard for the missing turns.
+// readShard reads the missing turns from one shard. It returns errComplete once all turns
+// are found.
 func (s *Store) readShard(ctx context.Context, shard uint32, missing []string, found *foundTurns, first fanOut) error {
 	if found.isComplete() {
 		return errComplete
@@ -109,14 +107,14 @@
 	return err
 }
 
-// fill puts the turns that were found in their places and into the cache.
+// fill copies the found turns to the result, at the index of their id, and to the cache.
 func (s *Store) fill(ids []string, turns []*statev1.RetainedTurn, found *foundTurns) {
 	found.mutex.Lock()
 	defer found.mutex.Unlock()
 	for _, whole := range found.turns {
 		s.cache.put(whole)
 	}
-	// The cache may have no room for all of them.
+	// Taken from the found turns, since the cache may have evicted some of them.
 	for index, id := range ids {
 		if turns[index] == nil {
 			turns[index] = found.turns[id]
@@ -124,15 +122,15 @@
 	}
 }
 
-// readMember asks one member for the turns and adds what it has to those found. It
-// returns true where none is missing any more.
+// readMember reads the turns from one member and adds them to the found turns. It returns
+// true once all turns are found.
 func (s *Store) readMember(ctx context.Context, member register.Member, fence register.Fence, ids []string, found *foundTurns) (bool, archive.Reply, error) {
 	stored, reply, err := s.replicas.ReadMany(ctx, member, fence, ids)
 	if err != nil {
 		return false, reply, err
 	}
 	for _, one := range stored {
-		// A copy that can't be decoded says nothing about what other members have.
+		// The member counts as failed if a copy can't be decoded: others may have a valid one.
 		whole, err := s.codec.Decode(one.Program, one.Object, one.Digest)
 		if err != nil {
 			return false, reply, err
@@ -142,8 +140,8 @@
 	return found.isComplete(), reply, nil
 }
 
-// foundTurns collects turns by their ids. Members of one round add to it at once, also
-// after the round.
+// foundTurns collects turns by id. It is safe for concurrent use: requests to several
+// members add to it, some after their round has ended.
 type foundTurns struct {
 	wanted int
 
--- a/coordination/turnstore/quorum.go
+++ b/coordination/turnstore/quorum.go
@@ -13,28 +13,26 @@
 )
 
 const (
-	// roundPause is the pause between the first two rounds. It doubles with each round
-	// up to longestPause. While a replica set changes, no round succeeds, and the
-	// requests that members refuse keep nodes busy that carry out the change: with
-	// 30 ms between all rounds 8,249 copies of turns were sent in two seconds in which
-	// 1,600 are usual (counted in the logs of a simulated deployment).
-	roundPause = 30 * time.Millisecond
-	// longestPause was chosen, not measured.
+	// roundPause is the pause between the first two rounds. It doubles with each round up
+	// to longestPause: no round succeeds while a replica set changes, and retries slow
+	// down the nodes that carry out the change.
+	roundPause   = 30 * time.Millisecond
 	longestPause = 200 * time.Millisecond
 )
 
-// fanOut says how many members of a view are asked at first.
+// fanOut returns the number of members of a view to which a round sends requests at first.
 type fanOut func(view register.View) int
 
-// quorumFirst suits writes, which need a quorum, and reads that likely find nothing, which
-// only a quorum can say.
+// quorumFirst is for writes, and for reads that likely find nothing, which only a quorum
+// can confirm.
 func quorumFirst(view register.View) int { return view.Quorum() }
 
-// nearestOnly suits reads, of which one answer mostly suffices.
+// nearestOnly is for reads that a single answer usually completes.
 func nearestOnly(register.View) int { return 1 }
 
-// untilQuorum repeats rounds until a quorum grants the action, one answer suffices, or
-// the context ends. Then it returns ErrUnavailable with the last round's error.
+// untilQuorum repeats rounds until a quorum has performed the action or one answer
+// suffices. If the context ends first, it returns ErrUnavailable with the error of the
+// last round.
 func (s *Store) untilQuorum(ctx context.Context, shard uint32, act action, first fanOut) error {
 	last := error(ErrUnavailable)
 	for pause := roundPause; ; pause = min(2*pause, longestPause) {
@@ -50,9 +48,9 @@
 	}
 }
 
-// preferred returns the members in the order in which they are asked: those that
-// failed lately last, and among the others those of this node's zone first, since
-// traffic between zones is dear.
+// preferred returns the members in the order in which requests are sent to them: members
+// that failed recently last, and otherwise members of this node's zone first, since
+// traffic between zones is expensive.
 func (s *Store) preferred(members []register.Member) []register.Member {
 	ordered := slices.Clone(members)
 	slices.SortStableFunc(ordered, func(a, b register.Member) int {
@@ -61,6 +59,7 @@
 	return ordered
 }
 
+// distance returns 0 for a member of the zone and 1 for others.
 func distance(member register.Member, zone string) int {
 	if member.Zone == zone {
 		return 0
--- a/coordination/turnstore/round.go
+++ b/coordination/turnstore/round.go
@@ -13,40 +13,39 @@
 )
 
 const (
-	// hedgeDelay is how long the members that were asked may take before another one
-	// is asked as well. It is several times as long as a member takes that isn't
-	// overloaded (chosen, not measured).
+	// hedgeDelay is how long to wait for answers before sending a hedged request to
+	// another member. It is several times the usual time of a request.
 	hedgeDelay = 150 * time.Millisecond
-	// hedged names the requests of this package in the budget of hedges.
+	// hedged is the name of this package's requests in the retry budget of hedges.
 	hedged = "turns"
 )
 
-// action is one request to one member. Suffices tells that no other member's answer is
-// needed.
+// action sends one request to one member. It returns suffices if no other member's answer
+// is needed.
 type action func(ctx context.Context, member register.Member, fence register.Fence) (suffices bool, reply archive.Reply, err error)
 
-// answer is what one member answered.
+// answer is the result of an action at one member.
 type answer struct {
-	// place is the member's place in the order in which members were asked.
+	// place is the index of the member in the order of preference.
 	place    int
 	suffices bool
 	err      error
 }
 
-// round is one action at the members of a view, those of this node's zone first.
+// round performs an action at members of a view, in the order of preference.
 type round struct {
 	view    register.View
 	members *multicast.Round
 	answers chan answer
 	granted int
 	failed  int
-	// last is the error of the member that failed last.
+	// last is the most recent error of a member.
 	last error
 }
 
-// round asks the first members, and others where these fail or are late: each request
-// is work for a member and perhaps traffic between zones. It returns nil once a quorum
-// has granted the action or one answer suffices.
+// round performs the action at the first members, and at others only if these fail or are
+// late, to save requests and traffic between zones. It returns nil once a quorum has
+// performed the action or one answer suffices.
 func (s *Store) round(ctx context.Context, view register.View, act action, first int) error {
 	r := s.newRound(ctx, view, act)
 	r.members.Begin(first)
@@ -60,7 +59,7 @@
 				return err
 			}
 		case <-hedge.C:
-			// Each tick tries again, also after the budget has refused a hedge.
+			// Retried at each tick, since the budget may have denied the last hedge.
 			if r.members.Left() > 0 {
 				r.members.Hedge()
 			}
@@ -88,7 +87,8 @@
 	return &round{view: view, members: multicast.New(addresses, s.hedging, send), answers: answers}
 }
 
-// take counts an answer and tells whether the round is over, with its error.
+// take counts an answer, sends further requests if they are needed, and returns whether
+// the round is over, and its error.
 func (r *round) take(answered answer) (isOver bool, err error) {
 	r.members.Answered(answered.place)
 	if answered.err != nil {
@@ -109,7 +109,8 @@
 	return false, nil
 }
 
-// perform asks one member. A refusal is an error; the view that it names is learned.
+// perform performs the action at one member. A refusal is an error. It stores the view
+// that the member replies with, if any.
 func (s *Store) perform(ctx context.Context, view register.View, member register.Member, act action) answer {
 	fence := register.Fence{Shard: view.Shard, Epoch: view.Epoch, Replica: member.Incarnation}
 	suffices, reply, err := act(ctx, member, fence)
@@ -123,8 +124,8 @@
 	return answer{suffices: suffices, err: err}
 }
 
-// note tells the tracker whether the member answered, also when the round is over by
-// then. A request that its caller canceled says nothing about the member.
+// note reports to the reachability tracker whether the member answered, even if the round
+// has ended. It ignores requests that failed because the caller canceled them.
 func (s *Store) note(ctx context.Context, address string, err error) {
 	switch {
 	case err == nil:
--- a/coordination/turnstore/store.go
+++ b/coordination/turnstore/store.go
@@ -1,12 +1,12 @@
-// Package turnstore keeps whole turns on a quorum of replicas and puts the turns
-// before a new one together. A turn never changes, so storing it needs no agreement: a
-// turn that a quorum holds is found by whoever asks a quorum, and a turn that a quorum
-// doesn't know was never reported to a caller as stored.
+// Package turnstore stores turns on a quorum of replicas and reads a turn with its
+// ancestors. Turns are immutable, so storing them needs no consensus: a turn that a quorum
+// has stored is found by reading any quorum, and a turn that a quorum doesn't have was
+// never reported to a caller as stored.
 //
-// The package owns the rounds of requests to a replica set, the order in which members
-// are asked, and a cache of the turns used last. It relies on state/turn for the stored
-// form, on coordination/shard for the replica sets, on coordination/multicast for
-// hedged requests and on a client of the replicas, which transport/peer has.
+// The package implements the rounds of requests to a replica set, the order in which
+// members are asked, and a cache of recently used turns. It relies on state/turn for the
+// stored form, on coordination/shard for the replica sets, on coordination/multicast for
+// hedged requests, and on transport/peer for the client of the replicas.
 package turnstore
 
 import (
@@ -28,32 +28,32 @@
 )
 
 var (
-	// ErrUnknown means that a quorum answered and none of it has the turn.
+	// ErrUnknown means that a quorum answered and no member of it has the turn.
 	ErrUnknown = errors.New("no such turn")
-	// ErrUnavailable means that too few replicas answered to be sure.
+	// ErrUnavailable means that no quorum of the replicas answered.
 	ErrUnavailable = errors.New("too few replicas answered")
 )
 
-// sequence is the sequence number under which every turn is stored: each turn has an
-// id of its own, so that a replica keeps one turn for each id.
+// sequence is the sequence number of every stored turn. Replicas store turns by name and
+// sequence number; turns of this package have unique ids, which serve as the name.
 const sequence = 1
 
-// Replicas talks to the members of a replica set. peer.Client is one.
+// Replicas is a client of the members of replica sets. peer.Client implements it.
 type Replicas interface {
 	PutTurn(ctx context.Context, member register.Member, fence register.Fence, stored replica.Turn) (archive.Reply, error)
-	// ReadMany returns those of the turns that the member has.
+	// ReadMany returns the turns with the ids that the member has.
 	ReadMany(ctx context.Context, member register.Member, fence register.Fence, ids []string) ([]replica.Turn, archive.Reply, error)
 }
 
-// Views gives the replica sets. shard.Map is one.
+// Views gives access to the known replica sets. directory.Lookup implements it.
 type Views interface {
-	// View returns the newest known replica set of the shard.
+	// View returns the newest known view of the shard.
 	View(shard uint32) (register.View, bool)
-	// Learn keeps the view if it is newer than the known one.
+	// Learn stores the view if it is newer than the known one.
 	Learn(view register.View)
 	// Locate returns the shard that keeps the program's turns.
 	Locate(program string) uint32
-	// Shards returns the number of shards, zero while it isn't known.
+	// Shards returns the number of shards, or zero while it is unknown.
 	Shards() uint32
 }
 
@@ -67,8 +67,8 @@
 	cache    *cache
 }
 
-// New makes a store for a node of the zone. It remembers turns of up to cacheBytes
-// bytes of memory. The tracker is told which replicas answer, by their addresses.
+// New returns a store for a node in the zone. The store caches turns in up to cacheBytes
+// bytes of memory. It reports to the tracker which replicas answer, by address.
 func New(zone string, replicas Replicas, views Views, tracker *reach.Tracker, cacheBytes int) (*Store, error) {
 	codec, err := turn.NewCodec()
 	if err != nil {
@@ -80,8 +80,8 @@
 	return &Store{zone: zone, replicas: replicas, views: views, hedging: hedging, codec: codec, cache: newCache(cacheBytes)}, nil
 }
 
-// Put stores a turn of the program on a quorum. It retries until the context ends,
-// then returns ErrUnavailable; the turn may be stored all the same.
+// Put stores a turn of the program on a quorum. It retries until the context ends and then
+// returns ErrUnavailable, in which case the turn may still have been stored.
 func (s *Store) Put(ctx context.Context, program string, whole *statev1.RetainedTurn) error {
 	object, digest, err := s.codec.Encode(whole)
 	if err != nil {
@@ -102,10 +102,10 @@
 	return nil
 }
 
-// Line returns the turn with the id and all turns before it, the oldest first. It looks
-// in the shard of the program first and then in all others, since another program may
-// have begun the line. It returns ErrUnknown where a turn isn't kept, and
-// ErrUnavailable where the context ends before that is certain.
+// Line returns the turn with the id and all its ancestors, the oldest first. It reads the
+// shard of the program first and then all others, since ancestors may belong to another
+// program. It returns ErrUnknown if a turn isn't stored, and ErrUnavailable if that can't
+// be determined in time.
 func (s *Store) Line(ctx context.Context, program, id string) ([]*statev1.RetainedTurn, error) {
 	if err := s.awaitSetsToRead(ctx); err != nil {
 		return nil, err
@@ -118,20 +118,20 @@
 	last := found[0]
 	ancestors, err := s.find(ctx, home, last.GetAncestors())
 	if err != nil {
-		return nil, merry.Prependf(err, "the line of turn %q", id)
+		return nil, merry.Prependf(err, "reading the ancestors of turn %q", id)
 	}
 	return append(ancestors, last), nil
 }
 
-// awaitSetsToRead waits until the replica sets are known, no longer than for a shard.
+// awaitSetsToRead waits until the replica sets are known, for at most readTimeout.
 func (s *Store) awaitSetsToRead(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
 	return s.awaitSets(ctx)
 }
 
-// awaitSets waits until the replica sets are known. Until then nobody can say in which
-// shard a turn is kept.
+// awaitSets waits until the replica sets are known. Until then programs can't be assigned
+// to shards.
 func (s *Store) awaitSets(ctx context.Context) error {
 	for s.views.Shards() == 0 {
 		if sleep.For(ctx, roundPause) != nil {
--- a/coordination/turnstore/store_test.go
+++ b/coordination/turnstore/store_test.go
@@ -26,7 +26,7 @@
 
 var errDown = errors.New("no answer")
 
-// members are replicas in memory, each in a zone of its own.
+// members implements turnstore.Replicas with replicas in memory, each in its own zone.
 type members struct {
 	mutex  sync.Mutex
 	turns  map[string]map[string]replica.Turn
@@ -35,13 +35,13 @@
 	// refused counts requests to members that are down.
 	refused int
 	reads   []string
-	// answerAfter is how long each member takes.
+	// answerAfter is the time that each member takes to answer.
 	answerAfter time.Duration
-	// silent is a member that doesn't answer.
+	// silent is the name of a member that doesn't answer writes.
 	silent string
 }
 
-// place is the name of a turn within its shard.
+// place returns the key of a turn, from its shard and id.
 func place(fence register.Fence, id string) string { return fmt.Sprintf("%d/%s", fence.Shard, id) }
 
 func (m *members) PutTurn(ctx context.Context, member register.Member, fence register.Fence, stored replica.Turn) (archive.Reply, error) {
@@ -78,7 +78,7 @@
 	return found, archive.Reply{}, nil
 }
 
-// views adapts a shard.Map.
+// views adapts shard.Map to turnstore.Views.
 type views struct{ *shard.Map }
 
 func (v views) Shards() uint32 { return v.Count() }
@@ -104,6 +104,7 @@
 	return store
 }
 
+// require is the common interface of testing.T and rapid.T that newStore needs.
 type require interface {
 	Helper()
 	Log(...any)
@@ -127,9 +128,9 @@
 	// Output: 2 a b <nil>
 }
 
-// TestLineSurvivesAnyLoss: whichever member is lost, and whichever gateway asks,
-// a stored line is found whole. Turns are stored and read in virtual time: in real time
-// a busy machine lets a hedge be sent, which writes a third copy.
+// TestLineSurvivesAnyLoss checks that a stored turn and its ancestors are found after the
+// loss of any member, from any zone. It runs in virtual time, since a hedge on a busy
+// machine would write a third copy.
 func TestLineSurvivesAnyLoss(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		m, v := newMembers(3)
@@ -143,12 +144,12 @@
 			if putErr = putLine(writer, programs); putErr != nil {
 				return
 			}
-			// A replica that lost its memory is another incarnation and refuses.
+			// A replica that lost its data has a new incarnation and refuses requests.
 			m.down[lost] = true
 			line, lineErr = reader.Line(context.Background(), "p", fmt.Sprint("turn", len(programs)-1))
 		})
 		assert.NilError(rt, putErr)
-		assert.Equal(rt, m.writes, 2*len(programs), "two copies of three members")
+		assert.Equal(rt, m.writes, 2*len(programs), "each turn is written to two of three members")
 		assert.NilError(rt, lineErr)
 		for index, whole := range line {
 			assert.Equal(rt, whole.GetId(), fmt.Sprint("turn", index))
@@ -157,8 +158,8 @@
 	})
 }
 
-// putLine stores a line of turns, one for each of the programs. Each has an output as
-// long as its place in the line.
+// putLine stores one turn for each of the programs, each a child of the previous one. The
+// length of a turn's output is its index.
 func putLine(writer *turnstore.Store, programs []string) error {
 	var ancestors []string
 	for index, program := range programs {
@@ -174,7 +175,8 @@
 	return nil
 }
 
-// TestUnknownOnlyIfSure: without a quorum a missing turn isn't denied.
+// TestUnknownOnlyIfSure checks that a missing turn is reported as unknown only if a quorum
+// has answered.
 func TestUnknownOnlyIfSure(t *testing.T) {
 	m, v := newMembers(2)
 	store := newStore(t, "z0", m, v)
@@ -182,7 +184,7 @@
 	assert.ErrorIs(t, err, turnstore.ErrUnknown)
 	m.down["m1"] = true
 	_, err = store.Line(context.Background(), "p", "none")
-	assert.ErrorIs(t, err, turnstore.ErrUnknown, "two of three are sure")
+	assert.ErrorIs(t, err, turnstore.ErrUnknown, "two of three members are a quorum")
 	m.down["m0"] = true
 	ctx, cancel := short()
 	defer cancel()
@@ -190,8 +192,8 @@
 	assert.ErrorIs(t, err, turnstore.ErrUnavailable)
 }
 
-// TestPutNeedsAQuorum: Put asks other members where the preferred ones fail, and fails
-// itself where no quorum is left.
+// TestPutNeedsAQuorum checks that Put uses other members if the preferred ones fail, and
+// that it fails without a quorum.
 func TestPutNeedsAQuorum(t *testing.T) {
 	m, v := newMembers(1)
 	store := newStore(t, "z0", m, v)
@@ -203,7 +205,7 @@
 	assert.ErrorIs(t, store.Put(ctx, "p", &statev1.RetainedTurn{Id: "b"}), turnstore.ErrUnavailable)
 }
 
-// TestNearestIsAskedFirst: no other member is asked where the nearest has the turn.
+// TestNearestIsAskedFirst checks that only the nearest member is read if it has the turn.
 func TestNearestIsAskedFirst(t *testing.T) {
 	m, v := newMembers(1)
 	assert.NilError(t, newStore(t, "z2", m, v).Put(context.Background(), "p", &statev1.RetainedTurn{Id: "a"}))
@@ -212,7 +214,8 @@
 	assert.DeepEqual(t, m.reads, []string{"m2"})
 }
 
-// TestDamagedCopyIsNoAnswer: another member's copy is read instead.
+// TestDamagedCopyIsNoAnswer checks that another member's copy is read in place of a damaged
+// one.
 func TestDamagedCopyIsNoAnswer(t *testing.T) {
 	m, v := newMembers(1)
 	assert.NilError(t, newStore(t, "z0", m, v).Put(context.Background(), "p", &statev1.RetainedTurn{Id: "a", Input: []byte("right")}))
@@ -224,8 +227,8 @@
 	assert.Equal(t, string(line[0].GetInput()), "right")
 }
 
-// lateViews knows the replica sets only once it was asked for one, like a gateway that
-// starts while requests arrive.
+// lateViews is views that are unknown until the first call of View, as on a gateway that
+// receives requests while it starts.
 type lateViews struct {
 	views
 	known *atomic.Bool
@@ -252,8 +255,8 @@
 	return v.views.View(number)
 }
 
-// TestSetsThatBecomeKnownLate: the shard of a turn is looked up only once the replica sets
-// are known.
+// TestSetsThatBecomeKnownLate checks that the shard of a turn is determined only once the
+// replica sets are known.
 func TestSetsThatBecomeKnownLate(t *testing.T) {
 	for index := range 16 {
 		program := fmt.Sprint("program", index)
@@ -269,8 +272,8 @@
 	}
 }
 
-// TestSlowMembersGetNoMoreRequests: where all members are slow, they are overloaded, and
-// asking more of them would add to that.
+// TestSlowMembersGetNoMoreRequests checks that hedges stay within their budget when all
+// members are slow, so that they don't add to an overload.
 func TestSlowMembersGetNoMoreRequests(t *testing.T) {
 	const turns = 200
 	bubble.Test(t, func(t *testing.T) {
@@ -280,7 +283,7 @@
 		allAtOnce(turns, func(i int) {
 			assert.Check(t, store.Put(context.Background(), "p", &statev1.RetainedTurn{Id: fmt.Sprint("t", i)}))
 		})
-		assert.Assert(t, m.writes <= 2*turns*11/10, "%d copies of %d turns were made, two each are needed", m.writes, turns)
+		assert.Assert(t, m.writes <= 2*turns*11/10, "%d copies of %d turns were written, two each are needed", m.writes, turns)
 		allAtOnce(turns, func(i int) {
 			_, err := reader.Line(context.Background(), "p", fmt.Sprint("t", i))
 			assert.Check(t, err)
@@ -289,8 +292,8 @@
 	})
 }
 
-// allAtOnce makes so many calls of f at the same moment and returns once all that they
-// started has ended.
+// allAtOnce calls f concurrently the given number of times and returns once the calls and
+// the requests that they started have ended.
 func allAtOnce(times int, f func(i int)) {
 	var calls sync.WaitGroup
 	for i := range times {
@@ -301,8 +304,8 @@
 	synctest.Wait()
 }
 
-// TestSilentMemberIsPassedOver: one request waits for a member that doesn't answer; later
-// ones ask it last.
+// TestSilentMemberIsPassedOver checks that only one write waits for a member that doesn't
+// answer; later ones ask it last.
 func TestSilentMemberIsPassedOver(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		m, v := newMembers(1)
@@ -321,8 +324,8 @@
 	})
 }
 
-// TestSealedSetIsAskedLessAndLess: while a replica set changes, its members refuse
-// requests, and each round is work for them.
+// TestSealedSetIsAskedLessAndLess checks that rounds are retried with backoff while the
+// members of a replica set refuse requests, as during a change of the set.
 func TestSealedSetIsAskedLessAndLess(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		m, v := newMembers(1)
@@ -340,11 +343,9 @@
 	})
 }
 
-// TestUnknownTurnIsDeniedInTime: a client goes on from a turn that isn't kept, and the
-// members of the replica sets answer slowly. All shards were asked one after the other,
-// each with two members in turn, so that the answer came after 0.8 s, the time for state,
-// with two shards already: the client got 503 "too few replicas answered: context deadline
-// exceeded" in place of 404, with 1.7 of its 2.5 s left.
+// TestUnknownTurnIsDeniedInTime checks that other shards are read concurrently. Read one
+// after the other, a lookup of an unknown turn exceeds the caller's time limit and fails
+// with ErrUnavailable.
 func TestUnknownTurnIsDeniedInTime(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		m, v := newMembers(8)
@@ -352,12 +353,13 @@
 		began := time.Now()
 		_, err := newStore(t, "z0", m, v).Line(t.Context(), "p", "none")
 		assert.ErrorIs(t, err, turnstore.ErrUnknown)
-		assert.Equal(t, time.Since(began), 3*m.answerAfter, "two members of the home shard in turn, then all others")
-		assert.Equal(t, len(m.reads), 2*8, "no more requests than one after the other")
+		assert.Equal(t, time.Since(began), 3*m.answerAfter, "two members of the home shard one after the other, then all other shards concurrently")
+		assert.Equal(t, len(m.reads), 2*8, "two reads for each shard")
 	})
 }
 
-// TestTurnOfAnotherShardEndsTheLookup: the other shards needn't answer.
+// TestTurnOfAnotherShardEndsTheLookup checks that a turn is found in a shard other than the
+// program's own.
 func TestTurnOfAnotherShardEndsTheLookup(t *testing.T) {
 	m, v := newMembers(2)
 	other := "q"
@@ -370,8 +372,8 @@
 	assert.Equal(t, line[0].GetId(), "a")
 }
 
-// TestShardThatCantBeReadEndsTheLookup soon, though its caller has more time: the next one
-// may be served elsewhere.
+// TestShardThatCantBeReadEndsTheLookup checks that the time limit of a shard's read ends the
+// lookup even if the caller's context allows more time.
 func TestShardThatCantBeReadEndsTheLookup(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		m, v := newMembers(2)
@@ -385,8 +387,8 @@
 	})
 }
 
-// TestUnknownSetsEndTheLookup: a gateway that doesn't know the replica sets refuses a turn
-// as soon as one that can't read them.
+// TestUnknownSetsEndTheLookup checks that a lookup waits no longer for unknown replica sets
+// than for a shard that can't be read.
 func TestUnknownSetsEndTheLookup(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		m, _ := newMembers(1)
--- a/coordination/turnstore/trace_test.go
+++ b/coordination/turnstore/trace_test.go
@@ -28,11 +28,11 @@
 	traceActions = 25
 )
 
-// tracedMembers are replicas that answer, fail, refuse or say nothing by a seed, and
-// note when each of them is asked.
+// tracedMembers implements turnstore.Replicas with members that answer, fail, refuse or
+// stay silent at random, and records when each of them is asked.
 type tracedMembers struct {
 	mutex sync.Mutex
-	// slowest is the longest that an answer takes.
+	// slowest is the maximum time that an answer takes.
 	slowest time.Duration
 	began   time.Time
 	lines   []string
@@ -44,8 +44,8 @@
 	m.lines = append(m.lines, fmt.Sprintf("%9.3f ms ", time.Since(m.began).Seconds()*1000)+fmt.Sprintf(format, args...))
 }
 
-// answer draws from a source of its own for each member and moment, so that requests
-// that begin at one moment don't depend on each other's order.
+// answer uses a separate random source for each member, kind of request and time, so that
+// the order of requests that start at the same time doesn't change the results.
 func (m *tracedMembers) answer(ctx context.Context, kind, node string) (archive.Reply, error) {
 	m.note("%s %s", kind, node)
 	drawn := rand.New(rand.NewPCG(uint64(time.Since(m.began)), register.Rank(node, kind)))
@@ -75,8 +75,8 @@
 	return nil, reply, err
 }
 
-// TestWhoIsAskedWhen pins which members are asked when, over members that are late,
-// fail, refuse and say nothing: order, hedges, their budget, and who is asked last.
+// TestWhoIsAskedWhen pins which members are asked at which time while members are late,
+// fail, refuse or stay silent. It covers the order of preference, hedges and their budget.
 func TestWhoIsAskedWhen(t *testing.T) {
 	var text strings.Builder
 	for seed := range uint64(traceSeeds) {
@@ -87,6 +87,7 @@
 	golden.Assert(t, text.String(), "asked.golden")
 }
 
+// trace performs random actions and returns the requests and results with their times.
 func trace(t *testing.T, seed uint64) string {
 	random := rand.New(rand.NewPCG(seed, 1))
 	m := &tracedMembers{slowest: time.Duration(1+random.IntN(600)) * time.Millisecond, began: time.Now()}
@@ -109,7 +110,7 @@
 	return joined(m.lines)
 }
 
-// joined sorts the lines and makes one of those that differ in the member only.
+// joined sorts the lines and merges lines that differ only in the last word, the member.
 func joined(lines []string) string {
 	slices.Sort(lines)
 	var text strings.Builder
@@ -126,7 +127,7 @@
 	return text.String()
 }
 
-// act stores a turn or looks for one that nobody has.
+// act stores a turn or looks up an unknown one, at random.
 func act(store *turnstore.Store, m *tracedMembers, random *rand.Rand, action int) {
 	ctx, cancel := context.WithTimeout(context.Background(), 1900*time.Millisecond)
 	defer cancel()
