--- a/node/storage/budgets.go
+++ b/node/storage/budgets.go
@@ -14,27 +14,27 @@
 )
 
 const (
-	// registerTimeout bounds one request of a register's round. Chosen, not measured.
-	registerTimeout = 400 * time.Millisecond
-	// hedgeDelay is how long the members of a register's round may take before another
-	// member is asked: a few times what one takes that isn't overloaded, and little
-	// beside the time of a turn. Chosen, not measured.
-	hedgeDelay = 80 * time.Millisecond
+	// registerRequestTimeout limits one request of a register's round.
+	registerRequestTimeout = 400 * time.Millisecond
+	// registerHedgeDelay is how long to wait for answers in a register's round before
+	// sending a hedged request to another member. It is a few times the usual time of a
+	// request.
+	registerHedgeDelay = 80 * time.Millisecond
 )
 
-// buildBudgets makes this node a host of the budgets of programs and a holder of slots
-// of tenants' quotas. Each process of a node is another holder and proposer.
+// buildBudgets creates the host of program budgets and the holder of tenants' quota slots.
+// Each process of a node is a separate holder and proposer.
 func (n *Node) buildBudgets() {
-	life := n.self.Node + "/" + uuid.NewString()
-	bounds := register.DefaultSettings()
-	bounds.RequestTimeout = registerTimeout
-	bounds.Thrift = &register.Thrift{
-		Local: n.self.Incarnation, Delay: hedgeDelay, Reach: reach.New(time.Now),
+	holderID := n.self.Node + "/" + uuid.NewString()
+	registerSettings := register.DefaultSettings()
+	registerSettings.RequestTimeout = registerRequestTimeout
+	registerSettings.Thrift = &register.Thrift{
+		Local: n.self.Incarnation, Delay: registerHedgeDelay, Reach: reach.New(time.Now),
 		Hedges: limit.NewRetryBudget(limit.HedgePolicy(), time.Now()), Now: time.Now,
 	}
 	transport := peer.NewLocalTransport(n.self.Incarnation, n.replica, n.peers)
-	registers := register.NewClient(life, transport, n.lookup, register.SystemClock{}, newRandom(), bounds)
-	n.ledger = tokenbudget.New(life, registers, n.views.Locate, tokenbudget.DefaultSettings(), time.Now, n.logger)
+	registers := register.NewClient(holderID, transport, n.lookup, register.SystemClock{}, newRandom(), registerSettings)
+	n.ledger = tokenbudget.New(holderID, registers, n.views.Locate, tokenbudget.DefaultSettings(), time.Now, n.logger)
 	n.budgets = tokenbudget.NewHost(n.ledger, time.Now)
-	n.quotas = quota.NewHolder(life, n.self.Node, registers, time.Now, n.following)
+	n.quotas = quota.NewHolder(holderID, n.self.Node, registers, time.Now, n.limitedLogger)
 }
--- a/node/storage/gctuner.go
+++ b/node/storage/gctuner.go
@@ -8,53 +8,49 @@
 )
 
 const (
-	// heapPart is the part of the memory limit that the heap may grow to before it is
-	// collected; the rest is for stacks, the mapped data file and bursts. Chosen, not
-	// measured.
-	heapPart = 0.4
-	// leastTarget and mostTarget bound the runtime's target (GOGC), in percent of what
-	// is in use. The least is the runtime's own default. Beyond the most, collections
-	// take so little time that more memory would gain nothing. Chosen, not measured.
-	leastTarget = 100
-	mostTarget  = 400
-	// targetInterval is the pause between two readings of what is in use. Chosen, not
-	// measured.
-	targetInterval = time.Second
-	// liveHeap is the name of what the last collection found in use.
-	liveHeap = "/gc/heap/live:bytes"
+	// maxHeapFraction is the fraction of the memory limit to which the heap may grow before
+	// a collection. The rest is for stacks, the mapped data file and bursts.
+	maxHeapFraction = 0.4
+	// minGCPercent and maxGCPercent limit the GC percentage (GOGC). The minimum is the
+	// runtime's default. Above the maximum, collections already take little time.
+	minGCPercent = 100
+	maxGCPercent = 400
+	// gcTuneInterval is the interval between two readings of the live heap.
+	gcTuneInterval = time.Second
+	// liveHeapMetric is the runtime metric of the heap that was live at the last collection.
+	liveHeapMetric = "/gc/heap/live:bytes"
 )
 
-// collectorTarget returns the garbage collector's target for a heap of which live bytes
-// are in use. A storage node keeps little and allocates much: with the default target its
-// small heap is collected many times a second, which takes a quarter of a small machine's
-// processor, while most of its memory is unused.
-func collectorTarget(live, memoryLimit uint64) int {
+// gcPercent returns the GC percentage for the given size of the live heap, in bytes. A
+// storage node allocates at a high rate with a small live heap, so the runtime's default
+// would run many collections a second while most of the memory is unused.
+func gcPercent(live, memoryLimit uint64) int {
 	if live == 0 {
-		return leastTarget
+		return minGCPercent
 	}
-	room := heapPart*float64(memoryLimit) - float64(live)
-	percent := int(100 * room / float64(live))
-	return min(max(percent, leastTarget), mostTarget)
+	available := maxHeapFraction*float64(memoryLimit) - float64(live)
+	percent := int(100 * available / float64(live))
+	return min(max(percent, minGCPercent), maxGCPercent)
 }
 
-// collectorTuner keeps the collector's target. It is a suture service.
-type collectorTuner struct {
+// gcTuner adjusts the GC percentage to the live heap. It is a suture service.
+type gcTuner struct {
 	memoryLimit uint64
 }
 
-// String names the service in the supervisor's messages.
-func (collectorTuner) String() string { return "collector tuner" }
+// String returns the name of the service in the supervisor's messages.
+func (gcTuner) String() string { return "garbage collector tuner" }
 
 // Serve implements suture.Service.
-func (c collectorTuner) Serve(ctx context.Context) error {
-	ticker := time.NewTicker(targetInterval)
+func (t gcTuner) Serve(ctx context.Context) error {
+	ticker := time.NewTicker(gcTuneInterval)
 	defer ticker.Stop()
-	reading := []metrics.Sample{{Name: liveHeap}}
+	samples := []metrics.Sample{{Name: liveHeapMetric}}
 	current := 0
 	for {
-		metrics.Read(reading)
-		// Setting it stops all threads for a moment.
-		if target := collectorTarget(reading[0].Value.Uint64(), c.memoryLimit); target != current {
+		metrics.Read(samples)
+		// Set only on a change, since SetGCPercent stops the world.
+		if target := gcPercent(samples[0].Value.Uint64(), t.memoryLimit); target != current {
 			debug.SetGCPercent(target)
 			current = target
 		}
--- a/node/storage/gctuner_test.go
+++ b/node/storage/gctuner_test.go
@@ -6,9 +6,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestCollectorTarget: little in use may grow to several times that, and never
-// beyond its part of the memory but as the runtime does by itself.
-func TestCollectorTarget(t *testing.T) {
+// TestGCPercent checks that a small live heap gets a high percentage, and that the heap
+// stays within its fraction of the memory unless that needs less than the minimum.
+func TestGCPercent(t *testing.T) {
 	const mebibyte = 1 << 20
 	for _, c := range []struct {
 		live, limit uint64
@@ -23,6 +23,6 @@
 		{8, 80, 300},
 		{30, 80, 100},
 	} {
-		assert.Equal(t, collectorTarget(c.live*mebibyte, c.limit*mebibyte), c.target, "%d MiB of %d in use", c.live, c.limit)
+		assert.Equal(t, gcPercent(c.live*mebibyte, c.limit*mebibyte), c.target, "%d MiB live, memory limit %d MiB", c.live, c.limit)
 	}
 }
--- a/node/storage/mirroring.go
+++ b/node/storage/mirroring.go
@@ -10,99 +10,99 @@
 )
 
 const (
-	// mirrorSlack is how much longer than its wait the store may take to answer a held
-	// call about what is mirrored. Chosen, not measured.
-	mirrorSlack = 400 * time.Millisecond
-	// mirrorRest is the part of the apply limit that is left after such a call has
-	// failed, for gateways to list the objects themselves. Chosen, not measured.
-	mirrorRest = 300 * time.Millisecond
-	// mirrorParts bounds mirrorSlack and mirrorRest where the apply limit is short: each
-	// is at most this fraction of it. Chosen, not measured.
-	mirrorParts = 4
-	// mirrorListTimeout bounds a listing at the store: one that hangs since before the
-	// store's return holds up everybody who follows through this node. Chosen, not
-	// measured.
+	// maxMirrorWatchSlack is the maximum WatchSlack for mirrored objects: how much longer than
+	// the requested wait a watch call at the store may take.
+	maxMirrorWatchSlack = 400 * time.Millisecond
+	// maxMirrorListReserve is the maximum time that is reserved within the apply limit for
+	// gateways to list the objects themselves after a watch call has failed.
+	maxMirrorListReserve = 300 * time.Millisecond
+	// applyLimitDivisor limits the watch slack and the list reserve, for short apply limits,
+	// to the apply limit divided by it.
+	applyLimitDivisor = 4
+	// mirrorListTimeout limits one listing at the store. A listing that hangs delays all
+	// nodes that follow the store through this one.
 	mirrorListTimeout = time.Second
-	// upstreamWait is how long another storage node may hold a call of this one. It
-	// adds to the age of what gateways are told, which the apply limit bounds.
-	upstreamWait = mirrorRest
-	// storePauseParts is the fraction of the apply limit that lies between two calls at
-	// the store itself while the storage nodes that this one follows the store through
-	// are gone. What gateways are told through this node is late by as much. Chosen,
-	// not measured.
-	storePauseParts = 4
-	// seldomWait is how long the store may hold a call about what changes seldom,
-	// seldomUpstreamWait how long another storage node may, and seldomAge how long ago
-	// the store may have confirmed it. Chosen, not measured.
-	seldomWait         = 10 * time.Second
-	seldomUpstreamWait = 2 * time.Second
-	seldomAge          = 20 * time.Second
-	// upstreamPatience is how long a storage node does without the store while no
-	// storage node that it follows it through answers. Where all nodes start together it
-	// outlasts the 0.3 s until those have started, and the time until they are asked
-	// again. Chosen, not measured.
-	upstreamPatience = time.Second
-	// upstreamLostPatience is the same while they answer and have lost the store.
-	// Chosen, not measured.
-	upstreamLostPatience = 2 * time.Second
+	// boundedUpstreamWait is how long another storage node may hold a watch call of this
+	// node. It adds to the age of the data that gateways get, which the apply limit bounds.
+	boundedUpstreamWait = maxMirrorListReserve
+	// storePauseDivisor gives the pause between two direct calls at the store while no
+	// upstream storage node is available: the apply limit divided by it. The pause delays
+	// the updates of gateways.
+	storePauseDivisor = 4
+	// For objects that change rarely, relaxedWatchWait is how long the store may hold a
+	// watch call, relaxedUpstreamWait how long another storage node may, and relaxedMaxAge
+	// the maximum time since the store confirmed an upstream's data.
+	relaxedWatchWait    = 10 * time.Second
+	relaxedUpstreamWait = 2 * time.Second
+	relaxedMaxAge       = 20 * time.Second
+	// upstreamUnreachableDelay is how long to wait before asking the store directly while
+	// no upstream storage node answers. It allows for upstreams that start at the same time
+	// as this node.
+	upstreamUnreachableDelay = time.Second
+	// upstreamStoreLostDelay is the same while upstreams answer but have lost the store.
+	upstreamStoreLostDelay = 2 * time.Second
 )
 
-// mirrorBounds returns the bounds of following what gateways follow through this node.
-// This node's way to the store may fail silently while gateways could reach the store and
-// are bound by the apply limit. So a wait, its slack and the rest together fit into it.
-func mirrorBounds(applyLimit time.Duration) follow.Settings {
-	bounds := follow.DefaultSettings()
-	bounds.ListTimeout = mirrorListTimeout
-	bounds.WatchSlack = min(mirrorSlack, applyLimit/mirrorParts)
-	bounds.WatchWait = applyLimit - bounds.WatchSlack - min(mirrorRest, applyLimit/mirrorParts)
-	return bounds
+// boundedFollowSettings returns the settings for objects that gateways must apply within the
+// apply limit. If this node's connection to the store fails silently, the watch wait, its
+// slack and the gateways' own listing together have to fit into that limit.
+func boundedFollowSettings(applyLimit time.Duration) follow.Settings {
+	result := follow.DefaultSettings()
+	result.ListTimeout = mirrorListTimeout
+	result.WatchSlack = min(maxMirrorWatchSlack, applyLimit/applyLimitDivisor)
+	result.WatchWait = applyLimit - result.WatchSlack - min(maxMirrorListReserve, applyLimit/applyLimitDivisor)
+	return result
 }
 
-// throughUpstreams returns the patience with the storage nodes that this one follows the
-// store through. It is short, since gateways follow through this node in turn.
-func throughUpstreams() mirror.Patience {
-	return mirror.Patience{Unreached: upstreamPatience, Lost: upstreamLostPatience}
+// upstreamFallbackDelays returns how long this node waits for its upstream storage nodes
+// before it asks the store directly. The delays are short, since gateways follow the store
+// through this node.
+func upstreamFallbackDelays() mirror.Patience {
+	return mirror.Patience{Unreached: upstreamUnreachableDelay, Lost: upstreamStoreLostDelay}
 }
 
-// mirroring follows what gateways follow through this node.
-func (n *Node) mirroring(kind string, direct follow.Source) *follow.Follower {
-	through := mirror.SourceSettings{
-		Wait: upstreamWait, MaxAge: n.settings.ApplyLimit,
-		Patience: throughUpstreams(), StorePause: n.settings.ApplyLimit / storePauseParts,
+// newBoundedFollower returns a follower of objects that gateways must apply within the apply
+// limit.
+func (n *Node) newBoundedFollower(kind string, direct follow.Source) *follow.Follower {
+	sourceSettings := mirror.SourceSettings{
+		Wait: boundedUpstreamWait, MaxAge: n.settings.ApplyLimit,
+		Patience: upstreamFallbackDelays(), StorePause: n.settings.ApplyLimit / storePauseDivisor,
 	}
-	bounds := mirrorBounds(n.settings.ApplyLimit)
+	followSettings := boundedFollowSettings(n.settings.ApplyLimit)
 	if kind == mirror.KindConfiguration && n.settings.RevokeLimit > 0 {
 		interval := mirror.ProofInterval(n.settings.RevokeLimit)
 		direct = follow.Polled(direct, interval, time.Now)
-		bounds.WatchWait, bounds.MaxPause = interval, mirror.ProofPause
-		// The store is polled, which paces its calls already.
-		through.Patience.Lost, through.StorePause = interval, 0
+		followSettings.WatchWait, followSettings.MaxPause = interval, mirror.ProofPause
+		// Polling already paces the calls at the store.
+		sourceSettings.Patience.Lost, sourceSettings.StorePause = interval, 0
 	}
 	keep := func(snapshot follow.Snapshot) { n.mirror.Keep(kind, snapshot) }
-	return n.passingOn(kind, direct, bounds, through, keep)
+	return n.newMirroredFollower(kind, direct, followSettings, sourceSettings, keep)
 }
 
-// seldom follows what changes seldom and isn't due within the apply limit.
-func (n *Node) seldom(kind string, direct follow.Source, apply func(follow.Snapshot)) *follow.Follower {
-	bounds := follow.DefaultSettings()
-	bounds.WatchWait = seldomWait
-	through := mirror.SourceSettings{
-		Wait: seldomUpstreamWait, MaxAge: seldomAge,
-		Patience: throughUpstreams(), StorePause: seldomUpstreamWait,
+// newRelaxedFollower returns a follower of objects that change rarely and that the apply
+// limit doesn't cover.
+func (n *Node) newRelaxedFollower(kind string, direct follow.Source, apply func(follow.Snapshot)) *follow.Follower {
+	followSettings := follow.DefaultSettings()
+	followSettings.WatchWait = relaxedWatchWait
+	sourceSettings := mirror.SourceSettings{
+		Wait: relaxedUpstreamWait, MaxAge: relaxedMaxAge,
+		Patience: upstreamFallbackDelays(), StorePause: relaxedUpstreamWait,
 	}
-	return n.passingOn(kind, direct, bounds, through, func(snapshot follow.Snapshot) {
+	return n.newMirroredFollower(kind, direct, followSettings, sourceSettings, func(snapshot follow.Snapshot) {
 		apply(snapshot)
 		n.mirror.Keep(kind, snapshot)
 	})
 }
 
-// passingOn follows a kind and lets others follow it through this node. A few storage
-// nodes ask the store; the others follow it through these.
-func (n *Node) passingOn(kind string, direct follow.Source, bounds follow.Settings, through mirror.SourceSettings, apply func(follow.Snapshot)) *follow.Follower {
+// newMirroredFollower returns a follower of a kind of objects that other nodes follow through
+// this node. Only a few storage nodes watch the store directly; the others use them as
+// upstreams.
+func (n *Node) newMirroredFollower(kind string, direct follow.Source, followSettings follow.Settings, sourceSettings mirror.SourceSettings, apply func(follow.Snapshot)) *follow.Follower {
 	counted := follow.Counted(direct, n.storeCalls.WithLabelValues(kind))
 	follower := follow.New(follow.Options{
-		Name: kind, Settings: bounds, Logger: n.logger, Now: time.Now,
-		Source: mirror.NewSource(kind, counted, n.upstreams, n.peers, through, n.following),
+		Name: kind, Settings: followSettings, Logger: n.logger, Now: time.Now,
+		Source: mirror.NewSource(kind, counted, n.upstreams, n.peers, sourceSettings, n.limitedLogger),
 		Apply:  apply,
 		Lost:   func() { n.mirror.Lost(kind) },
 	})
@@ -110,7 +110,8 @@
 	return follower
 }
 
-// listUpstreams lists the storage nodes that this one follows the store through.
+// listUpstreams returns the addresses of the upstream storage nodes through which this node
+// follows the store.
 func (n *Node) listUpstreams() []netip.AddrPort {
 	return mirror.Upstreams(n.self, shard.MembersOf(n.views.Views()), n.settings.Seeds)
 }
--- a/node/storage/run.go
+++ b/node/storage/run.go
@@ -17,69 +17,66 @@
 )
 
 const (
-	// memoryPart is the part of the memory limit at which the garbage collector works
-	// harder; the rest is for what it doesn't count, such as the mapped data file.
-	// Chosen, not measured.
-	memoryPart = 0.8
-	// flushTimeout bounds the return of reserves and slots at a planned stop. Chosen,
-	// not measured.
-	flushTimeout = time.Second
-	// failureInterval is the pause between two checks whether the disk has refused a
-	// write. Chosen, not measured.
-	failureInterval = 250 * time.Millisecond
-	// restartPause is the pause before the data is opened again after that. Chosen, not
-	// measured.
-	restartPause = 700 * time.Millisecond
+	// softMemoryLimitFraction is the fraction of the memory limit that the Go runtime uses
+	// as its soft limit. The rest is for memory that the runtime doesn't count, such as the
+	// mapped data file.
+	softMemoryLimitFraction = 0.8
+	// releaseTimeout limits the release of reserves and slots at shutdown.
+	releaseTimeout = time.Second
+	// diskCheckInterval is the interval between two checks for a failed write.
+	diskCheckInterval = 250 * time.Millisecond
+	// reopenDelay is the pause before reopening the data folder after a failed write.
+	reopenDelay = 700 * time.Millisecond
 )
 
-// errStoreFailed ends one run of the node whose disk refused a write.
-var errStoreFailed = errors.New("the replica store takes no writes any more")
+// errDiskFailed means that a write to the data folder has failed.
+var errDiskFailed = errors.New("replica data is not writable")
 
-// Run runs a storage node until the context ends. If its disk refuses a write, it opens
-// and verifies the data again, as after a restart, until the disk takes writes. Other
-// errors end it.
+// Run runs a storage node until the context ends. After a failed write to the disk it
+// reopens and verifies the data, as after a restart, until writes succeed. It returns any
+// other error.
 func Run(ctx context.Context, loaded settings.Storage, parts Parts, logger *zap.Logger) error {
-	debug.SetMemoryLimit(int64(memoryPart * float64(loaded.MemoryLimit)))
+	debug.SetMemoryLimit(int64(softMemoryLimitFraction * float64(loaded.MemoryLimit)))
 	for {
 		err := runOnce(ctx, loaded, parts, logger)
-		if !errors.Is(err, errStoreFailed) {
+		if !errors.Is(err, errDiskFailed) {
 			return err
 		}
-		logger.Error("disk refused a write, opening the data again", zap.Error(err))
-		if sleep.For(ctx, restartPause) != nil {
+		logger.Error("disk write failed, reopening the replica data", zap.Error(err))
+		if sleep.For(ctx, reopenDelay) != nil {
 			return nil
 		}
 	}
 }
 
-// runOnce runs the node until the context ends or its store has failed.
+// runOnce runs the node until the context ends or a write to the disk fails.
 func runOnce(ctx context.Context, loaded settings.Storage, parts Parts, logger *zap.Logger) error {
 	began := time.Now()
-	store, err := replica.OpenDisk(loaded.DataFolder)
+	disk, err := replica.OpenDisk(loaded.DataFolder)
 	if err != nil {
 		return err
 	}
-	if damage := store.Damage(); damage != nil {
+	if damage := disk.Damage(); damage != nil {
 		logger.Error("replica data was damaged and is set aside", zap.Error(damage))
 	}
 	n := &Node{
-		settings: loaded, parts: parts, logger: logger, store: store,
+		settings: loaded, parts: parts, logger: logger, disk: disk,
 		metrics: telemetry.NewRegistry(), storeCalls: telemetry.NewStoreCalls(),
-		following: telemetry.Following(logger),
+		limitedLogger: telemetry.Following(logger),
 	}
 	services, err := n.build()
 	if err != nil {
-		return errors.Join(err, store.Close())
+		return errors.Join(err, disk.Close())
 	}
-	logger.Info("started", zap.String("incarnation", store.Incarnation()), zap.String("peer_address", n.self.Address),
+	logger.Info("started", zap.String("incarnation", disk.Incarnation()), zap.String("peer_address", n.self.Address),
 		zap.Int("sets_known", len(n.views.Views())), zap.Duration("opening_took", time.Since(began)))
-	err = errors.Join(n.serve(ctx, services), store.Close())
+	err = errors.Join(n.serve(ctx, services), disk.Close())
 	logger.Info("stopped", zap.Error(err))
 	return err
 }
 
-// serve runs the services until the context ends, or until the store has failed, which
-// it returns.
+// serve runs the services until the context ends or the disk fails. It returns the failure
+// of the disk.
 func (n *Node) serve(ctx context.Context, services []suture.Service) error {
 	supervisor := suture.New("storage", suture.Spec{EventHook: func(event suture.Event) {
 		n.logger.Warn("supervisor event", zap.String("event", event.String()))
@@ -90,9 +87,9 @@
 	running, stop := context.WithCancel(context.Background())
 	defer stop()
 	stopped := supervisor.ServeBackground(running)
-	failure := n.await(ctx)
+	failure := n.awaitDiskFailure(ctx)
 	if failure == nil {
-		n.flush()
+		n.releaseReserves()
 	}
 	stop()
 	<-stopped
@@ -100,26 +97,27 @@
 	return failure
 }
 
-// await returns nil when the context ends, and an error once the store failed.
-func (n *Node) await(ctx context.Context) error {
-	ticker := time.NewTicker(failureInterval)
+// awaitDiskFailure waits for a failed write and returns it as an error, or nil when the
+// context ends.
+func (n *Node) awaitDiskFailure(ctx context.Context) error {
+	ticker := time.NewTicker(diskCheckInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
 		case <-ticker.C:
-			if failure := n.store.Failure(); failure != nil {
-				return merry.Wrap(errStoreFailed, merry.WithCause(failure), merry.AppendMessagef("%v", failure))
+			if failure := n.disk.Failure(); failure != nil {
+				return merry.Wrap(errDiskFailed, merry.WithCause(failure), merry.AppendMessagef("%v", failure))
 			}
 		}
 	}
 }
 
-// flush gives slots of quotas and reserves of budgets back while other nodes still hear
-// this one.
-func (n *Node) flush() {
-	ctx, cancel := context.WithTimeout(context.Background(), flushTimeout)
+// releaseReserves releases quota slots and budget reserves. It must run before the services
+// stop, while this node still takes part in the replica sets.
+func (n *Node) releaseReserves() {
+	ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
 	defer cancel()
 	n.quotas.Release(ctx)
 	n.ledger.Flush(ctx)
--- a/node/storage/sets.go
+++ b/node/storage/sets.go
@@ -16,29 +16,28 @@
 )
 
 const (
-	// repairInterval is the pause between two rounds of repair. Chosen, not measured.
+	// repairInterval is the interval between two rounds of repair.
 	repairInterval = 400 * time.Millisecond
-	// goneAfter is how long a member may be gone before its replicas are replaced:
-	// longer than a restart with its data. Chosen, not measured.
-	goneAfter = 20 * time.Second
-	// replacedAfter is the same where a node stands ready that began about when the
-	// member stopped answering. Chosen, not measured.
-	replacedAfter = 500 * time.Millisecond
-	// movesAtOnce bounds the sets that one plan changes. With two in place of eight,
-	// what was earned while sets were copied was the same within noise (0.663 and 0.630
-	// of what is owed, simulated day, one run each), and sets were whole later.
-	movesAtOnce = 8
-	// settle is how long the announced nodes must be unchanged before the first sets are
-	// founded. Chosen, not measured.
-	settle = 800 * time.Millisecond
-	// patience is the same where they are too few for a whole set. Chosen, not measured.
-	patience = 6 * time.Second
+	// replaceGoneAfter is how long a member may be gone before its replicas are replaced. It
+	// is longer than a restart of the node.
+	replaceGoneAfter = 20 * time.Second
+	// replaceWithSpareAfter is the same if there is a spare node that started at about the
+	// time when the member stopped answering, or later.
+	replaceWithSpareAfter = 500 * time.Millisecond
+	// maxMovesPerPlan is the maximum number of replica sets that one repair plan changes.
+	maxMovesPerPlan = 8
+	// foundingDelay is how long the announced nodes must be unchanged before the first
+	// replica sets are created.
+	foundingDelay = 800 * time.Millisecond
+	// incompleteFoundingDelay is the same if there are fewer nodes than the replication
+	// factor.
+	incompleteFoundingDelay = 6 * time.Second
 )
 
-// buildRepair makes what keeps the replica sets whole.
+// buildRepair creates the service that repairs the replica sets.
 func (n *Node) buildRepair() {
 	plan := shard.PlanSettings{
-		Factor: n.settings.ReplicationFactor(), GoneAfter: goneAfter, ReplacedAfter: replacedAfter, Moves: movesAtOnce,
+		Factor: n.settings.ReplicationFactor(), GoneAfter: replaceGoneAfter, ReplacedAfter: replaceWithSpareAfter, Moves: maxMovesPerPlan,
 	}
 	driver := shard.NewDriver(n.self.Incarnation+"/"+uuid.NewString(), n.peers, n.views, register.SystemClock{},
 		newRandom(), register.DefaultSettings(), n.logger)
@@ -49,37 +48,37 @@
 	})
 }
 
-// buildDirectory makes what announces this node, founds the first sets, and carries out
-// orders to empty this node.
+// buildDirectory creates the services that announce this node, create the first replica
+// sets, and carry out orders to empty this node.
 func (n *Node) buildDirectory() {
 	founding := directory.Settings{
-		Shards: uint32(n.settings.Shards), Factor: n.settings.ReplicationFactor(), Settle: settle, Patience: patience,
+		Shards: uint32(n.settings.Shards), Factor: n.settings.ReplicationFactor(), Settle: foundingDelay, Patience: incompleteFoundingDelay,
 	}
 	views := func() *shard.Map { return n.views }
 	n.keeper = directory.NewKeeper(n.self, n.parts.Objects, views, founding, time.Now, n.logger)
 	n.lookup = directory.NewLookup(n.views, n.logger)
-	n.lookup.OnFounded(n.keepShards)
+	n.lookup.OnFounded(n.saveShardCount)
 	n.retirement = retirement.New(retirement.Options{
 		Node: n.self.Node, Incarnation: n.self.Incarnation, Sets: heldSets{n.views, n.installer},
 		SetLeaving: n.membership.SetLeaving, Reporter: n.parts.Reporter, Logger: n.logger,
 	})
 }
 
-// heldSets implements retirement.Sets.
+// heldSets implements retirement.Sets with the replica sets that this node knows.
 type heldSets struct {
 	views     *shard.Map
 	installer *shard.Installer
 }
 
-// Views implements retirement.Sets.
+// Views returns the newest known view of each replica set.
 func (s heldSets) Views() []register.View { return s.views.Views() }
 
-// Holds implements retirement.Sets.
+// Holds reports whether every member of the view holds all of its data.
 func (s heldSets) Holds(ctx context.Context, view register.View) bool {
 	return s.installer.AllHold(ctx, view)
 }
 
-// applyNodes records the announced storage nodes.
+// applyNodes updates the announced storage nodes, which also serve as gossip seeds.
 func (n *Node) applyNodes(snapshot follow.Snapshot) {
 	nodes, _ := directory.DecodeNodes(snapshot)
 	addresses := n.knownAddresses()
--- a/node/storage/shards.go
+++ b/node/storage/shards.go
@@ -14,57 +14,57 @@
 )
 
 const (
-	// countShard is the shard number under which the number of shards is kept, the
-	// last but two: the last are those of the replica's own state and of copies of
-	// what the store had.
-	countShard uint32 = 1<<32 - 3
-	countName         = "shard-count"
-	countBytes        = 4
+	// shardCountMetaShard is the reserved shard number under which the number of shards is
+	// stored. The two numbers after it are reserved for the replica's own state and for
+	// copies of mirrored objects.
+	shardCountMetaShard uint32 = 1<<32 - 3
+	shardCountMetaName         = "shard-count"
+	shardCountBytes            = 4
 )
 
-// newMap makes this node's map with the number of shards that its disk has; without
-// one it is learned with the published sets.
-func (n *Node) newMap() (*shard.Map, error) {
-	kept, err := n.store.LoadMeta(countShard, countName)
+// loadShardMap creates this node's shard map with the number of shards from the disk. If the
+// disk has none, the published replica sets provide it later.
+func (n *Node) loadShardMap() (*shard.Map, error) {
+	stored, err := n.disk.LoadMeta(shardCountMetaShard, shardCountMetaName)
 	if err != nil {
-		return nil, merry.Prepend(err, "load the number of shards")
+		return nil, merry.Prepend(err, "loading the number of shards")
 	}
-	if len(kept) != countBytes {
-		if kept != nil {
-			n.logger.Warn("number of shards can't be read", zap.Binary("kept", kept))
+	if len(stored) != shardCountBytes {
+		if stored != nil {
+			n.logger.Warn("invalid number of shards on disk ignored", zap.Binary("kept", stored))
 		}
 		return shard.NewMap(0), nil
 	}
-	return shard.NewMap(binary.BigEndian.Uint32(kept)), nil
+	return shard.NewMap(binary.BigEndian.Uint32(stored)), nil
 }
 
-// keepShards writes the number of shards to the disk, before anything is stored
-// that depends on it: a node that locates a program in another shard than others do
-// would count its budget twice.
-func (n *Node) keepShards(count uint32) error {
-	return n.store.SaveMeta(countShard, countName, binary.BigEndian.AppendUint32(nil, count))
+// saveShardCount writes the number of shards to the disk. It must run before anything that
+// depends on the number is stored: if nodes assign a program to different shards, its
+// budget is counted twice.
+func (n *Node) saveShardCount(count uint32) error {
+	return n.disk.SaveMeta(shardCountMetaShard, shardCountMetaName, binary.BigEndian.AppendUint32(nil, count))
 }
 
-// applySets learns the published sets. A node that hears of them for the first time opens
-// its replicas of them.
+// applySets applies the published replica sets. When the number of shards first becomes
+// known, it opens this node's replicas.
 func (n *Node) applySets(snapshot follow.Snapshot) {
 	wasUnknown := n.views.Count() == 0
 	n.lookup.Apply(snapshot)
 	if wasUnknown && n.views.Count() > 0 {
 		if err := n.replica.Restore(); err != nil {
-			n.logger.Error("replicas not restored", zap.Error(err))
+			n.logger.Error("restoring replicas failed", zap.Error(err))
 		}
 	}
 	n.keeper.ApplySets(snapshot)
 }
 
-// setsReader asks other storage nodes for the sets while the store is out of reach:
-// a node with an empty disk knows nothing about shards otherwise.
-func (n *Node) setsReader(sets *follow.Follower) *mirror.Reader {
+// newSetsReader returns a service that reads the replica sets from other storage nodes while
+// the store is unreachable. A node with an empty disk has no other source.
+func (n *Node) newSetsReader(sets *follow.Follower) *mirror.Reader {
 	return mirror.NewReader(n.otherNodes, n.peers, map[string]mirror.Follower{mirror.KindSets: sets}, time.Now, n.logger)
 }
 
-// otherNodes lists the storage nodes that this one has heard of.
+// otherNodes returns the addresses of the other known storage nodes.
 func (n *Node) otherNodes() []netip.AddrPort {
 	var others []netip.AddrPort
 	for _, known := range n.knownAddresses() {
--- a/node/storage/storage.go
+++ b/node/storage/storage.go
@@ -28,72 +28,71 @@
 	"github.com/marblering/marblering/transport/peer"
 )
 
-// Parts are what differs between deployments.
+// Parts connect a storage node to the store of a deployment.
 type Parts struct {
-	// Objects and the sources are the directory's.
+	// Objects, Nodes and Sets give access to the objects of the directory.
 	Objects directory.Objects
 	Nodes   follow.Source
 	Sets    follow.Source
-	// Configuration and Instances are mirrored for gateways that can't reach
-	// the store.
+	// Configuration and Instances are the sources of the objects that are mirrored for
+	// gateways.
 	Configuration follow.Source
 	Instances     follow.Source
-	// Retirements are the orders to empty storage nodes.
+	// Retirements is the source of the orders to empty storage nodes.
 	Retirements      follow.Source
 	DecodeRetirement func(follow.Object) (retirement.Order, error)
 	Reporter         retirement.Reporter
 }
 
 const (
-	// peerTimeout bounds one request to another node. Chosen, not measured.
+	// peerTimeout limits one request to another node.
 	peerTimeout = 2 * time.Second
-	// collectInterval is the pause between two searches for turns that are over.
-	// Chosen, not measured.
-	collectInterval = 20 * time.Second
+	// expiryInterval is the interval between two searches for expired turns.
+	expiryInterval = 20 * time.Second
 )
 
-// Node is one running storage node.
+// Node is a running storage node.
 type Node struct {
 	settings settings.Storage
 	parts    Parts
 	logger   *zap.Logger
 
-	// self is how other nodes know this one.
+	// self describes this node as a member of replica sets.
 	self  register.Member
 	peers *peer.Client
 
-	// What is stored: the disk, the replica sets that this node knows, and its part in
-	// them.
-	store     *replica.Disk
+	// Stored data: the disk, the known replica sets, and this node's replicas.
+	disk      *replica.Disk
 	views     *shard.Map
 	replica   *shard.Replica
 	installer *shard.Installer
 	collector *expiry.Collector
 
-	// Who is in the replica sets.
+	// Membership of nodes and of replica sets.
 	membership *membership.Service
 	repair     *repair.Service
 	keeper     *directory.Keeper
 	lookup     *directory.Lookup
 	retirement *retirement.Service
 
-	// What gateways ask for.
+	// Budgets and quotas for gateways.
 	ledger  *tokenbudget.Ledger
 	budgets *tokenbudget.Host
 	quotas  *quota.Holder
 
-	// What is mirrored of the store, and the storage nodes that it is followed through.
+	// Mirrored objects of the store, and the upstream storage nodes through which this node
+	// follows the store.
 	mirror    *mirror.Holder
 	upstreams *mirror.Holders
 
 	metrics *prometheus.Registry
-	// storeCalls counts by kind of objects what this node itself asks the store.
+	// storeCalls counts the direct calls at the store by kind of objects.
 	storeCalls *prometheus.CounterVec
-	// following is a logger for frequent events, with a bound on its lines.
-	following *zap.Logger
+	// limitedLogger is a rate-limited logger for frequent events.
+	limitedLogger *zap.Logger
 }
 
-// build makes the parts and returns the services to supervise.
+// build creates the components of the node and returns the services to supervise.
 func (n *Node) build() ([]suture.Service, error) {
 	peerMetrics := peer.NewMetrics(n.metrics)
 	n.registerDiskCounters()
@@ -108,13 +107,13 @@
 	n.buildBudgets()
 	var err error
 	n.collector, err = expiry.New(expiry.Options{
-		Store: n.store, Shards: n.views.Count, Interval: collectInterval, Now: time.Now, Logger: n.logger,
+		Store: n.disk, Shards: n.views.Count, Interval: expiryInterval, Now: time.Now, Logger: n.logger,
 	})
 	if err != nil {
 		return nil, err
 	}
 	n.upstreams = mirror.NewHolders(n.listUpstreams, time.Now)
-	n.mirror, err = mirror.NewHolder(mirror.Kinds(), n.store, time.Now, n.logger)
+	n.mirror, err = mirror.NewHolder(mirror.Kinds(), n.disk, time.Now, n.logger)
 	if err != nil {
 		return nil, err
 	}
@@ -125,19 +124,19 @@
 	return slices.Concat(listeners, n.services(), n.followers()), nil
 }
 
-// buildReplica makes this node's replica of what the disk has.
+// buildReplica creates this node's replica from the data on the disk.
 func (n *Node) buildReplica() error {
 	n.self = register.Member{
-		Node: n.settings.Name, Incarnation: n.store.Incarnation(),
+		Node: n.settings.Name, Incarnation: n.disk.Incarnation(),
 		Address: n.settings.PeerListen.String(), Zone: n.settings.Zone,
 	}
 	var err error
-	if n.views, err = n.newMap(); err != nil {
+	if n.views, err = n.loadShardMap(); err != nil {
 		return err
 	}
-	// Sets of the directory don't depend on the configuration, so that it has no version.
+	// Replica sets of the directory don't depend on a version of the configuration.
 	noVersion := func() uint64 { return 0 }
-	n.replica = shard.NewReplica(n.self.Incarnation, n.store, n.views, noVersion)
+	n.replica = shard.NewReplica(n.self.Incarnation, n.disk, n.views, noVersion)
 	n.installer = shard.NewInstaller(n.replica, n.peers, n.logger)
 	return n.replica.Restore()
 }
@@ -156,28 +155,28 @@
 	return []suture.Service{peers, operators}, nil
 }
 
-// services returns the services that keep this node's state.
+// services returns the services that maintain this node's state.
 func (n *Node) services() []suture.Service {
 	return []suture.Service{
 		n.membership, n.repair, n.keeper, n.retirement, n.budgets, n.quotas, n.collector, n.mirror,
 		telemetry.NewWorkload(n.metrics, workloadCounters, n.logger),
-		collectorTuner{memoryLimit: uint64(n.settings.MemoryLimit)},
+		gcTuner{memoryLimit: uint64(n.settings.MemoryLimit)},
 	}
 }
 
-// followers returns the services that follow what the store has.
+// followers returns the services that follow the objects of the store.
 func (n *Node) followers() []suture.Service {
-	sets := n.seldom(mirror.KindSets, n.parts.Sets, n.applySets)
+	sets := n.newRelaxedFollower(mirror.KindSets, n.parts.Sets, n.applySets)
 	return []suture.Service{
-		n.seldom(mirror.KindNodes, n.parts.Nodes, n.applyNodes),
-		sets, n.setsReader(sets),
-		n.seldom(mirror.KindRetirements, n.parts.Retirements, n.retirement.Decode(n.parts.DecodeRetirement)),
-		n.mirroring(mirror.KindConfiguration, n.parts.Configuration),
-		n.mirroring(mirror.KindInstances, n.parts.Instances),
+		n.newRelaxedFollower(mirror.KindNodes, n.parts.Nodes, n.applyNodes),
+		sets, n.newSetsReader(sets),
+		n.newRelaxedFollower(mirror.KindRetirements, n.parts.Retirements, n.retirement.Decode(n.parts.DecodeRetirement)),
+		n.newBoundedFollower(mirror.KindConfiguration, n.parts.Configuration),
+		n.newBoundedFollower(mirror.KindInstances, n.parts.Instances),
 	}
 }
 
-// operatorServer serves metrics, health and readiness.
+// operatorServer returns the HTTP server for metrics, health and readiness.
 func (n *Node) operatorServer() *http.Server {
 	readiness := telemetry.NewReadiness()
 	readiness.Add("replicas", n.repair.Check)
--- a/node/storage/storage_test.go
+++ b/node/storage/storage_test.go
@@ -7,14 +7,14 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestLostWayIsNoticedWithinTheApplyLimit: gateways that follow through a storage
-// node are bound by the limit though only that node's way to the store is silent,
-// and still have to list once they are told.
-func TestLostWayIsNoticedWithinTheApplyLimit(t *testing.T) {
+// TestSilentStoreIsNoticedWithinApplyLimit checks that a storage node detects a silent
+// connection to the store early enough for gateways to list the objects themselves within
+// the apply limit.
+func TestSilentStoreIsNoticedWithinApplyLimit(t *testing.T) {
 	for _, limit := range []time.Duration{100 * time.Millisecond, time.Second, 2 * time.Second, 3 * time.Second, time.Minute} {
-		bounds := mirrorBounds(limit)
-		noticed := bounds.WatchWait + bounds.WatchSlack
-		assert.Assert(t, bounds.WatchWait > 0 && bounds.WatchSlack > 0, "%s", limit)
+		followSettings := boundedFollowSettings(limit)
+		noticed := followSettings.WatchWait + followSettings.WatchSlack
+		assert.Assert(t, followSettings.WatchWait > 0 && followSettings.WatchSlack > 0, "%s", limit)
 		assert.Assert(t, noticed <= limit-min(limit/4, 300*time.Millisecond), "%s: noticed after %s", limit, noticed)
 	}
 }
