--- a/state/turn/stored_test.go
+++ b/state/turn/stored_test.go
@@ -29,9 +29,9 @@
 	var object, digest []byte
 	_, err = fmt.Sscanf(string(golden.Get(t, "object.golden")), "object %x\ndigest %x\n", &object, &digest)
 	assert.NilError(t, err)
-	whole, err := codec.Decode("r-3", object, [sha256.Size]byte(digest))
+	decoded, err := codec.Decode("r-3", object, [sha256.Size]byte(digest))
 	assert.NilError(t, err)
-	assert.Assert(t, proto.Equal(whole, storedTurn()))
+	assert.Assert(t, proto.Equal(decoded, storedTurn()))
 }
 
 // TestStoredObjectIsWritten pins the encoded bytes. A new version of the compressor may
--- a/state/turn/turn.go
+++ b/state/turn/turn.go
@@ -16,13 +16,13 @@
 	statev1 "github.com/marblering/marblering/api/state/v1"
 )
 
-// MaxBytes is the maximum size of an encoded turn before compression. It also limits the
-// memory that decompression may allocate.
-const MaxBytes = 16 << 20
+// MaxEncodedBytes is the maximum size of an encoded turn before compression. It also
+// limits the memory that decompression may allocate.
+const MaxEncodedBytes = 16 << 20
 
-// windowBytes is the window size of the compressor. Turns are some tens of kilobytes, so
-// a larger window would only take memory.
-const windowBytes = 128 << 10
+// compressionWindowBytes is the window size of the compressor. Turns are some tens of
+// kilobytes, so a larger window would only take memory.
+const compressionWindowBytes = 128 << 10
 
 // Codec encodes and decodes turns. It is safe for concurrent use.
 type Codec struct {
@@ -33,11 +33,11 @@
 // NewCodec returns a codec that compresses at the fastest level and with little memory.
 func NewCodec() (*Codec, error) {
 	encoder, err := zstd.NewWriter(nil, zstd.WithEncoderLevel(zstd.SpeedFastest),
-		zstd.WithEncoderConcurrency(1), zstd.WithWindowSize(windowBytes), zstd.WithLowerEncoderMem(true))
+		zstd.WithEncoderConcurrency(1), zstd.WithWindowSize(compressionWindowBytes), zstd.WithLowerEncoderMem(true))
 	if err != nil {
 		return nil, err
 	}
-	decoder, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderLowmem(true), zstd.WithDecoderMaxMemory(MaxBytes))
+	decoder, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderLowmem(true), zstd.WithDecoderMaxMemory(MaxEncodedBytes))
 	if err != nil {
 		return nil, err
 	}
@@ -46,13 +46,13 @@
 
 // Encode returns the stored form of the turn and its digest. It returns an error for a
 // turn whose encoding exceeds MaxBytes.
-func (c *Codec) Encode(whole *statev1.RetainedTurn) (object []byte, digest [sha256.Size]byte, err error) {
-	plain, err := proto.MarshalOptions{Deterministic: true}.Marshal(whole)
+func (c *Codec) Encode(retained *statev1.RetainedTurn) (object []byte, digest [sha256.Size]byte, err error) {
+	plain, err := proto.MarshalOptions{Deterministic: true}.Marshal(retained)
 	if err != nil {
 		return nil, digest, err
 	}
-	if len(plain) > MaxBytes {
-		return nil, digest, merry.Errorf("turn %q has %d encoded bytes, the maximum is %d", whole.GetId(), len(plain), MaxBytes)
+	if len(plain) > MaxEncodedBytes {
+		return nil, digest, merry.Errorf("turn %q has %d encoded bytes, the maximum is %d", retained.GetId(), len(plain), MaxEncodedBytes)
 	}
 	object = c.encoder.EncodeAll(plain, nil)
 	return object, sha256.Sum256(object), nil
@@ -68,12 +68,12 @@
 	if err != nil {
 		return nil, merry.Prependf(err, "decompressing turn %q", id)
 	}
-	whole := &statev1.RetainedTurn{}
-	if err := proto.Unmarshal(plain, whole); err != nil {
+	retained := &statev1.RetainedTurn{}
+	if err := proto.Unmarshal(plain, retained); err != nil {
 		return nil, merry.Prependf(err, "decoding turn %q", id)
 	}
-	if whole.GetId() != id {
-		return nil, merry.Errorf("object of turn %q contains turn %q", id, whole.GetId())
+	if retained.GetId() != id {
+		return nil, merry.Errorf("object of turn %q contains turn %q", id, retained.GetId())
 	}
-	return whole, nil
+	return retained, nil
 }
