--- a/state/budget/budget.go
+++ b/state/budget/budget.go
@@ -26,12 +26,13 @@
 )
 
 const (
-	// aheadTurns is the maximum number of future turns for which a holder reserves
+	// maxFutureTurns is the maximum number of future turns for which a holder reserves
 	// tokens. A turn that begins from the reserve needs no change of the record.
-	aheadTurns = 3
-	// aheadShare limits the reserve for future turns to 1/aheadShare of the unreserved
-	// tokens, so that the reserves of some holders don't block the turns of others.
-	aheadShare = 4
+	maxFutureTurns = 3
+	// futureReserveDivisor limits the reserve for future turns to 1/futureReserveDivisor
+	// of the uncommitted tokens, so that the reserves of some holders don't block the
+	// turns of others.
+	futureReserveDivisor = 4
 )
 
 // Draw is a holder's request to begin one turn. All amounts are in tokens.
@@ -53,51 +54,51 @@
 // the spending in that case too. Reserve is idempotent. The limit is in tokens; the record
 // keeps the lowest limit that it was given.
 func Reserve(record *statev1.TokenBudget, limit uint64, draw Draw) error {
-	record.Limit = lowest(record.GetLimit(), limit)
-	own := holderOf(record, draw.Holder)
-	own.Spent = draw.Spent
-	own.Reserved = draw.UnderWay
+	record.Limit = lowerLimit(record.GetLimit(), limit)
+	holder := findOrAddHolder(record, draw.Holder)
+	holder.Spent = draw.Spent
+	holder.Reserved = draw.UnderWay
 	committed := Committed(record)
 	if committed >= record.Limit {
-		return refusalOf(record, own)
+		return refusalReason(record, holder)
 	}
-	own.Reserved += draw.Turn
-	own.Reserved += ahead(record.Limit-committed, draw.Turn)
+	holder.Reserved += draw.Turn
+	holder.Reserved += futureReserve(record.Limit-committed, draw.Turn)
 	return nil
 }
 
 // Decided reads the result of a draw from the record that Reserve has left: the tokens
 // reserved for the holder, and the error that Reserve returned.
 func Decided(record *statev1.TokenBudget, draw Draw) (reserved uint64, refusal error) {
-	own := holderOf(record, draw.Holder)
-	isGranted := own.GetReserved() >= draw.UnderWay+draw.Turn
+	holder := findOrAddHolder(record, draw.Holder)
+	isGranted := holder.GetReserved() >= draw.UnderWay+draw.Turn
 	if draw.Turn == 0 {
-		// A turn without tokens needs no reserve, so the holder's entry doesn't tell whether
-		// it was granted.
+		// A turn without tokens needs no reserve, so the holder's entry doesn't tell
+		// whether it was granted.
 		isGranted = Committed(record) < record.GetLimit()
 	}
 	if isGranted {
-		return own.GetReserved(), nil
+		return holder.GetReserved(), nil
 	}
-	return own.GetReserved(), refusalOf(record, own)
+	return holder.GetReserved(), refusalReason(record, holder)
 }
 
-// refusalOf returns ErrReserved if the turn could be granted without the reserves of
+// refusalReason returns ErrReserved if the turn could be granted without the reserves of
 // other holders, and ErrSpent otherwise.
-func refusalOf(record *statev1.TokenBudget, own *statev1.TokenHolder) error {
-	if Committed(record)-othersReserved(record, own) < record.GetLimit() {
+func refusalReason(record *statev1.TokenBudget, holder *statev1.TokenHolder) error {
+	if Committed(record)-reservedByOthers(record, holder) < record.GetLimit() {
 		return ErrReserved
 	}
 	return ErrSpent
 }
 
-// ahead returns the number of tokens to reserve for future turns, a multiple of the
-// tokens of one turn.
-func ahead(left, turn uint64) uint64 {
+// futureReserve returns the number of tokens to reserve for future turns, a multiple of
+// the tokens of one turn.
+func futureReserve(left, turn uint64) uint64 {
 	if turn == 0 || left <= turn {
 		return 0
 	}
-	return min(aheadTurns, (left-turn)/aheadShare/turn) * turn
+	return min(maxFutureTurns, (left-turn)/futureReserveDivisor/turn) * turn
 }
 
 // SettleEnded removes holders that have ended without releasing their reserves. It is
@@ -135,8 +136,8 @@
 	})
 }
 
-// holderOf returns the holder's entry, which it adds if it doesn't exist.
-func holderOf(record *statev1.TokenBudget, name string) *statev1.TokenHolder {
+// findOrAddHolder returns the holder's entry, which it adds if it doesn't exist.
+func findOrAddHolder(record *statev1.TokenBudget, name string) *statev1.TokenHolder {
 	for _, holder := range record.GetHolders() {
 		if holder.GetHolder() == name {
 			return holder
@@ -147,20 +148,20 @@
 	return added
 }
 
-// othersReserved returns the tokens reserved by holders other than the given one.
-func othersReserved(record *statev1.TokenBudget, own *statev1.TokenHolder) uint64 {
+// reservedByOthers returns the tokens reserved by holders other than the given one.
+func reservedByOthers(record *statev1.TokenBudget, excluded *statev1.TokenHolder) uint64 {
 	var reserved uint64
 	for _, holder := range record.GetHolders() {
-		if holder != own {
+		if holder != excluded {
 			reserved += holder.GetReserved()
 		}
 	}
 	return reserved
 }
 
-// lowest returns the lower of the recorded and the requested limit. A recorded limit of
-// zero counts as none.
-func lowest(recorded, requested uint64) uint64 {
+// lowerLimit returns the lower of the recorded and the requested limit. A recorded limit
+// of zero counts as none.
+func lowerLimit(recorded, requested uint64) uint64 {
 	if recorded == 0 {
 		return requested
 	}
--- a/state/budget/budget_test.go
+++ b/state/budget/budget_test.go
@@ -27,8 +27,8 @@
 	// the program's budget is spent
 }
 
-// gateway models the state that a ledger keeps for one holder.
-type gateway struct {
+// holderModel models the state that a ledger keeps for one holder.
+type holderModel struct {
 	name            string
 	spent, underWay uint64
 	reserved        uint64
@@ -40,73 +40,73 @@
 func TestLimitHolds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := rapid.Uint64Range(1, 5000).Draw(t, "limit")
-		most := rapid.Uint64Range(1, 600).Draw(t, "most")
+		turnMax := rapid.Uint64Range(1, 600).Draw(t, "turnMax")
 		record := &statev1.TokenBudget{Program: "p"}
-		gateways := make([]*gateway, rapid.IntRange(1, 4).Draw(t, "gateways"))
-		for index := range gateways {
-			gateways[index] = &gateway{name: fmt.Sprint("g", index)}
+		holders := make([]*holderModel, rapid.IntRange(1, 4).Draw(t, "holders"))
+		for index := range holders {
+			holders[index] = &holderModel{name: fmt.Sprint("h", index)}
 		}
-		var handedOut uint64
+		var generated uint64
 		for step := range 40 {
-			g := rapid.SampledFrom(gateways).Draw(t, "gateway")
+			h := rapid.SampledFrom(holders).Draw(t, "holder")
 			switch rapid.IntRange(0, 4).Draw(t, "action") {
 			case 0, 1:
-				begin(t, record, g, limit, most)
+				begin(t, record, h, limit, turnMax)
 			case 2:
-				if len(g.turns) > 0 {
-					used := rapid.Uint64Range(0, g.turns[0]).Draw(t, "used")
-					handedOut += used
-					g.spent += used
-					g.underWay -= g.turns[0]
-					g.reserved -= min(g.reserved, used)
-					g.turns = g.turns[1:]
+				if len(h.turns) > 0 {
+					used := rapid.Uint64Range(0, h.turns[0]).Draw(t, "used")
+					generated += used
+					h.spent += used
+					h.underWay -= h.turns[0]
+					h.reserved -= min(h.reserved, used)
+					h.turns = h.turns[1:]
 				}
 			case 3:
-				if g.underWay == 0 {
-					budget.Release(record, g.name, g.spent)
-					budget.Release(record, g.name, g.spent)
-					*g = gateway{name: fmt.Sprint(g.name, "+", step)}
+				if h.underWay == 0 {
+					budget.Release(record, h.name, h.spent)
+					budget.Release(record, h.name, h.spent)
+					*h = holderModel{name: fmt.Sprint(h.name, "+", step)}
 				}
 			case 4:
 				// The holder crashes, and a new process replaces it. Its running turns
 				// may have generated as much as they were allowed.
-				handedOut += g.underWay
-				ended := g.name
-				*g = gateway{name: fmt.Sprint(g.name, "+", step)}
+				generated += h.underWay
+				ended := h.name
+				*h = holderModel{name: fmt.Sprint(h.name, "+", step)}
 				if rapid.Bool().Draw(t, "settle") {
 					budget.SettleEnded(record, func(holder string) bool { return holder == ended })
 				}
 			}
 		}
-		for _, g := range gateways {
-			handedOut += g.underWay
+		for _, h := range holders {
+			generated += h.underWay
 		}
-		assert.Assert(t, handedOut < limit+most, "%d handed out of %d and %d", handedOut, limit, most)
+		assert.Assert(t, generated < limit+turnMax, "%d generated, the limit is %d and the maximum of a turn %d", generated, limit, turnMax)
 	})
 }
 
 // begin starts a turn from the holder's reserve, or reserves tokens first. It checks that
 // Decided agrees with Reserve and that Reserve is idempotent.
-func begin(t *rapid.T, record *statev1.TokenBudget, g *gateway, limit, most uint64) {
-	if g.reserved < g.underWay+most {
-		draw := budget.Draw{Holder: g.name, Spent: g.spent, UnderWay: g.underWay, Turn: most}
+func begin(t *rapid.T, record *statev1.TokenBudget, h *holderModel, limit, turnMax uint64) {
+	if h.reserved < h.underWay+turnMax {
+		draw := budget.Draw{Holder: h.name, Spent: h.spent, UnderWay: h.underWay, Turn: turnMax}
 		refusal := budget.Reserve(record, limit, draw)
 		reserved, decided := budget.Decided(record, draw)
 		assert.Equal(t, decided, refusal)
 		if refusal != nil {
-			g.reserved = g.underWay
+			h.reserved = h.underWay
 			return
 		}
 		assert.NilError(t, budget.Reserve(record, limit, draw), "repeating a draw changes the decision")
-		g.reserved = reserved
+		h.reserved = reserved
 	}
-	g.turns = append(g.turns, most)
-	g.underWay += most
+	h.turns = append(h.turns, turnMax)
+	h.underWay += turnMax
 }
 
-// TestTurnWithoutTokensIsDecidedByTheRest checks turns that reserve nothing, for which
+// TestTurnWithoutTokens checks turns that reserve nothing, for which
 // the holder's entry is the same whether they are granted or refused.
-func TestTurnWithoutTokensIsDecidedByTheRest(t *testing.T) {
+func TestTurnWithoutTokens(t *testing.T) {
 	record := &statev1.TokenBudget{Program: "p"}
 	for _, c := range []struct {
 		spent   uint64
@@ -119,23 +119,23 @@
 	}
 }
 
-// TestReservesNeverKeepFromATurn checks that reserves for future turns of some holders
+// TestReservesDontBlockOtherHolders checks that reserves for future turns of some holders
 // don't cause a turn of another holder to be refused.
-func TestReservesNeverKeepFromATurn(t *testing.T) {
+func TestReservesDontBlockOtherHolders(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := rapid.Uint64Range(1, 10_000).Draw(t, "limit")
-		most := rapid.Uint64Range(1, 600).Draw(t, "most")
+		turnMax := rapid.Uint64Range(1, 600).Draw(t, "turnMax")
 		record := &statev1.TokenBudget{Program: "p"}
 		var needed uint64
 		for holder := range rapid.IntRange(1, 5).Draw(t, "holders") {
 			if needed >= limit {
 				return
 			}
-			err := budget.Reserve(record, limit, budget.Draw{Holder: fmt.Sprint(holder), Turn: most})
-			if needed+most <= limit/4 {
+			err := budget.Reserve(record, limit, budget.Draw{Holder: fmt.Sprint(holder), Turn: turnMax})
+			if needed+turnMax <= limit/4 {
 				assert.NilError(t, err)
 			}
-			needed += most
+			needed += turnMax
 		}
 	})
 }
@@ -149,8 +149,8 @@
 	assert.Assert(t, err != nil)
 }
 
-// TestStandingNamesWhoHoldsWhat checks that each holder is listed, up to the maximum.
-func TestStandingNamesWhoHoldsWhat(t *testing.T) {
+// TestStandingListsHolders checks that each holder is listed, up to the maximum.
+func TestStandingListsHolders(t *testing.T) {
 	record := &statev1.TokenBudget{Program: "p", Settled: 5}
 	assert.NilError(t, budget.Reserve(record, 100, budget.Draw{Holder: "a/1#1", Spent: 20, Turn: 60}))
 	assert.Equal(t, budget.Standing(record), "limit 100 settled 5, a/1#1 spent 20 reserved 60")
@@ -160,9 +160,9 @@
 	assert.Assert(t, strings.HasSuffix(budget.Standing(record), ", 3 more"), budget.Standing(record))
 }
 
-// TestEndedHoldersAreSpent checks that the reserves of ended holders count as spent and
-// that the committed tokens stay the same.
-func TestEndedHoldersAreSpent(t *testing.T) {
+// TestReservesOfEndedHoldersAreSpent checks that the reserves of ended holders count as
+// spent and that the committed tokens stay the same.
+func TestReservesOfEndedHoldersAreSpent(t *testing.T) {
 	record := &statev1.TokenBudget{Program: "p"}
 	assert.NilError(t, budget.Reserve(record, 100, budget.Draw{Holder: "a/1", Spent: 10, Turn: 50}))
 	assert.NilError(t, budget.Reserve(record, 100, budget.Draw{Holder: "b/1", Turn: 50}))
--- a/state/budget/standing.go
+++ b/state/budget/standing.go
@@ -7,9 +7,9 @@
 	statev1 "github.com/marblering/marblering/api/state/v1"
 )
 
-// listedHolders is the maximum number of holders that Standing lists. A replica set has
+// maxListedHolders is the maximum number of holders that Standing lists. A replica set has
 // at most five members; further holders are earlier processes of theirs.
-const listedHolders = 8
+const maxListedHolders = 8
 
 // Standing formats a record for a log line: the limit, the settled tokens, and the spent
 // and reserved tokens of each holder.
@@ -17,7 +17,7 @@
 	var text strings.Builder
 	fmt.Fprintf(&text, "limit %d settled %d", record.GetLimit(), record.GetSettled())
 	for index, holder := range record.GetHolders() {
-		if index == listedHolders {
+		if index == maxListedHolders {
 			fmt.Fprintf(&text, ", %d more", len(record.GetHolders())-index)
 			break
 		}
