--- a/coordination/turnstore/cache.go
+++ b/coordination/turnstore/cache.go
@@ -7,12 +7,12 @@
 	statev1 "github.com/marblering/marblering/api/state/v1"
 )
 
-// entryBytes is the estimated memory overhead of an entry in bytes.
-const entryBytes = 256
+// entryOverheadBytes is the estimated memory overhead of an entry in bytes.
+const entryOverheadBytes = 256
 
 // cache is an LRU cache of turns. It is safe for concurrent use.
 type cache struct {
-	// limit and size are in bytes of memory, as computed by sizeOf.
+	// limit and size are in bytes of memory, as computed by memorySize.
 	limit int
 
 	mutex sync.Mutex
@@ -39,30 +39,30 @@
 
 // put adds the turn and evicts the least recently used ones while the size exceeds the
 // limit. The new turn stays even if it alone exceeds the limit.
-func (c *cache) put(whole *statev1.RetainedTurn) {
+func (c *cache) put(turn *statev1.RetainedTurn) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if _, found := c.entries[whole.GetId()]; found {
+	if _, found := c.entries[turn.GetId()]; found {
 		return
 	}
-	c.entries[whole.GetId()] = c.order.PushFront(whole)
-	c.size += sizeOf(whole)
+	c.entries[turn.GetId()] = c.order.PushFront(turn)
+	c.size += memorySize(turn)
 	for c.size > c.limit && c.order.Len() > 1 {
-		c.dropOldest()
+		c.evictOldest()
 	}
 }
 
-func (c *cache) dropOldest() {
+func (c *cache) evictOldest() {
 	element := c.order.Back()
 	dropped := c.order.Remove(element).(*statev1.RetainedTurn)
 	delete(c.entries, dropped.GetId())
-	c.size -= sizeOf(dropped)
+	c.size -= memorySize(dropped)
 }
 
-// sizeOf estimates the memory that a cached turn takes, in bytes.
-func sizeOf(whole *statev1.RetainedTurn) int {
-	size := entryBytes + len(whole.GetInput()) + len(whole.GetOutput())
-	for _, ancestor := range whole.GetAncestors() {
+// memorySize estimates the memory that a cached turn takes, in bytes.
+func memorySize(turn *statev1.RetainedTurn) int {
+	size := entryOverheadBytes + len(turn.GetInput()) + len(turn.GetOutput())
+	for _, ancestor := range turn.GetAncestors() {
 		size += len(ancestor)
 	}
 	return size
--- a/coordination/turnstore/find.go
+++ b/coordination/turnstore/find.go
@@ -15,38 +15,39 @@
 )
 
 const (
-	// readTimeout limits the read of one shard. It allows for two slow members and for a
-	// change of the replica set. A lookup of several shards has no limit of its own: it
-	// fails early only if one of them can't be read.
-	readTimeout = 800 * time.Millisecond
-	// othersAtOnce is the maximum number of shards that one lookup reads concurrently.
-	othersAtOnce = 16
+	// shardReadTimeout limits the read of one shard. It allows for two slow members and
+	// for a change of the replica set. A lookup of several shards has no limit of its
+	// own: it fails early only if one of them can't be read.
+	shardReadTimeout = 800 * time.Millisecond
+	// maxConcurrentShardReads is the maximum number of shards that one lookup reads
+	// concurrently.
+	maxConcurrentShardReads = 16
 )
 
 // find returns the turns in the order of their ids. It reads the home shard first, and
 // then the other shards until it has found all turns.
 func (s *Store) find(ctx context.Context, home uint32, ids []string) ([]*statev1.RetainedTurn, error) {
 	turns := make([]*statev1.RetainedTurn, len(ids))
-	missing := s.fromCache(ids, turns)
+	missing := s.fillFromCache(ids, turns)
 	if len(missing) > 0 {
-		if err := s.read(ctx, []uint32{home}, ids, turns, missing, nearestOnly); err != nil {
+		if err := s.readShards(ctx, []uint32{home}, ids, turns, missing, nearestOnly); err != nil {
 			return nil, err
 		}
-		missing = s.fromCache(ids, turns)
+		missing = s.fillFromCache(ids, turns)
 	}
 	if len(missing) > 0 {
-		if err := s.read(ctx, s.others(home), ids, turns, missing, quorumFirst); err != nil {
+		if err := s.readShards(ctx, s.otherShards(home), ids, turns, missing, quorumFirst); err != nil {
 			return nil, err
 		}
 	}
-	if missing = s.fromCache(ids, turns); len(missing) > 0 {
+	if missing = s.fillFromCache(ids, turns); len(missing) > 0 {
 		return nil, merry.Prependf(ErrUnknown, "turn %q", missing[0])
 	}
 	return turns, nil
 }
 
-// others returns all shards but the home shard.
-func (s *Store) others(home uint32) []uint32 {
+// otherShards returns all shards but the home shard.
+func (s *Store) otherShards(home uint32) []uint32 {
 	var others []uint32
 	for shard := range s.views.Shards() {
 		if shard != home {
@@ -56,8 +57,9 @@
 	return others
 }
 
-// fromCache fills in cached turns and returns the ids of the turns that are still missing.
-func (s *Store) fromCache(ids []string, turns []*statev1.RetainedTurn) (missing []string) {
+// fillFromCache fills in cached turns and returns the ids of the turns that are still
+// missing.
+func (s *Store) fillFromCache(ids []string, turns []*statev1.RetainedTurn) (missing []string) {
 	for index, id := range ids {
 		if turns[index] == nil {
 			turns[index], _ = s.cache.get(id)
@@ -69,13 +71,13 @@
 	return missing
 }
 
-// read reads the missing turns from the shards concurrently and fills in those that it
-// finds. It ends as soon as none is missing. If it returns no error, the shards don't have
-// the turns that it left out.
-func (s *Store) read(ctx context.Context, shards []uint32, ids []string, turns []*statev1.RetainedTurn, missing []string, first fanOut) error {
+// readShards reads the missing turns from the shards concurrently and fills in those that
+// it finds. It ends as soon as none is missing. If it returns no error, the shards don't
+// have the turns that it left out.
+func (s *Store) readShards(ctx context.Context, shards []uint32, ids []string, turns []*statev1.RetainedTurn, missing []string, first fanOut) error {
 	found := &foundTurns{wanted: len(missing), turns: make(map[string]*statev1.RetainedTurn, len(missing))}
 	reads, ctx := errgroup.WithContext(ctx)
-	reads.SetLimit(othersAtOnce)
+	reads.SetLimit(maxConcurrentShardReads)
 	for _, shard := range shards {
 		reads.Go(func() error { return s.readShard(ctx, shard, missing, found, first) })
 	}
@@ -87,22 +89,22 @@
 	return err
 }
 
-// errComplete cancels the reads of other shards once all turns are found.
-var errComplete = errors.New("all turns are found")
+// errAllFound cancels the reads of other shards once all turns are found.
+var errAllFound = errors.New("all turns are found")
 
-// readShard reads the missing turns from one shard. It returns errComplete once all turns
+// readShard reads the missing turns from one shard. It returns errAllFound once all turns
 // are found.
 func (s *Store) readShard(ctx context.Context, shard uint32, missing []string, found *foundTurns, first fanOut) error {
 	if found.isComplete() {
-		return errComplete
+		return errAllFound
 	}
-	ctx, cancel := context.WithTimeout(ctx, readTimeout)
+	ctx, cancel := context.WithTimeout(ctx, shardReadTimeout)
 	defer cancel()
-	err := s.untilQuorum(ctx, shard, func(ctx context.Context, member register.Member, fence register.Fence) (bool, archive.Reply, error) {
+	err := s.retryUntilQuorum(ctx, shard, func(ctx context.Context, member register.Member, fence register.Fence) (bool, archive.Reply, error) {
 		return s.readMember(ctx, member, fence, missing, found)
 	}, first)
 	if err == nil && found.isComplete() {
-		return errComplete
+		return errAllFound
 	}
 	return err
 }
@@ -111,8 +113,8 @@
 func (s *Store) fill(ids []string, turns []*statev1.RetainedTurn, found *foundTurns) {
 	found.mutex.Lock()
 	defer found.mutex.Unlock()
-	for _, whole := range found.turns {
-		s.cache.put(whole)
+	for _, turn := range found.turns {
+		s.cache.put(turn)
 	}
 	// Taken from the found turns, since the cache may have evicted some of them.
 	for index, id := range ids {
@@ -129,13 +131,14 @@
 	if err != nil {
 		return false, reply, err
 	}
-	for _, one := range stored {
-		// The member counts as failed if a copy can't be decoded: others may have a valid one.
-		whole, err := s.codec.Decode(one.Program, one.Object, one.Digest)
+	for _, storedTurn := range stored {
+		// The member counts as failed if a copy can't be decoded: others may have a valid
+		// one.
+		turn, err := s.codec.Decode(storedTurn.Program, storedTurn.Object, storedTurn.Digest)
 		if err != nil {
 			return false, reply, err
 		}
-		found.add(whole)
+		found.add(turn)
 	}
 	return found.isComplete(), reply, nil
 }
--- a/coordination/turnstore/quorum.go
+++ b/coordination/turnstore/quorum.go
@@ -13,11 +13,11 @@
 )
 
 const (
-	// roundPause is the pause between the first two rounds. It doubles with each round up
-	// to longestPause: no round succeeds while a replica set changes, and retries slow
-	// down the nodes that carry out the change.
-	roundPause   = 30 * time.Millisecond
-	longestPause = 200 * time.Millisecond
+	// minRoundPause is the pause between the first two rounds. It doubles with each round
+	// up to maxRoundPause: no round succeeds while a replica set changes, and retries
+	// slow down the nodes that carry out the change.
+	minRoundPause = 30 * time.Millisecond
+	maxRoundPause = 200 * time.Millisecond
 )
 
 // fanOut returns the number of members of a view to which a round sends requests at first.
@@ -30,37 +30,37 @@
 // nearestOnly is for reads that a single answer usually completes.
 func nearestOnly(register.View) int { return 1 }
 
-// untilQuorum repeats rounds until a quorum has performed the action or one answer
+// retryUntilQuorum repeats rounds until a quorum has performed the action or one answer
 // suffices. If the context ends first, it returns ErrUnavailable with the error of the
 // last round.
-func (s *Store) untilQuorum(ctx context.Context, shard uint32, act action, first fanOut) error {
-	last := error(ErrUnavailable)
-	for pause := roundPause; ; pause = min(2*pause, longestPause) {
+func (s *Store) retryUntilQuorum(ctx context.Context, shard uint32, act action, first fanOut) error {
+	lastErr := error(ErrUnavailable)
+	for pause := minRoundPause; ; pause = min(2*pause, maxRoundPause) {
 		view, known := s.views.View(shard)
 		if known {
-			if last = s.round(ctx, view, act, first(view)); last == nil {
+			if lastErr = s.round(ctx, view, act, first(view)); lastErr == nil {
 				return nil
 			}
 		}
 		if sleep.For(ctx, pause) != nil {
-			return merry.Wrap(ErrUnavailable, merry.WithCause(last), merry.AppendMessagef("%v", last))
+			return merry.Wrap(ErrUnavailable, merry.WithCause(lastErr), merry.AppendMessagef("%v", lastErr))
 		}
 	}
 }
 
-// preferred returns the members in the order in which requests are sent to them: members
-// that failed recently last, and otherwise members of this node's zone first, since
-// traffic between zones is expensive.
-func (s *Store) preferred(members []register.Member) []register.Member {
+// orderByPreference returns the members in the order in which requests are sent to them:
+// members that failed recently last, and otherwise members of this node's zone first,
+// since traffic between zones is expensive.
+func (s *Store) orderByPreference(members []register.Member) []register.Member {
 	ordered := slices.Clone(members)
 	slices.SortStableFunc(ordered, func(a, b register.Member) int {
-		return cmp.Or(s.hedging.Reach.Compare(a.Address, b.Address), distance(a, s.zone)-distance(b, s.zone))
+		return cmp.Or(s.hedging.Reach.Compare(a.Address, b.Address), zoneDistance(a, s.zone)-zoneDistance(b, s.zone))
 	})
 	return ordered
 }
 
-// distance returns 0 for a member of the zone and 1 for others.
-func distance(member register.Member, zone string) int {
+// zoneDistance returns 0 for a member of the zone and 1 for others.
+func zoneDistance(member register.Member, zone string) int {
 	if member.Zone == zone {
 		return 0
 	}
--- a/coordination/turnstore/round.go
+++ b/coordination/turnstore/round.go
@@ -16,8 +16,8 @@
 	// hedgeDelay is how long to wait for answers before sending a hedged request to
 	// another member. It is several times the usual time of a request.
 	hedgeDelay = 150 * time.Millisecond
-	// hedged is the name of this package's requests in the retry budget of hedges.
-	hedged = "turns"
+	// hedgeKind is the name of this package's requests in the retry budget of hedges.
+	hedgeKind = "turns"
 )
 
 // action sends one request to one member. It returns suffices if no other member's answer
@@ -26,21 +26,21 @@
 
 // answer is the result of an action at one member.
 type answer struct {
-	// place is the index of the member in the order of preference.
-	place    int
-	suffices bool
-	err      error
+	// memberIndex is the index of the member in the order of preference.
+	memberIndex int
+	suffices    bool
+	err         error
 }
 
 // round performs an action at members of a view, in the order of preference.
 type round struct {
-	view    register.View
-	members *multicast.Round
-	answers chan answer
-	granted int
-	failed  int
-	// last is the most recent error of a member.
-	last error
+	view      register.View
+	requests  *multicast.Round
+	answers   chan answer
+	succeeded int
+	failed    int
+	// lastErr is the most recent error of a member.
+	lastErr error
 }
 
 // round performs the action at the first members, and at others only if these fail or are
@@ -48,73 +48,73 @@
 // performed the action or one answer suffices.
 func (s *Store) round(ctx context.Context, view register.View, act action, first int) error {
 	r := s.newRound(ctx, view, act)
-	r.members.Begin(first)
+	r.requests.Begin(first)
 	hedge := time.NewTicker(hedgeDelay)
 	defer hedge.Stop()
-	for r.granted < view.Quorum() {
+	for r.succeeded < view.Quorum() {
 		select {
 		case answered := <-r.answers:
-			isOver, err := r.take(answered)
+			isOver, err := r.handleAnswer(answered)
 			if isOver {
 				return err
 			}
 		case <-hedge.C:
 			// Retried at each tick, since the budget may have denied the last hedge.
-			if r.members.Left() > 0 {
-				r.members.Hedge()
+			if r.requests.Left() > 0 {
+				r.requests.Hedge()
 			}
 		case <-ctx.Done():
-			return errors.Join(ctx.Err(), r.last)
+			return errors.Join(ctx.Err(), r.lastErr)
 		}
 	}
 	return nil
 }
 
 func (s *Store) newRound(ctx context.Context, view register.View, act action) *round {
-	ordered := s.preferred(view.Members)
+	ordered := s.orderByPreference(view.Members)
 	addresses := make([]string, len(ordered))
-	for place, member := range ordered {
-		addresses[place] = member.Address
+	for index, member := range ordered {
+		addresses[index] = member.Address
 	}
 	answers := make(chan answer, len(ordered))
-	send := func(place int) {
+	send := func(index int) {
 		go func() {
-			answered := s.perform(ctx, view, ordered[place], act)
-			answered.place = place
+			answered := s.askMember(ctx, view, ordered[index], act)
+			answered.memberIndex = index
 			answers <- answered
 		}()
 	}
-	return &round{view: view, members: multicast.New(addresses, s.hedging, send), answers: answers}
+	return &round{view: view, requests: multicast.New(addresses, s.hedging, send), answers: answers}
 }
 
-// take counts an answer, sends further requests if they are needed, and returns whether
-// the round is over, and its error.
-func (r *round) take(answered answer) (isOver bool, err error) {
-	r.members.Answered(answered.place)
+// handleAnswer counts an answer, sends further requests if they are needed, and returns
+// whether the round is over, and its error.
+func (r *round) handleAnswer(answered answer) (isOver bool, err error) {
+	r.requests.Answered(answered.memberIndex)
 	if answered.err != nil {
 		r.failed++
-		r.last = answered.err
+		r.lastErr = answered.err
 		if r.failed > len(r.view.Members)-r.view.Quorum() {
-			return true, r.last
+			return true, r.lastErr
 		}
-		r.members.Ask(1)
+		r.requests.Ask(1)
 		return false, nil
 	}
-	r.granted++
-	r.members.AvoidLate()
+	r.succeeded++
+	r.requests.AvoidLate()
 	if answered.suffices {
 		return true, nil
 	}
-	r.members.Ask(r.view.Quorum() - r.members.Asked())
+	r.requests.Ask(r.view.Quorum() - r.requests.Asked())
 	return false, nil
 }
 
-// perform performs the action at one member. A refusal is an error. It stores the view
+// askMember performs the action at one member. A refusal is an error. It stores the view
 // that the member replies with, if any.
-func (s *Store) perform(ctx context.Context, view register.View, member register.Member, act action) answer {
+func (s *Store) askMember(ctx context.Context, view register.View, member register.Member, act action) answer {
 	fence := register.Fence{Shard: view.Shard, Epoch: view.Epoch, Replica: member.Incarnation}
 	suffices, reply, err := act(ctx, member, fence)
-	s.note(ctx, member.Address, err)
+	s.reportReachability(ctx, member.Address, err)
 	if reply.View != nil {
 		s.views.Learn(*reply.View)
 	}
@@ -124,9 +124,10 @@
 	return answer{suffices: suffices, err: err}
 }
 
-// note reports to the reachability tracker whether the member answered, even if the round
-// has ended. It ignores requests that failed because the caller canceled them.
-func (s *Store) note(ctx context.Context, address string, err error) {
+// reportReachability reports to the reachability tracker whether the member answered,
+// even if the round has ended. It ignores requests that failed because the caller
+// canceled them.
+func (s *Store) reportReachability(ctx context.Context, address string, err error) {
 	switch {
 	case err == nil:
 		s.hedging.Reach.Heard(address)
--- a/coordination/turnstore/store.go
+++ b/coordination/turnstore/store.go
@@ -34,9 +34,9 @@
 	ErrUnavailable = errors.New("too few replicas answered")
 )
 
-// sequence is the sequence number of every stored turn. Replicas store turns by name and
-// sequence number; turns of this package have unique ids, which serve as the name.
-const sequence = 1
+// turnSequence is the sequence number of every stored turn. Replicas store turns by name
+// and sequence number; turns of this package have unique ids, which serve as the name.
+const turnSequence = 1
 
 // Replicas is a client of the members of replica sets. peer.Client implements it.
 type Replicas interface {
@@ -75,30 +75,30 @@
 		return nil, err
 	}
 	hedging := multicast.Hedging{
-		Kind: hedged, Budget: limit.NewRetryBudget(limit.HedgePolicy(), time.Now()), Reach: tracker, Now: time.Now,
+		Kind: hedgeKind, Budget: limit.NewRetryBudget(limit.HedgePolicy(), time.Now()), Reach: tracker, Now: time.Now,
 	}
 	return &Store{zone: zone, replicas: replicas, views: views, hedging: hedging, codec: codec, cache: newCache(cacheBytes)}, nil
 }
 
 // Put stores a turn of the program on a quorum. It retries until the context ends and then
 // returns ErrUnavailable, in which case the turn may still have been stored.
-func (s *Store) Put(ctx context.Context, program string, whole *statev1.RetainedTurn) error {
-	object, digest, err := s.codec.Encode(whole)
+func (s *Store) Put(ctx context.Context, program string, retained *statev1.RetainedTurn) error {
+	object, digest, err := s.codec.Encode(retained)
 	if err != nil {
 		return err
 	}
-	stored := replica.Turn{Program: whole.GetId(), Sequence: sequence, Digest: digest, Object: object}
-	if err := s.awaitSets(ctx); err != nil {
+	stored := replica.Turn{Program: retained.GetId(), Sequence: turnSequence, Digest: digest, Object: object}
+	if err := s.awaitReplicaSets(ctx); err != nil {
 		return err
 	}
-	err = s.untilQuorum(ctx, s.views.Locate(program), func(ctx context.Context, member register.Member, fence register.Fence) (bool, archive.Reply, error) {
+	err = s.retryUntilQuorum(ctx, s.views.Locate(program), func(ctx context.Context, member register.Member, fence register.Fence) (bool, archive.Reply, error) {
 		reply, err := s.replicas.PutTurn(ctx, member, fence, stored)
 		return false, reply, err
 	}, quorumFirst)
 	if err != nil {
-		return merry.Prependf(err, "storing turn %q", whole.GetId())
+		return merry.Prependf(err, "storing turn %q", retained.GetId())
 	}
-	s.cache.put(whole)
+	s.cache.put(retained)
 	return nil
 }
 
@@ -107,7 +107,7 @@
 // program. It returns ErrUnknown if a turn isn't stored, and ErrUnavailable if that can't
 // be determined in time.
 func (s *Store) Line(ctx context.Context, program, id string) ([]*statev1.RetainedTurn, error) {
-	if err := s.awaitSetsToRead(ctx); err != nil {
+	if err := s.awaitReplicaSetsForRead(ctx); err != nil {
 		return nil, err
 	}
 	home := s.views.Locate(program)
@@ -123,18 +123,19 @@
 	return append(ancestors, last), nil
 }
 
-// awaitSetsToRead waits until the replica sets are known, for at most readTimeout.
-func (s *Store) awaitSetsToRead(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, readTimeout)
+// awaitReplicaSetsForRead waits until the replica sets are known, for at most
+// shardReadTimeout.
+func (s *Store) awaitReplicaSetsForRead(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, shardReadTimeout)
 	defer cancel()
-	return s.awaitSets(ctx)
+	return s.awaitReplicaSets(ctx)
 }
 
-// awaitSets waits until the replica sets are known. Until then programs can't be assigned
-// to shards.
-func (s *Store) awaitSets(ctx context.Context) error {
+// awaitReplicaSets waits until the replica sets are known. Until then programs can't be
+// assigned to shards.
+func (s *Store) awaitReplicaSets(ctx context.Context) error {
 	for s.views.Shards() == 0 {
-		if sleep.For(ctx, roundPause) != nil {
+		if sleep.For(ctx, minRoundPause) != nil {
 			return merry.Prepend(ErrUnavailable, "no replica set is known")
 		}
 	}
--- a/coordination/turnstore/store_test.go
+++ b/coordination/turnstore/store_test.go
@@ -35,18 +35,18 @@
 	// refused counts requests to members that are down.
 	refused int
 	reads   []string
-	// answerAfter is the time that each member takes to answer.
-	answerAfter time.Duration
-	// silent is the name of a member that doesn't answer writes.
-	silent string
+	// answerDelay is the time that each member takes to answer.
+	answerDelay time.Duration
+	// silentMember is the name of a member that doesn't answer writes.
+	silentMember string
 }
 
-// place returns the key of a turn, from its shard and id.
-func place(fence register.Fence, id string) string { return fmt.Sprintf("%d/%s", fence.Shard, id) }
+// turnKey returns the key of a turn, from its shard and id.
+func turnKey(fence register.Fence, id string) string { return fmt.Sprintf("%d/%s", fence.Shard, id) }
 
 func (m *members) PutTurn(ctx context.Context, member register.Member, fence register.Fence, stored replica.Turn) (archive.Reply, error) {
-	time.Sleep(m.answerAfter)
-	if m.silent == member.Node {
+	time.Sleep(m.answerDelay)
+	if m.silentMember == member.Node {
 		<-ctx.Done()
 		return archive.Reply{}, ctx.Err()
 	}
@@ -57,12 +57,12 @@
 		return archive.Reply{}, errDown
 	}
 	m.writes++
-	m.turns[member.Node][place(fence, stored.Program)] = stored
+	m.turns[member.Node][turnKey(fence, stored.Program)] = stored
 	return archive.Reply{}, nil
 }
 
 func (m *members) ReadMany(_ context.Context, member register.Member, fence register.Fence, ids []string) ([]replica.Turn, archive.Reply, error) {
-	time.Sleep(m.answerAfter)
+	time.Sleep(m.answerDelay)
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	if m.down[member.Node] {
@@ -71,7 +71,7 @@
 	m.reads = append(m.reads, member.Node)
 	var found []replica.Turn
 	for _, id := range ids {
-		if stored, exists := m.turns[member.Node][place(fence, id)]; exists {
+		if stored, exists := m.turns[member.Node][turnKey(fence, id)]; exists {
 			found = append(found, stored)
 		}
 	}
@@ -98,21 +98,21 @@
 	return m, views{known}
 }
 
-func newStore(t require, zone string, m *members, v views) *turnstore.Store {
+func newStore(t testingT, zone string, m *members, v views) *turnstore.Store {
 	store, err := turnstore.New(zone, m, v, reach.New(time.Now), 1<<20)
 	assert.NilError(t, err)
 	return store
 }
 
-// require is the common interface of testing.T and rapid.T that newStore needs.
-type require interface {
+// testingT is the common interface of testing.T and rapid.T that newStore needs.
+type testingT interface {
 	Helper()
 	Log(...any)
 	FailNow()
 	Fail()
 }
 
-func short() (context.Context, context.CancelFunc) {
+func shortContext() (context.Context, context.CancelFunc) {
 	return context.WithTimeout(context.Background(), 200*time.Millisecond)
 }
 
@@ -128,10 +128,10 @@
 	// Output: 2 a b <nil>
 }
 
-// TestLineSurvivesAnyLoss checks that a stored turn and its ancestors are found after the
-// loss of any member, from any zone. It runs in virtual time, since a hedge on a busy
-// machine would write a third copy.
-func TestLineSurvivesAnyLoss(t *testing.T) {
+// TestLineSurvivesLossOfAnyMember checks that a stored turn and its ancestors are found
+// after the loss of any member, from any zone. It runs in virtual time, since a hedge on
+// a busy machine would write a third copy.
+func TestLineSurvivesLossOfAnyMember(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		m, v := newMembers(3)
 		writer := newStore(rt, rapid.SampledFrom([]string{"z0", "z1", "z2", "none"}).Draw(rt, "writer"), m, v)
@@ -141,7 +141,7 @@
 		var line []*statev1.RetainedTurn
 		var putErr, lineErr error
 		bubble.Test(t, func(*testing.T) {
-			if putErr = putLine(writer, programs); putErr != nil {
+			if putErr = putTurns(writer, programs); putErr != nil {
 				return
 			}
 			// A replica that lost its data has a new incarnation and refuses requests.
@@ -151,16 +151,16 @@
 		assert.NilError(rt, putErr)
 		assert.Equal(rt, m.writes, 2*len(programs), "each turn is written to two of three members")
 		assert.NilError(rt, lineErr)
-		for index, whole := range line {
-			assert.Equal(rt, whole.GetId(), fmt.Sprint("turn", index))
-			assert.Equal(rt, len(whole.GetOutput()), index)
+		for index, found := range line {
+			assert.Equal(rt, found.GetId(), fmt.Sprint("turn", index))
+			assert.Equal(rt, len(found.GetOutput()), index)
 		}
 	})
 }
 
-// putLine stores one turn for each of the programs, each a child of the previous one. The
+// putTurns stores one turn for each of the programs, each a child of the previous one. The
 // length of a turn's output is its index.
-func putLine(writer *turnstore.Store, programs []string) error {
+func putTurns(writer *turnstore.Store, programs []string) error {
 	var ancestors []string
 	for index, program := range programs {
 		id := fmt.Sprint("turn", index)
@@ -175,9 +175,9 @@
 	return nil
 }
 
-// TestUnknownOnlyIfSure checks that a missing turn is reported as unknown only if a quorum
-// has answered.
-func TestUnknownOnlyIfSure(t *testing.T) {
+// TestUnknownNeedsAQuorum checks that a missing turn is reported as unknown only if a
+// quorum has answered.
+func TestUnknownNeedsAQuorum(t *testing.T) {
 	m, v := newMembers(2)
 	store := newStore(t, "z0", m, v)
 	_, err := store.Line(context.Background(), "p", "none")
@@ -186,7 +186,7 @@
 	_, err = store.Line(context.Background(), "p", "none")
 	assert.ErrorIs(t, err, turnstore.ErrUnknown, "two of three members are a quorum")
 	m.down["m0"] = true
-	ctx, cancel := short()
+	ctx, cancel := shortContext()
 	defer cancel()
 	_, err = store.Line(ctx, "p", "none")
 	assert.ErrorIs(t, err, turnstore.ErrUnavailable)
@@ -200,7 +200,7 @@
 	m.down["m0"] = true
 	assert.NilError(t, store.Put(context.Background(), "p", &statev1.RetainedTurn{Id: "a"}))
 	m.down["m1"] = true
-	ctx, cancel := short()
+	ctx, cancel := shortContext()
 	defer cancel()
 	assert.ErrorIs(t, store.Put(ctx, "p", &statev1.RetainedTurn{Id: "b"}), turnstore.ErrUnavailable)
 }
@@ -214,9 +214,9 @@
 	assert.DeepEqual(t, m.reads, []string{"m2"})
 }
 
-// TestDamagedCopyIsNoAnswer checks that another member's copy is read in place of a damaged
+// TestDamagedCopyIsIgnored checks that another member's copy is read in place of a damaged
 // one.
-func TestDamagedCopyIsNoAnswer(t *testing.T) {
+func TestDamagedCopyIsIgnored(t *testing.T) {
 	m, v := newMembers(1)
 	assert.NilError(t, newStore(t, "z0", m, v).Put(context.Background(), "p", &statev1.RetainedTurn{Id: "a", Input: []byte("right")}))
 	damaged := m.turns["m0"]["0/a"]
@@ -255,9 +255,9 @@
 	return v.views.View(number)
 }
 
-// TestSetsThatBecomeKnownLate checks that the shard of a turn is determined only once the
+// TestWaitsForReplicaSets checks that the shard of a turn is determined only once the
 // replica sets are known.
-func TestSetsThatBecomeKnownLate(t *testing.T) {
+func TestWaitsForReplicaSets(t *testing.T) {
 	for index := range 16 {
 		program := fmt.Sprint("program", index)
 		m, v := newMembers(8)
@@ -278,7 +278,7 @@
 	const turns = 200
 	bubble.Test(t, func(t *testing.T) {
 		m, v := newMembers(1)
-		m.answerAfter = 300 * time.Millisecond
+		m.answerDelay = 300 * time.Millisecond
 		store, reader := newStore(t, "z0", m, v), newStore(t, "z0", m, v)
 		allAtOnce(turns, func(i int) {
 			assert.Check(t, store.Put(context.Background(), "p", &statev1.RetainedTurn{Id: fmt.Sprint("t", i)}))
@@ -304,12 +304,12 @@
 	synctest.Wait()
 }
 
-// TestSilentMemberIsPassedOver checks that only one write waits for a member that doesn't
+// TestSilentMemberIsAskedLast checks that only one write waits for a member that doesn't
 // answer; later ones ask it last.
-func TestSilentMemberIsPassedOver(t *testing.T) {
+func TestSilentMemberIsAskedLast(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		m, v := newMembers(1)
-		m.silent = "m0"
+		m.silentMember = "m0"
 		store := newStore(t, "z0", m, v)
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
@@ -324,9 +324,9 @@
 	})
 }
 
-// TestSealedSetIsAskedLessAndLess checks that rounds are retried with backoff while the
+// TestRefusedRoundsBackOff checks that rounds are retried with backoff while the
 // members of a replica set refuse requests, as during a change of the set.
-func TestSealedSetIsAskedLessAndLess(t *testing.T) {
+func TestRefusedRoundsBackOff(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		m, v := newMembers(1)
 		for name := range m.turns {
@@ -343,24 +343,24 @@
 	})
 }
 
-// TestUnknownTurnIsDeniedInTime checks that other shards are read concurrently. Read one
-// after the other, a lookup of an unknown turn exceeds the caller's time limit and fails
-// with ErrUnavailable.
-func TestUnknownTurnIsDeniedInTime(t *testing.T) {
+// TestOtherShardsAreReadConcurrently checks that other shards are read concurrently. Read
+// one after the other, a lookup of an unknown turn exceeds the caller's time limit and
+// fails with ErrUnavailable.
+func TestOtherShardsAreReadConcurrently(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		m, v := newMembers(8)
-		m.answerAfter = 70 * time.Millisecond
+		m.answerDelay = 70 * time.Millisecond
 		began := time.Now()
 		_, err := newStore(t, "z0", m, v).Line(t.Context(), "p", "none")
 		assert.ErrorIs(t, err, turnstore.ErrUnknown)
-		assert.Equal(t, time.Since(began), 3*m.answerAfter, "two members of the home shard one after the other, then all other shards concurrently")
+		assert.Equal(t, time.Since(began), 3*m.answerDelay, "two members of the home shard one after the other, then all other shards concurrently")
 		assert.Equal(t, len(m.reads), 2*8, "two reads for each shard")
 	})
 }
 
-// TestTurnOfAnotherShardEndsTheLookup checks that a turn is found in a shard other than the
+// TestTurnIsFoundInAnotherShard checks that a turn is found in a shard other than the
 // program's own.
-func TestTurnOfAnotherShardEndsTheLookup(t *testing.T) {
+func TestTurnIsFoundInAnotherShard(t *testing.T) {
 	m, v := newMembers(2)
 	other := "q"
 	for v.Locate(other) == v.Locate("p") {
@@ -372,9 +372,9 @@
 	assert.Equal(t, line[0].GetId(), "a")
 }
 
-// TestShardThatCantBeReadEndsTheLookup checks that the time limit of a shard's read ends the
+// TestUnreadableShardEndsTheLookup checks that the time limit of a shard's read ends the
 // lookup even if the caller's context allows more time.
-func TestShardThatCantBeReadEndsTheLookup(t *testing.T) {
+func TestUnreadableShardEndsTheLookup(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		m, v := newMembers(2)
 		m.down["m0"], m.down["m1"] = true, true
@@ -387,9 +387,9 @@
 	})
 }
 
-// TestUnknownSetsEndTheLookup checks that a lookup waits no longer for unknown replica sets
-// than for a shard that can't be read.
-func TestUnknownSetsEndTheLookup(t *testing.T) {
+// TestUnknownReplicaSetsEndTheLookup checks that a lookup waits no longer for unknown
+// replica sets than for a shard that can't be read.
+func TestUnknownReplicaSetsEndTheLookup(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		m, _ := newMembers(1)
 		began := time.Now()
--- a/coordination/turnstore/trace_test.go
+++ b/coordination/turnstore/trace_test.go
@@ -38,7 +38,7 @@
 	lines   []string
 }
 
-func (m *tracedMembers) note(format string, args ...any) {
+func (m *tracedMembers) record(format string, args ...any) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	m.lines = append(m.lines, fmt.Sprintf("%9.3f ms ", time.Since(m.began).Seconds()*1000)+fmt.Sprintf(format, args...))
@@ -47,7 +47,7 @@
 // answer uses a separate random source for each member, kind of request and time, so that
 // the order of requests that start at the same time doesn't change the results.
 func (m *tracedMembers) answer(ctx context.Context, kind, node string) (archive.Reply, error) {
-	m.note("%s %s", kind, node)
+	m.record("%s %s", kind, node)
 	drawn := rand.New(rand.NewPCG(uint64(time.Since(m.began)), register.Rank(node, kind)))
 	fate := drawn.IntN(10)
 	if fate == 0 {
@@ -103,15 +103,16 @@
 		t.Fatal(err)
 	}
 	for action := range traceActions {
-		act(store, m, random, action)
+		performAction(store, m, random, action)
 		time.Sleep(time.Duration(random.Int64N(int64(300 * time.Millisecond))))
 	}
 	time.Sleep(time.Minute)
-	return joined(m.lines)
+	return mergeLines(m.lines)
 }
 
-// joined sorts the lines and merges lines that differ only in the last word, the member.
-func joined(lines []string) string {
+// mergeLines sorts the lines and merges lines that differ only in the last word, the
+// member.
+func mergeLines(lines []string) string {
 	slices.Sort(lines)
 	var text strings.Builder
 	before := ""
@@ -127,14 +128,14 @@
 	return text.String()
 }
 
-// act stores a turn or looks up an unknown one, at random.
-func act(store *turnstore.Store, m *tracedMembers, random *rand.Rand, action int) {
+// performAction stores a turn or looks up an unknown one, at random.
+func performAction(store *turnstore.Store, m *tracedMembers, random *rand.Rand, action int) {
 	ctx, cancel := context.WithTimeout(context.Background(), 1900*time.Millisecond)
 	defer cancel()
 	if random.IntN(2) == 0 {
-		m.note("end %d: %v", action, store.Put(ctx, "p", &statev1.RetainedTurn{Id: fmt.Sprint("t", action)}))
+		m.record("end %d: %v", action, store.Put(ctx, "p", &statev1.RetainedTurn{Id: fmt.Sprint("t", action)}))
 		return
 	}
 	_, err := store.Line(ctx, "p", "none")
-	m.note("end %d: %v", action, err)
+	m.record("end %d: %v", action, err)
 }
