--- a/node/storage/gctuner.go
+++ b/node/storage/gctuner.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// maxHeapFraction is the fraction of the memory limit to which the heap may grow before
-	// a collection. The rest is for stacks, the mapped data file and bursts.
+	// maxHeapFraction is the fraction of the memory limit to which the heap may grow
+	// before a collection. The rest is for stacks, the mapped data file and bursts.
 	maxHeapFraction = 0.4
 	// minGCPercent and maxGCPercent limit the GC percentage (GOGC). The minimum is the
 	// runtime's default. Above the maximum, collections already take little time.
@@ -17,7 +17,8 @@
 	maxGCPercent = 400
 	// gcTuneInterval is the interval between two readings of the live heap.
 	gcTuneInterval = time.Second
-	// liveHeapMetric is the runtime metric of the heap that was live at the last collection.
+	// liveHeapMetric is the runtime metric of the heap that was live at the last
+	// collection.
 	liveHeapMetric = "/gc/heap/live:bytes"
 )
 
--- a/node/storage/gossip.go
+++ b/node/storage/gossip.go
@@ -47,8 +47,8 @@
 	return gossip
 }
 
-// knownAddresses returns the addresses of the seeds and of the members of all known replica
-// sets.
+// knownAddresses returns the addresses of the seeds and of the members of all known
+// replica sets.
 func (n *Node) knownAddresses() []string {
 	var addresses []string
 	for _, seed := range n.settings.Seeds {
--- a/node/storage/mirroring.go
+++ b/node/storage/mirroring.go
@@ -10,20 +10,21 @@
 )
 
 const (
-	// maxMirrorWatchSlack is the maximum WatchSlack for mirrored objects: how much longer than
-	// the requested wait a watch call at the store may take.
+	// maxMirrorWatchSlack is the maximum WatchSlack for mirrored objects: how much longer
+	// than the requested wait a watch call at the store may take.
 	maxMirrorWatchSlack = 400 * time.Millisecond
 	// maxMirrorListReserve is the maximum time that is reserved within the apply limit for
 	// gateways to list the objects themselves after a watch call has failed.
 	maxMirrorListReserve = 300 * time.Millisecond
-	// applyLimitDivisor limits the watch slack and the list reserve, for short apply limits,
-	// to the apply limit divided by it.
+	// applyLimitDivisor limits the watch slack and the list reserve, for short apply
+	// limits, to the apply limit divided by it.
 	applyLimitDivisor = 4
 	// mirrorListTimeout limits one listing at the store. A listing that hangs delays all
 	// nodes that follow the store through this one.
 	mirrorListTimeout = time.Second
 	// boundedUpstreamWait is how long another storage node may hold a watch call of this
-	// node. It adds to the age of the data that gateways get, which the apply limit bounds.
+	// node. It adds to the age of the data that gateways get, which the apply limit
+	// bounds.
 	boundedUpstreamWait = maxMirrorListReserve
 	// storePauseDivisor gives the pause between two direct calls at the store while no
 	// upstream storage node is available: the apply limit divided by it. The pause delays
@@ -36,16 +37,16 @@
 	relaxedUpstreamWait = 2 * time.Second
 	relaxedMaxAge       = 20 * time.Second
 	// upstreamUnreachableDelay is how long to wait before asking the store directly while
-	// no upstream storage node answers. It allows for upstreams that start at the same time
-	// as this node.
+	// no upstream storage node answers. It allows for upstreams that start at the same
+	// time as this node.
 	upstreamUnreachableDelay = time.Second
 	// upstreamStoreLostDelay is the same while upstreams answer but have lost the store.
 	upstreamStoreLostDelay = 2 * time.Second
 )
 
-// boundedFollowSettings returns the settings for objects that gateways must apply within the
-// apply limit. If this node's connection to the store fails silently, the watch wait, its
-// slack and the gateways' own listing together have to fit into that limit.
+// boundedFollowSettings returns the settings for objects that gateways must apply within
+// the apply limit. If this node's connection to the store fails silently, the watch wait,
+// its slack and the gateways' own listing together have to fit into that limit.
 func boundedFollowSettings(applyLimit time.Duration) follow.Settings {
 	result := follow.DefaultSettings()
 	result.ListTimeout = mirrorListTimeout
@@ -61,8 +62,8 @@
 	return mirror.Patience{Unreached: upstreamUnreachableDelay, Lost: upstreamStoreLostDelay}
 }
 
-// newBoundedFollower returns a follower of objects that gateways must apply within the apply
-// limit.
+// newBoundedFollower returns a follower of objects that gateways must apply within the
+// apply limit.
 func (n *Node) newBoundedFollower(kind string, direct follow.Source) *follow.Follower {
 	sourceSettings := mirror.SourceSettings{
 		Wait: boundedUpstreamWait, MaxAge: n.settings.ApplyLimit,
@@ -95,9 +96,9 @@
 	})
 }
 
-// newMirroredFollower returns a follower of a kind of objects that other nodes follow through
-// this node. Only a few storage nodes watch the store directly; the others use them as
-// upstreams.
+// newMirroredFollower returns a follower of a kind of objects that other nodes follow
+// through this node. Only a few storage nodes watch the store directly; the others use
+// them as upstreams.
 func (n *Node) newMirroredFollower(kind string, direct follow.Source, followSettings follow.Settings, sourceSettings mirror.SourceSettings, apply func(follow.Snapshot)) *follow.Follower {
 	counted := follow.Counted(direct, n.storeCalls.WithLabelValues(kind))
 	follower := follow.New(follow.Options{
@@ -110,8 +111,8 @@
 	return follower
 }
 
-// listUpstreams returns the addresses of the upstream storage nodes through which this node
-// follows the store.
+// listUpstreams returns the addresses of the upstream storage nodes through which this
+// node follows the store.
 func (n *Node) listUpstreams() []netip.AddrPort {
 	return mirror.Upstreams(n.self, shard.MembersOf(n.views.Views()), n.settings.Seeds)
 }
--- a/node/storage/run.go
+++ b/node/storage/run.go
@@ -17,9 +17,9 @@
 )
 
 const (
-	// softMemoryLimitFraction is the fraction of the memory limit that the Go runtime uses
-	// as its soft limit. The rest is for memory that the runtime doesn't count, such as the
-	// mapped data file.
+	// softMemoryLimitFraction is the fraction of the memory limit that the Go runtime
+	// uses as its soft limit. The rest is for memory that the runtime doesn't count, such
+	// as the mapped data file.
 	softMemoryLimitFraction = 0.8
 	// releaseTimeout limits the release of reserves and slots at shutdown.
 	releaseTimeout = time.Second
@@ -114,8 +114,8 @@
 	}
 }
 
-// releaseReserves releases quota slots and budget reserves. It must run before the services
-// stop, while this node still takes part in the replica sets.
+// releaseReserves releases quota slots and budget reserves. It must run before the
+// services stop, while this node still takes part in the replica sets.
 func (n *Node) releaseReserves() {
 	ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
 	defer cancel()
--- a/node/storage/sets.go
+++ b/node/storage/sets.go
@@ -18,8 +18,8 @@
 const (
 	// repairInterval is the interval between two rounds of repair.
 	repairInterval = 400 * time.Millisecond
-	// replaceGoneAfter is how long a member may be gone before its replicas are replaced. It
-	// is longer than a restart of the node.
+	// replaceGoneAfter is how long a member may be gone before its replicas are replaced.
+	// It is longer than a restart of the node.
 	replaceGoneAfter = 20 * time.Second
 	// replaceWithSpareAfter is the same if there is a spare node that started at about the
 	// time when the member stopped answering, or later.
--- a/node/storage/shards.go
+++ b/node/storage/shards.go
@@ -22,8 +22,8 @@
 	shardCountBytes            = 4
 )
 
-// loadShardMap creates this node's shard map with the number of shards from the disk. If the
-// disk has none, the published replica sets provide it later.
+// loadShardMap creates this node's shard map with the number of shards from the disk. If
+// the disk has none, the published replica sets provide it later.
 func (n *Node) loadShardMap() (*shard.Map, error) {
 	stored, err := n.disk.LoadMeta(shardCountMetaShard, shardCountMetaName)
 	if err != nil {
@@ -58,8 +58,8 @@
 	n.keeper.ApplySets(snapshot)
 }
 
-// newSetsReader returns a service that reads the replica sets from other storage nodes while
-// the store is unreachable. A node with an empty disk has no other source.
+// newSetsReader returns a service that reads the replica sets from other storage nodes
+// while the store is unreachable. A node with an empty disk has no other source.
 func (n *Node) newSetsReader(sets *follow.Follower) *mirror.Reader {
 	return mirror.NewReader(n.otherNodes, n.peers, map[string]mirror.Follower{mirror.KindSets: sets}, time.Now, n.logger)
 }
--- a/node/storage/storage.go
+++ b/node/storage/storage.go
@@ -80,8 +80,8 @@
 	budgets *tokenbudget.Host
 	quotas  *quota.Holder
 
-	// Mirrored objects of the store, and the upstream storage nodes through which this node
-	// follows the store.
+	// Mirrored objects of the store, and the upstream storage nodes through which this
+	// node follows the store.
 	mirror    *mirror.Holder
 	upstreams *mirror.Holders
 
