--- a/coordination/turnstore/cache.go
+++ b/coordination/turnstore/cache.go
@@ -7,18 +7,17 @@
 	statev1 "github.com/marblering/marblering/api/state/v1"
 )
 
-// entryBytes is about how many bytes of memory an entry takes beside its texts
-// (estimated, not measured).
-const entryBytes = 256
+// entryOverheadBytes is the estimated memory overhead of an entry in bytes.
+const entryOverheadBytes = 256
 
-// cache keeps the turns that were used last. It is safe for concurrent use.
+// cache is an LRU cache of turns. It is safe for concurrent use.
 type cache struct {
-	// limit and size are in bytes of memory, by sizeOf.
+	// limit and size are in bytes of memory, as computed by memorySize.
 	limit int
 
 	mutex sync.Mutex
 	size  int
-	// order holds turns, the one used last first.
+	// order lists the turns, the most recently used first.
 	order   *list.List
 	entries map[string]*list.Element
 }
@@ -38,31 +37,32 @@
 	return element.Value.(*statev1.RetainedTurn), true
 }
 
-// put adds the turn and drops the oldest ones beyond the limit. The newest turn stays,
-// also where it alone exceeds the limit.
-func (c *cache) put(whole *statev1.RetainedTurn) {
+// put adds the turn and evicts the least recently used ones while the size exceeds the
+// limit. The new turn stays even if it alone exceeds the limit.
+func (c *cache) put(turn *statev1.RetainedTurn) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if _, found := c.entries[whole.GetId()]; found {
+	if _, found := c.entries[turn.GetId()]; found {
 		return
 	}
-	c.entries[whole.GetId()] = c.order.PushFront(whole)
-	c.size += sizeOf(whole)
+	c.entries[turn.GetId()] = c.order.PushFront(turn)
+	c.size += memorySize(turn)
 	for c.size > c.limit && c.order.Len() > 1 {
-		c.dropOldest()
+		c.evictOldest()
 	}
 }
 
-func (c *cache) dropOldest() {
+func (c *cache) evictOldest() {
 	element := c.order.Back()
 	dropped := c.order.Remove(element).(*statev1.RetainedTurn)
 	delete(c.entries, dropped.GetId())
-	c.size -= sizeOf(dropped)
+	c.size -= memorySize(dropped)
 }
 
-func sizeOf(whole *statev1.RetainedTurn) int {
-	size := entryBytes + len(whole.GetInput()) + len(whole.GetOutput())
-	for _, ancestor := range whole.GetAncestors() {
+// memorySize estimates the memory that a cached turn takes, in bytes.
+func memorySize(turn *statev1.RetainedTurn) int {
+	size := entryOverheadBytes + len(turn.GetInput()) + len(turn.GetOutput())
+	for _, ancestor := range turn.GetAncestors() {
 		size += len(ancestor)
 	}
 	return size
