--- a/coordination/register/batch.go
+++ b/coordination/register/batch.go
@@ -20,8 +20,8 @@
 	included  bool
 	abandoned bool
 	finished  bool
-	// leave tells the running batch that the call was abandoned.
-	leave func()
+	// onAbandon tells the running batch that the call was abandoned.
+	onAbandon func()
 }
 
 func newCall(change Change) *call {
@@ -37,15 +37,15 @@
 		return c.value, c.err
 	}
 	c.abandoned = true
-	if c.leave != nil {
-		c.leave()
+	if c.onAbandon != nil {
+		c.onAbandon()
 	}
-	return nil, c.unresolved(cause)
+	return nil, c.undecidedError(cause)
 }
 
-// unresolved returns the error of a call that ends without a decision. The caller holds
+// undecidedError returns the error of a call that ends without a decision. The caller holds
 // the mutex.
-func (c *call) unresolved(cause error) error {
+func (c *call) undecidedError(cause error) error {
 	if c.included {
 		return merry.Wrap(ErrUnknownOutcome, merry.WithCause(cause), merry.AppendMessagef("%v", cause))
 	}
@@ -54,17 +54,17 @@
 
 // join makes the call part of a batch, and returns false where it was abandoned. Leave
 // is called when the call is abandoned later.
-func (c *call) join(leave func()) bool {
+func (c *call) join(onAbandon func()) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.leave = leave
+	c.onAbandon = onAbandon
 	return !c.abandoned
 }
 
 // evaluate runs the change. Present is false where the call was abandoned, whose change
 // isn't run then. A change of the value counts as included from then on, since the value
 // is sent next.
-func (c *call) evaluate(current []byte) (next []byte, refusal error, present bool) {
+func (c *call) evaluate(current []byte) (next []byte, refusal error, active bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.abandoned {
@@ -96,7 +96,7 @@
 // fail ends the call without a decision.
 func (c *call) fail(cause error) {
 	c.mutex.Lock()
-	err := c.unresolved(cause)
+	err := c.undecidedError(cause)
 	c.mutex.Unlock()
 	c.finish(nil, err)
 }
@@ -116,31 +116,31 @@
 	evaluations [][]callResult
 
 	mutex sync.Mutex
-	// present counts the calls that weren't abandoned.
-	present int
-	// empty is closed when every call has been abandoned.
-	empty chan struct{}
+	// remaining counts the calls that weren't abandoned.
+	remaining int
+	// abandoned is closed when every call has been abandoned.
+	abandoned chan struct{}
 }
 
 func newBatch(calls []*call) *batch {
-	b := &batch{present: len(calls), empty: make(chan struct{})}
-	for _, member := range calls {
-		if member.join(b.leave) {
-			b.calls = append(b.calls, member)
+	b := &batch{remaining: len(calls), abandoned: make(chan struct{})}
+	for _, queued := range calls {
+		if queued.join(b.countAbandoned) {
+			b.calls = append(b.calls, queued)
 		} else {
-			b.leave()
+			b.countAbandoned()
 		}
 	}
 	return b
 }
 
-// leave notes that one call was abandoned.
-func (b *batch) leave() {
+// countAbandoned notes that one call was abandoned.
+func (b *batch) countAbandoned() {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	b.present--
-	if b.present == 0 {
-		close(b.empty)
+	b.remaining--
+	if b.remaining == 0 {
+		close(b.abandoned)
 	}
 }
 
@@ -149,13 +149,13 @@
 func (b *batch) change(current []byte) ([]byte, error) {
 	results := make([]callResult, 0, len(b.calls))
 	value := current
-	for _, member := range b.calls {
-		next, refusal, present := member.evaluate(value)
-		if !present {
+	for _, queued := range b.calls {
+		next, refusal, active := queued.evaluate(value)
+		if !active {
 			continue
 		}
 		value = next
-		results = append(results, callResult{call: member, value: next, err: refusal})
+		results = append(results, callResult{call: queued, value: next, err: refusal})
 	}
 	b.evaluations = append(b.evaluations, results)
 	return value, nil
@@ -180,9 +180,9 @@
 	}
 }
 
-func (b *batch) isEmpty() bool {
+func (b *batch) isAbandoned() bool {
 	select {
-	case <-b.empty:
+	case <-b.abandoned:
 		return true
 	default:
 		return false
--- a/coordination/register/client.go
+++ b/coordination/register/client.go
@@ -100,7 +100,7 @@
 	// worker.
 	queues map[registerID][]*call
 	cache  *promiseCache
-	fresh  *freshGate
+	fastRounds  *fastRoundGate
 }
 
 // registerID names a register.
@@ -121,7 +121,7 @@
 		random:      random,
 		queues:      make(map[registerID][]*call),
 		cache:       newPromiseCache(settings.CachedRegisters),
-		fresh:       newFreshGate(settings, clock),
+		fastRounds:       newFastRoundGate(settings, clock),
 	}
 }
 
@@ -166,12 +166,12 @@
 	waiting, active := c.queues[id]
 	c.queues[id] = append(waiting, queued)
 	if !active {
-		go c.work(id)
+		go c.runWorker(id)
 	}
 }
 
-// work runs batches of the register's calls until none waits.
-func (c *Client) work(id registerID) {
+// runWorker runs batches of the register's calls until none waits.
+func (c *Client) runWorker(id registerID) {
 	for {
 		calls := c.takeBatch(id)
 		if len(calls) == 0 {
--- a/coordination/register/exchange.go
+++ b/coordination/register/exchange.go
@@ -22,12 +22,12 @@
 	order   []int
 	members *multicast.Round
 	answers chan answer
-	// late is sent to when the members that were asked take long; nil where all
+	// hedgeDue is sent to when the members that were asked take long; nil where all
 	// members are asked at once.
-	late     chan struct{}
-	stopLate func() bool
-	// open counts the requests under way and the round that waits for them.
-	open atomic.Int32
+	hedgeDue     chan struct{}
+	stopHedgeTimer func() bool
+	// pending counts the requests under way and the round that waits for them.
+	pending atomic.Int32
 }
 
 // startExchange sends the request to all members, or to a majority with Settings.Thrift.
@@ -35,55 +35,55 @@
 func (r *round) startExchange(request Request) *exchange {
 	settings := r.client.settings
 	e := &exchange{
-		round: r, request: request, order: r.client.order(r.view, r.id.key),
+		round: r, request: request, order: r.client.memberOrder(r.view, r.id.key),
 		expired: make(chan struct{}), answers: make(chan answer, len(r.view.Members)),
 	}
 	e.ctx, e.cancel = context.WithCancel(context.Background())
-	e.open.Store(1)
+	e.pending.Store(1)
 	e.stopTimer = r.client.clock.AfterFunc(settings.RequestTimeout, func() {
 		close(e.expired)
 		e.cancel()
 	})
 	e.members = multicast.New(e.addresses(), settings.Thrift.hedging(), e.send)
-	if settings.Thrift == nil || r.isFresh {
+	if settings.Thrift == nil || r.isFast {
 		e.members.Ask(len(e.order))
 		return e
 	}
-	e.late = make(chan struct{}, 1)
+	e.hedgeDue = make(chan struct{}, 1)
 	e.members.Begin(r.view.Quorum())
-	e.awaitLate()
+	e.startHedgeTimer()
 	return e
 }
 
 // addresses returns the addresses of the members in the order of asking.
 func (e *exchange) addresses() []string {
 	addresses := make([]string, len(e.order))
-	for place, member := range e.order {
-		addresses[place] = e.round.view.Members[member].Address
+	for position, member := range e.order {
+		addresses[position] = e.round.view.Members[member].Address
 	}
 	return addresses
 }
 
 // send starts the request to the member at the place in the order of asking.
-func (e *exchange) send(place int) {
-	e.open.Add(1)
+func (e *exchange) send(position int) {
+	e.pending.Add(1)
 	go func() {
-		received := e.round.send(e.ctx, e.order[place], e.request)
-		received.place = place
+		received := e.round.send(e.ctx, e.order[position], e.request)
+		received.position = position
 		e.answers <- received
 		e.release()
 	}()
 }
 
-// awaitLate starts the time that the members that were asked have to answer, where
+// startHedgeTimer starts the time that the members that were asked have to answer, where
 // others are left.
-func (e *exchange) awaitLate() {
+func (e *exchange) startHedgeTimer() {
 	if e.members.Left() == 0 {
 		return
 	}
-	e.stopLate = e.round.client.clock.AfterFunc(e.round.client.settings.Thrift.Delay, func() {
+	e.stopHedgeTimer = e.round.client.clock.AfterFunc(e.round.client.settings.Thrift.Delay, func() {
 		select {
-		case e.late <- struct{}{}:
+		case e.hedgeDue <- struct{}{}:
 		default:
 		}
 	})
@@ -93,13 +93,13 @@
 // the exchange's last one.
 func (e *exchange) hedge() {
 	if e.members.Hedge() {
-		e.awaitLate()
+		e.startHedgeTimer()
 	}
 }
 
-// take notes that the member has answered, with a refusal perhaps, or failed.
-func (e *exchange) take(received answer) {
-	e.members.Answered(received.place)
+// recordAnswer notes that the member has answered, with a refusal perhaps, or failed.
+func (e *exchange) recordAnswer(received answer) {
+	e.members.Answered(received.position)
 	thrift := e.round.client.settings.Thrift
 	if thrift == nil {
 		return
@@ -113,8 +113,8 @@
 	e.members.AvoidLate()
 }
 
-// passOver has the members that didn't answer in time asked last for a while.
-func (e *exchange) passOver() {
+// avoidPending has the members that didn't answer in time asked last for a while.
+func (e *exchange) avoidPending() {
 	if e.round.client.settings.Thrift != nil {
 		e.members.AvoidPending()
 	}
@@ -123,15 +123,15 @@
 // finish ends the round's wait for answers. Requests under way go on, so that members
 // that are slower than the majority keep up.
 func (e *exchange) finish() {
-	if e.stopLate != nil {
-		e.stopLate()
+	if e.stopHedgeTimer != nil {
+		e.stopHedgeTimer()
 	}
 	e.release()
 }
 
 // release frees the timer and the context once nothing is under way any more.
 func (e *exchange) release() {
-	if e.open.Add(-1) == 0 {
+	if e.pending.Add(-1) == 0 {
 		e.stopTimer()
 		e.cancel()
 	}
--- a/coordination/register/proposer.go
+++ b/coordination/register/proposer.go
@@ -25,9 +25,9 @@
 	PhaseAccept
 )
 
-// freshCounter is the counter of the ballots that are used without a prepare.
+// fastRoundCounter is the counter of the ballots that are used without a prepare.
 // Prepared ones begin above it.
-const freshCounter = 0
+const fastRoundCounter = 0
 
 // Request is what a proposer sends to every member alike.
 type Request struct {
@@ -128,7 +128,7 @@
 	// in the prepare; uniform is whether all reported the same ballot.
 	accepted replica.Ballot
 	value    []byte
-	uniform  bool
+	sameBallot  bool
 	// current is the proposal of the accept under way, sent holds all proposals with a
 	// new value that were ever sent, by their ballots.
 	current     proposal
@@ -150,16 +150,16 @@
 	p.ballot = replica.Ballot{Counter: p.counter, Proposer: p.incarnation}
 	p.accepted = replica.Ballot{}
 	p.value = nil
-	p.uniform = true
+	p.sameBallot = true
 	p.startPhase(PhasePrepare, members)
 	return Request{Phase: PhasePrepare, Ballot: p.ballot}
 }
 
-// BeginPromised starts the first round with the promise that an earlier change left,
+// BeginWithPromise starts the first round with the promise that an earlier change left,
 // which saves the prepare. The promise must not be used again. Where the change leaves
 // the value as it is, the round prepares after all, since only the answers of a majority
 // show that the value still stands.
-func (p *Proposer) BeginPromised(members int, promise Promise) Request {
+func (p *Proposer) BeginWithPromise(members int, promise Promise) Request {
 	p.observe(promise.Ballot)
 	if promise.Ballot.IsZero() {
 		return p.Begin(members)
@@ -173,14 +173,14 @@
 	return p.propose(candidate)
 }
 
-// BeginFresh starts the first round of a register that has most likely never
+// BeginFast starts the first round of a register that has most likely never
 // been changed, which saves the prepare: the value goes out at the lowest ballot
 // of the proposer, below all that are ever prepared. Members accept it only
 // where they hold nothing. Proposers may do so at once, so that, unlike at other
 // ballots, a majority proves nothing: the value is chosen once all members have
 // accepted it (the fast round of L. Lamport, "Fast Paxos", 2006, with a quorum of
 // all). Where any member refuses or is silent, Begin starts an ordinary round.
-func (p *Proposer) BeginFresh(members int) Request {
+func (p *Proposer) BeginFast(members int) Request {
 	if p.counter > 0 {
 		return p.Begin(members)
 	}
@@ -188,7 +188,7 @@
 	if !candidate.changed {
 		return p.Begin(members)
 	}
-	p.ballot = replica.Ballot{Counter: freshCounter, Proposer: p.incarnation}
+	p.ballot = replica.Ballot{Counter: fastRoundCounter, Proposer: p.incarnation}
 	p.startPhase(PhaseAccept, members)
 	p.needed = members
 	return p.propose(candidate)
@@ -202,14 +202,14 @@
 	p.answered[member] = true
 	if reply.Refusal != RefusalNone {
 		p.observe(reply.Promised)
-		return Request{}, p.fail()
+		return Request{}, p.countFailure()
 	}
-	p.learn(reply.Accepted, reply.Value)
+	p.observeAccepted(reply.Accepted, reply.Value)
 	p.granted++
 	if p.granted < p.needed {
 		return Request{}, StatusWaiting
 	}
-	return p.decide()
+	return p.onMajorityPromised()
 }
 
 // OnAccept takes a member's answer to the accept at the given ballot.
@@ -220,7 +220,7 @@
 	p.answered[member] = true
 	if reply.Refusal != RefusalNone {
 		p.observe(reply.Promised)
-		return p.fail()
+		return p.countFailure()
 	}
 	p.granted++
 	if p.granted < p.needed {
@@ -236,7 +236,7 @@
 		return StatusWaiting
 	}
 	p.answered[member] = true
-	return p.fail()
+	return p.countFailure()
 }
 
 // Result returns the result. It is final after StatusDone; before, it is what holds if
@@ -270,10 +270,10 @@
 	p.counter = max(p.counter, ballot.Counter)
 }
 
-// learn keeps the highest accepted value and whether all answers agree on it.
-func (p *Proposer) learn(accepted replica.Ballot, value []byte) {
+// observeAccepted keeps the highest accepted value and whether all answers agree on it.
+func (p *Proposer) observeAccepted(accepted replica.Ballot, value []byte) {
 	if p.granted > 0 && accepted != p.accepted {
-		p.uniform = false
+		p.sameBallot = false
 	}
 	if p.accepted.Less(accepted) {
 		p.accepted = accepted
@@ -281,9 +281,9 @@
 	}
 }
 
-// fail counts a member that won't grant the request. The round fails once too few are
+// countFailure counts a member that won't grant the request. The round fails once too few are
 // left.
-func (p *Proposer) fail() Status {
+func (p *Proposer) countFailure() Status {
 	p.failed++
 	if len(p.answered)-p.failed >= p.needed {
 		return StatusWaiting
@@ -292,29 +292,29 @@
 	return StatusRetry
 }
 
-// decide chooses the value to propose once a majority has promised the ballot.
-func (p *Proposer) decide() (Request, Status) {
+// onMajorityPromised chooses the value to propose once a majority has promised the ballot.
+func (p *Proposer) onMajorityPromised() (Request, Status) {
 	own, found := p.sent[p.accepted]
 	if found && bytes.Equal(own.value, p.value) {
 		// The proposer's own value is the highest accepted one: finish it
 		// rather than apply the change on top of its own effect. At the lowest
 		// ballot another life of this proposer may have sent another value.
-		return p.proposeNext(own)
+		return p.startAccept(own)
 	}
 	candidate := p.evaluate(p.value)
-	if p.isSettled(candidate) {
+	if p.canSkipAccept(candidate) {
 		return Request{}, p.finish(candidate, Promise{Ballot: p.ballot, Value: p.value})
 	}
-	return p.proposeNext(candidate)
+	return p.startAccept(candidate)
 }
 
-// isSettled reports whether the candidate needs no accept: the change leaves the value as
+// canSkipAccept reports whether the candidate needs no accept: the change leaves the value as
 // it is, the value is chosen because a majority holds it at one ballot, and the proposer
 // has sent no value of its own that another proposer could still pick up. A majority at
 // the lowest ballots doesn't show that a value is chosen.
-func (p *Proposer) isSettled(candidate proposal) bool {
-	isFresh := p.accepted.Counter == freshCounter && !p.accepted.IsZero()
-	return !candidate.changed && p.uniform && !isFresh && len(p.sent) == 0
+func (p *Proposer) canSkipAccept(candidate proposal) bool {
+	fromFastRound := p.accepted.Counter == fastRoundCounter && !p.accepted.IsZero()
+	return !candidate.changed && p.sameBallot && !fromFastRound && len(p.sent) == 0
 }
 
 // evaluate runs the change on the current value.
@@ -327,8 +327,8 @@
 	return proposal{value: next, evaluation: p.evaluations, changed: true}
 }
 
-// proposeNext goes on from the prepare to the accept of the candidate.
-func (p *Proposer) proposeNext(candidate proposal) (Request, Status) {
+// startAccept goes on from the prepare to the accept of the candidate.
+func (p *Proposer) startAccept(candidate proposal) (Request, Status) {
 	p.startPhase(PhaseAccept, len(p.answered))
 	return p.propose(candidate), StatusSend
 }
--- a/coordination/register/round.go
+++ b/coordination/register/round.go
@@ -11,8 +11,8 @@
 // error.
 type answer struct {
 	member int
-	// place is the member's place in the order in which members were asked.
-	place   int
+	// position is the member's position in the order in which members were asked.
+	position   int
 	phase   Phase
 	ballot  replica.Ballot
 	prepare PrepareReply
@@ -41,10 +41,10 @@
 	return a.accept.ConfigurationVersion
 }
 
-// callsForAnother reports whether another member is to be asked in this one's place. A
+// needsReplacement reports whether another member is to be asked in this one's place. A
 // member that has promised a higher ballot is no reason to: the next round uses a
 // ballot above that one.
-func (a answer) callsForAnother() bool {
+func (a answer) needsReplacement() bool {
 	return a.err != nil || a.refusal() != RefusalNone && a.refusal() != RefusalBallot
 }
 
@@ -74,9 +74,9 @@
 	// If it fails, another node has most likely changed the register in between and has
 	// finished, so that the next round needn't wait.
 	fromPromise bool
-	// isFresh is set where the round began without a prepare and without a promise.
+	// isFast is set where the round began without a prepare and without a promise.
 	// All members must grant its request.
-	isFresh bool
+	isFast bool
 	// answered and unreachable count members that were sent the current request.
 	answered    int
 	unreachable int
@@ -84,8 +84,8 @@
 	// members have named.
 	newestView    View
 	newestVersion uint64
-	// failure is what went wrong last at a member.
-	failure error
+	// lastFailure is what went wrong last at a member.
+	lastFailure error
 }
 
 // run drives the proposer from its first request until it is done or the round fails.
@@ -106,24 +106,24 @@
 	sent := r.startExchange(request)
 	defer sent.finish()
 	expired := sent.expired
-	if r.isFresh {
-		impatient := make(chan struct{})
-		defer r.client.clock.AfterFunc(r.client.fresh.patience, func() { close(impatient) })()
-		expired = impatient
+	if r.isFast {
+		fastRoundExpired := make(chan struct{})
+		defer r.client.clock.AfterFunc(r.client.fastRounds.timeout, func() { close(fastRoundExpired) })()
+		expired = fastRoundExpired
 	}
 	r.answered = 0
 	r.unreachable = 0
 	for r.answered < sent.members.Asked() {
 		select {
 		case received := <-sent.answers:
-			next, status := r.take(sent, received)
+			next, status := r.handleAnswer(sent, received)
 			if status != StatusWaiting {
 				return next, status
 			}
-		case <-sent.late:
+		case <-sent.hedgeDue:
 			sent.hedge()
 		case <-expired:
-			r.expire(sent)
+			r.handleTimeout(sent)
 			return Request{}, StatusRetry
 		case <-r.abandoned:
 			return Request{}, StatusRetry
@@ -132,31 +132,31 @@
 	return Request{}, StatusRetry
 }
 
-// take feeds an answer to the proposer and asks another member where this one can't
+// handleAnswer feeds an answer to the proposer and asks another member where this one can't
 // grant the request.
-func (r *round) take(sent *exchange, received answer) (Request, Status) {
-	r.note(received)
-	sent.take(received)
-	next, status := r.feed(received)
-	if status == StatusWaiting && received.callsForAnother() {
+func (r *round) handleAnswer(sent *exchange, received answer) (Request, Status) {
+	r.recordAnswer(received)
+	sent.recordAnswer(received)
+	next, status := r.stepProposer(received)
+	if status == StatusWaiting && received.needsReplacement() {
 		sent.members.Ask(1)
 	}
 	return next, status
 }
 
-// expire ends the wait for the members that haven't answered.
-func (r *round) expire(sent *exchange) {
-	if r.isFresh {
+// handleTimeout ends the wait for the members that haven't answered.
+func (r *round) handleTimeout(sent *exchange) {
+	if r.isFast {
 		// Patience is short: the members aren't counted as unreachable, since an
 		// ordinary round may well find a majority.
-		r.client.fresh.close(r.id.shard)
+		r.client.fastRounds.suspend(r.id.shard)
 		return
 	}
-	silent := sent.members.Asked() - r.answered
-	sent.passOver()
-	r.unreachable += silent
-	r.failure = merry.Errorf("%d of %d members didn't answer within %v",
-		silent, len(r.view.Members), r.client.settings.RequestTimeout)
+	unanswered := sent.members.Asked() - r.answered
+	sent.avoidPending()
+	r.unreachable += unanswered
+	r.lastFailure = merry.Errorf("%d of %d members didn't answer within %v",
+		unanswered, len(r.view.Members), r.client.settings.RequestTimeout)
 }
 
 // send sends the request to the member with the index and returns its answer.
@@ -181,8 +181,8 @@
 	return result
 }
 
-// feed hands the answer to the proposer.
-func (r *round) feed(received answer) (Request, Status) {
+// stepProposer hands the answer to the proposer.
+func (r *round) stepProposer(received answer) (Request, Status) {
 	switch {
 	case received.err != nil:
 		return Request{}, r.proposer.OnFailure(received.phase, received.ballot, received.member)
@@ -193,8 +193,8 @@
 	}
 }
 
-// note keeps what the answer says beyond the register itself.
-func (r *round) note(received answer) {
+// recordAnswer keeps what the answer says beyond the register itself.
+func (r *round) recordAnswer(received answer) {
 	r.answered++
 	if received.isUnreachable() {
 		r.unreachable++
@@ -202,10 +202,10 @@
 	node := r.view.Members[received.member].Node
 	switch {
 	case received.err != nil:
-		r.failure = merry.Prependf(received.err, "member %s", node)
+		r.lastFailure = merry.Prependf(received.err, "member %s", node)
 		return
 	case received.refusal() != RefusalNone:
-		r.failure = merry.Errorf("member %s refused: %v", node, received.refusal())
+		r.lastFailure = merry.Errorf("member %s refused: %v", node, received.refusal())
 	}
 	if view := received.view(); view != nil && view.Epoch > r.newestView.Epoch {
 		r.newestView = *view
@@ -218,16 +218,16 @@
 	return len(r.view.Members)-r.unreachable < r.view.Quorum()
 }
 
-// learn passes on the newer view and configuration that members have named. It returns
+// learnNewerView passes on the newer view and configuration that members have named. It returns
 // true where this node now knows newer ones than the round used, so that another round
 // makes sense at once.
-func (r *round) learn() bool {
+func (r *round) learnNewerView() bool {
 	views := r.client.views
 	if r.newestView.Epoch > r.view.Epoch {
 		views.Learn(r.newestView)
 	}
 	if r.newestVersion > r.version {
-		ctx, cancel := r.client.limit(r.abandoned)
+		ctx, cancel := r.client.requestContext(r.abandoned)
 		views.LearnConfiguration(ctx, r.newestVersion)
 		cancel()
 	}
--- a/coordination/register/run.go
+++ b/coordination/register/run.go
@@ -8,13 +8,13 @@
 
 // runBatch carries out the calls as one change and gives each its result.
 func (c *Client) runBatch(id registerID, calls []*call) {
-	work := newBatch(calls)
+	pending := newBatch(calls)
 	known := c.cache.take(id)
-	proposer := NewProposer(c.incarnation, known.counter, work.change)
-	epoch, err := c.runRounds(id, work, proposer, known)
+	proposer := NewProposer(c.incarnation, known.counter, pending.change)
+	epoch, err := c.runRounds(id, pending, proposer, known)
 	entry := cacheEntry{counter: proposer.Counter()}
 	if err != nil {
-		work.fail(err)
+		pending.fail(err)
 		c.cache.put(id, entry)
 		return
 	}
@@ -22,16 +22,16 @@
 	entry.epoch = epoch
 	entry.promise = result.Promise
 	c.cache.put(id, entry)
-	work.finish(result.Evaluation)
+	pending.finish(result.Evaluation)
 }
 
 // runRounds repeats rounds until one succeeds, Settings.Attempts rounds found no majority
 // or nobody waits any more. It returns the epoch of the round that succeeded.
-func (c *Client) runRounds(id registerID, work *batch, proposer *Proposer, known cacheEntry) (uint64, error) {
-	// lost counts the rounds that found no majority, failures all that failed.
-	lost := 0
+func (c *Client) runRounds(id registerID, pending *batch, proposer *Proposer, known cacheEntry) (uint64, error) {
+	// withoutMajority counts the rounds that found no majority, failures all that failed.
+	withoutMajority := 0
 	for failures := 0; ; {
-		attempt, err := c.newRound(id, work, proposer)
+		attempt, err := c.newRound(id, pending, proposer)
 		if err != nil {
 			return 0, err
 		}
@@ -40,18 +40,18 @@
 		}
 		failures++
 		if attempt.hasLostMajority() {
-			lost++
+			withoutMajority++
 		}
-		if lost >= c.settings.Attempts {
-			return 0, attempt.failure
+		if withoutMajority >= c.settings.Attempts {
+			return 0, attempt.lastFailure
 		}
-		if attempt.isFresh {
-			attempt.judgeFresh()
+		if attempt.isFast {
+			attempt.updateFastRoundGate()
 		}
-		if !attempt.learn() && !attempt.fromPromise && !attempt.isFresh {
-			c.pause(failures, work.empty)
+		if !attempt.learnNewerView() && !attempt.fromPromise && !attempt.isFast {
+			c.waitBackoff(failures, pending.abandoned)
 		}
-		if work.isEmpty() {
+		if pending.isAbandoned() {
 			return 0, merry.New("every caller gave up")
 		}
 	}
@@ -60,7 +60,7 @@
 // newRound makes a round of the newest view. It reads the configuration version before
 // the round calls the change, so that the fence never names a newer configuration than
 // the change has seen.
-func (c *Client) newRound(id registerID, work *batch, proposer *Proposer) (*round, error) {
+func (c *Client) newRound(id registerID, pending *batch, proposer *Proposer) (*round, error) {
 	version := c.views.ConfigurationVersion()
 	view, found := c.views.View(id.shard)
 	if !found || len(view.Members) == 0 {
@@ -72,7 +72,7 @@
 		view:      view,
 		version:   version,
 		proposer:  proposer,
-		abandoned: work.empty,
+		abandoned: pending.abandoned,
 	}, nil
 }
 
@@ -82,27 +82,27 @@
 func (r *round) begin(known cacheEntry, failures int) Request {
 	if failures == 0 && known.epoch == r.view.Epoch {
 		r.fromPromise = !known.promise.Ballot.IsZero()
-		return r.proposer.BeginPromised(len(r.view.Members), known.promise)
+		return r.proposer.BeginWithPromise(len(r.view.Members), known.promise)
 	}
-	if failures == 0 && known.counter == 0 && r.client.fresh.isOpen(r.id.shard) {
-		request := r.proposer.BeginFresh(len(r.view.Members))
-		r.isFresh = request.Phase == PhaseAccept
+	if failures == 0 && known.counter == 0 && r.client.fastRounds.allows(r.id.shard) {
+		request := r.proposer.BeginFast(len(r.view.Members))
+		r.isFast = request.Phase == PhaseAccept
 		return request
 	}
 	return r.proposer.Begin(len(r.view.Members))
 }
 
-// judgeFresh makes the shard's registers begin with a prepare for a while, where the
+// updateFastRoundGate makes the shard's registers begin with a prepare for a while, where the
 // fresh round found a member that can't be reached. A member that refused because it
 // holds the register already says nothing about other registers.
-func (r *round) judgeFresh() {
+func (r *round) updateFastRoundGate() {
 	if r.unreachable > 0 {
-		r.client.fresh.close(r.id.shard)
+		r.client.fastRounds.suspend(r.id.shard)
 	}
 }
 
-// pause waits for the backoff after so many failures, or until nobody waits any more.
-func (c *Client) pause(failures int, abandoned <-chan struct{}) {
+// waitBackoff waits for the backoff after so many failures, or until nobody waits any more.
+func (c *Client) waitBackoff(failures int, abandoned <-chan struct{}) {
 	elapsed := make(chan struct{})
 	stop := c.clock.AfterFunc(c.backoff(failures), func() { close(elapsed) })
 	select {
@@ -112,9 +112,9 @@
 	}
 }
 
-// limit returns a context that ends with the request timeout or when nobody
+// requestContext returns a context that ends with the request timeout or when nobody
 // waits any more.
-func (c *Client) limit(abandoned <-chan struct{}) (context.Context, func()) {
+func (c *Client) requestContext(abandoned <-chan struct{}) (context.Context, func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	stop := c.clock.AfterFunc(c.settings.RequestTimeout, cancel)
 	go func() {
--- a/coordination/register/simulation_test.go
+++ b/coordination/register/simulation_test.go
@@ -187,10 +187,10 @@
 		promise = register.Promise{}
 	}
 	if w.fresh && promise.Ballot.IsZero() {
-		w.send(s, s.proposer.BeginFresh(w.size))
+		w.send(s, s.proposer.BeginFast(w.size))
 		return
 	}
-	w.send(s, s.proposer.BeginPromised(w.size, promise))
+	w.send(s, s.proposer.BeginWithPromise(w.size, promise))
 }
 
 func (w *world) retry(s *slot) {
--- a/coordination/register/thrift.go
+++ b/coordination/register/thrift.go
@@ -12,8 +12,8 @@
 	"github.com/marblering/marblering/coordination/reach"
 )
 
-// hedged names the requests of this package in the budget of hedges.
-const hedged = "registers"
+// hedgeKind names the requests of this package in the budget of hedges.
+const hedgeKind = "registers"
 
 // Thrift has a round ask a majority of the members first, and others where these fail
 // or are late (thrifty quorums: I. Moraru, "There Is More Consensus in Egalitarian
@@ -41,7 +41,7 @@
 	if t == nil {
 		return multicast.Hedging{}
 	}
-	return multicast.Hedging{Kind: hedged, Budget: t.Hedges, Reach: t.Reach, Now: t.Now}
+	return multicast.Hedging{Kind: hedgeKind, Budget: t.Hedges, Reach: t.Reach, Now: t.Now}
 }
 
 // Rank orders the members for a key by rendezvous hashing (D. G. Thaler, C. V.
@@ -49,10 +49,10 @@
 // the same ranks, so that they ask the members that hold the key's newest value.
 func Rank(node, key string) uint64 { return xxhash.Sum64String(node + "/" + key) }
 
-// order returns the indexes of the members in the order in which they are asked: the
+// memberOrder returns the indexes of the members in the memberOrder in which they are asked: the
 // local member first, then the others by rank, those that failed lately last. Without
-// Settings.Thrift all are asked at once, in the order of the view.
-func (c *Client) order(view View, key string) []int {
+// Settings.Thrift all are asked at once, in the memberOrder of the view.
+func (c *Client) memberOrder(view View, key string) []int {
 	indexes := make([]int, len(view.Members))
 	for i := range indexes {
 		indexes[i] = i
