--- a/coordination/register/acceptor.go
+++ b/coordination/register/acceptor.go
@@ -2,16 +2,16 @@
 
 import "github.com/marblering/marblering/state/replica"
 
-// Acceptor holds the rules by which a replica answers for one register. It has
-// no state of its own: each method takes the stored state and returns the state
-// to store before the reply is sent. A refused request leaves the state as it
-// was, so nothing needs to be stored for it.
+// Acceptor implements the acceptor role of the protocol for one register. It is
+// stateless: each method takes the stored state and returns the state to store before
+// the reply is sent. A refused request leaves the state unchanged, so nothing needs to
+// be stored for it.
 type Acceptor struct{}
 
-// Prepare promises to refuse every ballot below the given one. The ballot must
-// be above everything promised: a ballot that was promised once is refused, also
-// to its own proposer, so that of all who use one ballot at most one can gather
-// a majority, and a duplicated request can't grant twice.
+// Prepare promises to refuse every ballot below the given one. The ballot must be
+// greater than every ballot promised before: an equal one is refused too, even to its
+// own proposer. At most one of the proposers that share a ballot can therefore gather a
+// majority, and a duplicated request can't be granted twice.
 func (Acceptor) Prepare(state replica.Register, ballot replica.Ballot) (replica.Register, PrepareReply) {
 	if !state.Promised.Less(ballot) || !state.Accepted.Less(ballot) {
 		return state, PrepareReply{Refusal: RefusalBallot, Promised: highest(state)}
@@ -21,9 +21,9 @@
 	return state, reply
 }
 
-// Accept stores the value at the given ballot, unless a higher ballot was
-// promised or the ballot was accepted before, and promises next along with it.
-// A next that is neither zero nor above the ballot is refused.
+// Accept stores the value at the given ballot, unless a higher ballot was promised or
+// the ballot was accepted before, and promises next along with it. A next that is
+// neither zero nor above the ballot is refused.
 func (Acceptor) Accept(state replica.Register, ballot replica.Ballot, value []byte, next replica.Ballot) (replica.Register, AcceptReply) {
 	if ballot.Less(state.Promised) || !state.Accepted.Less(ballot) {
 		return state, AcceptReply{Refusal: RefusalBallot, Promised: highest(state)}
@@ -36,9 +36,9 @@
 	return replica.Register{Promised: next, Accepted: ballot, Value: value}, AcceptReply{}
 }
 
-// Merge combines the states of one register at a majority of the members of a
-// sealed epoch into the state with which a member of the next epoch begins: the
-// highest promise of all and the value accepted at the highest ballot.
+// Merge combines the register states of a majority of the members of a sealed epoch
+// into the initial state of a member of the next epoch: the highest promise of all and
+// the value accepted at the highest ballot.
 func Merge(states ...replica.Register) replica.Register {
 	var merged replica.Register
 	for _, state := range states {
--- a/coordination/register/batch.go
+++ b/coordination/register/batch.go
@@ -7,7 +7,7 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// call is one Apply that waits for its result.
+// call is an Apply that waits for its result.
 type call struct {
 	change Change
 	// done is closed once value and err are set.
@@ -28,8 +28,8 @@
 	return &call{change: change, done: make(chan struct{})}
 }
 
-// abandon gives the call up. Its error says whether the change may still be applied;
-// where the call has finished already, abandon returns its result.
+// abandon ends the call on behalf of its caller. The error says whether the change may
+// still be applied. If the call has already finished, abandon returns its result.
 func (c *call) abandon(cause error) ([]byte, error) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -43,8 +43,8 @@
 	return nil, c.undecidedError(cause)
 }
 
-// undecidedError returns the error of a call that ends without a decision. The caller holds
-// the mutex.
+// undecidedError returns the error of a call that ends without a decision. The caller
+// holds the mutex.
 func (c *call) undecidedError(cause error) error {
 	if c.included {
 		return merry.Wrap(ErrUnknownOutcome, merry.WithCause(cause), merry.AppendMessagef("%v", cause))
@@ -52,8 +52,8 @@
 	return merry.Wrap(ErrNoQuorum, merry.WithCause(cause), merry.AppendMessagef("%v", cause))
 }
 
-// join makes the call part of a batch, and returns false where it was abandoned. Leave
-// is called when the call is abandoned later.
+// join adds the call to a batch and returns false if it was already abandoned. OnAbandon
+// is called if the call is abandoned later.
 func (c *call) join(onAbandon func()) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -61,9 +61,9 @@
 	return !c.abandoned
 }
 
-// evaluate runs the change. Present is false where the call was abandoned, whose change
-// isn't run then. A change of the value counts as included from then on, since the value
-// is sent next.
+// evaluate runs the change. If the call was abandoned, the change isn't run and active is
+// false. A change that modifies the value counts as included from here on, since the
+// value is sent next.
 func (c *call) evaluate(current []byte) (next []byte, refusal error, active bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -101,18 +101,18 @@
 	c.finish(nil, err)
 }
 
-// callResult is what one evaluation of a batch meant for one call.
+// callResult is the result of one evaluation of a batch for one call.
 type callResult struct {
 	call  *call
 	value []byte
 	err   error
 }
 
-// batch applies several calls of one register as one change.
+// batch applies several calls of one register as a single change.
 type batch struct {
 	calls []*call
-	// evaluations holds the results of each evaluation, since a retry may find
-	// that an earlier one was chosen.
+	// evaluations holds the results of each evaluation, since a retry may find that an
+	// earlier one was chosen.
 	evaluations [][]callResult
 
 	mutex sync.Mutex
@@ -134,7 +134,7 @@
 	return b
 }
 
-// countAbandoned notes that one call was abandoned.
+// countAbandoned records that one call was abandoned.
 func (b *batch) countAbandoned() {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -144,8 +144,8 @@
 	}
 }
 
-// change is the Change of the whole batch. Each call works on the value that the one
-// before it left; a call that refuses leaves the value as it was.
+// change is the Change of the whole batch. Each call is evaluated on the value that the
+// previous one returned; a call that refuses leaves the value unchanged.
 func (b *batch) change(current []byte) ([]byte, error) {
 	results := make([]callResult, 0, len(b.calls))
 	value := current
@@ -161,8 +161,8 @@
 	return value, nil
 }
 
-// finish gives each call its result of the evaluation that was chosen, counted from one.
-// A call that had left the batch by that evaluation has its result already.
+// finish gives each call its result from the chosen evaluation, counted from one. Calls
+// that were abandoned before that evaluation have their result already.
 func (b *batch) finish(evaluation int) {
 	for _, result := range b.evaluations[evaluation-1] {
 		if result.err != nil {
--- a/coordination/register/cache.go
+++ b/coordination/register/cache.go
@@ -5,23 +5,23 @@
 	"sync"
 )
 
-// cacheEntry is what a client remembers of a register between two changes.
+// cacheEntry is what a client keeps of a register between two changes.
 type cacheEntry struct {
 	// counter is the highest ballot counter seen.
 	counter uint64
-	// promise was given by members of epoch.
+	// epoch is the epoch whose members gave the promise.
 	epoch   uint64
 	promise Promise
 }
 
-// promiseCache keeps the entries of the registers used last. Forgetting one is safe: a
-// proposer that starts with a lower counter is refused and learns the higher one. It is
-// safe for concurrent use.
+// promiseCache is an LRU cache of register entries, safe for concurrent use. Evicting an
+// entry is safe: a proposer that starts with a lower counter is refused and learns the
+// higher one.
 type promiseCache struct {
 	limit int
 
 	mutex sync.Mutex
-	// order holds cacheItem values, the one used last first.
+	// order holds cacheItem values, most recently used first.
 	order   *list.List
 	entries map[registerID]*list.Element
 }
@@ -35,8 +35,8 @@
 	return &promiseCache{limit: limit, order: list.New(), entries: make(map[registerID]*list.Element)}
 }
 
-// take removes and returns the register's entry, so that a promise is used by
-// one change only.
+// take removes and returns the register's entry, so that a promise is used by one change
+// only.
 func (c *promiseCache) take(id registerID) cacheEntry {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -48,7 +48,7 @@
 	return c.order.Remove(element).(cacheItem).entry
 }
 
-// put remembers the entry as the one used last.
+// put stores the entry as the most recently used one.
 func (c *promiseCache) put(id registerID, entry cacheEntry) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/coordination/register/doc.go
+++ b/coordination/register/doc.go
@@ -1,26 +1,26 @@
-// Package register keeps replicated registers: byte strings that are read and
+// Package register implements replicated registers: byte strings that are read and
 // changed by compare-and-swap over a majority of a shard's members, with no
 // leader and no lease. Each register is an instance of single-decree Paxos
 // whose value may be replaced under higher ballots (CASPaxos: D. Rystsov,
 // "CASPaxos: Replicated State Machines without logs", 2018, arXiv:1802.07000).
 //
-// A change costs one round trip where the same node made the previous change
-// of the register, because the promise for its next ballot rides on the accept;
-// two round trips elsewhere.
+// A change takes one round trip if the same node made the previous change of the
+// register, because the promise for its next ballot is part of the accept; otherwise
+// it takes two.
 //
-// The parts are:
+// The main types are:
 //
-//   - Acceptor: the rules of one replica, a pure function of its register state.
-//   - Proposer: one change of one register, stepped by its caller, without
-//     input or output of its own.
+//   - Acceptor: the acceptor role of one replica, a pure function of its register state.
+//   - Proposer: the proposer role for one change of one register, a state machine that
+//     performs no input or output.
 //   - Client: drives proposers over a Transport, with retries, a queue for each
 //     register and a cache of promises.
 //
-// The package owns the protocol. It relies on a replica that stores register states
-// (coordination/shard on state/replica), a Transport that carries the requests
-// (transport/peer) and Views that know the replica sets (coordination/shard).
+// The package depends on a replica that stores register states (coordination/shard on
+// state/replica), a Transport that sends the requests (transport/peer) and Views that
+// know the replica sets (coordination/shard).
 //
-// # What a caller must know
+// # Requirements for callers
 //
 // A Change may be called several times, and after an accept whose outcome is
 // unknown it may be called with a value that already includes its own effect.
@@ -28,18 +28,18 @@
 // number) and then return the current value or an error of its own. It must not
 // modify its argument, and the slices it returns must not be modified later.
 //
-// The value that is chosen may be that of any of its calls, not of the last one
-// (TestEarlierEvaluationMayStand). What a caller wants to know of its change it
-// reads from the value that Apply returns, never from what the change noted aside.
+// The chosen value may come from any call of the Change, not necessarily the last one.
+// A caller must therefore take the result from the value that Apply returns, never from
+// variables that the Change has set.
 //
 // The configuration version that fences a change is read before the change is
 // called. A change that depends on the configuration must therefore read the
 // configuration inside the function, never before Apply.
 //
-// # What the replicas must guarantee
+// # Requirements for replicas
 //
-//   - The state returned by the Acceptor has reached its medium before the
-//     reply is sent, and load, decision and save of one register are atomic.
+//   - The state returned by the Acceptor is durable before the reply is sent, and
+//     load, decision and save of one register are atomic.
 //   - The fence is checked in the same critical section as the register.
 //   - A replica that has lost its state answers under a new incarnation, so
 //     that the fence refuses every request meant for the old one.
--- a/coordination/register/exchange.go
+++ b/coordination/register/exchange.go
@@ -7,12 +7,12 @@
 	"github.com/marblering/marblering/coordination/multicast"
 )
 
-// exchange is one request of a round under way to the members. It is used by the
-// round's goroutine; requests that it doesn't wait for run on.
+// exchange sends one request of a round to the members and collects the answers. It is
+// used by the round's goroutine. Requests that the round doesn't wait for run on.
 type exchange struct {
 	round   *round
 	request Request
-	// ctx is that of all requests. It ends with the request timeout.
+	// ctx is the context of all requests. It ends with the request timeout.
 	ctx    context.Context
 	cancel context.CancelFunc
 	// expired is closed when the request timeout ends.
@@ -22,16 +22,16 @@
 	order   []int
 	members *multicast.Round
 	answers chan answer
-	// hedgeDue is sent to when the members that were asked take long; nil where all
-	// members are asked at once.
-	hedgeDue     chan struct{}
+	// hedgeDue receives a value when the members asked so far take longer than
+	// Thrift.Delay; nil if all members are asked at once.
+	hedgeDue       chan struct{}
 	stopHedgeTimer func() bool
-	// pending counts the requests under way and the round that waits for them.
+	// pending counts the requests under way, plus one while the round waits for them.
 	pending atomic.Int32
 }
 
 // startExchange sends the request to all members, or to a majority with Settings.Thrift.
-// A fresh round needs the answers of all.
+// A fast round always asks all members, since it needs all answers.
 func (r *round) startExchange(request Request) *exchange {
 	settings := r.client.settings
 	e := &exchange{
@@ -55,7 +55,7 @@
 	return e
 }
 
-// addresses returns the addresses of the members in the order of asking.
+// addresses returns the addresses of the members in the order in which they are asked.
 func (e *exchange) addresses() []string {
 	addresses := make([]string, len(e.order))
 	for position, member := range e.order {
@@ -64,7 +64,7 @@
 	return addresses
 }
 
-// send starts the request to the member at the place in the order of asking.
+// send starts the request to the member at the position in the order.
 func (e *exchange) send(position int) {
 	e.pending.Add(1)
 	go func() {
@@ -75,8 +75,7 @@
 	}()
 }
 
-// startHedgeTimer starts the time that the members that were asked have to answer, where
-// others are left.
+// startHedgeTimer starts the timer of the next hedge, unless all members were asked.
 func (e *exchange) startHedgeTimer() {
 	if e.members.Left() == 0 {
 		return
@@ -89,15 +88,15 @@
 	})
 }
 
-// hedge asks one member more, where the budget allows it. A hedge that is refused was
-// the exchange's last one.
+// hedge asks one more member if the budget allows it. A refused hedge ends hedging for
+// this exchange.
 func (e *exchange) hedge() {
 	if e.members.Hedge() {
 		e.startHedgeTimer()
 	}
 }
 
-// recordAnswer notes that the member has answered, with a refusal perhaps, or failed.
+// recordAnswer records that the member has answered or that its request has failed.
 func (e *exchange) recordAnswer(received answer) {
 	e.members.Answered(received.position)
 	thrift := e.round.client.settings.Thrift
@@ -121,7 +120,7 @@
 }
 
 // finish ends the round's wait for answers. Requests under way go on, so that members
-// that are slower than the majority keep up.
+// slower than the majority still receive the value.
 func (e *exchange) finish() {
 	if e.stopHedgeTimer != nil {
 		e.stopHedgeTimer()
@@ -129,7 +128,7 @@
 	e.release()
 }
 
-// release frees the timer and the context once nothing is under way any more.
+// release frees the timer and the context once no request is under way.
 func (e *exchange) release() {
 	if e.pending.Add(-1) == 0 {
 		e.stopTimer()
--- a/coordination/register/fresh.go
+++ b/coordination/register/fresh.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// fastRoundCooldown is how long a shard's registers begin with a prepare after a member didn't
-// accept a fresh change in time (chosen, not measured).
+// fastRoundCooldown is how long a shard's rounds begin with a prepare after a fast round
+// in which some member didn't answer.
 const fastRoundCooldown = 2 * time.Second
 
-// fastRoundGate says in which shards changes may skip the prepare. A fresh change needs an
-// answer of every member, so that while one is slow or away, each would wait for the
-// whole patience in vain. It is safe for concurrent use.
+// fastRoundGate decides in which shards a change may skip the prepare. A fast round needs
+// an answer from every member, so while one is slow or unreachable, each fast round would
+// wait for the whole timeout in vain. It is safe for concurrent use.
 type fastRoundGate struct {
 	timeout time.Duration
-	clock    Clock
+	clock   Clock
 
 	mutex sync.Mutex
-	// suspended are the shards in which no change may skip the prepare for now.
+	// suspended holds the shards in which no change may skip the prepare for now.
 	suspended map[uint32]bool
 }
 
@@ -35,7 +35,7 @@
 	return !g.suspended[shard]
 }
 
-// suspend keeps the shard's changes from skipping the prepare for freshPause.
+// suspend disables fast rounds in the shard for fastRoundCooldown.
 func (g *fastRoundGate) suspend(shard uint32) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
--- a/coordination/register/message.go
+++ b/coordination/register/message.go
@@ -6,30 +6,30 @@
 	"github.com/marblering/marblering/state/replica"
 )
 
-// Refusal says why a replica refused a request. The numbers are those of
+// Refusal says why a replica refused a request. The values are those of
 // marblering.peer.v1.Refusal.
 type Refusal uint32
 
-// Refusals of a replica; RefusalNone means that the request was granted.
+// Reasons for a refusal; RefusalNone means that the request was granted.
 const (
 	RefusalNone Refusal = 0
-	// RefusalBallot: a higher ballot was promised or an equal one was used.
+	// RefusalBallot: a higher ballot was promised, or the ballot was used before.
 	RefusalBallot Refusal = 1
-	// RefusalEpoch: the request names another epoch than the replica serves.
+	// RefusalEpoch: the request names an epoch other than the replica's.
 	RefusalEpoch Refusal = 2
 	// RefusalSealed: the epoch has ended at this replica.
 	RefusalSealed Refusal = 3
 	// RefusalConfiguration: the replica knows a newer configuration.
 	RefusalConfiguration Refusal = 4
-	// RefusalIncarnation: the request is meant for another life of the node.
+	// RefusalIncarnation: the request is meant for another incarnation of the node.
 	RefusalIncarnation Refusal = 5
-	// RefusalNotReady: the replica has not been installed or opened yet.
+	// RefusalNotReady: the replica hasn't been installed or opened yet.
 	RefusalNotReady Refusal = 6
-	// RefusalStorage: the replica's medium failed.
+	// RefusalStorage: the replica's storage failed.
 	RefusalStorage Refusal = 7
 )
 
-// refusalNames are the names by number.
+// refusalNames holds the names of the refusals by value.
 var refusalNames = [...]string{
 	"none", "ballot", "epoch", "sealed", "configuration", "incarnation", "not ready", "storage",
 }
@@ -42,29 +42,29 @@
 	return "unknown refusal"
 }
 
-// Member is one replica of a shard: one life of one node.
+// Member is one replica of a shard: one incarnation of a node.
 type Member struct {
-	// Node is the node's name, Incarnation the id of its life.
+	// Node is the name of the node, Incarnation the id of its incarnation.
 	Node        string
 	Incarnation string
-	// Address is host:port of the node's internal protocol.
+	// Address is the host:port of the node's internal protocol.
 	Address string
 	Zone    string
 }
 
-// View is one epoch of a shard's replica set.
+// View is the replica set of a shard in one epoch.
 type View struct {
 	Shard uint32
-	// Epoch counts the replica sets of the shard, from one.
+	// Epoch is the number of the replica set within its shard, from one.
 	Epoch   uint64
 	Members []Member
 }
 
-// ErrRepeatedMember means that a view counts one node, or one replica, twice.
-var ErrRepeatedMember = merry.Sentinel("register: a view names a node twice")
+// ErrRepeatedMember means that a view contains a node or an incarnation twice.
+var ErrRepeatedMember = merry.Sentinel("register: the view contains a node twice")
 
-// Validate refuses a view that counts one node twice, such as its old and its new
-// incarnation: a majority of such a view may be a minority of the disks.
+// Validate returns ErrRepeatedMember for a view that counts a node twice, such as its old
+// and its new incarnation: a majority of such a view may be a minority of the nodes.
 func (v View) Validate() error {
 	for index, member := range v.Members {
 		for _, earlier := range v.Members[:index] {
@@ -81,8 +81,8 @@
 
 func quorum(members int) int { return members/2 + 1 }
 
-// Fence travels with every request to a replica, which refuses a request for
-// another incarnation or epoch, or under an older configuration than its own.
+// Fence is part of every request to a replica. The replica refuses requests for another
+// incarnation or epoch, and those with an older configuration than its own.
 type Fence struct {
 	Shard                uint32
 	Epoch                uint64
@@ -101,20 +101,20 @@
 // PrepareReply answers a PrepareRequest.
 type PrepareReply struct {
 	Refusal Refusal
-	// Promised is the highest promised ballot; set where Refusal is
+	// Promised is the highest promised or accepted ballot; set if Refusal is
 	// RefusalBallot.
 	Promised replica.Ballot
-	// Accepted and Value are what the replica accepted last, where it grants.
+	// Accepted and Value are the ballot and the value that the replica accepted last;
+	// set if the request is granted.
 	Accepted replica.Ballot
 	Value    []byte
 	// View is the newest view of the shard that the replica knows, or nil.
 	View *View
-	// ConfigurationVersion is the newest that the replica knows.
+	// ConfigurationVersion is the newest version that the replica knows.
 	ConfigurationVersion uint64
 }
 
-// AcceptRequest asks the replica to accept Value at Ballot and, along with it,
-// to promise Next.
+// AcceptRequest asks the replica to accept Value at Ballot and to promise Next.
 type AcceptRequest struct {
 	Fence  Fence
 	Key    string
--- a/coordination/register/round.go
+++ b/coordination/register/round.go
@@ -7,17 +7,16 @@
 	"github.com/marblering/marblering/state/replica"
 )
 
-// answer is what came back from one member: a reply to the request of the phase, or an
-// error.
+// answer is a member's reply to the request of the phase, or the error of that request.
 type answer struct {
 	member int
-	// position is the member's position in the order in which members were asked.
-	position   int
-	phase   Phase
-	ballot  replica.Ballot
-	prepare PrepareReply
-	accept  AcceptReply
-	err     error
+	// position is the member's position in the order in which members are asked.
+	position int
+	phase    Phase
+	ballot   replica.Ballot
+	prepare  PrepareReply
+	accept   AcceptReply
+	err      error
 }
 
 func (a answer) refusal() Refusal {
@@ -41,9 +40,9 @@
 	return a.accept.ConfigurationVersion
 }
 
-// needsReplacement reports whether another member is to be asked in this one's place. A
-// member that has promised a higher ballot is no reason to: the next round uses a
-// ballot above that one.
+// needsReplacement reports whether another member must be asked instead of this one. If
+// the member has promised a higher ballot, asking another one is no use: the next round
+// has to use a ballot above that one.
 func (a answer) needsReplacement() bool {
 	return a.err != nil || a.refusal() != RefusalNone && a.refusal() != RefusalBallot
 }
@@ -59,32 +58,33 @@
 	}
 }
 
-// round is one attempt to carry out a batch, against one view and one configuration
-// version. It is used by one goroutine.
+// round is one attempt to apply a batch with one view and one configuration version. It
+// is used by one goroutine.
 type round struct {
 	client   *Client
 	id       registerID
 	view     View
 	version  uint64
 	proposer *Proposer
-	// abandoned is closed when nobody waits for the result any more.
+	// abandoned is closed when no caller waits for the result any more.
 	abandoned <-chan struct{}
 
-	// fromPromise is set where the round began with the promise of an earlier change.
-	// If it fails, another node has most likely changed the register in between and has
-	// finished, so that the next round needn't wait.
+	// fromPromise is set if the round began with the promise of an earlier change. If the
+	// round fails, another node has most likely completed a change in between, so that the
+	// next round needs no backoff.
 	fromPromise bool
-	// isFast is set where the round began without a prepare and without a promise.
-	// All members must grant its request.
+	// isFast is set if the round began without a prepare and without a promise. All
+	// members must grant its request.
 	isFast bool
-	// answered and unreachable count members that were sent the current request.
+	// answered and unreachable count the members that have answered the current request
+	// or can't be reached.
 	answered    int
 	unreachable int
 	// newestView and newestVersion are the newest view and configuration version that
-	// members have named.
+	// members have reported.
 	newestView    View
 	newestVersion uint64
-	// lastFailure is what went wrong last at a member.
+	// lastFailure is the most recent failure of a member.
 	lastFailure error
 }
 
@@ -99,9 +99,9 @@
 	}
 }
 
-// exchange sends one request to the members and feeds the answers to the proposer until
-// it says how to go on. It returns StatusRetry where time is over, no member is left to
-// answer or nobody waits for the result any more.
+// exchange sends one request to the members and passes the answers to the proposer until
+// it returns the next step. It returns StatusRetry if the time is over, if all members
+// that were asked have answered, or if no caller waits for the result any more.
 func (r *round) exchange(request Request) (Request, Status) {
 	sent := r.startExchange(request)
 	defer sent.finish()
@@ -132,7 +132,7 @@
 	return Request{}, StatusRetry
 }
 
-// handleAnswer feeds an answer to the proposer and asks another member where this one can't
+// handleAnswer passes an answer to the proposer and asks another member if this one can't
 // grant the request.
 func (r *round) handleAnswer(sent *exchange, received answer) (Request, Status) {
 	r.recordAnswer(received)
@@ -147,8 +147,8 @@
 // handleTimeout ends the wait for the members that haven't answered.
 func (r *round) handleTimeout(sent *exchange) {
 	if r.isFast {
-		// Patience is short: the members aren't counted as unreachable, since an
-		// ordinary round may well find a majority.
+		// The timeout of a fast round is short: the members don't count as unreachable, since
+		// an ordinary round may well find a majority.
 		r.client.fastRounds.suspend(r.id.shard)
 		return
 	}
@@ -181,7 +181,7 @@
 	return result
 }
 
-// stepProposer hands the answer to the proposer.
+// stepProposer passes the answer to the proposer.
 func (r *round) stepProposer(received answer) (Request, Status) {
 	switch {
 	case received.err != nil:
@@ -193,7 +193,7 @@
 	}
 }
 
-// recordAnswer keeps what the answer says beyond the register itself.
+// recordAnswer records the failure, view and configuration version of the answer.
 func (r *round) recordAnswer(received answer) {
 	r.answered++
 	if received.isUnreachable() {
@@ -213,14 +213,14 @@
 	r.newestVersion = max(r.newestVersion, received.configurationVersion())
 }
 
-// hasLostMajority reports whether too few members can take part at all.
+// hasLostMajority reports whether too few members are reachable for a majority.
 func (r *round) hasLostMajority() bool {
 	return len(r.view.Members)-r.unreachable < r.view.Quorum()
 }
 
-// learnNewerView passes on the newer view and configuration that members have named. It returns
-// true where this node now knows newer ones than the round used, so that another round
-// makes sense at once.
+// learnNewerView passes on the newer view and configuration version that members have
+// reported. It returns true if this node now knows newer ones than the round used, so that
+// the next round needs no backoff.
 func (r *round) learnNewerView() bool {
 	views := r.client.views
 	if r.newestView.Epoch > r.view.Epoch {
--- a/coordination/register/run.go
+++ b/coordination/register/run.go
@@ -6,7 +6,7 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// runBatch carries out the calls as one change and gives each its result.
+// runBatch applies the calls as one change and gives each its result.
 func (c *Client) runBatch(id registerID, calls []*call) {
 	pending := newBatch(calls)
 	known := c.cache.take(id)
@@ -26,9 +26,9 @@
 }
 
 // runRounds repeats rounds until one succeeds, Settings.Attempts rounds found no majority
-// or nobody waits any more. It returns the epoch of the round that succeeded.
+// or no caller waits any more. It returns the epoch of the round that succeeded.
 func (c *Client) runRounds(id registerID, pending *batch, proposer *Proposer, known cacheEntry) (uint64, error) {
-	// withoutMajority counts the rounds that found no majority, failures all that failed.
+	// withoutMajority counts the rounds that found no majority, failures all failed ones.
 	withoutMajority := 0
 	for failures := 0; ; {
 		attempt, err := c.newRound(id, pending, proposer)
@@ -52,19 +52,19 @@
 			c.waitBackoff(failures, pending.abandoned)
 		}
 		if pending.isAbandoned() {
-			return 0, merry.New("every caller gave up")
+			return 0, merry.New("every caller abandoned its change")
 		}
 	}
 }
 
-// newRound makes a round of the newest view. It reads the configuration version before
-// the round calls the change, so that the fence never names a newer configuration than
-// the change has seen.
+// newRound returns a round over the newest view. It reads the configuration version before
+// the round calls the change, so that the fence never names a newer configuration than the
+// change has seen.
 func (c *Client) newRound(id registerID, pending *batch, proposer *Proposer) (*round, error) {
 	version := c.views.ConfigurationVersion()
 	view, found := c.views.View(id.shard)
 	if !found || len(view.Members) == 0 {
-		return nil, merry.Errorf("no replica set of shard %d is known", id.shard)
+		return nil, merry.Errorf("the replica set of shard %d is unknown", id.shard)
 	}
 	return &round{
 		client:    c,
@@ -77,8 +77,9 @@
 }
 
 // begin starts the proposer's round and returns its first request. The first round of a
-// batch uses the promise of an earlier change, unless that is of another epoch, which
-// has other members, or skips the prepare where the register is most likely new.
+// batch uses the promise of an earlier change in the same epoch; a promise of another
+// epoch was given by other members. If the register is most likely new, the first round
+// skips the prepare.
 func (r *round) begin(known cacheEntry, failures int) Request {
 	if failures == 0 && known.epoch == r.view.Epoch {
 		r.fromPromise = !known.promise.Ballot.IsZero()
@@ -92,16 +93,17 @@
 	return r.proposer.Begin(len(r.view.Members))
 }
 
-// updateFastRoundGate makes the shard's registers begin with a prepare for a while, where the
-// fresh round found a member that can't be reached. A member that refused because it
-// holds the register already says nothing about other registers.
+// updateFastRoundGate suspends fast rounds in the shard if this one found an unreachable
+// member. A member that refused because it already holds the register says nothing about
+// other registers.
 func (r *round) updateFastRoundGate() {
 	if r.unreachable > 0 {
 		r.client.fastRounds.suspend(r.id.shard)
 	}
 }
 
-// waitBackoff waits for the backoff after so many failures, or until nobody waits any more.
+// waitBackoff waits for the backoff after the given number of failures, or until no caller
+// waits any more.
 func (c *Client) waitBackoff(failures int, abandoned <-chan struct{}) {
 	elapsed := make(chan struct{})
 	stop := c.clock.AfterFunc(c.backoff(failures), func() { close(elapsed) })
@@ -112,7 +114,7 @@
 	}
 }
 
-// requestContext returns a context that ends with the request timeout or when nobody
+// requestContext returns a context that ends with the request timeout or when no caller
 // waits any more.
 func (c *Client) requestContext(abandoned <-chan struct{}) (context.Context, func()) {
 	ctx, cancel := context.WithCancel(context.Background())
--- a/coordination/register/thrift.go
+++ b/coordination/register/thrift.go
@@ -12,31 +12,31 @@
 	"github.com/marblering/marblering/coordination/reach"
 )
 
-// hedgeKind names the requests of this package in the budget of hedges.
+// hedgeKind identifies the requests of this package in the hedge budget.
 const hedgeKind = "registers"
 
-// Thrift has a round ask a majority of the members first, and others where these fail
-// or are late (thrifty quorums: I. Moraru, "There Is More Consensus in Egalitarian
-// Parliaments", 2013). It takes about half of the requests, bytes and writes of asking
-// all; docs/design/platform.md has the measurement. A value is chosen by a majority
-// either way; copies beyond the majority are given up.
+// Thrift configures thrifty quorums: a round asks a majority of the members first, and
+// others if these fail or are late (I. Moraru, "There Is More Consensus in Egalitarian
+// Parliaments", 2013). This takes about half of the requests, bytes and writes of asking
+// all members. A value is still chosen by a majority; what is saved are the copies beyond
+// it. docs/design/platform.md has the measurement.
 type Thrift struct {
-	// Local is the incarnation of the member in this process, which is asked first;
-	// empty for none.
+	// Local is the incarnation of the member in this process, which is asked first; empty
+	// if there is none.
 	Local string
-	// Delay is how long members may take before another one is asked as well.
+	// Delay is the time after which another member is asked if those asked are late.
 	Delay time.Duration
-	// Reach is told which members answer, and says which to ask last.
+	// Reach records which members answer and determines which to ask last.
 	Reach *reach.Tracker
-	// Hedges bounds the requests that are sent because members are late. Members that
-	// are late together are overloaded, and more requests would make that worse.
+	// Hedges limits the requests that are sent because members are late. If all members
+	// are late, they are overloaded, and more requests would make that worse.
 	Hedges *limit.RetryBudget
-	// Now is the clock of the budget.
+	// Now is the clock of the hedge budget.
 	Now func() time.Time
 }
 
-// hedging returns what the exchanges of a client share. The zero value suits those that
-// ask all members at once.
+// hedging returns the hedging configuration that a client's exchanges share; zero if all
+// members are asked at once.
 func (t *Thrift) hedging() multicast.Hedging {
 	if t == nil {
 		return multicast.Hedging{}
@@ -44,14 +44,14 @@
 	return multicast.Hedging{Kind: hedgeKind, Budget: t.Hedges, Reach: t.Reach, Now: t.Now}
 }
 
-// Rank orders the members for a key by rendezvous hashing (D. G. Thaler, C. V.
-// Ravishankar, 1998); the member with the highest rank is asked first. All nodes compute
-// the same ranks, so that they ask the members that hold the key's newest value.
+// Rank ranks a node for a key by rendezvous hashing (D. G. Thaler, C. V. Ravishankar,
+// 1998); the node with the highest rank is asked first. All nodes compute the same ranks,
+// so they ask the members that hold the key's newest value.
 func Rank(node, key string) uint64 { return xxhash.Sum64String(node + "/" + key) }
 
-// memberOrder returns the indexes of the members in the memberOrder in which they are asked: the
-// local member first, then the others by rank, those that failed lately last. Without
-// Settings.Thrift all are asked at once, in the memberOrder of the view.
+// memberOrder returns the indexes of the members in the order in which they are asked: the
+// local member first, then the others by rank, with those that failed lately last. Without
+// Settings.Thrift all are asked at once, in the order of the view.
 func (c *Client) memberOrder(view View, key string) []int {
 	indexes := make([]int, len(view.Members))
 	for i := range indexes {
