--- a/coordination/register/acceptor_test.go
+++ b/coordination/register/acceptor_test.go
@@ -57,7 +57,7 @@
 	}
 }
 
-func TestMergeKeepsHighestPromiseAndHighestValue(t *testing.T) {
+func TestMergeKeepsHighestPromiseAndHighestAcceptedValue(t *testing.T) {
 	merged := register.Merge(
 		replica.Register{Promised: ballot(9, "a"), Accepted: ballot(2, "a"), Value: []byte("older")},
 		replica.Register{Promised: ballot(5, "b"), Accepted: ballot(4, "b"), Value: []byte("newer")},
--- a/coordination/register/bench_test.go
+++ b/coordination/register/bench_test.go
@@ -12,22 +12,22 @@
 	"github.com/marblering/marblering/coordination/register"
 )
 
-// recordSize is the assumed size of a register's value, in bytes.
-const recordSize = 2048
+// valueSize is the assumed size of a register's value, in bytes.
+const valueSize = 2048
 
 var errRefusedByChange = errors.New("refused by the change")
 
-// rewrite returns a new value of the recordSize on each call.
+// rewrite returns a new value of valueSize bytes on each call.
 func rewrite(current []byte) ([]byte, error) {
-	next := make([]byte, recordSize)
+	next := make([]byte, valueSize)
 	copy(next, current)
 	binary.LittleEndian.PutUint64(next, binary.LittleEndian.Uint64(next)+1)
 	return next, nil
 }
 
-// BenchmarkApply measures changes over a transport without latency. Requests
-// counts the requests to all three members and value-B the bytes of values that
-// they and their answers carry, both for one change.
+// BenchmarkApply measures changes over a transport without latency. requests/op counts
+// the requests to all three members for one change, value-B/op the bytes of the values in
+// these requests and their answers.
 func BenchmarkApply(b *testing.B) {
 	for _, test := range []struct {
 		name      string
@@ -81,14 +81,14 @@
 	}
 }
 
-// BenchmarkEncodedSize reports the encoded sizes of the messages of one member
-// for a value of recordSize, without the headers of the transport.
+// BenchmarkEncodedSize reports the encoded size of each message to or from one member for
+// a value of valueSize bytes, without the headers of the transport.
 func BenchmarkEncodedSize(b *testing.B) {
 	const incarnation = "node-1-0123456789abcdef"
 	key := "program/0123456789abcdef0123456789abcdef"
 	fence := &peerv1.Fence{Shard: 200, Epoch: 3, ConfigurationVersion: 1000, Replica: incarnation}
 	first := &peerv1.Ballot{Counter: 1000, Proposer: incarnation}
-	value := make([]byte, recordSize)
+	value := make([]byte, valueSize)
 	for unit, message := range map[string]proto.Message{
 		"prepare-request-B":  &peerv1.PrepareRequest{Fence: fence, Key: key, Ballot: first},
 		"prepare-response-B": &peerv1.PrepareResponse{Accepted: first, Value: value, ConfigurationVersion: 1000},
--- a/coordination/register/client.go
+++ b/coordination/register/client.go
@@ -48,9 +48,9 @@
 type Settings struct {
 	// RequestTimeout limits one request to one member.
 	RequestTimeout time.Duration
-	// Attempts limits the rounds that fail because too few members answered. Rounds lost
+	// MaxAttempts limits the rounds that fail because too few members answered. Rounds lost
 	// to a higher ballot, a newer epoch or a newer configuration don't count.
-	Attempts int
+	MaxAttempts int
 	// BackoffBase is the longest wait after the first failed round. It doubles with each
 	// further one, up to BackoffLimit. The wait is uniform between zero and that value.
 	BackoffBase  time.Duration
@@ -58,8 +58,8 @@
 	// CachedRegisters limits the number of registers whose last value and promise are
 	// cached, so that their next change takes one round trip.
 	CachedRegisters int
-	// Batch limits the number of queued changes that share one round.
-	Batch int
+	// MaxBatch limits the number of queued changes that share one round.
+	MaxBatch int
 	// FreshPatience is the time in which all members must accept the first change of a
 	// register without a prepare (Proposer.BeginFast); zero disables such fast rounds.
 	// They suit registers that are numerous, mostly new, and changed by one node first.
@@ -72,11 +72,11 @@
 func DefaultSettings() Settings {
 	return Settings{
 		RequestTimeout:  time.Second,
-		Attempts:        6,
+		MaxAttempts:     6,
 		BackoffBase:     10 * time.Millisecond,
 		BackoffLimit:    250 * time.Millisecond,
 		CachedRegisters: 4096,
-		Batch:           64,
+		MaxBatch:        64,
 	}
 }
 
@@ -140,7 +140,7 @@
 //   - ErrUnknownOutcome: the change may have been applied, or may be later.
 //
 // If an accept was sent and its outcome is unknown, Apply retries at higher ballots to
-// find out, until ctx ends or Settings.Attempts rounds found no majority. The package
+// find out, until ctx ends or Settings.MaxAttempts rounds found no majority. The package
 // comment says what this requires of the change. When ctx ends, Apply returns at once; a
 // change that no request includes by then is never applied.
 func (c *Client) Apply(ctx context.Context, shard uint32, key string, change Change) ([]byte, error) {
@@ -189,7 +189,7 @@
 		delete(c.queues, id)
 		return nil
 	}
-	size := min(len(waiting), max(c.settings.Batch, 1))
+	size := min(len(waiting), max(c.settings.MaxBatch, 1))
 	c.queues[id] = waiting[size:]
 	return waiting[:size]
 }
--- a/coordination/register/client_test.go
+++ b/coordination/register/client_test.go
@@ -28,27 +28,27 @@
 	return []byte(strconv.Itoa(number + 1)), nil
 }
 
-// TestClientsUnderFaults lets concurrent clients append tags while every request
-// may fail before or after its effect. A change that is reported as applied must be
-// in the value exactly once, one that is reported as not applied must not be in it.
+// TestClientsUnderFaults lets concurrent clients append tags while every request may fail
+// before or after it takes effect. A change that is reported as applied must be in the
+// value exactly once, one that is reported as not applied must not be in it.
 func TestClientsUnderFaults(t *testing.T) {
-	makers := map[string]func(incarnation string, cluster *memoryCluster) *register.Client{
+	constructors := map[string]func(incarnation string, cluster *memoryCluster) *register.Client{
 		"all at once": newTestClient,
 		"thrifty": func(incarnation string, cluster *memoryCluster) *register.Client {
 			return newThriftyClient(incarnation, cluster, cluster)
 		},
 	}
-	for name, newClient := range makers {
-		t.Run(name, func(t *testing.T) { clientsUnderFaults(t, newClient) })
+	for name, newClient := range constructors {
+		t.Run(name, func(t *testing.T) { testClientsUnderFaults(t, newClient) })
 	}
 }
 
-func clientsUnderFaults(t *testing.T, newClient func(incarnation string, cluster *memoryCluster) *register.Client) {
+func testClientsUnderFaults(t *testing.T, newClient func(incarnation string, cluster *memoryCluster) *register.Client) {
 	const clients, changes = 3, 60
 	cluster := newMemoryCluster("a", "b", "c")
 	cluster.setLoss(15)
 	var mutex sync.Mutex
-	told := make(map[string]error)
+	results := make(map[string]error)
 	var group sync.WaitGroup
 	var proposers [clients]*register.Client
 	for index := range proposers {
@@ -61,14 +61,14 @@
 			_, err := client.Apply(context.Background(), 0, "key", op.change)
 			mutex.Lock()
 			defer mutex.Unlock()
-			told[op.tag] = err
+			results[op.tag] = err
 		})
 	}
 	group.Wait()
 	cluster.setLoss(0)
 	value, err := newClient("reader", cluster).Read(context.Background(), 0, "key")
 	assert.NilError(t, err)
-	for tag, err := range told {
+	for tag, err := range results {
 		count := strings.Count(string(value), tag)
 		switch {
 		case err == nil:
@@ -82,9 +82,9 @@
 	}
 }
 
-// TestOwnValueIsFinished shows that a sole proposer applies even a change that
-// can't recognise its own effect once only.
-func TestOwnValueIsFinished(t *testing.T) {
+// TestOwnProposalIsAppliedOnce checks that a sole proposer applies a change only once even
+// if the change can't recognise its own effect.
+func TestOwnProposalIsAppliedOnce(t *testing.T) {
 	cluster := newMemoryCluster("a", "b", "c")
 	client := newTestClient("client", cluster)
 	dropped := false
@@ -104,7 +104,7 @@
 	client := newTestClient("client", cluster)
 	_, err := client.Apply(context.Background(), 0, "key", increment)
 	assert.NilError(t, err)
-	cluster.beginEpoch(2, 7)
+	cluster.setMemberEpoch(2, 7)
 	value, err := client.Apply(context.Background(), 0, "key", increment)
 	assert.NilError(t, err)
 	assert.Equal(t, string(value), "2")
@@ -112,8 +112,8 @@
 	view, _ := cluster.View(0)
 	assert.Equal(t, view.Epoch, uint64(2))
 
-	// A promise of the members of one epoch isn't used in the next.
-	cluster.beginEpoch(3, 7)
+	// A promise from the members of one epoch isn't used in the next.
+	cluster.setMemberEpoch(3, 7)
 	cluster.Learn(register.View{Epoch: 3, Members: view.Members})
 	before, _, _ := cluster.counts()
 	_, err = client.Apply(context.Background(), 0, "key", increment)
@@ -122,7 +122,8 @@
 	assert.Assert(t, after >= before+2)
 }
 
-// TestStalePromise lets another client change the register between two changes.
+// TestStalePromise has another client change the register between two changes, so that
+// the cached promise is outdated.
 func TestStalePromise(t *testing.T) {
 	cluster := newMemoryCluster("a", "b", "c")
 	first, second := newTestClient("first", cluster), newTestClient("second", cluster)
@@ -133,7 +134,7 @@
 	}
 }
 
-// queuedContext closes queued when Apply waits for the result.
+// queuedContext closes queued once Apply waits for the result.
 type queuedContext struct {
 	context.Context
 	queued chan struct{}
@@ -145,8 +146,8 @@
 	return c.Context.Done()
 }
 
-// TestWithdrawnChangeIsNeverApplied ends a call that waits behind another one,
-// either in the queue or in the same batch.
+// TestWithdrawnChangeIsNeverApplied cancels a call that waits behind another one, either
+// in the queue or in the same batch.
 func TestWithdrawnChangeIsNeverApplied(t *testing.T) {
 	for _, test := range []struct {
 		name  string
@@ -158,7 +159,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			cluster := newMemoryCluster("a", "b", "c")
 			settings := register.DefaultSettings()
-			settings.Batch = test.batch
+			settings.MaxBatch = test.batch
 			client := register.NewClient("client", cluster, cluster, register.SystemClock{}, rand.New(rand.NewPCG(1, 1)), settings)
 			started, release, withdrawn := make(chan struct{}), make(chan struct{}), make(chan struct{})
 			ctx, cancel := context.WithCancel(context.Background())
@@ -174,7 +175,7 @@
 				})
 				<-queued.queued
 			}
-			// The first keeps the register busy until the others wait.
+			// The first call keeps the register busy until the others wait.
 			apply(context.Background(), func(current []byte) ([]byte, error) {
 				close(started)
 				<-release
@@ -196,14 +197,14 @@
 	}
 }
 
-func TestSteadyChangeCostsOneRoundTrip(t *testing.T) {
+func TestRepeatedChangeTakesOneRoundTrip(t *testing.T) {
 	cluster := newMemoryCluster("a", "b", "c")
 	client := newTestClient("client", cluster)
 	for range 10 {
 		_, err := client.Apply(context.Background(), 0, "key", increment)
 		assert.NilError(t, err)
 	}
-	// The slowest member's requests may still be under way.
+	// The requests to the slowest member may still be under way.
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if prepares, accepts, _ := cluster.counts(); prepares+accepts < 33 {
 			return poll.Continue("%d prepares and %d accepts", prepares, accepts)
@@ -227,33 +228,33 @@
 		t.Run(test.name, func(t *testing.T) {
 			cluster := newMemoryCluster("a", "b", "c")
 			client := newTestClient("client", cluster)
-			cut := func([]byte) ([]byte, error) {
+			failMajority := func([]byte) ([]byte, error) {
 				cluster.setFailure(test.dropAnswer, "a", "b")
 				return []byte("value"), nil
 			}
 			if !test.dropAnswer {
-				_, _ = cut(nil)
+				_, _ = failMajority(nil)
 			}
-			_, err := client.Apply(context.Background(), 0, "key", cut)
+			_, err := client.Apply(context.Background(), 0, "key", failMajority)
 			assert.ErrorIs(t, err, test.expected)
 			assert.ErrorIs(t, err, errLost)
 		})
 	}
 }
 
-// newFreshClient makes a client that skips the prepare of new registers.
-func newFreshClient(incarnation string, cluster *memoryCluster) *register.Client {
+// newFastRoundClient returns a client that skips the prepare for new registers.
+func newFastRoundClient(incarnation string, cluster *memoryCluster) *register.Client {
 	settings := register.DefaultSettings()
 	settings.BackoffBase = time.Microsecond
 	settings.FreshPatience = time.Minute
 	return register.NewClient(incarnation, cluster, cluster, register.SystemClock{}, rand.New(rand.NewPCG(1, 1)), settings)
 }
 
-// TestFreshChangeTakesOneRoundTrip: the first change of a register skips the prepare, and
-// so does the next one.
-func TestFreshChangeTakesOneRoundTrip(t *testing.T) {
+// TestFirstChangeTakesOneRoundTrip checks that neither the first change of a register nor
+// the next ones send a prepare.
+func TestFirstChangeTakesOneRoundTrip(t *testing.T) {
 	cluster := newMemoryCluster("a", "b", "c")
-	client := newFreshClient("client", cluster)
+	client := newFastRoundClient("client", cluster)
 	for want := range 3 {
 		value, err := client.Apply(context.Background(), 0, "key", increment)
 		assert.NilError(t, err)
@@ -266,13 +267,14 @@
 	assert.Equal(t, string(value), "3")
 }
 
-// TestFreshChangeOfAKnownRegister: where the register has a value already, the change is
-// made on that value, and changes of other registers still skip the prepare.
-func TestFreshChangeOfAKnownRegister(t *testing.T) {
+// TestFastRoundOnExistingRegister checks that a change which attempts a fast round on an
+// existing register applies to its value, and that changes of other registers still skip
+// the prepare.
+func TestFastRoundOnExistingRegister(t *testing.T) {
 	cluster := newMemoryCluster("a", "b", "c")
-	_, err := newFreshClient("first", cluster).Apply(context.Background(), 0, "key", increment)
+	_, err := newFastRoundClient("first", cluster).Apply(context.Background(), 0, "key", increment)
 	assert.NilError(t, err)
-	second := newFreshClient("second", cluster)
+	second := newFastRoundClient("second", cluster)
 	value, err := second.Apply(context.Background(), 0, "key", increment)
 	assert.NilError(t, err)
 	assert.Equal(t, string(value), "2")
@@ -283,14 +285,14 @@
 	assert.Equal(t, after, before)
 }
 
-// TestLostMemberEndsFreshChanges: where not all members accept, the change is
-// made by a majority, and the next ones begin with a prepare at once.
-func TestLostMemberEndsFreshChanges(t *testing.T) {
+// TestUnreachableMemberSuspendsFastRounds checks that a change that not all members accept
+// is made by a majority, and that the next changes begin with a prepare.
+func TestUnreachableMemberSuspendsFastRounds(t *testing.T) {
 	for name, dropAnswer := range map[string]bool{"lost": false, "answers lost": true} {
 		t.Run(name, func(t *testing.T) {
 			cluster := newMemoryCluster("a", "b", "c")
 			cluster.setFailure(dropAnswer, "c")
-			client := newFreshClient("client", cluster)
+			client := newFastRoundClient("client", cluster)
 			for i := range 5 {
 				value, err := client.Apply(context.Background(), 0, fmt.Sprint("key", i), increment)
 				assert.NilError(t, err)
@@ -302,14 +304,14 @@
 	}
 }
 
-// TestSilentMemberCostsOnePatience: once one change has waited for a silent member, later
-// ones begin with a prepare.
-func TestSilentMemberCostsOnePatience(t *testing.T) {
+// TestSilentMemberDelaysOneFastRound checks that after one change has waited for a silent
+// member, the next ones begin with a prepare.
+func TestSilentMemberDelaysOneFastRound(t *testing.T) {
 	cluster := newMemoryCluster("a", "b", "c")
-	transport := &silentMember{memoryCluster: cluster, silent: "c"}
+	transport := &silentMemberTransport{memoryCluster: cluster, silent: "c"}
 	settings := register.DefaultSettings()
 	settings.FreshPatience = 5 * time.Millisecond
-	client := register.NewClient("client", transport, cluster, shortClock{}, rand.New(rand.NewPCG(1, 1)), settings)
+	client := register.NewClient("client", transport, cluster, shortTimerClock{}, rand.New(rand.NewPCG(1, 1)), settings)
 	for i := range 5 {
 		value, err := client.Apply(context.Background(), 0, fmt.Sprint("key", i), increment)
 		assert.NilError(t, err)
@@ -319,24 +321,24 @@
 	assert.Assert(t, prepares >= 5*2 && accepts <= 6*2, "%d prepares, %d accepts", prepares, accepts)
 }
 
-// shortClock never ends pauses of a second and more, so that a slow machine
-// changes nothing.
-type shortClock struct{ register.SystemClock }
+// shortTimerClock never fires timers of a second or more, so that the test doesn't depend
+// on the speed of the machine.
+type shortTimerClock struct{ register.SystemClock }
 
-func (c shortClock) AfterFunc(delay time.Duration, f func()) (stop func() bool) {
+func (c shortTimerClock) AfterFunc(delay time.Duration, f func()) (stop func() bool) {
 	if delay >= time.Second {
 		return func() bool { return true }
 	}
 	return c.SystemClock.AfterFunc(delay, f)
 }
 
-// silentMember lets requests to one member wait until they are given up.
-type silentMember struct {
+// silentMemberTransport blocks requests to one member until their context ends.
+type silentMemberTransport struct {
 	*memoryCluster
 	silent string
 }
 
-func (s *silentMember) Prepare(ctx context.Context, member register.Member, request register.PrepareRequest) (register.PrepareReply, error) {
+func (s *silentMemberTransport) Prepare(ctx context.Context, member register.Member, request register.PrepareRequest) (register.PrepareReply, error) {
 	if member.Node == s.silent {
 		<-ctx.Done()
 		return register.PrepareReply{}, ctx.Err()
@@ -344,7 +346,7 @@
 	return s.memoryCluster.Prepare(ctx, member, request)
 }
 
-func (s *silentMember) Accept(ctx context.Context, member register.Member, request register.AcceptRequest) (register.AcceptReply, error) {
+func (s *silentMemberTransport) Accept(ctx context.Context, member register.Member, request register.AcceptRequest) (register.AcceptReply, error) {
 	if member.Node == s.silent {
 		<-ctx.Done()
 		return register.AcceptReply{}, ctx.Err()
--- a/coordination/register/cluster_test.go
+++ b/coordination/register/cluster_test.go
@@ -13,83 +13,83 @@
 
 var errLost = errors.New("connection lost")
 
-// memoryMember is a replica in memory, reached without a network.
+// memoryMember is an in-memory replica, reached without a network.
 type memoryMember struct {
 	registers map[string]replica.Register
-	// failures is how many requests are still to fail; with dropAnswer accepts
-	// only, after they had their effect.
+	// failures is the number of requests that will still fail. With dropAnswer only
+	// accepts fail, after they have taken effect.
 	failures   int
 	dropAnswer bool
 }
 
-// memoryCluster is a Transport and the Views of one shard.
+// memoryCluster implements Transport and Views for one shard.
 type memoryCluster struct {
-	mutex    sync.Mutex
-	members  map[string]*memoryMember
-	known    register.View
-	current  register.View
-	version  uint64
-	newest   uint64
-	prepares int
-	accepts  int
-	bytes    int
-	// lossPercent of the requests and of the answers are lost at random.
+	mutex         sync.Mutex
+	members       map[string]*memoryMember
+	clientView    register.View
+	memberView    register.View
+	clientVersion uint64
+	memberVersion uint64
+	prepares      int
+	accepts       int
+	bytes         int
+	// lossPercent is the percentage of requests and of answers that are lost at random.
 	lossPercent int
 	random      *rand.Rand
 }
 
 func newMemoryCluster(names ...string) *memoryCluster {
 	c := &memoryCluster{
-		members: make(map[string]*memoryMember),
-		known:   register.View{Epoch: 1},
-		random:  rand.New(rand.NewPCG(1, 2)),
+		members:    make(map[string]*memoryMember),
+		clientView: register.View{Epoch: 1},
+		random:     rand.New(rand.NewPCG(1, 2)),
 	}
 	for _, name := range names {
-		c.known.Members = append(c.known.Members, register.Member{Node: name, Incarnation: name + "-1"})
+		c.clientView.Members = append(c.clientView.Members, register.Member{Node: name, Incarnation: name + "-1"})
 		c.members[name] = &memoryMember{registers: make(map[string]replica.Register)}
 	}
-	c.current = c.known
+	c.memberView = c.clientView
 	return c
 }
 
 func (c *memoryCluster) View(uint32) (register.View, bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return c.known, true
+	return c.clientView, true
 }
 
 func (c *memoryCluster) Learn(view register.View) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.known = view
+	c.clientView = view
 }
 
 func (c *memoryCluster) ConfigurationVersion() uint64 {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return c.version
+	return c.clientVersion
 }
 
 func (c *memoryCluster) LearnConfiguration(_ context.Context, version uint64) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.version = max(c.version, version)
+	c.clientVersion = max(c.clientVersion, version)
 }
 
-// beginEpoch lets the members know an epoch and a configuration that the
-// clients have not heard of.
-func (c *memoryCluster) beginEpoch(epoch, configuration uint64) {
+// setMemberEpoch sets an epoch and a configuration version that the members know and the
+// clients don't.
+func (c *memoryCluster) setMemberEpoch(epoch, configuration uint64) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.current.Epoch = epoch
-	c.newest = configuration
+	c.memberView.Epoch = epoch
+	c.memberVersion = configuration
 }
 
-func (c *memoryCluster) check(fence register.Fence) register.Refusal {
+func (c *memoryCluster) checkFence(fence register.Fence) register.Refusal {
 	switch {
-	case fence.Epoch != c.current.Epoch:
+	case fence.Epoch != c.memberView.Epoch:
 		return register.RefusalEpoch
-	case fence.ConfigurationVersion < c.newest:
+	case fence.ConfigurationVersion < c.memberVersion:
 		return register.RefusalConfiguration
 	}
 	return register.RefusalNone
@@ -99,7 +99,7 @@
 	return c.lossPercent > 0 && c.random.IntN(100) < c.lossPercent
 }
 
-// loss returns the failures before and after the effect of a request.
+// loss decides whether a request fails before and after it takes effect.
 func (c *memoryCluster) loss(m *memoryMember, phase register.Phase) (before, after bool) {
 	before, after = c.isLost(), c.isLost()
 	if m.failures > 0 && (phase == register.PhaseAccept || !m.dropAnswer) {
@@ -119,8 +119,8 @@
 	if before {
 		return register.PrepareReply{}, errLost
 	}
-	if refusal := c.check(request.Fence); refusal != register.RefusalNone {
-		return register.PrepareReply{Refusal: refusal, View: &c.current, ConfigurationVersion: c.newest}, nil
+	if refusal := c.checkFence(request.Fence); refusal != register.RefusalNone {
+		return register.PrepareReply{Refusal: refusal, View: &c.memberView, ConfigurationVersion: c.memberVersion}, nil
 	}
 	state, reply := register.Acceptor{}.Prepare(m.registers[request.Key], request.Ballot)
 	m.registers[request.Key] = state
@@ -141,8 +141,8 @@
 	if before {
 		return register.AcceptReply{}, errLost
 	}
-	if refusal := c.check(request.Fence); refusal != register.RefusalNone {
-		return register.AcceptReply{Refusal: refusal, View: &c.current, ConfigurationVersion: c.newest}, nil
+	if refusal := c.checkFence(request.Fence); refusal != register.RefusalNone {
+		return register.AcceptReply{Refusal: refusal, View: &c.memberView, ConfigurationVersion: c.memberVersion}, nil
 	}
 	state, reply := register.Acceptor{}.Accept(m.registers[request.Key], request.Ballot, request.Value, request.Next)
 	m.registers[request.Key] = state
@@ -158,7 +158,7 @@
 	c.lossPercent = percent
 }
 
-// setFailure lets the named members fail for good.
+// setFailure makes the named members fail permanently.
 func (c *memoryCluster) setFailure(dropAnswer bool, names ...string) {
 	c.fail(math.MaxInt, dropAnswer, names)
 }
@@ -175,7 +175,7 @@
 	}
 }
 
-// counts returns the requests sent and the bytes of values carried so far.
+// counts returns the number of requests and the bytes of values transferred so far.
 func (c *memoryCluster) counts() (prepares, accepts, bytes int) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/coordination/register/doc.go
+++ b/coordination/register/doc.go
@@ -28,9 +28,9 @@
 // number) and then return the current value or an error of its own. It must not
 // modify its argument, and the slices it returns must not be modified later.
 //
-// The chosen value may come from any call of the Change, not necessarily the last one.
-// A caller must therefore take the result from the value that Apply returns, never from
-// variables that the Change has set.
+// The chosen value may come from any call of the Change, not necessarily the last one
+// (TestEarlierEvaluationMayBeChosen). A caller must therefore take the result from the
+// value that Apply returns, never from variables that the Change has set.
 //
 // The configuration version that fences a change is read before the change is
 // called. A change that depends on the configuration must therefore read the
--- a/coordination/register/evaluation_test.go
+++ b/coordination/register/evaluation_test.go
@@ -9,10 +9,10 @@
 	"github.com/marblering/marblering/state/replica"
 )
 
-// TestEarlierEvaluationMayStand: a change is called on one value and then on another, and
-// the value that it left first is chosen in the end. So what its last call found out says
-// nothing; only the value that is returned does.
-func TestEarlierEvaluationMayStand(t *testing.T) {
+// TestEarlierEvaluationMayBeChosen calls a change on two values and then has the first
+// result chosen. Only the value that Apply returns, not what the last call found, tells
+// which one that is.
+func TestEarlierEvaluationMayBeChosen(t *testing.T) {
 	const members = 3
 	calls := 0
 	proposer := register.NewProposer("a", 0, func(current []byte) ([]byte, error) {
@@ -23,12 +23,12 @@
 	proposer.OnPrepare(prepare.Ballot, 0, register.PrepareReply{})
 	first, _ := proposer.OnPrepare(prepare.Ballot, 1, register.PrepareReply{})
 	assert.Equal(t, string(first.Value), "1")
-	// Member 0 accepts; the others don't hear of it.
+	// Only member 0 accepts.
 	proposer.OnAccept(first.Ballot, 0, register.AcceptReply{})
 	proposer.OnFailure(register.PhaseAccept, first.Ballot, 1)
 	assert.Equal(t, proposer.OnFailure(register.PhaseAccept, first.Ballot, 2), register.StatusRetry)
 
-	// Member 2 holds an older value that another proposer never finished.
+	// Member 2 holds an older value that another proposer didn't complete.
 	unfinished := register.PrepareReply{Accepted: replica.Ballot{Counter: 0, Proposer: "b"}, Value: []byte("other")}
 	prepare = proposer.Begin(members)
 	proposer.OnPrepare(prepare.Ballot, 1, register.PrepareReply{})
--- a/coordination/register/example_test.go
+++ b/coordination/register/example_test.go
@@ -9,8 +9,7 @@
 	"github.com/marblering/marblering/coordination/register"
 )
 
-// A change that can tell whether it was applied before: it sets the register
-// only once.
+// A change that sets the register only once and recognises that it was applied before.
 func ExampleClient_Apply() {
 	cluster := newMemoryCluster("a", "b", "c")
 	client := register.NewClient("a-1", cluster, cluster, register.SystemClock{},
--- a/coordination/register/model_test.go
+++ b/coordination/register/model_test.go
@@ -15,7 +15,7 @@
 	"pgregory.net/rapid"
 )
 
-// TestMain fixes the seed and the size of the property tests, which the command
+// TestMain sets a fixed seed and the number of the property tests' runs, which the command
 // line may override.
 func TestMain(m *testing.M) {
 	for name, value := range map[string]string{"rapid.seed": "1", "rapid.checks": "2000", "rapid.nofailfile": "true"} {
@@ -31,18 +31,18 @@
 
 const (
 	kindRead operationKind = iota
-	// kindAppend adds the operation's tag to the register.
+	// kindAppend appends the operation's tag to the register.
 	kindAppend
 	// kindCompareAndAppend does so if the register has the expected length.
 	kindCompareAndAppend
-	// kindExpiring appends when it is called first and refuses later, as a
-	// change with a deadline does.
+	// kindExpiring appends on the first call and refuses later ones, like a change with a
+	// deadline.
 	kindExpiring
 	kindCount
 )
 
-// operation is one change of the simulated register, which holds the tags of
-// the changes applied to it in their order.
+// operation is one change of the simulated register, whose value is the tags of all
+// applied changes in order.
 type operation struct {
 	kind     operationKind
 	tag      string
@@ -50,30 +50,30 @@
 	calls    int
 }
 
-// observed is what an operation's caller was told.
+// observed is the result that an operation's caller received.
 type observed struct {
 	outcome register.Outcome
 	value   string
 }
 
-// worldSteps is the number of events of one world.
-const worldSteps = 600
+// simulationSteps is the number of events in one simulation.
+const simulationSteps = 600
 
 var (
 	errLength  = errors.New("the register has another length")
 	errExpired = errors.New("too late")
 )
 
-func (w *world) newOperation() *operation {
-	w.created++
+func (sim *simulation) newOperation() *operation {
+	sim.created++
 	return &operation{
-		kind:     operationKind(w.pick(int(kindCount))),
-		tag:      fmt.Sprintf("%03d.", w.created),
-		expected: 4 * w.pick(6),
+		kind:     operationKind(sim.pick(int(kindCount))),
+		tag:      fmt.Sprintf("%03d.", sim.created),
+		expected: 4 * sim.pick(6),
 	}
 }
 
-// change recognises its own earlier effect, as the package asks of a Change.
+// change recognises its own earlier effect, as the package requires of a Change.
 func (o *operation) change(current []byte) ([]byte, error) {
 	o.calls++
 	if o.kind == kindExpiring && o.calls > 1 && !strings.Contains(string(current), o.tag) {
@@ -93,8 +93,8 @@
 	return current + o.tag, nil
 }
 
-// registerModel is the sequential specification. An operation of unknown outcome
-// returns at the end of time: standing there it may as well never have run.
+// registerModel is the sequential specification. An operation of unknown outcome returns
+// at the end of time, where it has no effect on any other.
 var registerModel = porcupine.Model{
 	Init: func() any { return "" },
 	Step: func(state, input, output any) (bool, any) {
@@ -115,39 +115,39 @@
 	},
 }
 
-// TestLinearizable drives proposers and replicas through message loss,
-// duplication and reordering, pauses, restarts with and without memory and
-// changes of the replica set, and checks what the callers were told.
+// TestLinearizable simulates proposers and replicas under message loss, duplication and
+// reordering, pauses, restarts with and without state and changes of the replica set, and
+// checks that the results the callers received are linearizable.
 func TestLinearizable(t *testing.T) {
-	var told [4]int
-	changed := 0
+	var outcomes [4]int
+	epochChanges := 0
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t)
-		for range worldSteps {
-			w.step()
+		sim := newSimulation(t)
+		for range simulationSteps {
+			sim.step()
 		}
-		for _, s := range w.slots {
-			w.giveUp(s)
+		for _, p := range sim.processes {
+			sim.abandon(p)
 		}
-		changed += w.newest
-		for _, entry := range w.history {
-			told[entry.Output.(observed).outcome]++
+		epochChanges += sim.newest
+		for _, entry := range sim.history {
+			outcomes[entry.Output.(observed).outcome]++
 		}
-		if !porcupine.CheckOperations(registerModel, withoutUnseen(w.history)) {
-			t.Fatalf("not linearizable:\n%s", describe(w.history))
+		if !porcupine.CheckOperations(registerModel, withoutUnobserved(sim.history)) {
+			t.Fatalf("not linearizable:\n%s", formatHistory(sim.history))
 		}
 	})
-	t.Logf("replica sets changed %d, unknown %d, applied %d, refused %d", changed,
-		told[register.OutcomeUnknown], told[register.OutcomeApplied], told[register.OutcomeRefused])
-	assert.Assert(t, changed > 0)
-	assert.Assert(t, told[register.OutcomeUnknown] > 0)
-	assert.Assert(t, told[register.OutcomeApplied] > told[register.OutcomeUnknown])
-	assert.Assert(t, told[register.OutcomeRefused] > 0)
+	t.Logf("replica sets changed %d, unknown %d, applied %d, refused %d", epochChanges,
+		outcomes[register.OutcomeUnknown], outcomes[register.OutcomeApplied], outcomes[register.OutcomeRefused])
+	assert.Assert(t, epochChanges > 0)
+	assert.Assert(t, outcomes[register.OutcomeUnknown] > 0)
+	assert.Assert(t, outcomes[register.OutcomeApplied] > outcomes[register.OutcomeUnknown])
+	assert.Assert(t, outcomes[register.OutcomeRefused] > 0)
 }
 
-// withoutUnseen leaves out the changes of unknown outcome that nobody saw: they
-// can stand at the end of time in every order, which only costs the checker time.
-func withoutUnseen(history []porcupine.Operation) []porcupine.Operation {
+// withoutUnobserved removes the changes of unknown outcome whose effect nobody saw: they
+// can take effect at the end of time in any order, which only slows the checker down.
+func withoutUnobserved(history []porcupine.Operation) []porcupine.Operation {
 	var seen strings.Builder
 	for _, entry := range history {
 		seen.WriteString(entry.Output.(observed).value)
@@ -159,7 +159,7 @@
 	})
 }
 
-func describe(history []porcupine.Operation) string {
+func formatHistory(history []porcupine.Operation) string {
 	var text strings.Builder
 	for _, entry := range history {
 		fmt.Fprintf(&text, "[%d, %d] %+v: %+v\n", entry.Call, entry.Return, entry.Input, entry.Output)
--- a/coordination/register/run.go
+++ b/coordination/register/run.go
@@ -25,7 +25,7 @@
 	pending.finish(result.Evaluation)
 }
 
-// runRounds repeats rounds until one succeeds, Settings.Attempts rounds found no majority
+// runRounds repeats rounds until one succeeds, Settings.MaxAttempts rounds found no majority
 // or no caller waits any more. It returns the epoch of the round that succeeded.
 func (c *Client) runRounds(id registerID, pending *batch, proposer *Proposer, known cacheEntry) (uint64, error) {
 	// withoutMajority counts the rounds that found no majority, failures all failed ones.
@@ -42,7 +42,7 @@
 		if attempt.hasLostMajority() {
 			withoutMajority++
 		}
-		if withoutMajority >= c.settings.Attempts {
+		if withoutMajority >= c.settings.MaxAttempts {
 			return 0, attempt.lastFailure
 		}
 		if attempt.isFast {
--- a/coordination/register/simulation_test.go
+++ b/coordination/register/simulation_test.go
@@ -14,26 +14,26 @@
 const (
 	nodeCount     = 7
 	proposerCount = 3
-	// poolLimit bounds the messages under way; the oldest are lost first.
-	poolLimit = 60
+	// messageLimit bounds the messages under way; the oldest are dropped first.
+	messageLimit = 60
 )
 
-// epochState is what a node holds of one epoch.
+// epochState is the state of a node in one epoch.
 type epochState struct {
 	register replica.Register
 	sealed   bool
 }
 
-// simulatedNode is one replica. Its incarnation grows when it loses its memory.
+// simulatedNode is one replica. Its incarnation increases when it loses its state.
 type simulatedNode struct {
 	incarnation int
 	epochs      map[int]*epochState
 }
 
-// message is a request under way to a member, or the answer on its way back.
+// message is a request under way to a member, or the answer to it.
 type message struct {
 	proposer    *register.Proposer
-	slot        *slot
+	process     *process
 	request     register.Request
 	epoch       int
 	member      int
@@ -43,129 +43,129 @@
 	accept      register.AcceptReply
 }
 
-// epoch is a replica set: node numbers and their incarnations.
+// epoch is a replica set: the numbers of its nodes and their incarnations.
 type epoch struct {
 	nodes        []int
 	incarnations []int
 }
 
-// slot is one proposing process and its operation under way.
-type slot struct {
-	incarnation string
-	counter     uint64
-	promise     register.Promise
-	promised    int
-	epoch       int
-	proposer    *register.Proposer
-	operation   *operation
-	call        int64
+// process is a proposing process and its current operation.
+type process struct {
+	incarnation  string
+	counter      uint64
+	promise      register.Promise
+	promiseEpoch int
+	epoch        int
+	proposer     *register.Proposer
+	operation    *operation
+	calledAt     int64
 }
 
-// world is the whole simulation.
-type world struct {
+// simulation is the state of all nodes, proposing processes and messages.
+type simulation struct {
 	random *rand.Rand
 	events []event
 	nodes  [nodeCount]*simulatedNode
 	epochs []epoch
 	newest int
-	// fresh lets proposers that know nothing of the register skip the prepare.
-	fresh bool
-	// size is the number of members of each epoch.
-	size int
-	// down is the node that is paused or cut off; nodeCount stands for none.
-	down    int
-	slots   [proposerCount]*slot
-	pool    []message
-	history []porcupine.Operation
-	now     int64
-	created int
+	// fastRounds lets proposers that know nothing of the register skip the prepare.
+	fastRounds bool
+	// memberCount is the number of members of each epoch.
+	memberCount int
+	// stoppedNode is the node that is paused or cut off; nodeCount means none.
+	stoppedNode int
+	processes   [proposerCount]*process
+	messages    []message
+	history     []porcupine.Operation
+	now         int64
+	created     int
 }
 
-func newWorld(t *rapid.T) *world {
-	w := &world{
-		random: rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0)),
-		events: drawEvents(t),
-		down:   nodeCount,
-		fresh:  rapid.Bool().Draw(t, "fresh"),
-		size:   rapid.SampledFrom([]int{3, 4, 5}).Draw(t, "members"),
+func newSimulation(t *rapid.T) *simulation {
+	sim := &simulation{
+		random:      rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0)),
+		events:      drawEvents(t),
+		stoppedNode: nodeCount,
+		fastRounds:  rapid.Bool().Draw(t, "fast rounds"),
+		memberCount: rapid.SampledFrom([]int{3, 4, 5}).Draw(t, "members"),
 	}
-	for number := range w.nodes {
-		w.nodes[number] = &simulatedNode{epochs: make(map[int]*epochState)}
+	for number := range sim.nodes {
+		sim.nodes[number] = &simulatedNode{epochs: make(map[int]*epochState)}
 	}
-	for number := range w.slots {
-		// The first two stand for a paused process and its successor, which
-		// took over the data folder and with it the incarnation.
-		w.slots[number] = &slot{incarnation: string(rune('a' + number/2))}
+	for number := range sim.processes {
+		// The first two are a paused process and its successor, which has taken over the data
+		// directory and therefore the incarnation.
+		sim.processes[number] = &process{incarnation: string(rune('a' + number/2))}
 	}
-	w.epochs = []epoch{{nodes: w.random.Perm(nodeCount)[:w.size], incarnations: make([]int, w.size)}}
-	for _, number := range w.epochs[0].nodes {
-		w.nodes[number].epochs[0] = &epochState{}
+	sim.epochs = []epoch{{nodes: sim.random.Perm(nodeCount)[:sim.memberCount], incarnations: make([]int, sim.memberCount)}}
+	for _, number := range sim.epochs[0].nodes {
+		sim.nodes[number].epochs[0] = &epochState{}
 	}
-	return w
+	return sim
 }
 
-func (w *world) majority() int { return w.size/2 + 1 }
+func (sim *simulation) majority() int { return sim.memberCount/2 + 1 }
 
-func (w *world) pick(count int) int { return w.random.IntN(count) }
+func (sim *simulation) pick(count int) int { return sim.random.IntN(count) }
 
-// event is a kind of step, with how often it happens in proportion to others.
+// event is a kind of step with its relative frequency.
 type event struct {
 	name   string
 	weight int
-	run    func(w *world, s *slot)
+	run    func(sim *simulation, p *process)
 }
 
-// drawEvents draws the weights anew for each world, so that some worlds lack a
-// kind of event and others have plenty (A. Groce et al., "Swarm Testing", 2012).
+// drawEvents draws new weights for each simulation, so that some lack a kind of event and
+// others have many of it (A. Groce et al., "Swarm Testing", 2012).
 func drawEvents(t *rapid.T) []event {
 	events := []event{
-		{name: "lose", weight: 8, run: func(w *world, _ *slot) { w.takeMessage() }},
-		{name: "duplicate", weight: 8, run: func(w *world, _ *slot) { w.duplicate() }},
-		{name: "retry", weight: 6, run: (*world).retry},
-		{name: "give up", weight: 3, run: (*world).giveUp},
-		{name: "restart", weight: 3, run: (*world).restart},
-		{name: "pause", weight: 2, run: func(w *world, _ *slot) { w.down = w.pick(nodeCount + 1) }},
-		{name: "forget", weight: 3, run: func(w *world, _ *slot) { w.forget(w.nodes[w.pick(nodeCount)]) }},
-		{name: "fresh", weight: 3, run: func(w *world, _ *slot) { w.fresh = !w.fresh }},
-		{name: "reconfigure", weight: 10, run: func(w *world, _ *slot) { w.reconfigure() }},
+		{name: "lose", weight: 8, run: func(sim *simulation, _ *process) { sim.takeMessage() }},
+		{name: "duplicate", weight: 8, run: func(sim *simulation, _ *process) { sim.duplicate() }},
+		{name: "retry", weight: 6, run: (*simulation).retry},
+		{name: "abandon", weight: 3, run: (*simulation).abandon},
+		{name: "restart", weight: 3, run: (*simulation).restart},
+		{name: "pause", weight: 2, run: func(sim *simulation, _ *process) { sim.stoppedNode = sim.pick(nodeCount + 1) }},
+		{name: "lose state", weight: 3, run: func(sim *simulation, _ *process) { sim.loseState(sim.nodes[sim.pick(nodeCount)]) }},
+		{name: "fast rounds", weight: 3, run: func(sim *simulation, _ *process) { sim.fastRounds = !sim.fastRounds }},
+		{name: "reconfigure", weight: 10, run: func(sim *simulation, _ *process) { sim.reconfigure() }},
 	}
 	for index := range events {
 		events[index].weight = rapid.IntRange(0, events[index].weight).Draw(t, events[index].name)
 	}
 	return append(events,
-		event{name: "start", weight: 20, run: (*world).start},
-		event{name: "deliver", weight: 80, run: func(w *world, _ *slot) { w.deliver() }})
+		event{name: "start", weight: 20, run: (*simulation).start},
+		event{name: "deliver", weight: 80, run: func(sim *simulation, _ *process) { sim.deliver() }})
 }
 
-// step runs one event.
-func (w *world) step() {
-	w.now++
+// step runs one random event.
+func (sim *simulation) step() {
+	sim.now++
 	total := 0
-	for _, candidate := range w.events {
+	for _, candidate := range sim.events {
 		total += candidate.weight
 	}
-	chosen := w.pick(total)
-	for _, candidate := range w.events {
+	chosen := sim.pick(total)
+	for _, candidate := range sim.events {
 		if chosen < candidate.weight {
-			candidate.run(w, w.slots[w.pick(proposerCount)])
+			candidate.run(sim, sim.processes[sim.pick(proposerCount)])
 			return
 		}
 		chosen -= candidate.weight
 	}
 }
 
-// restart starts a proposing process again in the same incarnation, without
-// the ballots that it had used.
-func (w *world) restart(s *slot) {
-	w.giveUp(s)
-	s.counter, s.promise = 0, register.Promise{}
+// restart restarts a proposing process in the same incarnation, without the counter and
+// the promise that it had.
+func (sim *simulation) restart(p *process) {
+	sim.abandon(p)
+	p.counter, p.promise = 0, register.Promise{}
 }
 
-// forget restarts a node without its memory, as a new incarnation. It spares the
-// last majority of an epoch, without which nothing more could happen.
-func (w *world) forget(node *simulatedNode) {
-	for number := w.newest; number < len(w.epochs); number++ {
-		if node.epochs[number] != nil && w.holders(number) <= w.majority() {
+// loseState restarts a node without its state, as a new incarnation. It leaves an epoch
+// its last majority, since nothing could be chosen without it.
+func (sim *simulation) loseState(node *simulatedNode) {
+	for number := sim.newest; number < len(sim.epochs); number++ {
+		if node.epochs[number] != nil && sim.countHolders(number) <= sim.majority() {
 			return
 		}
 	}
@@ -173,77 +173,77 @@
 	node.epochs = make(map[int]*epochState)
 }
 
-func (w *world) start(s *slot) {
-	if s.operation != nil {
+func (sim *simulation) start(p *process) {
+	if p.operation != nil {
 		return
 	}
-	s.operation = w.newOperation()
-	s.call = w.now
-	s.epoch = w.newest
-	s.proposer = register.NewProposer(s.incarnation, s.counter, s.operation.change)
-	promise := s.promise
-	s.promise = register.Promise{}
-	if s.promised != s.epoch {
+	p.operation = sim.newOperation()
+	p.calledAt = sim.now
+	p.epoch = sim.newest
+	p.proposer = register.NewProposer(p.incarnation, p.counter, p.operation.change)
+	promise := p.promise
+	p.promise = register.Promise{}
+	if p.promiseEpoch != p.epoch {
 		promise = register.Promise{}
 	}
-	if w.fresh && promise.Ballot.IsZero() {
-		w.send(s, s.proposer.BeginFast(w.size))
+	if sim.fastRounds && promise.Ballot.IsZero() {
+		sim.send(p, p.proposer.BeginFast(sim.memberCount))
 		return
 	}
-	w.send(s, s.proposer.BeginWithPromise(w.size, promise))
+	sim.send(p, p.proposer.BeginWithPromise(sim.memberCount, promise))
 }
 
-func (w *world) retry(s *slot) {
-	if s.operation == nil {
+func (sim *simulation) retry(p *process) {
+	if p.operation == nil {
 		return
 	}
-	s.epoch = w.newest
-	w.send(s, s.proposer.Begin(w.size))
+	p.epoch = sim.newest
+	sim.send(p, p.proposer.Begin(sim.memberCount))
 }
 
-func (w *world) send(s *slot, request register.Request) {
-	for member := range w.size {
-		w.pool = append(w.pool, message{
-			proposer: s.proposer, slot: s, request: request, epoch: s.epoch, member: member,
-			incarnation: w.epochs[s.epoch].incarnations[member],
+func (sim *simulation) send(p *process, request register.Request) {
+	for member := range sim.memberCount {
+		sim.messages = append(sim.messages, message{
+			proposer: p.proposer, process: p, request: request, epoch: p.epoch, member: member,
+			incarnation: sim.epochs[p.epoch].incarnations[member],
 		})
 	}
-	w.pool = w.pool[max(0, len(w.pool)-poolLimit):]
+	sim.messages = sim.messages[max(0, len(sim.messages)-messageLimit):]
 }
 
-// takeMessage removes any message under way; order is not kept.
-func (w *world) takeMessage() (taken message, found bool) {
-	if len(w.pool) == 0 {
+// takeMessage removes a random message under way, so that messages are reordered.
+func (sim *simulation) takeMessage() (taken message, found bool) {
+	if len(sim.messages) == 0 {
 		return message{}, false
 	}
-	index := w.pick(len(w.pool))
-	taken = w.pool[index]
-	w.pool = slices.Delete(w.pool, index, index+1)
+	index := sim.pick(len(sim.messages))
+	taken = sim.messages[index]
+	sim.messages = slices.Delete(sim.messages, index, index+1)
 	return taken, true
 }
 
-func (w *world) duplicate() {
-	if len(w.pool) > 0 {
-		w.pool = append(w.pool, w.pool[w.pick(len(w.pool))])
+func (sim *simulation) duplicate() {
+	if len(sim.messages) > 0 {
+		sim.messages = append(sim.messages, sim.messages[sim.pick(len(sim.messages))])
 	}
 }
 
-func (w *world) deliver() {
-	switch m, found := w.takeMessage(); {
+func (sim *simulation) deliver() {
+	switch m, found := sim.takeMessage(); {
 	case !found:
 	case m.answered:
-		w.receive(m)
+		sim.receive(m)
 	default:
-		w.serve(m)
+		sim.serve(m)
 	}
 }
 
-// serve lets a replica answer a request, if it is up and the fence holds.
-func (w *world) serve(m message) {
-	number := w.epochs[m.epoch].nodes[m.member]
-	node := w.nodes[number]
+// serve has a replica answer a request if it is running and the fence matches.
+func (sim *simulation) serve(m message) {
+	number := sim.epochs[m.epoch].nodes[m.member]
+	node := sim.nodes[number]
 	state := node.epochs[m.epoch]
-	if number == w.down || node.incarnation != m.incarnation || state == nil || state.sealed {
+	if number == sim.stoppedNode || node.incarnation != m.incarnation || state == nil || state.sealed {
 		return
 	}
 	m.answered = true
@@ -253,135 +253,135 @@
 	} else {
 		state.register, m.accept = acceptor.Accept(state.register, m.request.Ballot, m.request.Value, m.request.Next)
 	}
-	w.pool = append(w.pool, m)
+	sim.messages = append(sim.messages, m)
 }
 
-// receive feeds an answer to its proposer, if that is still at work.
-func (w *world) receive(m message) {
-	s := m.slot
-	if s.operation == nil || s.proposer != m.proposer || s.epoch != m.epoch {
+// receive passes an answer to its proposer if that is still active.
+func (sim *simulation) receive(m message) {
+	p := m.process
+	if p.operation == nil || p.proposer != m.proposer || p.epoch != m.epoch {
 		return
 	}
 	var request register.Request
 	var status register.Status
 	if m.request.Phase == register.PhasePrepare {
-		request, status = s.proposer.OnPrepare(m.request.Ballot, m.member, m.prepare)
+		request, status = p.proposer.OnPrepare(m.request.Ballot, m.member, m.prepare)
 	} else {
-		status = s.proposer.OnAccept(m.request.Ballot, m.member, m.accept)
+		status = p.proposer.OnAccept(m.request.Ballot, m.member, m.accept)
 	}
 	switch status {
 	case register.StatusSend:
-		w.send(s, request)
+		sim.send(p, request)
 	case register.StatusRetry:
-		w.retry(s)
+		sim.retry(p)
 	case register.StatusDone:
-		result := s.proposer.Result()
-		s.promise, s.promised = result.Promise, s.epoch
-		w.record(s, result)
+		result := p.proposer.Result()
+		p.promise, p.promiseEpoch = result.Promise, p.epoch
+		sim.record(p, result)
 	}
 }
 
-func (w *world) giveUp(s *slot) {
-	if s.operation != nil {
-		w.record(s, s.proposer.Result())
+func (sim *simulation) abandon(p *process) {
+	if p.operation != nil {
+		sim.record(p, p.proposer.Result())
 	}
 }
 
-// reconfigure takes the next step of moving the register to the next epoch:
-// choose its members, seal the old ones, copy from a sealed majority, open. The
-// steps interleave with everything else.
-func (w *world) reconfigure() {
-	last := len(w.epochs) - 1
-	if last == w.newest {
-		w.chooseMembers()
+// reconfigure takes the next step of moving the register to the next epoch: choose its
+// members, seal the old ones, copy from a sealed majority, open. The steps interleave with
+// all other events.
+func (sim *simulation) reconfigure() {
+	last := len(sim.epochs) - 1
+	if last == sim.newest {
+		sim.chooseMembers()
 		return
 	}
-	sealed := w.sealedStates(w.newest)
-	if len(sealed) < w.majority() || w.pick(3) == 0 {
-		w.seal(w.pick(w.size))
+	sealed := sim.sealedStates(sim.newest)
+	if len(sealed) < sim.majority() || sim.pick(3) == 0 {
+		sim.seal(sim.pick(sim.memberCount))
 	} else {
-		// Each new member may have copied from another majority.
-		w.random.Shuffle(len(sealed), func(i, j int) { sealed[i], sealed[j] = sealed[j], sealed[i] })
-		w.install(w.pick(w.size), sealed[:w.majority()])
+		// Each new member may copy from a different majority.
+		sim.random.Shuffle(len(sealed), func(i, j int) { sealed[i], sealed[j] = sealed[j], sealed[i] })
+		sim.install(sim.pick(sim.memberCount), sealed[:sim.majority()])
 	}
-	if w.holders(last) >= w.majority() {
-		w.newest = last
+	if sim.countHolders(last) >= sim.majority() {
+		sim.newest = last
 	}
 }
 
-func (w *world) chooseMembers() {
-	numbers := w.random.Perm(nodeCount)[:w.size]
+func (sim *simulation) chooseMembers() {
+	numbers := sim.random.Perm(nodeCount)[:sim.memberCount]
 	chosen := epoch{nodes: numbers}
 	for _, number := range numbers {
-		chosen.incarnations = append(chosen.incarnations, w.nodes[number].incarnation)
+		chosen.incarnations = append(chosen.incarnations, sim.nodes[number].incarnation)
 	}
-	w.epochs = append(w.epochs, chosen)
+	sim.epochs = append(sim.epochs, chosen)
 }
 
-// state returns what a member holds of an epoch, or nil where it forgot.
-func (w *world) state(number, member int) *epochState {
-	node := w.nodes[w.epochs[number].nodes[member]]
-	if node.incarnation != w.epochs[number].incarnations[member] {
+// state returns a member's state in an epoch, or nil if the member has lost it.
+func (sim *simulation) state(number, member int) *epochState {
+	node := sim.nodes[sim.epochs[number].nodes[member]]
+	if node.incarnation != sim.epochs[number].incarnations[member] {
 		return nil
 	}
 	return node.epochs[number]
 }
 
-func (w *world) seal(member int) {
-	if state := w.state(w.newest, member); state != nil {
+func (sim *simulation) seal(member int) {
+	if state := sim.state(sim.newest, member); state != nil {
 		state.sealed = true
 	}
 }
 
-func (w *world) sealedStates(number int) []replica.Register {
+func (sim *simulation) sealedStates(number int) []replica.Register {
 	var sealed []replica.Register
-	for member := range w.size {
-		if state := w.state(number, member); state != nil && state.sealed {
+	for member := range sim.memberCount {
+		if state := sim.state(number, member); state != nil && state.sealed {
 			sealed = append(sealed, state.register)
 		}
 	}
 	return sealed
 }
 
-func (w *world) install(member int, sealed []replica.Register) {
-	last := len(w.epochs) - 1
-	node := w.nodes[w.epochs[last].nodes[member]]
-	if node.incarnation == w.epochs[last].incarnations[member] && node.epochs[last] == nil {
+func (sim *simulation) install(member int, sealed []replica.Register) {
+	last := len(sim.epochs) - 1
+	node := sim.nodes[sim.epochs[last].nodes[member]]
+	if node.incarnation == sim.epochs[last].incarnations[member] && node.epochs[last] == nil {
 		node.epochs[last] = &epochState{register: register.Merge(sealed...)}
 	}
 }
 
-// holders counts the members that hold the epoch.
-func (w *world) holders(number int) int {
+// countHolders counts the members that hold a state in the epoch.
+func (sim *simulation) countHolders(number int) int {
 	count := 0
-	for member := range w.size {
-		if w.state(number, member) != nil {
+	for member := range sim.memberCount {
+		if sim.state(number, member) != nil {
 			count++
 		}
 	}
 	return count
 }
 
-// record adds the operation's result to the history. A change that was certainly
-// not applied is left out, so that any trace of it is a violation.
-func (w *world) record(s *slot, result register.Result) {
-	op := s.operation
-	s.operation = nil
-	s.counter = s.proposer.Counter()
-	w.now++
-	entry := porcupine.Operation{Input: *op, Call: s.call, Return: w.now}
+// record adds the operation's result to the history. A change that was certainly not
+// applied is left out, so that any trace of it is a violation.
+func (sim *simulation) record(p *process, result register.Result) {
+	op := p.operation
+	p.operation = nil
+	p.counter = p.proposer.Counter()
+	sim.now++
+	entry := porcupine.Operation{Input: *op, Call: p.calledAt, Return: sim.now}
 	switch result.Outcome {
 	case register.OutcomeNotApplied:
 		return
 	case register.OutcomeUnknown:
 		entry.Return = math.MaxInt64
 	case register.OutcomeApplied:
-		// What the change returned was the register's value in this interval.
+		// The value that Apply returned was the register's at some time in this interval.
 		observation := entry
 		observation.Input = operation{kind: kindRead}
 		observation.Output = observed{outcome: result.Outcome, value: string(result.Value)}
-		w.history = append(w.history, observation)
+		sim.history = append(sim.history, observation)
 	}
 	entry.Output = observed{outcome: result.Outcome, value: string(result.Value)}
-	w.history = append(w.history, entry)
+	sim.history = append(sim.history, entry)
 }
--- a/coordination/register/stored_test.go
+++ b/coordination/register/stored_test.go
@@ -29,11 +29,11 @@
 	"github.com/marblering/marblering/test/bubble"
 )
 
-const storedLife = "s-1/a"
+const storedIncarnation = "s-1/a"
 
-// storageNode is a storage node of one, with the parts that write to its store.
+// storageNode is a single storage node with all components that write to its store.
 type storageNode struct {
-	store     *namedStore
+	store     *recordingStore
 	member    register.Member
 	views     *shard.Map
 	replica   *shard.Replica
@@ -43,32 +43,33 @@
 
 func newStorageNode() *storageNode {
 	n := &storageNode{
-		store:  &namedStore{Memory: replica.NewMemory(), meta: make(map[string][]byte)},
-		member: register.Member{Node: "s-1", Incarnation: storedLife, Address: "10.0.0.1:7000", Zone: "z-1"},
+		store:  &recordingStore{Memory: replica.NewMemory(), meta: make(map[string][]byte)},
+		member: register.Member{Node: "s-1", Incarnation: storedIncarnation, Address: "10.0.0.1:7000", Zone: "z-1"},
 		views:  shard.NewMap(1),
 	}
 	n.views.Learn(register.View{Epoch: shard.FirstEpoch, Members: []register.Member{n.member}})
-	n.replica = shard.NewReplica(storedLife, n.store, n.views, func() uint64 { return 41 })
+	n.replica = shard.NewReplica(storedIncarnation, n.store, n.views, func() uint64 { return 41 })
 	n.installer = shard.NewInstaller(n.replica, n, zap.NewNop())
 	n.client = register.NewClient("g-1/b", n, clientViews{n.views}, register.SystemClock{}, rand.New(rand.NewPCG(1, 1)), register.DefaultSettings())
 	return n
 }
 
-// namedStore remembers the meta values: a replica.Store doesn't list them.
-type namedStore struct {
+// recordingStore records the meta values that are saved, since a replica.Store can't list
+// them.
+type recordingStore struct {
 	*replica.Memory
 	mutex sync.Mutex
 	meta  map[string][]byte
 }
 
-func (s *namedStore) SaveMeta(shard uint32, name string, value []byte) error {
+func (s *recordingStore) SaveMeta(shard uint32, name string, value []byte) error {
 	s.mutex.Lock()
 	s.meta[fmt.Sprintf("%d %q", shard, name)] = value
 	s.mutex.Unlock()
 	return s.Memory.SaveMeta(shard, name, value)
 }
 
-// clientViews is the shard's map at configuration version 41.
+// clientViews is the shard map with the fixed configuration version 41.
 type clientViews struct{ *shard.Map }
 
 func (clientViews) ConfigurationVersion() uint64               { return 41 }
@@ -103,8 +104,8 @@
 	return n.replica.Pull(ctx, request, visit)
 }
 
-// text lists all that the store has.
-func (n *storageNode) text(t *testing.T) string {
+// dumpStore formats the whole content of the store.
+func (n *storageNode) dumpStore(t *testing.T) string {
 	t.Helper()
 	var text strings.Builder
 	assert.NilError(t, n.store.EachRegister(0, func(key string, state replica.Register) error {
@@ -123,19 +124,19 @@
 	return fmt.Sprintf("%d of %s", ballot.Counter, ballot.Proposer)
 }
 
-// TestWhatCoordinationStores has each package that keeps something in registers or
-// meta values of a replica write it, and pins keys and values: a disk outlives the
-// program that wrote it, and nodes of two versions share registers.
-func TestWhatCoordinationStores(t *testing.T) {
+// TestStoredFormat has each package that stores data in registers or meta values of a
+// replica write it, and compares keys and values with a golden file. Stored data outlives
+// the version that wrote it, and nodes of two versions share registers.
+func TestStoredFormat(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		n := newStorageNode()
 		writeProgram(t, n)
-		writeBudget(t, n)
-		writeSlot(t, n)
+		writeTokenBudget(t, n)
+		writeQuotaHolder(t, n)
 		writeMirror(t, n)
 		assert.NilError(t, n.replica.HoldConfiguration())
-		writeSuccessor(t, n)
-		golden.Assert(t, n.text(t), "stored.golden")
+		writeNextEpoch(t, n)
+		golden.Assert(t, n.dumpStore(t), "stored.golden")
 	})
 }
 
@@ -148,16 +149,16 @@
 	assert.NilError(t, err)
 }
 
-func writeBudget(t *testing.T, n *storageNode) {
+func writeTokenBudget(t *testing.T, n *storageNode) {
 	t.Helper()
-	ledger := tokenbudget.New(storedLife, n.client, n.views.Locate, tokenbudget.DefaultSettings(), time.Now, zap.NewNop())
+	ledger := tokenbudget.New(storedIncarnation, n.client, n.views.Locate, tokenbudget.DefaultSettings(), time.Now, zap.NewNop())
 	assert.NilError(t, ledger.Reserve(t.Context(), tokenbudget.Reservation{Program: "conversation", Limit: 5000, Most: 100}))
 }
 
-func writeSlot(t *testing.T, n *storageNode) {
+func writeQuotaHolder(t *testing.T, n *storageNode) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
-	holder := quota.NewHolder(storedLife, "s-1", n.client, time.Now, zap.NewNop())
+	holder := quota.NewHolder(storedIncarnation, "s-1", n.client, time.Now, zap.NewNop())
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -189,17 +190,18 @@
 	<-done
 }
 
-// writeSuccessor gives the shard its second epoch.
-func writeSuccessor(t *testing.T, n *storageNode) {
+// writeNextEpoch moves the shard to its second epoch.
+func writeNextEpoch(t *testing.T, n *storageNode) {
 	t.Helper()
-	driver := shard.NewDriver(storedLife, n, n.views, register.SystemClock{}, rand.New(rand.NewPCG(1, 1)), register.DefaultSettings(), zap.NewNop())
+	driver := shard.NewDriver(storedIncarnation, n, n.views, register.SystemClock{}, rand.New(rand.NewPCG(1, 1)), register.DefaultSettings(), zap.NewNop())
 	current, _ := n.views.View(0)
 	opened, err := driver.Drive(t.Context(), current, current.Members)
 	assert.NilError(t, err)
 	assert.Equal(t, opened.Epoch, shard.FirstEpoch+1)
 }
 
-// TestRank pins the order of members in which all nodes ask for a key.
+// TestRank compares the ranks of members for a key and the key's shard with a golden file,
+// since nodes of all versions must compute the same ones.
 func TestRank(t *testing.T) {
 	var text strings.Builder
 	for _, node := range []string{"s-1", "s-2", "s-3"} {
--- a/coordination/register/thrift_test.go
+++ b/coordination/register/thrift_test.go
@@ -17,14 +17,14 @@
 	"github.com/marblering/marblering/test/bubble"
 )
 
-// delay is how long members may take in these tests before another is asked.
-const delay = 50 * time.Millisecond
+// hedgeDelay is the time after which these tests ask another member.
+const hedgeDelay = 50 * time.Millisecond
 
-// slowCluster is a memoryCluster whose members are slow.
+// slowCluster is a memoryCluster whose members take a fixed time to answer.
 type slowCluster struct {
 	*memoryCluster
-	takes time.Duration
-	// silent members say nothing until their request ends.
+	latency time.Duration
+	// silent holds the members that don't answer until the context ends.
 	silent map[string]bool
 }
 
@@ -33,7 +33,7 @@
 		<-ctx.Done()
 		return ctx.Err()
 	}
-	time.Sleep(c.takes)
+	time.Sleep(c.latency)
 	return nil
 }
 
@@ -53,10 +53,10 @@
 
 func newSlowCluster() *slowCluster {
 	c := &slowCluster{memoryCluster: newMemoryCluster("a", "b", "c", "d", "e"), silent: make(map[string]bool)}
-	for i := range c.known.Members {
-		c.known.Members[i].Address = c.known.Members[i].Node
+	for i := range c.clientView.Members {
+		c.clientView.Members[i].Address = c.clientView.Members[i].Node
 	}
-	c.current = c.known
+	c.memberView = c.clientView
 	return c
 }
 
@@ -64,13 +64,13 @@
 	settings := register.DefaultSettings()
 	settings.BackoffBase = time.Microsecond
 	settings.Thrift = &register.Thrift{
-		Delay: delay, Reach: reach.New(time.Now), Hedges: limit.NewRetryBudget(limit.HedgePolicy(), time.Now()), Now: time.Now,
+		Delay: hedgeDelay, Reach: reach.New(time.Now), Hedges: limit.NewRetryBudget(limit.HedgePolicy(), time.Now()), Now: time.Now,
 	}
 	return register.NewClient(incarnation, transport, views, register.SystemClock{}, rand.New(rand.NewPCG(1, 1)), settings)
 }
 
-// TestThriftyRoundAsksAMajority: a change asks three of five members, and the next change
-// of the key asks the same ones, also through another client.
+// TestThriftyRoundAsksAMajority checks that a change asks three of five members, and that
+// the next change of the key asks the same ones, even through another client.
 func TestThriftyRoundAsksAMajority(t *testing.T) {
 	cluster := newSlowCluster()
 	client := newThriftyClient("client", cluster, cluster)
@@ -89,9 +89,9 @@
 	assert.Equal(t, holding, 3)
 }
 
-// TestThriftyRoundGoesOnWithoutAnyTwo: members that fail or say nothing are
-// replaced by others, and asked last from then on.
-func TestThriftyRoundGoesOnWithoutAnyTwo(t *testing.T) {
+// TestThriftyRoundToleratesTwoSilentMembers checks that silent members are replaced by
+// others and asked last from then on.
+func TestThriftyRoundToleratesTwoSilentMembers(t *testing.T) {
 	names := []string{"a", "b", "c", "d", "e"}
 	for first := range names {
 		for second := range first {
@@ -100,11 +100,11 @@
 				cluster.silent[names[first]], cluster.silent[names[second]] = true, true
 				client := newThriftyClient("client", cluster, cluster)
 				for i := range 20 {
-					began := time.Now()
+					started := time.Now()
 					_, err := client.Apply(t.Context(), 0, fmt.Sprint("key", i), increment)
 					assert.NilError(t, err)
-					took := time.Since(began)
-					assert.Assert(t, took <= 4*delay, "change %d took %s", i, took)
+					took := time.Since(started)
+					assert.Assert(t, took <= 4*hedgeDelay, "change %d took %s", i, took)
 					assert.Assert(t, i < 8 || took == 0, "change %d took %s though both are known to be silent", i, took)
 				}
 				time.Sleep(10 * time.Second)
@@ -113,13 +113,13 @@
 	}
 }
 
-// TestSlowMembersAreHedgedWithinTheBudget: where all members are slow, they are
-// overloaded, and few more requests are sent.
+// TestSlowMembersAreHedgedWithinTheBudget checks that if all members are slow, and thus
+// overloaded, hedging sends few additional requests.
 func TestSlowMembersAreHedgedWithinTheBudget(t *testing.T) {
 	const changes = 300
 	bubble.Test(t, func(t *testing.T) {
 		cluster := newSlowCluster()
-		cluster.takes = 2 * delay
+		cluster.latency = 2 * hedgeDelay
 		client := newThriftyClient("client", cluster, cluster)
 		var calls sync.WaitGroup
 		for i := range changes {
--- a/coordination/register/trace_test.go
+++ b/coordination/register/trace_test.go
@@ -21,48 +21,47 @@
 const (
 	traceSeeds   = 3
 	traceChanges = 25
-	// traceSilence is how long a member takes that says nothing: longer than a request
-	// may take.
-	traceSilence = 3 * time.Second
+	// silentMemberDelay is how long a silent member takes: longer than the request timeout.
+	silentMemberDelay = 3 * time.Second
 )
 
-// tracedCluster is a memoryCluster whose members answer, fail, refuse or say nothing
-// by a seed. It notes when each of them is asked.
+// tracedCluster is a memoryCluster whose members answer, fail, refuse or stay silent as
+// determined by the time and the member. It logs when each of them is asked.
 type tracedCluster struct {
 	*memoryCluster
-	// slowest is the longest that an answer takes.
-	slowest time.Duration
-	began   time.Time
+	// maxLatency is the longest that a member takes to answer, unless it is silent.
+	maxLatency time.Duration
+	started    time.Time
 
 	mutex sync.Mutex
 	lines []string
 }
 
-func (c *tracedCluster) note(format string, args ...any) {
+func (c *tracedCluster) logf(format string, args ...any) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.lines = append(c.lines, fmt.Sprintf("%9.3f ms ", time.Since(c.began).Seconds()*1000)+fmt.Sprintf(format, args...))
+	c.lines = append(c.lines, fmt.Sprintf("%9.3f ms ", time.Since(c.started).Seconds()*1000)+fmt.Sprintf(format, args...))
 }
 
-// answer waits as long as the member takes. It draws from a source of its own for each
-// member and moment, so that requests that begin at one moment don't depend on each
-// other's order.
+// answer waits for the member's latency and returns its refusal or error. The random
+// source is seeded by the time, the member and the kind of the request, so that requests
+// that begin at the same time don't depend on each other's order.
 func (c *tracedCluster) answer(kind, node string) (register.Refusal, error) {
-	c.note("%s %s", kind, node)
-	drawn := rand.New(rand.NewPCG(uint64(time.Since(c.began)), register.Rank(node, kind)))
-	takes := time.Duration(1 + drawn.Int64N(int64(c.slowest)))
-	switch drawn.IntN(10) {
+	c.logf("%s %s", kind, node)
+	random := rand.New(rand.NewPCG(uint64(time.Since(c.started)), register.Rank(node, kind)))
+	latency := time.Duration(1 + random.Int64N(int64(c.maxLatency)))
+	switch random.IntN(10) {
 	case 0:
-		time.Sleep(traceSilence + takes)
+		time.Sleep(silentMemberDelay + latency)
 		return register.RefusalNone, errLost
 	case 1:
-		time.Sleep(takes)
+		time.Sleep(latency)
 		return register.RefusalNone, errLost
 	case 2:
-		time.Sleep(takes)
+		time.Sleep(latency)
 		return register.RefusalNotReady, nil
 	default:
-		time.Sleep(takes)
+		time.Sleep(latency)
 		return register.RefusalNone, nil
 	}
 }
@@ -83,9 +82,10 @@
 	return c.memoryCluster.Accept(context.Background(), member, request)
 }
 
-// TestWhoIsAskedWhen pins which members are asked when, over members that are late,
-// fail, refuse and say nothing: order, hedges, their budget, and who is asked last.
-func TestWhoIsAskedWhen(t *testing.T) {
+// TestMemberRequestOrder compares with a golden file which members are asked at what time
+// if members are late, fail, refuse or stay silent. It covers the order, the hedges, their
+// budget, and which members are asked last.
+func TestMemberRequestOrder(t *testing.T) {
 	kinds := []struct {
 		name     string
 		settings register.Settings
@@ -109,12 +109,12 @@
 	random := rand.New(rand.NewPCG(seed, 1))
 	cluster := &tracedCluster{
 		memoryCluster: newMemoryCluster("a", "b", "c", "d", "e"),
-		slowest:       time.Duration(1+random.IntN(400)) * time.Millisecond, began: time.Now(),
+		maxLatency:    time.Duration(1+random.IntN(400)) * time.Millisecond, started: time.Now(),
 	}
-	for i := range cluster.known.Members {
-		cluster.known.Members[i].Address = cluster.known.Members[i].Node
+	for i := range cluster.clientView.Members {
+		cluster.clientView.Members[i].Address = cluster.clientView.Members[i].Node
 	}
-	cluster.current = cluster.known
+	cluster.memberView = cluster.clientView
 	settings := register.DefaultSettings()
 	settings.FreshPatience = kind.FreshPatience
 	if kind.Thrift != nil {
@@ -126,15 +126,15 @@
 	client := register.NewClient("client", cluster, cluster, register.SystemClock{}, rand.New(rand.NewPCG(seed, 2)), settings)
 	for change := range traceChanges {
 		_, err := client.Apply(t.Context(), 0, fmt.Sprint("key", random.IntN(8)), increment)
-		cluster.note("end %d: %v", change, err)
+		cluster.logf("end %d: %v", change, err)
 		time.Sleep(time.Duration(random.Int64N(int64(200 * time.Millisecond))))
 	}
 	time.Sleep(time.Minute)
-	return joined(cluster.lines)
+	return mergeLines(cluster.lines)
 }
 
-// joined sorts the lines and makes one of those that differ in the member only.
-func joined(lines []string) string {
+// mergeLines sorts the lines and merges those that differ only in the member.
+func mergeLines(lines []string) string {
 	slices.Sort(lines)
 	var text strings.Builder
 	before := ""
