--- a/coordination/register/acceptor.go
+++ b/coordination/register/acceptor.go
@@ -14,7 +14,7 @@
 // majority, and a duplicated request can't be granted twice.
 func (Acceptor) Prepare(state replica.Register, ballot replica.Ballot) (replica.Register, PrepareReply) {
 	if !state.Promised.Less(ballot) || !state.Accepted.Less(ballot) {
-		return state, PrepareReply{Refusal: RefusalBallot, Promised: highest(state)}
+		return state, PrepareReply{Refusal: RefusalBallot, Promised: highestBallot(state)}
 	}
 	reply := PrepareReply{Accepted: state.Accepted, Value: state.Value}
 	state.Promised = ballot
@@ -26,12 +26,12 @@
 // neither zero nor above the ballot is refused.
 func (Acceptor) Accept(state replica.Register, ballot replica.Ballot, value []byte, next replica.Ballot) (replica.Register, AcceptReply) {
 	if ballot.Less(state.Promised) || !state.Accepted.Less(ballot) {
-		return state, AcceptReply{Refusal: RefusalBallot, Promised: highest(state)}
+		return state, AcceptReply{Refusal: RefusalBallot, Promised: highestBallot(state)}
 	}
 	if next.IsZero() {
 		next = ballot
 	} else if !ballot.Less(next) {
-		return state, AcceptReply{Refusal: RefusalBallot, Promised: highest(state)}
+		return state, AcceptReply{Refusal: RefusalBallot, Promised: highestBallot(state)}
 	}
 	return replica.Register{Promised: next, Accepted: ballot, Value: value}, AcceptReply{}
 }
@@ -53,8 +53,8 @@
 	return merged
 }
 
-// highest returns the ballot that a proposer has to exceed.
-func highest(state replica.Register) replica.Ballot {
+// highestBallot returns the ballot that a proposer has to exceed.
+func highestBallot(state replica.Register) replica.Ballot {
 	if state.Promised.Less(state.Accepted) {
 		return state.Accepted
 	}
--- a/coordination/register/message.go
+++ b/coordination/register/message.go
@@ -127,7 +127,7 @@
 // AcceptReply answers an AcceptRequest.
 type AcceptReply struct {
 	Refusal Refusal
-	// Promised is the highest promised ballot; set where Refusal is
+	// Promised is the highest promised or accepted ballot; set if Refusal is
 	// RefusalBallot.
 	Promised replica.Ballot
 	// View is the newest view of the shard that the replica knows, or nil.
--- a/coordination/register/proposer.go
+++ b/coordination/register/proposer.go
@@ -84,7 +84,7 @@
 	Outcome Outcome
 	// Value is the chosen value.
 	Value []byte
-	// Refusal is the change's error where Outcome is OutcomeRefused.
+	// Refusal is the change's error if Outcome is OutcomeRefused.
 	Refusal error
 	// Evaluation is the number of the chosen call of the change, from one.
 	Evaluation int
