--- a/coordination/register/message.go
+++ b/coordination/register/message.go
@@ -132,6 +132,6 @@
 	Promised replica.Ballot
 	// View is the newest view of the shard that the replica knows, or nil.
 	View *View
-	// ConfigurationVersion is the newest that the replica knows.
+	// ConfigurationVersion is the newest version that the replica knows.
 	ConfigurationVersion uint64
 }
