--- a/coordination/tokenbudget/chosen_test.go
+++ b/coordination/tokenbudget/chosen_test.go
@@ -14,7 +14,7 @@
 
 // retriedRegister calls each change on one record and then, as if that try had found no
 // answer, on another one; the first try turns out to be chosen.
-// register.TestEarlierEvaluationMayStand has an order of messages that does this.
+// register.TestEarlierEvaluationMayBeChosen has an order of messages that does this.
 type retriedRegister struct{ first, second []byte }
 
 func (r *retriedRegister) Apply(_ context.Context, _ uint32, _ string, change register.Change) ([]byte, error) {
