--- a/coordination/register/batch.go
+++ b/coordination/register/batch.go
@@ -7,7 +7,7 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// call is one Apply that waits for its result.
+// call is an Apply that waits for its result.
 type call struct {
 	change Change
 	// done is closed once value and err are set.
@@ -20,16 +20,16 @@
 	included  bool
 	abandoned bool
 	finished  bool
-	// leave tells the running batch that the call was abandoned.
-	leave func()
+	// onAbandon tells the running batch that the call was abandoned.
+	onAbandon func()
 }
 
 func newCall(change Change) *call {
 	return &call{change: change, done: make(chan struct{})}
 }
 
-// abandon gives the call up. Its error says whether the change may still be applied;
-// where the call has finished already, abandon returns its result.
+// abandon ends the call on behalf of its caller. The error says whether the change may
+// still be applied. If the call has already finished, abandon returns its result.
 func (c *call) abandon(cause error) ([]byte, error) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -37,34 +37,34 @@
 		return c.value, c.err
 	}
 	c.abandoned = true
-	if c.leave != nil {
-		c.leave()
+	if c.onAbandon != nil {
+		c.onAbandon()
 	}
-	return nil, c.unresolved(cause)
+	return nil, c.undecidedError(cause)
 }
 
-// unresolved returns the error of a call that ends without a decision. The caller holds
-// the mutex.
-func (c *call) unresolved(cause error) error {
+// undecidedError returns the error of a call that ends without a decision. The caller
+// holds the mutex.
+func (c *call) undecidedError(cause error) error {
 	if c.included {
 		return merry.Wrap(ErrUnknownOutcome, merry.WithCause(cause), merry.AppendMessagef("%v", cause))
 	}
 	return merry.Wrap(ErrNoQuorum, merry.WithCause(cause), merry.AppendMessagef("%v", cause))
 }
 
-// join makes the call part of a batch, and returns false where it was abandoned. Leave
-// is called when the call is abandoned later.
-func (c *call) join(leave func()) bool {
+// join adds the call to a batch and returns false if it was already abandoned. OnAbandon
+// is called if the call is abandoned later.
+func (c *call) join(onAbandon func()) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.leave = leave
+	c.onAbandon = onAbandon
 	return !c.abandoned
 }
 
-// evaluate runs the change. Present is false where the call was abandoned, whose change
-// isn't run then. A change of the value counts as included from then on, since the value
-// is sent next.
-func (c *call) evaluate(current []byte) (next []byte, refusal error, present bool) {
+// evaluate runs the change. If the call was abandoned, the change isn't run and active is
+// false. A change that modifies the value counts as included from here on, since the
+// value is sent next.
+func (c *call) evaluate(current []byte) (next []byte, refusal error, active bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.abandoned {
@@ -96,73 +96,73 @@
 // fail ends the call without a decision.
 func (c *call) fail(cause error) {
 	c.mutex.Lock()
-	err := c.unresolved(cause)
+	err := c.undecidedError(cause)
 	c.mutex.Unlock()
 	c.finish(nil, err)
 }
 
-// callResult is what one evaluation of a batch meant for one call.
+// callResult is the result of one evaluation of a batch for one call.
 type callResult struct {
 	call  *call
 	value []byte
 	err   error
 }
 
-// batch applies several calls of one register as one change.
+// batch applies several calls of one register as a single change.
 type batch struct {
 	calls []*call
-	// evaluations holds the results of each evaluation, since a retry may find
-	// that an earlier one was chosen.
+	// evaluations holds the results of each evaluation, since a retry may find that an
+	// earlier one was chosen.
 	evaluations [][]callResult
 
 	mutex sync.Mutex
-	// present counts the calls that weren't abandoned.
-	present int
-	// empty is closed when every call has been abandoned.
-	empty chan struct{}
+	// remaining counts the calls that weren't abandoned.
+	remaining int
+	// abandoned is closed when every call has been abandoned.
+	abandoned chan struct{}
 }
 
 func newBatch(calls []*call) *batch {
-	b := &batch{present: len(calls), empty: make(chan struct{})}
-	for _, member := range calls {
-		if member.join(b.leave) {
-			b.calls = append(b.calls, member)
+	b := &batch{remaining: len(calls), abandoned: make(chan struct{})}
+	for _, queued := range calls {
+		if queued.join(b.countAbandoned) {
+			b.calls = append(b.calls, queued)
 		} else {
-			b.leave()
+			b.countAbandoned()
 		}
 	}
 	return b
 }
 
-// leave notes that one call was abandoned.
-func (b *batch) leave() {
+// countAbandoned records that one call was abandoned.
+func (b *batch) countAbandoned() {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	b.present--
-	if b.present == 0 {
-		close(b.empty)
+	b.remaining--
+	if b.remaining == 0 {
+		close(b.abandoned)
 	}
 }
 
-// change is the Change of the whole batch. Each call works on the value that the one
-// before it left; a call that refuses leaves the value as it was.
+// change is the Change of the whole batch. Each call is evaluated on the value that the
+// previous one returned; a call that refuses leaves the value unchanged.
 func (b *batch) change(current []byte) ([]byte, error) {
 	results := make([]callResult, 0, len(b.calls))
 	value := current
-	for _, member := range b.calls {
-		next, refusal, present := member.evaluate(value)
-		if !present {
+	for _, queued := range b.calls {
+		next, refusal, active := queued.evaluate(value)
+		if !active {
 			continue
 		}
 		value = next
-		results = append(results, callResult{call: member, value: next, err: refusal})
+		results = append(results, callResult{call: queued, value: next, err: refusal})
 	}
 	b.evaluations = append(b.evaluations, results)
 	return value, nil
 }
 
-// finish gives each call its result of the evaluation that was chosen, counted from one.
-// A call that had left the batch by that evaluation has its result already.
+// finish gives each call its result from the chosen evaluation, counted from one. Calls
+// that were abandoned before that evaluation have their result already.
 func (b *batch) finish(evaluation int) {
 	for _, result := range b.evaluations[evaluation-1] {
 		if result.err != nil {
@@ -180,9 +180,9 @@
 	}
 }
 
-func (b *batch) isEmpty() bool {
+func (b *batch) isAbandoned() bool {
 	select {
-	case <-b.empty:
+	case <-b.abandoned:
 		return true
 	default:
 		return false
