--- a/state/replica/boltfile.go
+++ b/state/replica/boltfile.go
@@ -10,60 +10,60 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// The file format of bbolt, as far as it is needed to walk a file whose every
-// byte may be wrong. bbolt itself follows page numbers without bounds, which
-// on a damaged file ends in a fault or an endless recursion, and falls back to
-// the meta page before the last where the last is damaged, which would serve
-// an old state. Source: the types Page, Meta and InBucket of go.etcd.io/bbolt
-// version 1.5, format version 2.
+// The subset of the bbolt file format that is needed to validate an untrusted file.
+// bbolt itself can't be used for this: it follows page numbers without bounds checks,
+// which on a corrupt file causes a fault or infinite recursion, and it falls back to the
+// older meta page if the newer one is corrupt, which would serve stale data. Source: the
+// types Page, Meta and InBucket of go.etcd.io/bbolt version 1.5, format version 2.
 const (
-	// Every meta page has these.
+	// Magic number and version of every meta page.
 	boltMagic   = 0xED0CDAED
 	boltVersion = 2
-	// Sizes in bytes: of the head of a page, of the content of a meta page, of the entry
-	// of a page's table of elements, and of the head of a bucket.
-	boltPageHeader   = 16
-	boltMetaBytes    = 64
-	boltElementBytes = 16
-	boltBucketHeader = 16
-	// Types of pages.
+	// Sizes in bytes of a page header, the content of a meta page, an entry of a page's
+	// element table and a bucket header.
+	boltPageHeaderBytes   = 16
+	boltMetaBytes         = 64
+	boltElementBytes      = 16
+	boltBucketHeaderBytes = 16
+	// Page types.
 	boltBranchPage = 0x01
 	boltLeafPage   = 0x02
 	boltMetaPage   = 0x04
-	// boltBucketEntry is the flag of an element whose value is a bucket.
-	boltBucketEntry = 0x01
-	// Page sizes in bytes that are accepted; bbolt uses that of the operating system.
+	// boltBucketFlag marks an element whose value is a bucket.
+	boltBucketFlag = 0x01
+	// Accepted page sizes in bytes; bbolt uses the page size of the operating system.
 	boltMinPageBytes = 512
 	boltMaxPageBytes = 1 << 16
-	// boltMetaPages is how many pages at the beginning of the file are meta pages.
-	boltMetaPages = 2
-	// boltNoFreelistPage stands in a meta page for a list of free pages that isn't stored.
-	boltNoFreelistPage = ^uint64(0)
+	// boltMetaPageCount is the number of meta pages at the start of the file.
+	boltMetaPageCount = 2
+	// boltNoFreelist is the freelist page number of a file that stores no freelist.
+	boltNoFreelist = ^uint64(0)
 )
 
-// boltFile walks the entries of a bbolt file.
+// boltFile validates a bbolt file and iterates over its entries.
 type boltFile struct {
 	source    io.ReaderAt
 	size      uint64
 	pageBytes uint64
-	root      uint64
-	// pages is the number of pages in use; a larger page number is wrong.
-	pages uint64
-	// reached holds the pages that the walk has come to. Each may be reached once.
-	reached map[uint64]bool
+	rootPage  uint64
+	// pageCount is the number of pages in use, an exclusive limit for page numbers.
+	pageCount uint64
+	// visited holds the pages that were already read. No page may be referenced twice.
+	visited map[uint64]bool
 }
 
-// boltMeta is what the walk needs of a meta page. Numbers are those of pages.
+// boltMeta holds the fields of a meta page that are needed to read the file. rootPage and
+// freelistPage are page numbers.
 type boltMeta struct {
-	pageBytes, root, freelist, pages, transaction uint64
+	pageBytes, rootPage, freelistPage, pageCount, transactionID uint64
 }
 
-// openBoltFile reads the meta pages of the file; size is in bytes.
+// openBoltFile reads and validates the meta pages of a file of size bytes.
 func openBoltFile(source io.ReaderAt, size int64) (*boltFile, error) {
-	if size < boltMetaPages*boltMinPageBytes {
-		return nil, corruptf("the file has only %d bytes", size)
+	if size < boltMetaPageCount*boltMinPageBytes {
+		return nil, corruptf("file has only %d bytes", size)
 	}
-	file := &boltFile{source: source, size: uint64(size), reached: make(map[uint64]bool)}
+	file := &boltFile{source: source, size: uint64(size), visited: make(map[uint64]bool)}
 	first, err := file.readMeta(0)
 	if err != nil {
 		return nil, err
@@ -72,111 +72,112 @@
 	if err != nil {
 		return nil, err
 	}
-	return file, file.useNewest(first, second)
+	return file, file.selectMeta(first, second)
 }
 
-// useNewest takes root and size of the newer meta page. It demands that the two are of
-// successive transactions: a torn write of a meta page can't be told from damage to a
-// newer one, so that it counts as damage too.
-func (f *boltFile) useNewest(first, second boltMeta) error {
+// selectMeta uses the newer meta page. It requires the two to be of consecutive
+// transactions: a torn write of a meta page can't be distinguished from corruption of the
+// newer page, so both are reported as corruption.
+func (f *boltFile) selectMeta(first, second boltMeta) error {
 	newest, older := first, second
-	if second.transaction > first.transaction {
+	if second.transactionID > first.transactionID {
 		newest, older = second, first
 	}
-	if newest.transaction != older.transaction+1 || first.pageBytes != second.pageBytes {
-		return corruptf("the meta pages are of transactions %d and %d", first.transaction, second.transaction)
+	if newest.transactionID != older.transactionID+1 || first.pageBytes != second.pageBytes {
+		return corruptf("meta pages don't match: transactions %d and %d, page sizes %d and %d",
+			first.transactionID, second.transactionID, first.pageBytes, second.pageBytes)
 	}
-	if newest.freelist != boltNoFreelistPage {
-		return corruptf("the file has a list of free pages")
+	if newest.freelistPage != boltNoFreelist {
+		return corruptf("unexpected freelist at page %d", newest.freelistPage)
 	}
-	if newest.pages > f.size/newest.pageBytes {
-		return corruptf("the file has %d bytes, %d pages are in use", f.size, newest.pages)
+	if newest.pageCount > f.size/newest.pageBytes {
+		return corruptf("file of %d bytes is too short for %d pages of %d bytes", f.size, newest.pageCount, newest.pageBytes)
 	}
-	f.pageBytes, f.root, f.pages = newest.pageBytes, newest.root, newest.pages
+	f.pageBytes, f.rootPage, f.pageCount = newest.pageBytes, newest.rootPage, newest.pageCount
 	return nil
 }
 
-// readMeta reads the meta page at the offset in bytes and checks that it is whole.
+// readMeta reads the meta page at the byte offset and validates it.
 func (f *boltFile) readMeta(offset uint64) (boltMeta, error) {
-	raw, err := f.read(offset, boltPageHeader+boltMetaBytes)
+	raw, err := f.read(offset, boltPageHeaderBytes+boltMetaBytes)
 	if err != nil {
 		return boltMeta{}, err
 	}
-	fields := raw[boltPageHeader:]
+	fields := raw[boltPageHeaderBytes:]
 	sum := fnv.New64a()
 	_, _ = sum.Write(fields[:boltMetaBytes-8])
-	whole := binary.NativeEndian.Uint16(raw[8:]) == boltMetaPage &&
+	valid := binary.NativeEndian.Uint16(raw[8:]) == boltMetaPage &&
 		binary.NativeEndian.Uint32(fields) == boltMagic &&
 		binary.NativeEndian.Uint32(fields[4:]) == boltVersion &&
 		binary.NativeEndian.Uint64(fields[boltMetaBytes-8:]) == sum.Sum64()
 	meta := boltMeta{
-		pageBytes:   uint64(binary.NativeEndian.Uint32(fields[8:])),
-		root:        binary.NativeEndian.Uint64(fields[16:]),
-		freelist:    binary.NativeEndian.Uint64(fields[32:]),
-		pages:       binary.NativeEndian.Uint64(fields[40:]),
-		transaction: binary.NativeEndian.Uint64(fields[48:]),
+		pageBytes:     uint64(binary.NativeEndian.Uint32(fields[8:])),
+		rootPage:      binary.NativeEndian.Uint64(fields[16:]),
+		freelistPage:  binary.NativeEndian.Uint64(fields[32:]),
+		pageCount:     binary.NativeEndian.Uint64(fields[40:]),
+		transactionID: binary.NativeEndian.Uint64(fields[48:]),
 	}
-	if !whole || meta.pageBytes < boltMinPageBytes || meta.pageBytes > boltMaxPageBytes {
-		return boltMeta{}, corruptf("the meta page at byte %d", offset)
+	if !valid || meta.pageBytes < boltMinPageBytes || meta.pageBytes > boltMaxPageBytes {
+		return boltMeta{}, corruptf("invalid meta page at offset %d", offset)
 	}
 	return meta, nil
 }
 
-// each visits the entries of the named top-level bucket. Keys and values are
-// only valid during the visit.
-func (f *boltFile) each(bucket []byte, visit func(key, value []byte) error) error {
+// eachEntry visits the entries of the named bucket, which must be the only one of the
+// file. Keys and values are only valid during the visit.
+func (f *boltFile) eachEntry(bucket []byte, visit func(key, value []byte) error) error {
 	found := 0
-	err := f.eachInPage(f.root, keyRange{}, func(element boltElement) error {
-		if element.flags != boltBucketEntry || !bytes.Equal(element.key, bucket) {
+	err := f.eachLeafElement(f.rootPage, keyRange{}, func(element boltElement) error {
+		if element.flags != boltBucketFlag || !bytes.Equal(element.key, bucket) {
 			return corruptf("unexpected bucket %q", element.key)
 		}
 		found++
-		return f.eachInBucket(element.value, visit)
+		return f.eachBucketEntry(element.value, visit)
 	})
 	if err != nil {
 		return err
 	}
 	if found != 1 {
-		return corruptf("%d buckets %q", found, bucket)
+		return corruptf("found %d buckets named %q, want 1", found, bucket)
 	}
 	return nil
 }
 
-// eachInBucket visits the entries of the bucket whose value is given: the number of its
-// root page, or zero and the page itself.
-func (f *boltFile) eachInBucket(value []byte, visit func(key, value []byte) error) error {
-	if len(value) < boltBucketHeader {
-		return corruptf("a bucket of %d bytes", len(value))
+// eachBucketEntry visits the entries of a bucket. Its value holds the number of its root
+// page, or zero followed by an inline page.
+func (f *boltFile) eachBucketEntry(value []byte, visit func(key, value []byte) error) error {
+	if len(value) < boltBucketHeaderBytes {
+		return corruptf("bucket value has only %d bytes", len(value))
 	}
 	onEntry := func(element boltElement) error {
 		if element.flags != 0 {
-			return corruptf("a bucket inside the bucket")
+			return corruptf("unexpected element flags %#x for key %q", element.flags, element.key)
 		}
 		return visit(element.key, element.value)
 	}
 	root := binary.NativeEndian.Uint64(value)
 	if root != 0 {
-		return f.eachInPage(root, keyRange{}, onEntry)
+		return f.eachLeafElement(root, keyRange{}, onEntry)
 	}
-	page, err := parseBoltPage(value[boltBucketHeader:])
+	page, err := parseBoltPage(value[boltBucketHeaderBytes:])
 	if err != nil {
 		return err
 	}
 	if page.flags != boltLeafPage {
-		return corruptf("an inline bucket without a leaf page")
+		return corruptf("inline bucket has page type %#x, want a leaf page", page.flags)
 	}
-	return eachElement(page, keyRange{}, onEntry)
+	return eachPageElement(page, keyRange{}, onEntry)
 }
 
-// eachInPage visits the elements of the leaves below the page. All keys must lie within
-// the limits, which are those of the branch above.
-func (f *boltFile) eachInPage(number uint64, limits keyRange, visit func(boltElement) error) error {
+// eachLeafElement visits the elements of all leaf pages below the page. All keys must lie
+// within limits, the key range that the parent page gives.
+func (f *boltFile) eachLeafElement(number uint64, limits keyRange, visit func(boltElement) error) error {
 	page, err := f.readPage(number)
 	if err != nil {
 		return err
 	}
 	if page.flags == boltLeafPage {
-		return eachElement(page, limits, visit)
+		return eachPageElement(page, limits, visit)
 	}
 	children, err := page.children(limits)
 	if err != nil {
@@ -187,32 +188,32 @@
 		if index+1 < len(children) {
 			below.to = children[index+1].key
 		}
-		if err := f.eachInPage(child.child, below, visit); err != nil {
+		if err := f.eachLeafElement(child.childPage, below, visit); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// readPage reads a tree page with its overflow pages. Each page may be reached
-// once, so the walk ends on every file.
+// readPage reads a tree page with its overflow pages. No page is read twice, so that
+// page references that form a cycle can't cause an endless loop.
 func (f *boltFile) readPage(number uint64) (boltPage, error) {
-	if number < boltMetaPages || number >= f.pages || f.reached[number] {
-		return boltPage{}, corruptf("page %d of %d is out of range or used twice", number, f.pages)
+	if number < boltMetaPageCount || number >= f.pageCount || f.visited[number] {
+		return boltPage{}, corruptf("page %d is out of range (%d pages in use) or referenced twice", number, f.pageCount)
 	}
-	raw, err := f.read(number*f.pageBytes, boltPageHeader)
+	raw, err := f.read(number*f.pageBytes, boltPageHeaderBytes)
 	if err != nil {
 		return boltPage{}, err
 	}
 	overflow := uint64(binary.NativeEndian.Uint32(raw[12:]))
-	if binary.NativeEndian.Uint64(raw) != number || overflow >= f.pages-number {
-		return boltPage{}, corruptf("the head of page %d", number)
+	if binary.NativeEndian.Uint64(raw) != number || overflow >= f.pageCount-number {
+		return boltPage{}, corruptf("invalid header of page %d", number)
 	}
-	for part := number; part <= number+overflow; part++ {
-		if f.reached[part] {
-			return boltPage{}, corruptf("page %d is used twice", part)
+	for covered := number; covered <= number+overflow; covered++ {
+		if f.visited[covered] {
+			return boltPage{}, corruptf("page %d is referenced twice", covered)
 		}
-		f.reached[part] = true
+		f.visited[covered] = true
 	}
 	raw, err = f.read(number*f.pageBytes, (1+overflow)*f.pageBytes)
 	if err != nil {
@@ -221,19 +222,19 @@
 	return parseBoltPage(raw)
 }
 
-// read returns so many bytes at the offset.
+// read returns length bytes at the offset.
 func (f *boltFile) read(offset, length uint64) ([]byte, error) {
 	if offset+length > f.size {
-		return nil, corruptf("the file ends at byte %d, %d are needed", f.size, offset+length)
+		return nil, corruptf("file has %d bytes, at least %d are needed", f.size, offset+length)
 	}
 	buffer := make([]byte, length)
 	if _, err := f.source.ReadAt(buffer, int64(offset)); err != nil {
-		return nil, merry.Prependf(err, "read %d bytes at %d", length, offset)
+		return nil, merry.Prependf(err, "read %d bytes at offset %d", length, offset)
 	}
 	return buffer, nil
 }
 
-// corruptf returns ErrCorrupt with the message.
+// corruptf returns an error that wraps ErrCorrupt, with the formatted message.
 func corruptf(format string, arguments ...any) error {
 	return merry.Errorf("%w: %s", ErrCorrupt, fmt.Sprintf(format, arguments...))
 }
--- a/state/replica/boltpage.go
+++ b/state/replica/boltpage.go
@@ -5,50 +5,51 @@
 	"encoding/binary"
 )
 
-// boltPage is a tree page with its overflow pages.
+// boltPage is a leaf or branch page with its overflow pages.
 type boltPage struct {
 	flags, count uint16
 	body         []byte
 }
 
-// boltElement is an entry of a leaf page, or of a branch page, which has a child in place
-// of a value.
+// boltElement is an entry of a leaf page, which has a value, or of a branch page, which
+// has a child page.
 type boltElement struct {
 	flags uint32
-	// child is the number of the page below.
-	child      uint64
+	// childPage is the page number of the child.
+	childPage  uint64
 	key, value []byte
 }
 
-// parseBoltPage checks the head of a leaf or branch page.
+// parseBoltPage parses and validates the header of a leaf or branch page.
 func parseBoltPage(raw []byte) (boltPage, error) {
-	if len(raw) < boltPageHeader {
-		return boltPage{}, corruptf("a page of %d bytes", len(raw))
+	if len(raw) < boltPageHeaderBytes {
+		return boltPage{}, corruptf("page has only %d bytes", len(raw))
 	}
 	page := boltPage{
 		flags: binary.NativeEndian.Uint16(raw[8:]),
 		count: binary.NativeEndian.Uint16(raw[10:]),
-		body:  raw[boltPageHeader:],
+		body:  raw[boltPageHeaderBytes:],
 	}
 	if page.flags != boltLeafPage && page.flags != boltBranchPage {
-		return boltPage{}, corruptf("a page of type %#x", page.flags)
+		return boltPage{}, corruptf("unexpected page type %#x", page.flags)
 	}
 	if int(page.count)*boltElementBytes > len(page.body) {
-		return boltPage{}, corruptf("a page with %d elements", page.count)
+		return boltPage{}, corruptf("page of %d bytes is too short for %d elements", len(raw), page.count)
 	}
 	return page, nil
 }
 
-// keyRange is the keys at or after from and before to. Nil is no limit.
+// keyRange is the range of keys from from (inclusive) to to (exclusive). A nil bound is
+// unlimited.
 type keyRange struct{ from, to []byte }
 
-func (r keyRange) holds(key []byte) bool {
+func (r keyRange) contains(key []byte) bool {
 	return bytes.Compare(key, r.from) >= 0 && (r.to == nil || bytes.Compare(key, r.to) < 0)
 }
 
-// eachElement visits the elements of one page. It demands ascending keys within the
+// eachPageElement visits the elements of one page. It requires ascending keys within
 // limits, since a lookup by bbolt could miss a key that is out of order.
-func eachElement(page boltPage, limits keyRange, visit func(boltElement) error) error {
+func eachPageElement(page boltPage, limits keyRange, visit func(boltElement) error) error {
 	var previous []byte
 	for index := 0; index < int(page.count); index++ {
 		element, err := page.element(index)
@@ -56,8 +57,8 @@
 			return err
 		}
 		ascending := index == 0 || bytes.Compare(previous, element.key) < 0
-		if !ascending || !limits.holds(element.key) {
-			return corruptf("key %q is out of order", element.key)
+		if !ascending || !limits.contains(element.key) {
+			return corruptf("key %q is out of order or out of its page's key range", element.key)
 		}
 		previous = element.key
 		if err := visit(element); err != nil {
@@ -67,7 +68,7 @@
 	return nil
 }
 
-// element returns the element with the index, whose key and value must lie in the page.
+// element returns the element at index. Its key and value must lie within the page.
 func (p boltPage) element(index int) (boltElement, error) {
 	start := index * boltElementBytes
 	raw := p.body[start : start+boltElementBytes]
@@ -81,21 +82,21 @@
 	} else {
 		position = uint64(binary.NativeEndian.Uint32(raw))
 		keyBytes = uint64(binary.NativeEndian.Uint32(raw[4:]))
-		element.child = binary.NativeEndian.Uint64(raw[8:])
+		element.childPage = binary.NativeEndian.Uint64(raw[8:])
 	}
 	from := uint64(start) + position
 	if from+keyBytes+valueBytes > uint64(len(p.body)) {
-		return boltElement{}, corruptf("element %d points out of its page", index)
+		return boltElement{}, corruptf("element %d extends beyond its page", index)
 	}
 	element.key = p.body[from : from+keyBytes]
 	element.value = p.body[from+keyBytes : from+keyBytes+valueBytes]
 	return element, nil
 }
 
-// children returns the elements of a branch page.
+// children returns the elements of a branch page, whose keys must lie within limits.
 func (p boltPage) children(limits keyRange) ([]boltElement, error) {
 	var children []boltElement
-	err := eachElement(p, limits, func(element boltElement) error {
+	err := eachPageElement(p, limits, func(element boltElement) error {
 		children = append(children, element)
 		return nil
 	})
--- a/state/replica/corruption_test.go
+++ b/state/replica/corruption_test.go
@@ -90,10 +90,10 @@
 	assert.NilError(t, err)
 	want, err := verifiedEntries(whole)
 	assert.NilError(t, err)
-	pageBytes := int(binary.NativeEndian.Uint32(whole[boltPageHeader+8:]))
+	pageBytes := int(binary.NativeEndian.Uint32(whole[boltPageHeaderBytes+8:]))
 	detected := 0
 	for page := 0; page*pageBytes < len(whole); page++ {
-		for offset := range boltPageHeader + boltMetaBytes {
+		for offset := range boltPageHeaderBytes + boltMetaBytes {
 			damaged := bytes.Clone(whole)
 			damaged[page*pageBytes+offset] ^= 0x11
 			got, err := verifiedEntries(damaged)
--- a/state/replica/recovery.go
+++ b/state/replica/recovery.go
@@ -71,7 +71,7 @@
 	}
 	var stored, counted header
 	found := false
-	err = file.each(dataBucket, func(key, value []byte) error {
+	err = file.eachEntry(dataBucket, func(key, value []byte) error {
 		payload, err := unseal(key, value)
 		if err != nil {
 			return err
