--- a/state/replica/bench_test.go
+++ b/state/replica/bench_test.go
@@ -64,34 +64,34 @@
 			})
 		})
 		b.Run(fmt.Sprint("transaction each, writers=", writers), func(b *testing.B) {
-			database := openPlain(b)
-			runWriters(b, writers, func(number uint64) error { return database.Update(plainWrite(number)) })
+			database := openPlainBolt(b)
+			runWriters(b, writers, func(number uint64) error { return database.Update(plainBoltWrite(number)) })
 		})
 		b.Run(fmt.Sprint("batches of bbolt, writers=", writers), func(b *testing.B) {
-			database := openPlain(b)
-			runWriters(b, writers, func(number uint64) error { return database.Batch(plainWrite(number)) })
+			database := openPlainBolt(b)
+			runWriters(b, writers, func(number uint64) error { return database.Batch(plainBoltWrite(number)) })
 		})
 	}
 }
 
-func openPlain(b *testing.B) *bbolt.DB {
+func openPlainBolt(b *testing.B) *bbolt.DB {
 	b.Helper()
 	path := filepath.Join(benchmarkFolder(b), dataFileName)
-	assert.NilError(b, initialize(path, header{format: FormatVersion, incarnation: "x"}))
+	assert.NilError(b, initializeDataFile(path, header{format: FormatVersion, incarnation: "x"}))
 	database, err := openBolt(path)
 	assert.NilError(b, err)
 	b.Cleanup(func() { _ = database.Close() })
 	return database
 }
 
-func plainWrite(number uint64) func(*bbolt.Tx) error {
+func plainBoltWrite(number uint64) func(*bbolt.Tx) error {
 	return func(transaction *bbolt.Tx) error {
 		key := registerKey(1, fmt.Sprint(number%1000))
 		payload, err := encodeRegister(benchmarkState(number))
 		if err != nil {
 			return err
 		}
-		return transaction.Bucket(dataBucket).Put(key, seal(key, payload))
+		return transaction.Bucket(dataBucket).Put(key, encodeEntry(key, payload))
 	}
 }
 
--- a/state/replica/corruption_test.go
+++ b/state/replica/corruption_test.go
@@ -58,9 +58,9 @@
 	return false
 }
 
-// TestDamagedFileIsNeverServed flips bits and cuts or lengthens the file at
+// TestCorruptFileIsNeverServed flips bits and cuts or lengthens the file at
 // random places.
-func TestDamagedFileIsNeverServed(t *testing.T) {
+func TestCorruptFileIsNeverServed(t *testing.T) {
 	sample := t.TempDir()
 	want, incarnation := writeSample(t, sample)
 	whole, err := os.ReadFile(filepath.Join(sample, dataFileName))
@@ -81,9 +81,9 @@
 	})
 }
 
-// TestStructureDamage changes each byte of the page heads and of the first
+// TestCorruptPageStructure changes each byte of the page heads and of the first
 // elements, where bbolt has no checksum of its own.
-func TestStructureDamage(t *testing.T) {
+func TestCorruptPageStructure(t *testing.T) {
 	sample := t.TempDir()
 	writeSample(t, sample)
 	whole, err := os.ReadFile(filepath.Join(sample, dataFileName))
@@ -117,9 +117,9 @@
 	return all.String(), err
 }
 
-// TestLostEntryIsDetected removes an entry from a file that stays whole
+// TestMissingEntryIsDetected removes an entry from a file that stays whole
 // otherwise: no checksum of an entry shows that.
-func TestLostEntryIsDetected(t *testing.T) {
+func TestMissingEntryIsDetected(t *testing.T) {
 	folder := t.TempDir()
 	_, incarnation := writeSample(t, folder)
 	database, err := bbolt.Open(filepath.Join(folder, dataFileName), fileMode, &bbolt.Options{NoFreelistSync: true})
@@ -131,8 +131,8 @@
 	assert.Assert(t, !assertCorrectOrEmpty(t, folder, nil, incarnation))
 }
 
-// TestOtherFormatIsLeftAlone demands that a newer file isn't set aside.
-func TestOtherFormatIsLeftAlone(t *testing.T) {
+// TestUnsupportedFormatIsLeftUnchanged demands that a newer file isn't set aside.
+func TestUnsupportedFormatIsLeftUnchanged(t *testing.T) {
 	folder := t.TempDir()
 	writeSample(t, folder)
 	path := filepath.Join(folder, dataFileName)
@@ -140,19 +140,19 @@
 	assert.NilError(t, err)
 	assert.NilError(t, database.Update(func(transaction *bbolt.Tx) error {
 		newer := header{format: FormatVersion + 1, incarnation: "x"}
-		return transaction.Bucket(dataBucket).Put(headerKey(), seal(headerKey(), newer.encode()))
+		return transaction.Bucket(dataBucket).Put(headerKey(), encodeEntry(headerKey(), newer.encode()))
 	}))
 	assert.NilError(t, database.Close())
 	before, err := os.ReadFile(path)
 	assert.NilError(t, err)
 	_, err = OpenDisk(folder)
-	assert.ErrorIs(t, err, ErrFormat)
+	assert.ErrorIs(t, err, ErrUnsupportedFormat)
 	after, err := os.ReadFile(path)
 	assert.NilError(t, err)
 	assert.Assert(t, bytes.Equal(before, after))
 }
 
-func TestFolderInUseIsRefused(t *testing.T) {
+func TestLockedFolderIsRefused(t *testing.T) {
 	folder := t.TempDir()
 	openTestDisk(t, folder)
 	_, err := OpenDisk(folder)
--- a/state/replica/disk.go
+++ b/state/replica/disk.go
@@ -9,64 +9,65 @@
 	"go.etcd.io/bbolt"
 )
 
-// Disk is a Store in one bbolt file of a data folder. Every write is synced before its
-// method returns; writes that arrive together share a sync. Register states and meta
-// values are held in memory too, so that what a replica votes with is read from the disk
-// once, when the whole file is verified.
+// Disk is a Store in a bbolt file in a data folder. Every write is synced before its
+// method returns; concurrent writes share a sync. Registers and meta values are also kept
+// in memory: they are read from the disk only once, when opening verifies the whole file.
 //
-// A damaged file is renamed and never read again. The store then starts empty under a
-// new incarnation, and the replica comes back by being added to the replica sets again.
+// A corrupt file is renamed and not read again. The store then starts empty under a new
+// incarnation, and the replica has to be added to its replica sets again.
 type Disk struct {
 	database *bbolt.DB
-	// lock keeps other processes from the folder while it is open.
-	lock        *os.File
+	// lockFile holds the lock on the folder while it is open.
+	lockFile    *os.File
 	incarnation string
 	damage      error
-	// memory holds registers and meta values as last synced; no turns.
+	// memory holds the registers and meta values as last synced, but no turns.
 	memory *Memory
 	writer *writer
 }
 
 var _ Store = (*Disk)(nil)
 
-// Incarnation returns the id under which replica sets know this data. It stays with the
-// data and is a new one where the data was lost.
+// Incarnation returns the ID under which replica sets know this data. It is stored with
+// the data, and a new one is generated if the data is lost.
 func (d *Disk) Incarnation() string { return d.incarnation }
 
-// Damage returns what was wrong with the data file that OpenDisk found and
-// where it was moved; nil where nothing was wrong.
+// Damage returns an error that describes the corruption that OpenDisk found in the data
+// file and the path to which it renamed the file, or nil if the file was valid.
 func (d *Disk) Damage() error { return d.damage }
 
-// Failure returns why the store takes no writes any more, or nil while it does. What the
-// disk holds isn't known after a failure; opening the folder again verifies it.
+// Failure returns the error that stopped all writes, or nil if there was none. The content
+// of the disk is unknown after a failure; reopening the folder verifies it.
 func (d *Disk) Failure() error {
-	if failure := d.writer.failed.Load(); failure != nil {
+	if failure := d.writer.sharedFailure.Load(); failure != nil {
 		return *failure
 	}
 	return nil
 }
 
-// Written returns how many changes were synced so far, and in how many transactions.
+// Written returns the number of changes synced so far and of the transactions that they
+// took.
 func (d *Disk) Written() (changes, commits uint64) {
-	return d.writer.written.Load(), d.writer.commits.Load()
+	return d.writer.changeCount.Load(), d.writer.commitCount.Load()
 }
 
-// LoadRegister returns the zero Register for a key that was never saved.
+// LoadRegister returns the state of the register, or the zero Register if it was never
+// saved.
 func (d *Disk) LoadRegister(shard uint32, key string) (Register, error) {
 	return d.memory.LoadRegister(shard, key)
 }
 
-// EachRegister visits the registers as they were when it was called.
+// EachRegister visits a snapshot of the registers, taken when it is called.
 func (d *Disk) EachRegister(shard uint32, visit func(key string, state Register) error) error {
 	return d.memory.EachRegister(shard, visit)
 }
 
-// LoadMeta returns nil for a name that was never saved.
+// LoadMeta returns the value, or nil if there is none.
 func (d *Disk) LoadMeta(shard uint32, name string) ([]byte, error) {
 	return d.memory.LoadMeta(shard, name)
 }
 
-// SaveRegister replaces the state of the key and returns once it is synced.
+// SaveRegister replaces the state of the register and returns after it was synced.
 func (d *Disk) SaveRegister(shard uint32, key string, state Register) error {
 	if err := checkName(key); err != nil {
 		return err
@@ -75,84 +76,83 @@
 	if err != nil {
 		return merry.Prepend(err, "encode register")
 	}
-	entry := registerKey(shard, key)
-	return d.writer.do(change{
-		apply:    func(b *batch) error { return b.put(entry, payload) },
-		inMemory: func(m *Memory) error { return m.SaveRegister(shard, key, state) },
+	entryKey := registerKey(shard, key)
+	return d.writer.write(change{
+		apply:         func(tx *updateTx) error { return tx.put(entryKey, payload) },
+		applyInMemory: func(m *Memory) error { return m.SaveRegister(shard, key, state) },
 	})
 }
 
-// SaveMeta replaces the value and returns once it is synced; an empty value
-// removes it.
+// SaveMeta replaces the value and returns after it was synced. An empty value removes it.
 func (d *Disk) SaveMeta(shard uint32, name string, value []byte) error {
 	if err := checkName(name); err != nil {
 		return err
 	}
-	entry := metaKey(shard, name)
+	entryKey := metaKey(shard, name)
 	payload := bytes.Clone(value)
-	return d.writer.do(change{
-		apply: func(b *batch) error {
+	return d.writer.write(change{
+		apply: func(tx *updateTx) error {
 			if len(payload) == 0 {
-				return b.remove(entry)
+				return tx.remove(entryKey)
 			}
-			return b.put(entry, payload)
+			return tx.put(entryKey, payload)
 		},
-		inMemory: func(m *Memory) error { return m.SaveMeta(shard, name, payload) },
+		applyInMemory: func(m *Memory) error { return m.SaveMeta(shard, name, payload) },
 	})
 }
 
-// PutTurn stores the turn and returns once it is synced.
+// PutTurn stores the turn and returns after it was synced.
 func (d *Disk) PutTurn(shard uint32, turn Turn) error {
 	if err := checkName(turn.Program); err != nil {
 		return err
 	}
-	entry := turnKey(shard, turn)
-	return d.writer.do(change{
-		apply: func(b *batch) error { return b.put(entry, turn.Object) },
+	entryKey := turnKey(shard, turn)
+	return d.writer.write(change{
+		apply: func(tx *updateTx) error { return tx.put(entryKey, turn.Object) },
 	})
 }
 
 // EachTurnName implements TurnLister.
 func (d *Disk) EachTurnName(shard uint32, visit func(Turn) error) error {
 	prefix := kindPrefix(kindTurn, shard)
-	return d.eachTurn(prefix, prefix, turnName, visit)
+	return d.eachTurn(prefix, prefix, decodeTurnKey, visit)
 }
 
-// turnName decodes a turn without its object, which isn't read or verified.
-func turnName(key, _ []byte) (Turn, error) {
+// decodeTurnKey decodes a turn without its object, which is neither read nor verified.
+func decodeTurnKey(key, _ []byte) (Turn, error) {
 	return decodeTurn(bytes.Clone(key), nil)
 }
 
-// DropProgram forgets the turns of the program; its register stays.
+// DropProgram deletes the turns of the program, but not its register.
 func (d *Disk) DropProgram(shard uint32, program string) error {
 	if err := checkName(program); err != nil {
 		return err
 	}
 	prefix := programPrefix(shard, program)
-	return d.writer.do(change{
-		apply: func(b *batch) error { return b.removePrefix(prefix) },
+	return d.writer.write(change{
+		apply: func(tx *updateTx) error { return tx.removePrefix(prefix) },
 	})
 }
 
-// DropShard forgets the registers, turns and meta values of the shard.
+// DropShard deletes the registers, turns and meta values of the shard.
 func (d *Disk) DropShard(shard uint32) error {
-	return d.writer.do(change{
-		apply: func(b *batch) error {
+	return d.writer.write(change{
+		apply: func(tx *updateTx) error {
 			for _, kind := range []byte{kindRegister, kindMeta, kindTurn} {
-				if err := b.removePrefix(kindPrefix(kind, shard)); err != nil {
+				if err := tx.removePrefix(kindPrefix(kind, shard)); err != nil {
 					return err
 				}
 			}
 			return nil
 		},
-		inMemory: func(m *Memory) error { return m.DropShard(shard) },
+		applyInMemory: func(m *Memory) error { return m.DropShard(shard) },
 	})
 }
 
-// Close waits for the writes in progress and closes the file.
+// Close waits for queued writes, closes the file and unlocks the folder.
 func (d *Disk) Close() error {
 	if !d.writer.stop() {
 		return nil
 	}
-	return errors.Join(d.memory.Close(), d.database.Close(), d.lock.Close())
+	return errors.Join(d.memory.Close(), d.database.Close(), d.lockFile.Close())
 }
--- a/state/replica/memory.go
+++ b/state/replica/memory.go
@@ -6,8 +6,8 @@
 	"sync"
 )
 
-// Memory is a Store that keeps everything in memory. A node that uses it must take a new
-// incarnation at every start, since it has forgotten its promises.
+// Memory is a Store without persistence. A node that uses it must use a new incarnation at
+// every start, since its promises are lost.
 type Memory struct {
 	mutex  sync.RWMutex
 	shards map[uint32]*memoryShard
@@ -17,7 +17,8 @@
 type memoryShard struct {
 	registers map[string]Register
 	meta      map[string][]byte
-	// turns holds, for each program, its turns ordered by sequence and digest.
+	// turns holds the turns of each program, ordered by sequence and digest. The slices
+	// are replaced, never modified, so that snapshots can share them.
 	turns map[string][]Turn
 }
 
@@ -28,7 +29,8 @@
 	return &Memory{shards: make(map[uint32]*memoryShard)}
 }
 
-// LoadRegister returns the zero Register for a key that was never saved.
+// LoadRegister returns the state of the register, or the zero Register if it was never
+// saved.
 func (m *Memory) LoadRegister(shard uint32, key string) (Register, error) {
 	if err := checkName(key); err != nil {
 		return Register{}, err
@@ -38,10 +40,10 @@
 	if m.closed {
 		return Register{}, ErrClosed
 	}
-	return copyRegister(m.read(shard).registers[key]), nil
+	return copyRegister(m.lookupShard(shard).registers[key]), nil
 }
 
-// SaveRegister replaces the state of the key. An empty Value is kept as nil.
+// SaveRegister replaces the state of the register. An empty Value is stored as nil.
 func (m *Memory) SaveRegister(shard uint32, key string, state Register) error {
 	if err := checkName(key); err != nil {
 		return err
@@ -51,11 +53,11 @@
 	if m.closed {
 		return ErrClosed
 	}
-	m.write(shard).registers[key] = copyRegister(state)
+	m.ensureShard(shard).registers[key] = copyRegister(state)
 	return nil
 }
 
-// EachRegister visits the registers as they were when it was called.
+// EachRegister visits a snapshot of the registers, taken when it is called.
 func (m *Memory) EachRegister(shard uint32, visit func(key string, state Register) error) error {
 	keys, states, err := m.snapshotRegisters(shard)
 	if err != nil {
@@ -75,7 +77,7 @@
 	if m.closed {
 		return nil, nil, ErrClosed
 	}
-	registers := m.read(shard).registers
+	registers := m.lookupShard(shard).registers
 	keys := sortedKeys(registers)
 	states := make([]Register, len(keys))
 	for index, key := range keys {
@@ -84,8 +86,7 @@
 	return keys, states, nil
 }
 
-// PutTurn stores the turn; storing the same program, sequence and digest again
-// replaces it.
+// PutTurn stores the turn. It replaces a turn with the same program, sequence and digest.
 func (m *Memory) PutTurn(shard uint32, turn Turn) error {
 	if err := checkName(turn.Program); err != nil {
 		return err
@@ -96,7 +97,7 @@
 	if m.closed {
 		return ErrClosed
 	}
-	turns := m.write(shard).turns
+	turns := m.ensureShard(shard).turns
 	index, found := slices.BinarySearchFunc(turns[turn.Program], turn, compareTurns)
 	if !found {
 		turns[turn.Program] = slices.Insert(slices.Clone(turns[turn.Program]), index, turn)
@@ -108,13 +109,13 @@
 	return nil
 }
 
-// ReadTurns visits the turns as they were when it was called.
+// ReadTurns visits a snapshot of the program's turns whose sequence is at least from.
 func (m *Memory) ReadTurns(shard uint32, program string, from uint64, visit func(Turn) error) error {
 	if err := checkName(program); err != nil {
 		return err
 	}
 	m.mutex.RLock()
-	turns, closed := m.read(shard).turns[program], m.closed
+	turns, closed := m.lookupShard(shard).turns[program], m.closed
 	m.mutex.RUnlock()
 	if closed {
 		return ErrClosed
@@ -130,8 +131,8 @@
 	return nil
 }
 
-// EachTurn visits every turn of the shard, ordered by program, sequence and
-// digest, as they were when it was called.
+// EachTurn visits a snapshot of the shard's turns, ordered by program, sequence and
+// digest.
 func (m *Memory) EachTurn(shard uint32, visit func(Turn) error) error {
 	turns, err := m.snapshotTurns(shard)
 	if err != nil {
@@ -152,7 +153,7 @@
 		return nil, ErrClosed
 	}
 	var all []Turn
-	programs := m.read(shard).turns
+	programs := m.lookupShard(shard).turns
 	for _, program := range sortedKeys(programs) {
 		all = append(all, programs[program]...)
 	}
@@ -174,7 +175,7 @@
 	return nil
 }
 
-// DropProgram forgets the turns of the program; its register stays.
+// DropProgram deletes the turns of the program, but not its register.
 func (m *Memory) DropProgram(shard uint32, program string) error {
 	if err := checkName(program); err != nil {
 		return err
@@ -184,11 +185,11 @@
 	if m.closed {
 		return ErrClosed
 	}
-	delete(m.write(shard).turns, program)
+	delete(m.ensureShard(shard).turns, program)
 	return nil
 }
 
-// LoadMeta returns nil for a name that was never saved.
+// LoadMeta returns the value, or nil if there is none.
 func (m *Memory) LoadMeta(shard uint32, name string) ([]byte, error) {
 	if err := checkName(name); err != nil {
 		return nil, err
@@ -198,10 +199,10 @@
 	if m.closed {
 		return nil, ErrClosed
 	}
-	return bytes.Clone(m.read(shard).meta[name]), nil
+	return bytes.Clone(m.lookupShard(shard).meta[name]), nil
 }
 
-// SaveMeta replaces the value; an empty one removes it.
+// SaveMeta replaces the value. An empty value removes it.
 func (m *Memory) SaveMeta(shard uint32, name string, value []byte) error {
 	if err := checkName(name); err != nil {
 		return err
@@ -212,14 +213,14 @@
 		return ErrClosed
 	}
 	if len(value) == 0 {
-		delete(m.write(shard).meta, name)
+		delete(m.ensureShard(shard).meta, name)
 		return nil
 	}
-	m.write(shard).meta[name] = bytes.Clone(value)
+	m.ensureShard(shard).meta[name] = bytes.Clone(value)
 	return nil
 }
 
-// DropShard forgets the registers, turns and meta values of the shard.
+// DropShard deletes the registers, turns and meta values of the shard.
 func (m *Memory) DropShard(shard uint32) error {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -230,7 +231,7 @@
 	return nil
 }
 
-// Close releases what is kept; the data is gone.
+// Close discards all data.
 func (m *Memory) Close() error {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -239,17 +240,18 @@
 	return nil
 }
 
-// read returns the shard, or an empty one that isn't kept. The caller holds the mutex.
-func (m *Memory) read(shard uint32) *memoryShard {
+// lookupShard returns the shard, or a new empty one that isn't stored. The caller must hold
+// the mutex.
+func (m *Memory) lookupShard(shard uint32) *memoryShard {
 	if existing, found := m.shards[shard]; found {
 		return existing
 	}
 	return &memoryShard{}
 }
 
-// write returns the shard and creates it where there is none. The caller holds the mutex
-// for writing.
-func (m *Memory) write(shard uint32) *memoryShard {
+// ensureShard returns the shard and creates it if there is none. The caller must hold the
+// mutex for writing.
+func (m *Memory) ensureShard(shard uint32) *memoryShard {
 	if existing, found := m.shards[shard]; found {
 		return existing
 	}
--- a/state/replica/open.go
+++ b/state/replica/open.go
@@ -16,16 +16,16 @@
 // dataBucket is the name of the data file's only bucket.
 var dataBucket = []byte("replica")
 
-// incarnationBytes is how many random bytes an incarnation has: enough that two never
-// are the same.
+// incarnationBytes is the number of random bytes of an incarnation, enough to rule out
+// duplicates in practice.
 const incarnationBytes = 16
 
-// OpenDisk opens the store in the folder and creates the folder where there is none. It
-// returns ErrLocked where another process uses the folder and ErrFormat where another
-// version of the program wrote the file. A damaged file isn't an error: see Damage.
+// OpenDisk opens the store in the folder, which it creates if necessary. It returns
+// ErrLocked if the folder is in use and ErrUnsupportedFormat if the file has another
+// format version. A corrupt file isn't an error but is replaced: see [Disk.Damage].
 func OpenDisk(folder string) (*Disk, error) { return openDisk(folder, rand.Reader) }
 
-// openDisk is OpenDisk with the random source of new incarnations.
+// openDisk is OpenDisk with a random source for new incarnations.
 func openDisk(folder string, random io.Reader) (*Disk, error) {
 	if err := os.MkdirAll(folder, folderMode); err != nil {
 		return nil, merry.Prepend(err, "create data folder")
@@ -34,7 +34,7 @@
 	if err != nil {
 		return nil, err
 	}
-	disk := &Disk{lock: lock, memory: NewMemory()}
+	disk := &Disk{lockFile: lock, memory: NewMemory()}
 	if err := disk.open(folder, random); err != nil {
 		_ = lock.Close()
 		return nil, merry.Prependf(err, "open replica store in %s", folder)
@@ -42,8 +42,8 @@
 	return disk, nil
 }
 
-// open verifies the data file, or makes a new one where there is none or it is damaged,
-// and starts the writer.
+// open verifies the data file, or creates a new one if it is missing or corrupt, and
+// starts the writer.
 func (d *Disk) open(folder string, random io.Reader) error {
 	path := filepath.Join(folder, dataFileName)
 	stored, err := verifyDataFile(path, d.loadEntry)
@@ -51,7 +51,7 @@
 	case errors.Is(err, fs.ErrNotExist):
 		stored, err = createDataFile(folder, random)
 	case errors.Is(err, ErrCorrupt):
-		stored, err = d.replace(folder, random, err)
+		stored, err = d.replaceCorruptFile(folder, random, err)
 	}
 	if err != nil {
 		return err
@@ -66,40 +66,40 @@
 	return nil
 }
 
-// replace sets the damaged file aside and makes an empty one.
-func (d *Disk) replace(folder string, random io.Reader, damage error) (header, error) {
-	target, err := setAside(folder)
+// replaceCorruptFile renames the corrupt file and creates an empty one.
+func (d *Disk) replaceCorruptFile(folder string, random io.Reader, damage error) (header, error) {
+	target, err := renameCorruptFile(folder)
 	if err != nil {
 		return header{}, err
 	}
 	d.memory = NewMemory()
-	d.damage = merry.Prependf(damage, "%s was set aside as %s", filepath.Join(folder, dataFileName), target)
+	d.damage = merry.Prependf(damage, "%s was renamed to %s", filepath.Join(folder, dataFileName), target)
 	return createDataFile(folder, random)
 }
 
-// createDataFile writes an empty data file under a new incarnation. The file
-// gets its name only once it is whole.
+// createDataFile creates an empty data file with a new incarnation. It writes a temporary
+// file first, so that an incomplete file never has the final name.
 func createDataFile(folder string, random io.Reader) (header, error) {
 	raw := make([]byte, incarnationBytes)
 	if _, err := io.ReadFull(random, raw); err != nil {
-		return header{}, merry.Prepend(err, "draw an incarnation")
+		return header{}, merry.Prepend(err, "generate incarnation")
 	}
 	created := header{format: FormatVersion, incarnation: hex.EncodeToString(raw)}
-	unfinished := filepath.Join(folder, newFileName)
-	if err := os.Remove(unfinished); err != nil && !errors.Is(err, fs.ErrNotExist) {
-		return header{}, merry.Prepend(err, "remove unfinished data file")
+	temporaryPath := filepath.Join(folder, temporaryFileName)
+	if err := os.Remove(temporaryPath); err != nil && !errors.Is(err, fs.ErrNotExist) {
+		return header{}, merry.Prepend(err, "remove temporary data file")
 	}
-	if err := initialize(unfinished, created); err != nil {
+	if err := initializeDataFile(temporaryPath, created); err != nil {
 		return header{}, err
 	}
-	if err := os.Rename(unfinished, filepath.Join(folder, dataFileName)); err != nil {
-		return header{}, merry.Prepend(err, "name the new data file")
+	if err := os.Rename(temporaryPath, filepath.Join(folder, dataFileName)); err != nil {
+		return header{}, merry.Prepend(err, "rename new data file")
 	}
 	return created, syncFolder(folder)
 }
 
-// initialize makes a bbolt file that holds the header alone.
-func initialize(path string, created header) error {
+// initializeDataFile creates a bbolt file that contains only the header.
+func initializeDataFile(path string, created header) error {
 	database, err := openBolt(path)
 	if err != nil {
 		return err
@@ -109,14 +109,14 @@
 		if err != nil {
 			return err
 		}
-		return bucket.Put(headerKey(), seal(headerKey(), created.encode()))
+		return bucket.Put(headerKey(), encodeEntry(headerKey(), created.encode()))
 	})
 	return merry.Prepend(errors.Join(err, database.Close()), "write new data file")
 }
 
 func openBolt(path string) (*bbolt.DB, error) {
-	// The list of free pages isn't stored: it is rebuilt from the tree, so it
-	// can't contradict it, and each commit writes less.
+	// Without a stored freelist, bbolt rebuilds it from the tree when it opens the file.
+	// It can't contradict the tree then, and each commit writes less.
 	database, err := bbolt.Open(path, fileMode, &bbolt.Options{
 		NoFreelistSync: true,
 		FreelistType:   bbolt.FreelistMapType,
@@ -124,7 +124,8 @@
 	return database, merry.Prependf(err, "open %s", path)
 }
 
-// loadEntry takes a verified entry of the data file into memory. Turns stay on the disk.
+// loadEntry loads a verified entry of the data file into memory. Turns are only checked,
+// not loaded.
 func (d *Disk) loadEntry(key, payload []byte) error {
 	switch key[0] {
 	case kindTurn:
@@ -135,10 +136,10 @@
 		if err != nil {
 			return err
 		}
-		return d.memory.SaveRegister(keyShard(key), string(key[prefixBytes:]), state)
+		return d.memory.SaveRegister(keyShard(key), string(key[keyPrefixBytes:]), state)
 	case kindMeta:
-		return d.memory.SaveMeta(keyShard(key), string(key[prefixBytes:]), payload)
+		return d.memory.SaveMeta(keyShard(key), string(key[keyPrefixBytes:]), payload)
 	default:
-		return corruptf("unknown entry %q", key)
+		return corruptf("unknown kind of entry %q", key)
 	}
 }
--- a/state/replica/record.go
+++ b/state/replica/record.go
@@ -10,13 +10,13 @@
 	peerv1 "github.com/marblering/marblering/api/peer/v1"
 )
 
-// ErrCorrupt is returned where stored bytes are not what was written.
+// ErrCorrupt is returned if stored data fails verification.
 var ErrCorrupt = merry.Sentinel("replica data is corrupted")
 
-// The first byte of a key says what the entry holds. Numbers are big-endian,
-// so that the order of the keys is the order of the visits.
+// The first byte of a key is the kind of the entry. Numbers are big-endian, so that keys
+// sort by shard and turns of a program by sequence. Keys of each kind:
 //
-//	header                                       the store's own entry
+//	header
 //	register  shard(4) key
 //	meta      shard(4) name
 //	turn      shard(4) program 0x00 sequence(8) digest(32)
@@ -28,11 +28,12 @@
 )
 
 const (
-	// prefixBytes is the size of kind and shard at the beginning of a key.
-	prefixBytes = 1 + 4
-	// turnSuffixBytes is the size of what follows the program in the key of a turn.
-	turnSuffixBytes = 1 + 8 + 32
-	// checksumBytes is the size of the checksum before a payload.
+	// keyPrefixBytes is the size of kind and shard at the start of a key.
+	keyPrefixBytes = 1 + 4
+	// turnKeySuffixBytes is the size of separator, sequence and digest at the end of the
+	// key of a turn.
+	turnKeySuffixBytes = 1 + 8 + 32
+	// checksumBytes is the size of the checksum that precedes a payload.
 	checksumBytes = 8
 )
 
@@ -53,41 +54,42 @@
 }
 
 func turnKey(shard uint32, turn Turn) []byte {
-	key := turnStart(shard, turn.Program, turn.Sequence)
+	key := turnKeyPrefix(shard, turn.Program, turn.Sequence)
 	return append(key, turn.Digest[:]...)
 }
 
-// turnStart is the smallest key of the program's turns at the sequence.
-func turnStart(shard uint32, program string, sequence uint64) []byte {
+// turnKeyPrefix returns the common prefix of the keys of the program's turns with the
+// sequence.
+func turnKeyPrefix(shard uint32, program string, sequence uint64) []byte {
 	return binary.BigEndian.AppendUint64(programPrefix(shard, program), sequence)
 }
 
 func keyShard(key []byte) uint32 {
-	return binary.BigEndian.Uint32(key[1:prefixBytes])
+	return binary.BigEndian.Uint32(key[1:keyPrefixBytes])
 }
 
-// seal puts before the payload a checksum that covers key and payload, so that
-// bytes found under another key don't verify.
-func seal(key, payload []byte) []byte {
-	sealed := make([]byte, 0, checksumBytes+len(payload))
-	sealed = binary.BigEndian.AppendUint64(sealed, checksum(key, payload))
-	return append(sealed, payload...)
+// encodeEntry returns the value to store: a checksum of key and payload, then the payload.
+// The checksum covers the key so that a value under the wrong key is detected.
+func encodeEntry(key, payload []byte) []byte {
+	value := make([]byte, 0, checksumBytes+len(payload))
+	value = binary.BigEndian.AppendUint64(value, checksum(key, payload))
+	return append(value, payload...)
 }
 
-// unseal verifies the checksum and returns the payload.
-func unseal(key, sealed []byte) ([]byte, error) {
-	if len(sealed) < checksumBytes {
-		return nil, merry.Errorf("%w: entry %q has %d bytes", ErrCorrupt, key, len(sealed))
+// decodeEntry verifies the checksum of a stored value and returns its payload.
+func decodeEntry(key, value []byte) ([]byte, error) {
+	if len(value) < checksumBytes {
+		return nil, merry.Errorf("%w: entry %q has only %d bytes", ErrCorrupt, key, len(value))
 	}
-	payload := sealed[checksumBytes:]
-	if storedChecksum(sealed) != checksum(key, payload) {
-		return nil, merry.Errorf("%w: checksum of entry %q", ErrCorrupt, key)
+	payload := value[checksumBytes:]
+	if storedChecksum(value) != checksum(key, payload) {
+		return nil, merry.Errorf("%w: checksum mismatch in entry %q", ErrCorrupt, key)
 	}
 	return payload, nil
 }
 
-func storedChecksum(sealed []byte) uint64 {
-	return binary.BigEndian.Uint64(sealed)
+func storedChecksum(value []byte) uint64 {
+	return binary.BigEndian.Uint64(value)
 }
 
 func checksum(key, payload []byte) uint64 {
@@ -109,7 +111,7 @@
 func decodeRegister(payload []byte) (Register, error) {
 	var message peerv1.RegisterState
 	if err := proto.Unmarshal(payload, &message); err != nil {
-		return Register{}, merry.Errorf("%w: register state: %w", ErrCorrupt, err)
+		return Register{}, merry.Errorf("%w: decode register state: %w", ErrCorrupt, err)
 	}
 	return copyRegister(Register{
 		Promised: decodeBallot(message.GetPromised()),
@@ -126,14 +128,14 @@
 	return Ballot{Counter: message.GetCounter(), Proposer: message.GetProposer()}
 }
 
-// decodeTurn rebuilds a turn from its key and its object.
+// decodeTurn returns the turn with the key and object.
 func decodeTurn(key, object []byte) (Turn, error) {
-	if len(key) <= prefixBytes+turnSuffixBytes {
+	if len(key) <= keyPrefixBytes+turnKeySuffixBytes {
 		return Turn{}, merry.Errorf("%w: turn key %q is too short", ErrCorrupt, key)
 	}
-	suffix := key[len(key)-turnSuffixBytes:]
+	suffix := key[len(key)-turnKeySuffixBytes:]
 	turn := Turn{
-		Program:  string(key[prefixBytes : len(key)-turnSuffixBytes]),
+		Program:  string(key[keyPrefixBytes : len(key)-turnKeySuffixBytes]),
 		Sequence: binary.BigEndian.Uint64(suffix[1:]),
 		Object:   object,
 	}
--- a/state/replica/recovery.go
+++ b/state/replica/recovery.go
@@ -13,27 +13,27 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// Names inside the data folder.
+// File names in the data folder.
 const (
 	dataFileName = "replica.db"
-	// newFileName is the name of a data file until it is whole.
-	newFileName = "replica.db.new"
-	// lockFileName is the file that a process locks while it uses the folder.
+	// temporaryFileName is the name of a data file until it is complete.
+	temporaryFileName = "replica.db.new"
+	// lockFileName is the name of the file that a process locks while it uses the folder.
 	lockFileName = "replica.lock"
-	// corruptFileFormat names a damaged data file that was set aside.
+	// corruptFileFormat is the name, with a number, that a corrupt data file is renamed to.
 	corruptFileFormat = "replica.db.corrupt-%d"
 )
 
-// Permissions of what the store creates: its data is for this user alone.
+// Permissions of the folder and files that the store creates.
 const (
 	folderMode = 0o750
 	fileMode   = 0o600
 )
 
-// ErrLocked is returned where another process uses the data folder.
+// ErrLocked is returned if another process uses the data folder.
 var ErrLocked = merry.Sentinel("data folder is in use by another process")
 
-// lockFolder takes the folder for this process until the file is closed.
+// lockFolder locks the folder for this process until the returned file is closed.
 func lockFolder(folder string) (*os.File, error) {
 	path := filepath.Join(folder, lockFileName)
 	file, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR, fileMode)
@@ -47,9 +47,9 @@
 	return file, nil
 }
 
-// verifyDataFile reads the whole file without trusting any of it and returns its header.
-// It calls visit for each other entry. It returns ErrCorrupt where the content is damaged
-// and ErrFormat where another version of the program wrote it.
+// verifyDataFile reads and verifies the whole file and returns its header. It calls visit
+// for each other entry. It returns ErrCorrupt if the content is corrupt and
+// ErrUnsupportedFormat if the file has another format version.
 func verifyDataFile(path string, visit func(key, payload []byte) error) (header, error) {
 	source, err := os.Open(path)
 	if err != nil {
@@ -63,16 +63,16 @@
 	return verifyData(source, info.Size(), visit)
 }
 
-// verifyData is verifyDataFile for content of any source; size is in bytes.
+// verifyData is verifyDataFile for the size bytes of any source.
 func verifyData(source io.ReaderAt, size int64, visit func(key, payload []byte) error) (header, error) {
 	file, err := openBoltFile(source, size)
 	if err != nil {
 		return header{}, err
 	}
-	var stored, counted header
+	var stored, computed header
 	found := false
 	err = file.eachEntry(dataBucket, func(key, value []byte) error {
-		payload, err := unseal(key, value)
+		payload, err := decodeEntry(key, value)
 		if err != nil {
 			return err
 		}
@@ -81,24 +81,24 @@
 			stored, err = decodeHeader(payload)
 			return err
 		}
-		counted.add(value)
+		computed.add(value)
 		return visit(key, payload)
 	})
 	if err != nil {
 		return header{}, err
 	}
 	if !found {
-		return header{}, corruptf("the header is missing")
+		return header{}, corruptf("header is missing")
 	}
-	if stored.entries != counted.entries || stored.digest != counted.digest {
-		return header{}, corruptf("%d entries with digest %016x, the header says %d with %016x",
-			counted.entries, counted.digest, stored.entries, stored.digest)
+	if stored.entryCount != computed.entryCount || stored.digest != computed.digest {
+		return header{}, corruptf("found %d entries with digest %016x, header has %d with %016x",
+			computed.entryCount, computed.digest, stored.entryCount, stored.digest)
 	}
 	return stored, nil
 }
 
-// setAside renames the damaged data file and returns its new path.
-func setAside(folder string) (string, error) {
+// renameCorruptFile renames the corrupt data file and returns its new path.
+func renameCorruptFile(folder string) (string, error) {
 	path := filepath.Join(folder, dataFileName)
 	for number := 1; ; number++ {
 		target := filepath.Join(folder, fmt.Sprintf(corruptFileFormat, number))
@@ -107,16 +107,16 @@
 			continue
 		}
 		if !errors.Is(err, fs.ErrNotExist) {
-			return "", merry.Prependf(err, "look for %s", target)
+			return "", merry.Prependf(err, "stat %s", target)
 		}
 		if err := os.Rename(path, target); err != nil {
-			return "", merry.Prepend(err, "set the damaged data file aside")
+			return "", merry.Prepend(err, "rename corrupt data file")
 		}
 		return target, syncFolder(folder)
 	}
 }
 
-// syncFolder makes renames in the folder durable.
+// syncFolder syncs the folder so that renames in it are durable.
 func syncFolder(folder string) error {
 	handle, err := os.Open(folder)
 	if err != nil {
--- a/state/replica/store.go
+++ b/state/replica/store.go
@@ -6,60 +6,60 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// MaxNameBytes limits register keys, program ids and names of meta values (chosen, not
-// measured).
+// MaxNameBytes limits the size of register keys, program IDs and names of meta values.
 const MaxNameBytes = 1024
 
-// Errors of every Store of this package.
+// Errors of all Store implementations of this package.
 var (
-	// ErrName is returned for a key, program id or meta name that is empty,
-	// longer than MaxNameBytes or holds a zero byte.
-	ErrName = merry.Sentinel("name can't be stored")
+	// ErrInvalidName is returned for a register key, program ID or meta name that is
+	// empty, longer than MaxNameBytes or contains a zero byte.
+	ErrInvalidName = merry.Sentinel("invalid name in replica store")
 	// ErrClosed is returned by every method after Close.
 	ErrClosed = merry.Sentinel("replica store is closed")
 )
 
-// Store keeps the state of the shards that one node replicates. A write has reached its
-// medium when the method returns, so that a replica may answer then. Implementations are
-// safe for concurrent use. Where a method returns an error, the replica must refuse the
-// request: it must never answer as if the register were empty.
+// Store holds the state of the shards that one node replicates. When a method that writes
+// returns, the data has reached the implementation's medium, so the replica may answer. If
+// a method returns an error, the replica must reject the request and never answer as if
+// the register were empty. Implementations are safe for concurrent use.
 type Store interface {
-	// LoadRegister returns the state of the key, the zero Register where it was never
-	// saved.
+	// LoadRegister returns the state of the register, or the zero Register if it was
+	// never saved.
 	LoadRegister(shard uint32, key string) (Register, error)
-	// SaveRegister replaces the state of the key. An empty Value is kept as nil.
+	// SaveRegister replaces the state of the register. An empty Value is stored as nil.
 	SaveRegister(shard uint32, key string, state Register) error
-	// EachRegister calls visit in order of the keys until it returns an error.
+	// EachRegister calls visit for the registers in order of their keys, until visit
+	// returns an error.
 	EachRegister(shard uint32, visit func(key string, state Register) error) error
 
-	// PutTurn stores the turn, in place of one with the same program, sequence and
+	// PutTurn stores the turn. It replaces a turn with the same program, sequence and
 	// digest.
 	PutTurn(shard uint32, turn Turn) error
-	// ReadTurns calls visit for the program's turns from the sequence number on, in
-	// order of sequence, until it returns an error. Several turns may have one sequence
-	// number; the chain of digests says which one is the program's.
+	// ReadTurns calls visit for the program's turns whose sequence is at least from, in
+	// order of sequence and digest, until visit returns an error. Several turns may have
+	// the same sequence; the chain of digests determines which one belongs to the
+	// program's history.
 	ReadTurns(shard uint32, program string, from uint64, visit func(Turn) error) error
 	// EachTurn calls visit for all turns of the shard, in order of program, sequence and
-	// digest, until it returns an error.
+	// digest, until visit returns an error.
 	EachTurn(shard uint32, visit func(Turn) error) error
-	// DropProgram removes the turns of an ended program; its register stays.
+	// DropProgram deletes the turns of an ended program, but not its register.
 	DropProgram(shard uint32, program string) error
 
-	// LoadMeta returns a small named value of the shard, such as its epoch, or nil.
+	// LoadMeta returns a small named value of the shard, such as its epoch, or nil if
+	// there is none.
 	LoadMeta(shard uint32, name string) ([]byte, error)
-	// SaveMeta replaces the value; an empty one removes it.
+	// SaveMeta replaces the value. An empty value removes it.
 	SaveMeta(shard uint32, name string, value []byte) error
-	// DropShard removes everything of the shard.
+	// DropShard deletes the registers, turns and meta values of the shard.
 	DropShard(shard uint32) error
-	// Close ends the use of the store. Every later call returns ErrClosed.
+	// Close closes the store. Every later call but Close returns ErrClosed.
 	Close() error
 }
 
-// TurnLister is implemented by stores that list turns without reading their
-// objects.
+// TurnLister is implemented by stores that can list turns without reading their objects.
 type TurnLister interface {
-	// EachTurnName visits the turns of the shard as EachTurn does, without
-	// their objects.
+	// EachTurnName visits the turns of the shard like EachTurn, but without their objects.
 	EachTurnName(shard uint32, visit func(Turn) error) error
 }
 
@@ -68,8 +68,8 @@
 	_ TurnLister = (*Disk)(nil)
 )
 
-// EachTurnName visits the turns of the shard without their objects. It doesn't read the
-// objects where the store is a TurnLister.
+// EachTurnName visits the turns of the shard without their objects. If the store is a
+// TurnLister, the objects aren't read.
 func EachTurnName(store Store, shard uint32, visit func(Turn) error) error {
 	if lister, found := store.(TurnLister); found {
 		return lister.EachTurnName(shard, visit)
@@ -80,10 +80,10 @@
 	})
 }
 
-// checkName returns ErrName for a name that can't be part of a key.
+// checkName returns ErrInvalidName for a name that can't be part of a key.
 func checkName(name string) error {
 	if name == "" || len(name) > MaxNameBytes || strings.IndexByte(name, 0) >= 0 {
-		return merry.Errorf("%w: %.64q, want 1 to %d bytes without a zero byte", ErrName, name, MaxNameBytes)
+		return merry.Errorf("%w: %.64q, want 1 to %d bytes without a zero byte", ErrInvalidName, name, MaxNameBytes)
 	}
 	return nil
 }
--- a/state/replica/store_test.go
+++ b/state/replica/store_test.go
@@ -84,9 +84,9 @@
 	return disk
 }
 
-// TestStoresBehaveAlike applies the same random changes to both stores, with
+// TestDiskMatchesMemory applies the same random changes to both stores, with
 // restarts of the disk store in between.
-func TestStoresBehaveAlike(t *testing.T) {
+func TestDiskMatchesMemory(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		folder, err := os.MkdirTemp(t.TempDir(), "store")
 		assert.NilError(rt, err)
@@ -112,19 +112,19 @@
 	})
 }
 
-func TestNamesAreChecked(t *testing.T) {
+func TestInvalidNamesAreRejected(t *testing.T) {
 	long := string(make([]byte, MaxNameBytes+1))
 	stores := map[string]Store{"memory": NewMemory(), "disk": openTestDisk(t, t.TempDir())}
 	for kind, store := range stores {
 		for _, name := range []string{"", "a\x00b", long} {
-			assert.ErrorIs(t, store.SaveRegister(1, name, Register{}), ErrName, kind)
-			assert.ErrorIs(t, store.SaveMeta(1, name, nil), ErrName, kind)
-			assert.ErrorIs(t, store.PutTurn(1, Turn{Program: name}), ErrName, kind)
+			assert.ErrorIs(t, store.SaveRegister(1, name, Register{}), ErrInvalidName, kind)
+			assert.ErrorIs(t, store.SaveMeta(1, name, nil), ErrInvalidName, kind)
+			assert.ErrorIs(t, store.PutTurn(1, Turn{Program: name}), ErrInvalidName, kind)
 		}
 	}
 }
 
-func TestClosedStoreRefuses(t *testing.T) {
+func TestClosedStoreReturnsErrClosed(t *testing.T) {
 	stores := map[string]Store{"memory": NewMemory(), "disk": openTestDisk(t, t.TempDir())}
 	for kind, store := range stores {
 		assert.NilError(t, store.Close(), kind)
@@ -136,7 +136,7 @@
 	}
 }
 
-func TestConcurrentWritesShareSyncs(t *testing.T) {
+func TestConcurrentWritesAreStored(t *testing.T) {
 	disk := openTestDisk(t, t.TempDir())
 	const writers, writesEach = 16, 8
 	var group sync.WaitGroup
@@ -158,14 +158,14 @@
 	assert.Equal(t, count, writers)
 }
 
-// TestFailedWriteStopsLaterOnes closes the file while the store uses it.
-func TestFailedWriteStopsLaterOnes(t *testing.T) {
+// TestWritesFailAfterWriteError closes the file while the store uses it.
+func TestWritesFailAfterWriteError(t *testing.T) {
 	disk := openTestDisk(t, t.TempDir())
 	before := Register{Promised: Ballot{Counter: 1, Proposer: "p"}}
 	assert.NilError(t, disk.SaveRegister(1, "a", before))
 	assert.NilError(t, disk.database.Close())
-	assert.ErrorIs(t, disk.SaveRegister(1, "a", Register{Promised: Ballot{Counter: 2, Proposer: "p"}}), ErrFailed)
-	assert.ErrorIs(t, disk.PutTurn(1, Turn{Program: "a"}), ErrFailed)
+	assert.ErrorIs(t, disk.SaveRegister(1, "a", Register{Promised: Ballot{Counter: 2, Proposer: "p"}}), ErrWriteFailed)
+	assert.ErrorIs(t, disk.PutTurn(1, Turn{Program: "a"}), ErrWriteFailed)
 	after, err := disk.LoadRegister(1, "a")
 	assert.NilError(t, err)
 	assert.DeepEqual(t, after, before)
--- a/state/replica/stored_test.go
+++ b/state/replica/stored_test.go
@@ -23,10 +23,10 @@
 	"github.com/marblering/marblering/state/turn"
 )
 
-// keptFolder is a data folder of format 1. It stays as it is: a disk outlives the
+// format1Folder is a data folder of format 1. It stays as it is: a disk outlives the
 // program that wrote it, so that each later program has to read it in full. A newer
 // format gets a folder of its own beside this one.
-const keptFolder = "testdata/format1"
+const format1Folder = "testdata/format1"
 
 // Shard numbers beyond those of programs, under which a node keeps values of its own.
 const (
@@ -35,11 +35,11 @@
 	countShard  uint32 = math.MaxUint32 - 2
 )
 
-// keptShards are all shards of the sample.
-var keptShards = []uint32{0, 1, 2, countShard, mirrorShard, nodeShard}
+// sampleShards are all shards of the sample.
+var sampleShards = []uint32{0, 1, 2, countShard, mirrorShard, nodeShard}
 
-// keptMeta are the meta values of the sample, by shard and name.
-var keptMeta = map[uint32]map[string]string{
+// sampleMeta are the meta values of the sample, by shard and name.
+var sampleMeta = map[uint32]map[string]string{
 	nodeShard: {
 		"shard-0": `{"View":{"Shard":0,"Epoch":2,"Members":[{"Node":"s-1","Incarnation":"s-1/a","Address":"10.0.0.1:7000","Zone":"z-1"}]},` +
 			`"Previous":{"Shard":0,"Epoch":1,"Members":null},"Opened":{"Shard":0,"Epoch":2,"Members":null},"DataEpoch":2}`,
@@ -49,9 +49,9 @@
 	countShard:  {"shard-count": string(binary.BigEndian.AppendUint32(nil, 3))},
 }
 
-// writeKept writes one value of every kind that a replica keeps, each in a
+// writeSample writes one value of every kind that a replica keeps, each in a
 // transaction of its own.
-func writeKept(t *testing.T, store replica.Store) {
+func writeSample(t *testing.T, store replica.Store) {
 	t.Helper()
 	promised := replica.Ballot{Counter: 300, Proposer: "g-1/b"}
 	accepted := replica.Ballot{Counter: 299, Proposer: "g-2/a"}
@@ -66,18 +66,18 @@
 		{1, "conversation", replica.Register{Promised: promised, Accepted: promised, Value: sampleBudget(t)}},
 		{1, "only promised", replica.Register{Promised: promised}},
 	}
-	for _, one := range registers {
-		assert.NilError(t, store.SaveRegister(one.shard, one.key, one.state))
+	for _, sample := range registers {
+		assert.NilError(t, store.SaveRegister(sample.shard, sample.key, sample.state))
 	}
-	for _, shard := range keptShards {
+	for _, shard := range sampleShards {
 		for _, name := range []string{"shard-0", "configuration-version", "mirror-instances", "shard-count"} {
-			if value, found := keptMeta[shard][name]; found {
+			if value, found := sampleMeta[shard][name]; found {
 				assert.NilError(t, store.SaveMeta(shard, name, []byte(value)))
 			}
 		}
 	}
-	for _, one := range sampleTurns(t) {
-		assert.NilError(t, store.PutTurn(one.shard, one.turn))
+	for _, sample := range sampleTurns(t) {
+		assert.NilError(t, store.PutTurn(sample.shard, sample.turn))
 	}
 	writeAndRemove(t, store)
 }
@@ -120,89 +120,89 @@
 	return value
 }
 
-// keptTurn is a turn with its shard.
-type keptTurn struct {
+// shardTurn is a turn with its shard.
+type shardTurn struct {
 	shard uint32
 	turn  replica.Turn
 }
 
 // sampleTurns returns retained turns, turns of a history, two of which stand at one
 // sequence number, and one without an object.
-func sampleTurns(t *testing.T) []keptTurn {
+func sampleTurns(t *testing.T) []shardTurn {
 	t.Helper()
 	codec, err := turn.NewCodec()
 	assert.NilError(t, err)
-	var turns []keptTurn
-	for _, whole := range []*statev1.RetainedTurn{
+	var turns []shardTurn
+	for _, retained := range []*statev1.RetainedTurn{
 		{Id: "r-1", Input: []byte(`{"messages":[]}`), Output: []byte("{}\n"), RetentionMs: 60_000, Tenant: "shop"},
 		{Id: "r-2", Ancestors: []string{"r-1"}, Input: bytes.Repeat([]byte("again "), 100), Output: []byte("[DONE]\n"), RetentionMs: 60_000},
 	} {
-		object, digest, err := codec.Encode(whole)
+		object, digest, err := codec.Encode(retained)
 		assert.NilError(t, err)
-		turns = append(turns, keptTurn{1, replica.Turn{Program: whole.GetId(), Sequence: 1, Digest: digest, Object: object}})
+		turns = append(turns, shardTurn{1, replica.Turn{Program: retained.GetId(), Sequence: 1, Digest: digest, Object: object}})
 	}
 	var previous []byte
-	for _, one := range []*statev1.Turn{
+	for _, stored := range []*statev1.Turn{
 		{Program: "p-1", Sequence: 1, Messages: []byte(`[{"role":"user","content":"q"}]`), Answer: []byte(`{"role":"assistant","content":"a"}`)},
 		{Program: "p-1", Sequence: 258, Messages: []byte(`[]`), Answer: bytes.Repeat([]byte("b"), 200), Key: "k", Engine: "e-1"},
 		{Program: "p-1", Sequence: 258, Messages: []byte(`[]`), Answer: []byte(`{}`), Key: "k", Engine: "e-2"},
 	} {
-		one.Previous = previous
-		object, digest, err := history.Encode(one)
+		stored.Previous = previous
+		object, digest, err := history.Encode(stored)
 		assert.NilError(t, err)
-		turns = append(turns, keptTurn{0, replica.Turn{Program: one.GetProgram(), Sequence: one.GetSequence(), Digest: digest, Object: object}})
+		turns = append(turns, shardTurn{0, replica.Turn{Program: stored.GetProgram(), Sequence: stored.GetSequence(), Digest: digest, Object: object}})
 		if previous == nil {
 			previous = history.Digest(digest).Bytes()
 		}
 	}
-	return append(turns, keptTurn{0, replica.Turn{Program: "p-1.1", Sequence: 1, Digest: [32]byte{1}}})
+	return append(turns, shardTurn{0, replica.Turn{Program: "p-1.1", Sequence: 1, Digest: [32]byte{1}}})
 }
 
 // fixedRandom is the random source of the sample: the incarnation is made of it.
 func fixedRandom() *bytes.Reader { return bytes.NewReader([]byte("0123456789abcdef")) }
 
-// TestWrittenBytes pins every entry of the data file as it stands on the disk: the
+// TestDataFileEntries pins every entry of the data file as it stands on the disk: the
 // kept folder has the same ones, and so has a folder that is written now.
-func TestWrittenBytes(t *testing.T) {
-	golden.Assert(t, fileEntries(t, copyFolder(t, keptFolder)), "format1.entries.golden")
+func TestDataFileEntries(t *testing.T) {
+	golden.Assert(t, fileEntries(t, copyFolder(t, format1Folder)), "format1.entries.golden")
 	folder := t.TempDir()
 	disk, err := replica.OpenDiskWithRandom(folder, fixedRandom())
 	assert.NilError(t, err)
-	writeKept(t, disk)
+	writeSample(t, disk)
 	assert.NilError(t, disk.Close())
 	golden.Assert(t, fileEntries(t, folder), "format1.entries.golden")
 }
 
-// TestKeptFolderIsReadBack opens a copy of the kept folder and reads all of it, by
+// TestFormat1FolderIsReadable opens a copy of the kept folder and reads all of it, by
 // every method that reads, as well as from a store in memory with the same values.
-func TestKeptFolderIsReadBack(t *testing.T) {
-	disk, err := replica.OpenDisk(copyFolder(t, keptFolder))
+func TestFormat1FolderIsReadable(t *testing.T) {
+	disk, err := replica.OpenDisk(copyFolder(t, format1Folder))
 	assert.NilError(t, err)
 	defer disk.Close()
 	assert.NilError(t, disk.Damage())
 	assert.Equal(t, disk.Incarnation(), "30313233343536373839616263646566")
-	golden.Assert(t, readKept(t, disk), "format1.contents.golden")
+	golden.Assert(t, dumpSample(t, disk), "format1.contents.golden")
 	memory := replica.NewMemory()
-	writeKept(t, memory)
-	golden.Assert(t, readKept(t, memory), "format1.contents.golden")
+	writeSample(t, memory)
+	golden.Assert(t, dumpSample(t, memory), "format1.contents.golden")
 }
 
-// TestKeptTurnsDecode reads the objects of the kept folder's turns.
-func TestKeptTurnsDecode(t *testing.T) {
-	disk, err := replica.OpenDisk(copyFolder(t, keptFolder))
+// TestFormat1TurnsAreDecodable reads the objects of the kept folder's turns.
+func TestFormat1TurnsAreDecodable(t *testing.T) {
+	disk, err := replica.OpenDisk(copyFolder(t, format1Folder))
 	assert.NilError(t, err)
 	defer disk.Close()
 	codec, err := turn.NewCodec()
 	assert.NilError(t, err)
 	retained, chained := 0, 0
-	assert.NilError(t, disk.EachTurn(1, func(one replica.Turn) error {
+	assert.NilError(t, disk.EachTurn(1, func(stored replica.Turn) error {
 		retained++
-		_, err := codec.Decode(one.Program, one.Object, one.Digest)
+		_, err := codec.Decode(stored.Program, stored.Object, stored.Digest)
 		return err
 	}))
-	assert.NilError(t, disk.ReadTurns(0, "p-1", 1, func(one replica.Turn) error {
+	assert.NilError(t, disk.ReadTurns(0, "p-1", 1, func(stored replica.Turn) error {
 		chained++
-		_, err := history.Decode(one.Object, one.Digest)
+		_, err := history.Decode(stored.Object, stored.Digest)
 		return err
 	}))
 	assert.Equal(t, retained, 2)
@@ -236,17 +236,17 @@
 	return text.String()
 }
 
-// readKept reads everything of the sample's shards.
-func readKept(t *testing.T, store replica.Store) string {
+// dumpSample reads everything of the sample's shards.
+func dumpSample(t *testing.T, store replica.Store) string {
 	t.Helper()
 	var text strings.Builder
-	addTurn := func(way string) func(replica.Turn) error {
-		return func(one replica.Turn) error {
-			fmt.Fprintf(&text, "  %s %q %d %x %x\n", way, one.Program, one.Sequence, one.Digest, one.Object)
+	addTurn := func(label string) func(replica.Turn) error {
+		return func(stored replica.Turn) error {
+			fmt.Fprintf(&text, "  %s %q %d %x %x\n", label, stored.Program, stored.Sequence, stored.Digest, stored.Object)
 			return nil
 		}
 	}
-	for _, shard := range keptShards {
+	for _, shard := range sampleShards {
 		fmt.Fprintf(&text, "shard %d\n", shard)
 		assert.NilError(t, store.EachRegister(shard, func(key string, state replica.Register) error {
 			loaded, err := store.LoadRegister(shard, key)
--- a/state/replica/types.go
+++ b/state/replica/types.go
@@ -1,25 +1,25 @@
-// Package replica keeps what one replica of a shard must not forget: the states of its
-// registers (promises and accepted values), its turns, and small values such as the
-// epochs of its shards.
+// Package replica stores the durable state of the shard replicas of one node: the states
+// of registers (promises and accepted values), turns, and small values such as the epochs
+// of shards.
 //
-// The package owns the data folder and the format of its file, which Disk verifies as a
-// whole before it serves any of it; Memory is for nodes without a disk. It relies on
-// bbolt for transactions and on the file system's sync. It doesn't look into the values
-// and objects that it keeps: those are of coordination/register, state/turn and
-// state/history. docs/design/replica-storage.md has the reasons.
+// The package owns the data folder and the format of its file. Disk verifies the whole
+// file before it serves any data; Memory is for nodes without a disk. Transactions rely
+// on bbolt and on the file system's sync. The package doesn't interpret stored values and
+// objects, whose formats coordination/register, state/turn and state/history define.
+// docs/design/replica-storage.md explains the design.
 package replica
 
 import "bytes"
 
-// Ballot orders the proposals for one register. The zero ballot is smaller than every
-// proposed one.
+// Ballot orders the proposals for one register. The zero ballot is less than any proposed
+// one.
 type Ballot struct {
 	Counter uint64
 	// Proposer is the incarnation of the proposing node; it breaks ties.
 	Proposer string
 }
 
-// Less reports whether b orders before other.
+// Less reports whether b is ordered before other.
 func (b Ballot) Less(other Ballot) bool {
 	if b.Counter != other.Counter {
 		return b.Counter < other.Counter
@@ -32,18 +32,19 @@
 
 // Register is the state of one register at one replica.
 type Register struct {
-	// Promised is the ballot below which the replica accepts nothing more.
+	// Promised is the lowest ballot that the replica still accepts.
 	Promised Ballot
-	// Accepted is the ballot at which the replica accepted Value; zero and nil before
-	// it has accepted any.
+	// Accepted is the ballot at which the replica accepted Value. They are zero and nil
+	// until a value is accepted.
 	Accepted Ballot
 	Value    []byte
 }
 
-// Turn is one stored turn of a program's history. The store doesn't look into the object,
-// nor check that the digest is that of its content.
+// Turn is one stored turn of a program's history. The store neither interprets the object
+// nor compares its content with the digest.
 type Turn struct {
-	// Program is the id under which the turn is read; a retained turn has its own.
+	// Program is the ID under which the turn is read: that of the program, or for a
+	// retained turn its own.
 	Program  string
 	Sequence uint64
 	Digest   [32]byte
--- a/state/replica/writer.go
+++ b/state/replica/writer.go
@@ -9,50 +9,50 @@
 	"go.etcd.io/bbolt"
 )
 
-// ErrFailed is returned for a write that couldn't be synced and for every later one:
-// what is on the disk isn't known any more. Opening the folder again verifies it.
-var ErrFailed = merry.Sentinel("replica store has failed to write")
+// ErrWriteFailed is returned for a write that couldn't be synced and for every later one,
+// since the content of the disk is unknown from then on. Reopening the folder verifies it.
+var ErrWriteFailed = merry.Sentinel("replica store write failed")
 
-// maxBatchChanges limits the changes of one transaction and is the length of the queue
-// (chosen, not measured).
+// maxBatchChanges limits the changes in one transaction and in the queue.
 const maxBatchChanges = 256
 
 // change is one write to the store.
 type change struct {
-	// apply makes the change within a transaction. It runs once.
-	apply func(*batch) error
-	// inMemory makes the change in memory once it is synced; nil for none.
-	inMemory func(*Memory) error
+	// apply makes the change within a transaction. It is called at most once.
+	apply func(*updateTx) error
+	// applyInMemory makes the change in memory after it was synced. It is nil for a
+	// change that isn't kept in memory.
+	applyInMemory func(*Memory) error
 	// done receives the result.
 	done chan error
 }
 
-// writer writes the changes one transaction after another. All changes that arrive while
-// a transaction is synced share the next one (group commit), so that a change that
-// arrives alone waits for nothing.
+// writer writes changes in consecutive transactions. Changes that arrive while a
+// transaction is being synced share the next one (group commit). There is no delay to
+// collect more changes.
 type writer struct {
 	database *bbolt.DB
-	// header is that of the last transaction.
+	// header is the header that the last transaction wrote.
 	header  header
 	memory  *Memory
 	changes chan change
-	// failure is the error that ended writing. Only run uses it; failed is the same for
-	// other goroutines.
-	failure error
-	failed  atomic.Pointer[error]
-	// finished is closed when run has ended.
+	// failure is the error that stopped all writes. Only the goroutine of run uses it;
+	// sharedFailure holds the same error for other goroutines.
+	failure       error
+	sharedFailure atomic.Pointer[error]
+	// finished is closed when run returns.
 	finished chan struct{}
-	// commits and written count transactions and the changes in them.
-	commits atomic.Uint64
-	written atomic.Uint64
+	// commitCount and changeCount count the transactions and the changes in them.
+	commitCount atomic.Uint64
+	changeCount atomic.Uint64
 
-	// mutex is held for reading while a change is queued, so that none is queued once
-	// stopped is set.
+	// mutex guards stopped. It is held for reading while a change is queued, so that no
+	// change is queued after stopped is set.
 	mutex   sync.RWMutex
 	stopped bool
 }
 
-// startWriter starts a writer of the database with the header that it has.
+// startWriter starts a writer for the database, whose current header is stored.
 func startWriter(database *bbolt.DB, stored header, memory *Memory) *writer {
 	w := &writer{
 		database: database,
@@ -65,21 +65,21 @@
 	return w
 }
 
-// do applies the change and returns once it is synced.
-func (w *writer) do(wanted change) error {
-	wanted.done = make(chan error, 1)
+// write queues the change and returns after it was synced, or with the error.
+func (w *writer) write(requested change) error {
+	requested.done = make(chan error, 1)
 	w.mutex.RLock()
 	if w.stopped {
 		w.mutex.RUnlock()
 		return ErrClosed
 	}
-	w.changes <- wanted
+	w.changes <- requested
 	w.mutex.RUnlock()
-	return <-wanted.done
+	return <-requested.done
 }
 
-// stop finishes the changes that were queued. It returns false where stop was called
-// before.
+// stop waits for the queued changes and rejects later ones. It returns false if the writer
+// was stopped before.
 func (w *writer) stop() bool {
 	w.mutex.Lock()
 	if w.stopped {
@@ -93,19 +93,20 @@
 	return true
 }
 
+// run writes queued changes until stop closes the queue.
 func (w *writer) run() {
 	defer close(w.finished)
 	for first := range w.changes {
 		pending := w.collect(first)
 		err := w.commit(pending)
-		for _, waiting := range pending {
-			waiting.done <- err
+		for _, completed := range pending {
+			completed.done <- err
 		}
 	}
 }
 
-// collect returns the first change and those that already wait, as far as one
-// transaction takes them.
+// collect returns the first change and the changes that are already queued, up to
+// maxBatchChanges.
 func (w *writer) collect(first change) []change {
 	pending := []change{first}
 	for len(pending) < maxBatchChanges {
@@ -122,96 +123,99 @@
 	return pending
 }
 
-// commit writes the changes in one transaction and then makes them in memory. After a
-// failure nothing is written any more, since what the disk holds isn't known.
+// commit writes the changes in one transaction and then applies them in memory. After a
+// failure it rejects all changes, since the content of the disk is unknown.
 func (w *writer) commit(pending []change) error {
 	if w.failure != nil {
 		return w.failure
 	}
 	updated := w.header
-	err := guard(func() error {
+	err := recoverPanic(func() error {
 		return w.database.Update(func(transaction *bbolt.Tx) error {
-			return applyAll(transaction, &updated, pending)
+			return applyChanges(transaction, &updated, pending)
 		})
 	})
 	if err != nil {
-		return w.fail(merry.Errorf("%w: %w", ErrFailed, err))
+		return w.recordFailure(merry.Errorf("%w: %w", ErrWriteFailed, err))
 	}
 	w.header = updated
-	w.commits.Add(1)
-	w.written.Add(uint64(len(pending)))
+	w.commitCount.Add(1)
+	w.changeCount.Add(uint64(len(pending)))
 	for _, applied := range pending {
-		if applied.inMemory == nil {
+		if applied.applyInMemory == nil {
 			continue
 		}
-		if err := applied.inMemory(w.memory); err != nil {
-			return w.fail(merry.Errorf("%w: in memory: %w", ErrFailed, err))
+		if err := applied.applyInMemory(w.memory); err != nil {
+			return w.recordFailure(merry.Errorf("%w: apply in memory: %w", ErrWriteFailed, err))
 		}
 	}
 	return nil
 }
 
-func (w *writer) fail(failure error) error {
+// recordFailure stops all later writes with the error and returns it.
+func (w *writer) recordFailure(failure error) error {
 	w.failure = failure
-	w.failed.Store(&failure)
+	w.sharedFailure.Store(&failure)
 	return failure
 }
 
-func applyAll(transaction *bbolt.Tx, updated *header, pending []change) error {
-	b := &batch{bucket: transaction.Bucket(dataBucket), header: updated}
-	for _, wanted := range pending {
-		if err := wanted.apply(b); err != nil {
+// applyChanges applies the changes in the transaction and writes the updated header.
+func applyChanges(transaction *bbolt.Tx, updated *header, pending []change) error {
+	tx := &updateTx{bucket: transaction.Bucket(dataBucket), header: updated}
+	for _, requested := range pending {
+		if err := requested.apply(tx); err != nil {
 			return err
 		}
 	}
-	return b.bucket.Put(headerKey(), seal(headerKey(), updated.encode()))
+	return tx.bucket.Put(headerKey(), encodeEntry(headerKey(), updated.encode()))
 }
 
-// batch is one transaction. It keeps the header's count and digest up to date.
-type batch struct {
+// updateTx is a write transaction that keeps the entry count and digest of the header up
+// to date.
+type updateTx struct {
 	bucket *bbolt.Bucket
 	header *header
 }
 
-// put writes the entry in place of an earlier one.
-func (b *batch) put(key, payload []byte) error {
-	if err := b.forget(key); err != nil {
+// put adds or replaces the entry.
+func (tx *updateTx) put(key, payload []byte) error {
+	if err := tx.uncount(key); err != nil {
 		return err
 	}
-	sealed := seal(key, payload)
-	b.header.add(sealed)
-	return b.bucket.Put(key, sealed)
+	value := encodeEntry(key, payload)
+	tx.header.add(value)
+	return tx.bucket.Put(key, value)
 }
 
-func (b *batch) remove(key []byte) error {
-	if err := b.forget(key); err != nil {
+func (tx *updateTx) remove(key []byte) error {
+	if err := tx.uncount(key); err != nil {
 		return err
 	}
-	return b.bucket.Delete(key)
+	return tx.bucket.Delete(key)
 }
 
-// forget takes the entry, where there is one, out of the header's count and digest.
-func (b *batch) forget(key []byte) error {
-	sealed := b.bucket.Get(key)
-	if sealed == nil {
+// uncount subtracts the stored entry, if there is one, from the header's count and digest.
+func (tx *updateTx) uncount(key []byte) error {
+	value := tx.bucket.Get(key)
+	if value == nil {
 		return nil
 	}
-	if _, err := unseal(key, sealed); err != nil {
+	if _, err := decodeEntry(key, value); err != nil {
 		return err
 	}
-	b.header.remove(sealed)
+	tx.header.remove(value)
 	return nil
 }
 
-// removePrefix removes all entries whose keys begin with the prefix.
-func (b *batch) removePrefix(prefix []byte) error {
+// removePrefix removes all entries whose keys have the prefix.
+func (tx *updateTx) removePrefix(prefix []byte) error {
 	var keys [][]byte
-	cursor := b.bucket.Cursor()
+	cursor := tx.bucket.Cursor()
 	for key, _ := cursor.Seek(prefix); bytes.HasPrefix(key, prefix); key, _ = cursor.Next() {
 		keys = append(keys, bytes.Clone(key))
 	}
 	for _, key := range keys {
-		if err := b.remove(key); err != nil {
+		if err := tx.remove(key); err != nil {
 			return err
 		}
 	}
