--- a/state/replica/bench_test.go
+++ b/state/replica/bench_test.go
@@ -13,11 +13,11 @@
 	"gotest.tools/v3/assert"
 )
 
-// benchmarkRecordBytes is about the size of a program's record.
+// benchmarkRecordBytes is the approximate size of a program's record.
 const benchmarkRecordBytes = 2 << 10
 
-// benchmarkFolder is inside the package's folder, since the folder for
-// temporary files may be in memory, where a sync costs nothing.
+// benchmarkFolder creates a folder inside that of the package, since the default folder
+// for temporary files may be in memory, where a sync costs nothing.
 func benchmarkFolder(b *testing.B) string {
 	b.Helper()
 	folder, err := os.MkdirTemp(".", "bench")
@@ -31,11 +31,11 @@
 	return Register{Promised: ballot, Accepted: ballot, Value: bytes.Repeat([]byte{'x'}, benchmarkRecordBytes)}
 }
 
-// benchmarkWriters is the number of writers that work at once.
+// benchmarkWriters is the number of concurrent writers.
 const benchmarkWriters = 64
 
-// runWriters calls write b.N times from that many goroutines, with ascending
-// numbers.
+// runWriters calls write b.N times in total, from the given number of goroutines, with
+// numbers from 1 to b.N.
 func runWriters(b *testing.B, writers int, write func(number uint64) error) {
 	var last atomic.Uint64
 	var group errgroup.Group
@@ -53,8 +53,8 @@
 	assert.NilError(b, group.Wait())
 }
 
-// BenchmarkSave measures one synced write of a register: by the store, by a
-// transaction of its own and by the batches of bbolt.
+// BenchmarkSave measures a synced write of a register by the store, by a separate bbolt
+// transaction and by bbolt's Batch.
 func BenchmarkSave(b *testing.B) {
 	for _, writers := range []int{1, benchmarkWriters} {
 		b.Run(fmt.Sprint("store, writers=", writers), func(b *testing.B) {
@@ -95,7 +95,7 @@
 	}
 }
 
-// BenchmarkOpen measures the verification of a file at the start.
+// BenchmarkOpen measures opening a store, which verifies the whole file.
 func BenchmarkOpen(b *testing.B) {
 	for _, records := range []uint64{200, 20_000} {
 		b.Run(fmt.Sprint(records, " records"), func(b *testing.B) {
--- a/state/replica/corruption_test.go
+++ b/state/replica/corruption_test.go
@@ -15,8 +15,8 @@
 	"pgregory.net/rapid"
 )
 
-// writeSample fills a folder with entries of each kind, some larger than a
-// page, and returns its contents.
+// writeSample fills a data folder with entries of every kind, some larger than a page. It
+// returns the contents and the incarnation.
 func writeSample(t *testing.T, folder string) ([]string, string) {
 	t.Helper()
 	disk := openTestDisk(t, folder)
@@ -35,9 +35,9 @@
 	return want, disk.Incarnation()
 }
 
-// assertCorrectOrEmpty opens a folder whose file may be damaged: the store
-// serves exactly what was written under its incarnation, or is empty under a
-// new one and names the file that was set aside.
+// assertCorrectOrEmpty opens a folder whose file may be corrupt. The store must either
+// serve exactly what was written, under the same incarnation, or be empty under a new one
+// and report the path of the renamed file. It returns whether the data was served.
 func assertCorrectOrEmpty(t assert.TestingT, folder string, want []string, incarnation string) bool {
 	disk, err := OpenDisk(folder)
 	assert.NilError(t, err)
@@ -58,15 +58,14 @@
 	return false
 }
 
-// TestCorruptFileIsNeverServed flips bits and cuts or lengthens the file at
-// random places.
+// TestCorruptFileIsNeverServed flips bits at random positions and truncates the file.
 func TestCorruptFileIsNeverServed(t *testing.T) {
 	sample := t.TempDir()
 	want, incarnation := writeSample(t, sample)
-	whole, err := os.ReadFile(filepath.Join(sample, dataFileName))
+	content, err := os.ReadFile(filepath.Join(sample, dataFileName))
 	assert.NilError(t, err)
 	rapid.Check(t, func(rt *rapid.T) {
-		damaged := bytes.Clone(whole)
+		damaged := bytes.Clone(content)
 		for range rapid.IntRange(1, 3).Draw(rt, "flips") {
 			position := rapid.IntRange(0, len(damaged)-1).Draw(rt, "position")
 			damaged[position] ^= rapid.ByteRange(1, 255).Draw(rt, "bits")
@@ -81,20 +80,20 @@
 	})
 }
 
-// TestCorruptPageStructure changes each byte of the page heads and of the first
-// elements, where bbolt has no checksum of its own.
+// TestCorruptPageStructure changes each byte at the start of each page: the page header,
+// the meta fields and the first elements. bbolt has no checksums for most of these.
 func TestCorruptPageStructure(t *testing.T) {
 	sample := t.TempDir()
 	writeSample(t, sample)
-	whole, err := os.ReadFile(filepath.Join(sample, dataFileName))
+	content, err := os.ReadFile(filepath.Join(sample, dataFileName))
 	assert.NilError(t, err)
-	want, err := verifiedEntries(whole)
+	want, err := verifiedEntries(content)
 	assert.NilError(t, err)
-	pageBytes := int(binary.NativeEndian.Uint32(whole[boltPageHeaderBytes+8:]))
+	pageBytes := int(binary.NativeEndian.Uint32(content[boltPageHeaderBytes+8:]))
 	detected := 0
-	for page := 0; page*pageBytes < len(whole); page++ {
+	for page := 0; page*pageBytes < len(content); page++ {
 		for offset := range boltPageHeaderBytes + boltMetaBytes {
-			damaged := bytes.Clone(whole)
+			damaged := bytes.Clone(content)
 			damaged[page*pageBytes+offset] ^= 0x11
 			got, err := verifiedEntries(damaged)
 			if err == nil {
@@ -117,8 +116,8 @@
 	return all.String(), err
 }
 
-// TestMissingEntryIsDetected removes an entry from a file that stays whole
-// otherwise: no checksum of an entry shows that.
+// TestMissingEntryIsDetected removes an entry from a valid file, which the checksums of
+// the other entries can't detect.
 func TestMissingEntryIsDetected(t *testing.T) {
 	folder := t.TempDir()
 	_, incarnation := writeSample(t, folder)
@@ -131,7 +130,8 @@
 	assert.Assert(t, !assertCorrectOrEmpty(t, folder, nil, incarnation))
 }
 
-// TestUnsupportedFormatIsLeftUnchanged demands that a newer file isn't set aside.
+// TestUnsupportedFormatIsLeftUnchanged checks that a file of a newer format version is
+// neither renamed nor modified.
 func TestUnsupportedFormatIsLeftUnchanged(t *testing.T) {
 	folder := t.TempDir()
 	writeSample(t, folder)
--- a/state/replica/export_test.go
+++ b/state/replica/export_test.go
@@ -1,4 +1,4 @@
 package replica
 
-// OpenDiskWithRandom is OpenDisk with a random source of the test's own.
+// OpenDiskWithRandom is OpenDisk with a random source for new incarnations.
 var OpenDiskWithRandom = openDisk
--- a/state/replica/store_test.go
+++ b/state/replica/store_test.go
@@ -16,35 +16,35 @@
 
 var testNames = []string{"a", "a.1", "b", "bb"}
 
-// readAll lists everything that a store holds for the shards and names of the
-// tests, one line for each item, with the hash in place of the bytes.
+// readAll lists everything that a store holds for the test shards and names, one line an
+// item. Hashes replace register values and turn objects.
 func readAll(store Store) ([]string, error) {
 	var lines []string
-	list := func(parts ...any) { lines = append(lines, fmt.Sprint(parts...)) }
+	addLine := func(parts ...any) { lines = append(lines, fmt.Sprint(parts...)) }
 	for shard := range uint32(testShards) {
 		for _, name := range testNames {
 			meta, metaErr := store.LoadMeta(shard, name)
 			state, registerErr := store.LoadRegister(shard, name)
 			rangeErr := store.ReadTurns(shard, name, 2, func(turn Turn) error {
-				list("from 2 ", shard, turn.Program, turn.Sequence, turn.Digest, xxhash.Sum64(turn.Object))
+				addLine("from 2 ", shard, turn.Program, turn.Sequence, turn.Digest, xxhash.Sum64(turn.Object))
 				return nil
 			})
 			if err := errors.Join(metaErr, registerErr, rangeErr); err != nil {
 				return nil, err
 			}
-			list("meta ", shard, name, meta)
-			list("register ", shard, name, state.Promised, state.Accepted, state.Value == nil, xxhash.Sum64(state.Value))
+			addLine("meta ", shard, name, meta)
+			addLine("register ", shard, name, state.Promised, state.Accepted, state.Value == nil, xxhash.Sum64(state.Value))
 		}
 		registersErr := store.EachRegister(shard, func(key string, state Register) error {
-			list("each register ", shard, key, state.Promised, state.Accepted, xxhash.Sum64(state.Value))
+			addLine("each register ", shard, key, state.Promised, state.Accepted, xxhash.Sum64(state.Value))
 			return nil
 		})
 		turnsErr := store.EachTurn(shard, func(turn Turn) error {
-			list("each turn ", shard, turn.Program, turn.Sequence, turn.Digest, xxhash.Sum64(turn.Object))
+			addLine("each turn ", shard, turn.Program, turn.Sequence, turn.Digest, xxhash.Sum64(turn.Object))
 			return nil
 		})
 		namesErr := EachTurnName(store, shard, func(turn Turn) error {
-			list("each name ", shard, turn.Program, turn.Sequence, turn.Digest, turn.Object == nil)
+			addLine("each name ", shard, turn.Program, turn.Sequence, turn.Digest, turn.Object == nil)
 			return nil
 		})
 		if err := errors.Join(registersErr, turnsErr, namesErr); err != nil {
@@ -54,7 +54,7 @@
 	return lines, nil
 }
 
-// randomWrite draws one change; it is applied to each of the stores alike.
+// randomWrite draws a random change, which can be applied to several stores.
 func randomWrite(t *rapid.T) func(Store) error {
 	shard := rapid.Uint32Range(0, testShards-1).Draw(t, "shard")
 	name := rapid.SampledFrom(testNames).Draw(t, "name")
@@ -84,8 +84,8 @@
 	return disk
 }
 
-// TestDiskMatchesMemory applies the same random changes to both stores, with
-// restarts of the disk store in between.
+// TestDiskMatchesMemory applies the same random changes to a Memory and a Disk, which is
+// reopened in between, and compares their contents.
 func TestDiskMatchesMemory(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		folder, err := os.MkdirTemp(t.TempDir(), "store")
@@ -158,7 +158,8 @@
 	assert.Equal(t, count, writers)
 }
 
-// TestWritesFailAfterWriteError closes the file while the store uses it.
+// TestWritesFailAfterWriteError closes the database under the store. Writes must fail, and
+// a failed write must not become visible.
 func TestWritesFailAfterWriteError(t *testing.T) {
 	disk := openTestDisk(t, t.TempDir())
 	before := Register{Promised: Ballot{Counter: 1, Proposer: "p"}}
--- a/state/replica/stored_test.go
+++ b/state/replica/stored_test.go
@@ -23,22 +23,21 @@
 	"github.com/marblering/marblering/state/turn"
 )
 
-// format1Folder is a data folder of format 1. It stays as it is: a disk outlives the
-// program that wrote it, so that each later program has to read it in full. A newer
-// format gets a folder of its own beside this one.
+// format1Folder is a data folder of format version 1. It must not change, since newer
+// programs have to read the data of older ones. Add another folder for a newer format.
 const format1Folder = "testdata/format1"
 
-// Shard numbers beyond those of programs, under which a node keeps values of its own.
+// Reserved shard numbers, under which a node stores values of its own.
 const (
 	nodeShard   uint32 = math.MaxUint32
 	mirrorShard uint32 = math.MaxUint32 - 1
 	countShard  uint32 = math.MaxUint32 - 2
 )
 
-// sampleShards are all shards of the sample.
+// sampleShards are the shards of the sample data.
 var sampleShards = []uint32{0, 1, 2, countShard, mirrorShard, nodeShard}
 
-// sampleMeta are the meta values of the sample, by shard and name.
+// sampleMeta holds the meta values of the sample data by shard and name.
 var sampleMeta = map[uint32]map[string]string{
 	nodeShard: {
 		"shard-0": `{"View":{"Shard":0,"Epoch":2,"Members":[{"Node":"s-1","Incarnation":"s-1/a","Address":"10.0.0.1:7000","Zone":"z-1"}]},` +
@@ -49,8 +48,8 @@
 	countShard:  {"shard-count": string(binary.BigEndian.AppendUint32(nil, 3))},
 }
 
-// writeSample writes one value of every kind that a replica keeps, each in a
-// transaction of its own.
+// writeSample writes values of every kind that a replica stores, each in a separate
+// transaction.
 func writeSample(t *testing.T, store replica.Store) {
 	t.Helper()
 	promised := replica.Ballot{Counter: 300, Proposer: "g-1/b"}
@@ -82,7 +81,7 @@
 	writeAndRemove(t, store)
 }
 
-// writeAndRemove writes values that leave nothing behind.
+// writeAndRemove writes values and removes them again.
 func writeAndRemove(t *testing.T, store replica.Store) {
 	t.Helper()
 	assert.NilError(t, store.SaveMeta(2, "removed", []byte("x")))
@@ -120,14 +119,13 @@
 	return value
 }
 
-// shardTurn is a turn with its shard.
 type shardTurn struct {
 	shard uint32
 	turn  replica.Turn
 }
 
-// sampleTurns returns retained turns, turns of a history, two of which stand at one
-// sequence number, and one without an object.
+// sampleTurns returns retained turns, turns of a history, two of which have the same
+// sequence, and a turn without an object.
 func sampleTurns(t *testing.T) []shardTurn {
 	t.Helper()
 	codec, err := turn.NewCodec()
@@ -158,11 +156,11 @@
 	return append(turns, shardTurn{0, replica.Turn{Program: "p-1.1", Sequence: 1, Digest: [32]byte{1}}})
 }
 
-// fixedRandom is the random source of the sample: the incarnation is made of it.
+// fixedRandom returns the random source for the incarnation of the sample data.
 func fixedRandom() *bytes.Reader { return bytes.NewReader([]byte("0123456789abcdef")) }
 
-// TestDataFileEntries pins every entry of the data file as it stands on the disk: the
-// kept folder has the same ones, and so has a folder that is written now.
+// TestDataFileEntries guards against changes of the stored bytes: the entries of
+// format1Folder and those of a newly written data file must match the golden file.
 func TestDataFileEntries(t *testing.T) {
 	golden.Assert(t, fileEntries(t, copyFolder(t, format1Folder)), "format1.entries.golden")
 	folder := t.TempDir()
@@ -173,8 +171,8 @@
 	golden.Assert(t, fileEntries(t, folder), "format1.entries.golden")
 }
 
-// TestFormat1FolderIsReadable opens a copy of the kept folder and reads all of it, by
-// every method that reads, as well as from a store in memory with the same values.
+// TestFormat1FolderIsReadable checks that every reading method returns the same from
+// format1Folder as from a memory store with the same values.
 func TestFormat1FolderIsReadable(t *testing.T) {
 	disk, err := replica.OpenDisk(copyFolder(t, format1Folder))
 	assert.NilError(t, err)
@@ -187,7 +185,7 @@
 	golden.Assert(t, dumpSample(t, memory), "format1.contents.golden")
 }
 
-// TestFormat1TurnsAreDecodable reads the objects of the kept folder's turns.
+// TestFormat1TurnsAreDecodable decodes the objects of turns in format1Folder.
 func TestFormat1TurnsAreDecodable(t *testing.T) {
 	disk, err := replica.OpenDisk(copyFolder(t, format1Folder))
 	assert.NilError(t, err)
@@ -216,8 +214,8 @@
 	return target
 }
 
-// fileEntries lists the entries of the data file by way of bbolt alone, with the
-// names of file and bucket as literals.
+// fileEntries lists the entries of the data file. It uses bbolt directly and literal
+// names, so that it doesn't depend on the code under test.
 func fileEntries(t *testing.T, folder string) string {
 	t.Helper()
 	database, err := bbolt.Open(filepath.Join(folder, "replica.db"), 0o600, &bbolt.Options{NoFreelistSync: true})
@@ -236,7 +234,7 @@
 	return text.String()
 }
 
-// dumpSample reads everything of the sample's shards.
+// dumpSample returns everything that the store holds for the shards of the sample data.
 func dumpSample(t *testing.T, store replica.Store) string {
 	t.Helper()
 	var text strings.Builder
