--- a/state/replica/boltfile.go
+++ b/state/replica/boltfile.go
@@ -209,11 +209,11 @@
 	if binary.NativeEndian.Uint64(raw) != number || overflow >= f.pageCount-number {
 		return boltPage{}, corruptf("invalid header of page %d", number)
 	}
-	for covered := number; covered <= number+overflow; covered++ {
-		if f.visited[covered] {
-			return boltPage{}, corruptf("page %d is referenced twice", covered)
+	for pageNumber := number; pageNumber <= number+overflow; pageNumber++ {
+		if f.visited[pageNumber] {
+			return boltPage{}, corruptf("page %d is referenced twice", pageNumber)
 		}
-		f.visited[covered] = true
+		f.visited[pageNumber] = true
 	}
 	raw, err = f.read(number*f.pageBytes, (1+overflow)*f.pageBytes)
 	if err != nil {
--- a/state/replica/boltpage.go
+++ b/state/replica/boltpage.go
@@ -39,7 +39,7 @@
 	return page, nil
 }
 
-// keyRange is the range of keys from from (inclusive) to to (exclusive). A nil bound is
+// keyRange is a range of keys that includes from and excludes to. A nil bound is
 // unlimited.
 type keyRange struct{ from, to []byte }
 
--- a/state/replica/store_test.go
+++ b/state/replica/store_test.go
@@ -16,7 +16,7 @@
 
 var testNames = []string{"a", "a.1", "b", "bb"}
 
-// readAll lists everything that a store holds for the test shards and names, one line an
+// readAll lists everything that a store holds for the test shards and names, one line per
 // item. Hashes replace register values and turn objects.
 func readAll(store Store) ([]string, error) {
 	var lines []string
