--- a/coordination/register/client.go
+++ b/coordination/register/client.go
@@ -60,10 +60,10 @@
 	CachedRegisters int
 	// MaxBatch limits the number of queued changes that share one round.
 	MaxBatch int
-	// FreshPatience is the time in which all members must accept the first change of a
+	// FastRoundTimeout is the time in which all members must accept the first change of a
 	// register without a prepare (Proposer.BeginFast); zero disables such fast rounds.
 	// They suit registers that are numerous, mostly new, and changed by one node first.
-	FreshPatience time.Duration
+	FastRoundTimeout time.Duration
 	// Thrift has rounds ask only a majority at first; nil asks all members at once.
 	Thrift *Thrift
 }
--- a/coordination/register/client_test.go
+++ b/coordination/register/client_test.go
@@ -246,7 +246,7 @@
 func newFastRoundClient(incarnation string, cluster *memoryCluster) *register.Client {
 	settings := register.DefaultSettings()
 	settings.BackoffBase = time.Microsecond
-	settings.FreshPatience = time.Minute
+	settings.FastRoundTimeout = time.Minute
 	return register.NewClient(incarnation, cluster, cluster, register.SystemClock{}, rand.New(rand.NewPCG(1, 1)), settings)
 }
 
@@ -310,7 +310,7 @@
 	cluster := newMemoryCluster("a", "b", "c")
 	transport := &silentMemberTransport{memoryCluster: cluster, silent: "c"}
 	settings := register.DefaultSettings()
-	settings.FreshPatience = 5 * time.Millisecond
+	settings.FastRoundTimeout = 5 * time.Millisecond
 	client := register.NewClient("client", transport, cluster, shortTimerClock{}, rand.New(rand.NewPCG(1, 1)), settings)
 	for i := range 5 {
 		value, err := client.Apply(context.Background(), 0, fmt.Sprint("key", i), increment)
--- a/coordination/register/fastround.go
+++ b/coordination/register/fastround.go
@@ -22,7 +22,7 @@
 }
 
 func newFastRoundGate(settings Settings, clock Clock) *fastRoundGate {
-	return &fastRoundGate{timeout: settings.FreshPatience, clock: clock, suspended: make(map[uint32]bool)}
+	return &fastRoundGate{timeout: settings.FastRoundTimeout, clock: clock, suspended: make(map[uint32]bool)}
 }
 
 // allows reports whether changes of the shard's registers may skip the prepare.
--- a/coordination/register/trace_test.go
+++ b/coordination/register/trace_test.go
@@ -92,7 +92,7 @@
 	}{
 		{"all at once", register.Settings{}},
 		{"thrifty", register.Settings{Thrift: &register.Thrift{Local: "c-1", Delay: 150 * time.Millisecond}}},
-		{"thrifty, fresh", register.Settings{Thrift: &register.Thrift{Delay: 80 * time.Millisecond}, FreshPatience: 200 * time.Millisecond}},
+		{"thrifty, fresh", register.Settings{Thrift: &register.Thrift{Delay: 80 * time.Millisecond}, FastRoundTimeout: 200 * time.Millisecond}},
 	}
 	var text strings.Builder
 	for _, kind := range kinds {
@@ -116,7 +116,7 @@
 	}
 	cluster.memberView = cluster.clientView
 	settings := register.DefaultSettings()
-	settings.FreshPatience = kind.FreshPatience
+	settings.FastRoundTimeout = kind.FastRoundTimeout
 	if kind.Thrift != nil {
 		thrift := *kind.Thrift
 		thrift.Reach, thrift.Now = reach.New(time.Now), time.Now
--- a/coordination/shard/modelclient_test.go
+++ b/coordination/shard/modelclient_test.go
@@ -64,7 +64,7 @@
 	node := fmt.Sprintf("client-%d", number)
 	chosen := settings()
 	if number%2 == 1 {
-		chosen.FreshPatience = 30 * time.Millisecond
+		chosen.FastRoundTimeout = 30 * time.Millisecond
 	}
 	starts := uint64(2)
 	start := func() *register.Client {
