--- a/coordination/register/client.go
+++ b/coordination/register/client.go
@@ -65,7 +65,7 @@
 	// They suit registers that are numerous, mostly new, and changed by one node first.
 	FastRoundTimeout time.Duration
 	// Thrift has rounds ask only a majority at first; nil asks all members at once.
-	Thrift *Thrift
+	Thrift *ThriftyQuorum
 }
 
 // DefaultSettings returns settings for members a few milliseconds apart.
--- a/coordination/register/thrift.go
+++ b/coordination/register/thrift.go
@@ -15,12 +15,12 @@
 // hedgeKind identifies the requests of this package in the hedge budget.
 const hedgeKind = "registers"
 
-// Thrift configures thrifty quorums: a round asks a majority of the members first, and
+// ThriftyQuorum configures thrifty quorums: a round asks a majority of the members first, and
 // others if these fail or are late (I. Moraru, "There Is More Consensus in Egalitarian
 // Parliaments", 2013). This takes about half of the requests, bytes and writes of asking
 // all members. A value is still chosen by a majority; what is saved are the copies beyond
 // it. docs/design/platform.md has the measurement.
-type Thrift struct {
+type ThriftyQuorum struct {
 	// Local is the incarnation of the member in this process, which is asked first; empty
 	// if there is none.
 	Local string
@@ -37,7 +37,7 @@
 
 // hedging returns the hedging configuration that a client's exchanges share; zero if all
 // members are asked at once.
-func (t *Thrift) hedging() multicast.Hedging {
+func (t *ThriftyQuorum) hedging() multicast.Hedging {
 	if t == nil {
 		return multicast.Hedging{}
 	}
