--- a/coordination/register/client.go
+++ b/coordination/register/client.go
@@ -64,8 +64,8 @@
 	// register without a prepare (Proposer.BeginFast); zero disables such fast rounds.
 	// They suit registers that are numerous, mostly new, and changed by one node first.
 	FastRoundTimeout time.Duration
-	// Thrift has rounds ask only a majority at first; nil asks all members at once.
-	Thrift *ThriftyQuorum
+	// ThriftyQuorum has rounds ask only a majority at first; nil asks all members at once.
+	ThriftyQuorum *ThriftyQuorum
 }
 
 // DefaultSettings returns settings for members a few milliseconds apart.
--- a/coordination/register/exchange.go
+++ b/coordination/register/exchange.go
@@ -44,8 +44,8 @@
 		close(e.expired)
 		e.cancel()
 	})
-	e.members = multicast.New(e.addresses(), settings.Thrift.hedging(), e.send)
-	if settings.Thrift == nil || r.isFast {
+	e.members = multicast.New(e.addresses(), settings.ThriftyQuorum.hedging(), e.send)
+	if settings.ThriftyQuorum == nil || r.isFast {
 		e.members.Ask(len(e.order))
 		return e
 	}
@@ -80,7 +80,7 @@
 	if e.members.Left() == 0 {
 		return
 	}
-	e.stopHedgeTimer = e.round.client.clock.AfterFunc(e.round.client.settings.Thrift.Delay, func() {
+	e.stopHedgeTimer = e.round.client.clock.AfterFunc(e.round.client.settings.ThriftyQuorum.Delay, func() {
 		select {
 		case e.hedgeDue <- struct{}{}:
 		default:
@@ -99,7 +99,7 @@
 // recordAnswer records that the member has answered or that its request has failed.
 func (e *exchange) recordAnswer(received answer) {
 	e.members.Answered(received.position)
-	thrift := e.round.client.settings.Thrift
+	thrift := e.round.client.settings.ThriftyQuorum
 	if thrift == nil {
 		return
 	}
@@ -114,7 +114,7 @@
 
 // avoidPending has the members that didn't answer in time asked last for a while.
 func (e *exchange) avoidPending() {
-	if e.round.client.settings.Thrift != nil {
+	if e.round.client.settings.ThriftyQuorum != nil {
 		e.members.AvoidPending()
 	}
 }
--- a/coordination/register/thrift.go
+++ b/coordination/register/thrift.go
@@ -57,7 +57,7 @@
 	for i := range indexes {
 		indexes[i] = i
 	}
-	thrift := c.settings.Thrift
+	thrift := c.settings.ThriftyQuorum
 	if thrift == nil {
 		return indexes
 	}
--- a/coordination/register/thrift_test.go
+++ b/coordination/register/thrift_test.go
@@ -63,7 +63,7 @@
 func newThriftyClient(incarnation string, transport register.Transport, views register.Views) *register.Client {
 	settings := register.DefaultSettings()
 	settings.BackoffBase = time.Microsecond
-	settings.Thrift = &register.ThriftyQuorum{
+	settings.ThriftyQuorum = &register.ThriftyQuorum{
 		Delay: hedgeDelay, Reach: reach.New(time.Now), Hedges: limit.NewRetryBudget(limit.HedgePolicy(), time.Now()), Now: time.Now,
 	}
 	return register.NewClient(incarnation, transport, views, register.SystemClock{}, rand.New(rand.NewPCG(1, 1)), settings)
--- a/coordination/register/trace_test.go
+++ b/coordination/register/trace_test.go
@@ -91,8 +91,8 @@
 		settings register.Settings
 	}{
 		{"all at once", register.Settings{}},
-		{"thrifty", register.Settings{Thrift: &register.ThriftyQuorum{Local: "c-1", Delay: 150 * time.Millisecond}}},
-		{"thrifty, fresh", register.Settings{Thrift: &register.ThriftyQuorum{Delay: 80 * time.Millisecond}, FastRoundTimeout: 200 * time.Millisecond}},
+		{"thrifty", register.Settings{ThriftyQuorum: &register.ThriftyQuorum{Local: "c-1", Delay: 150 * time.Millisecond}}},
+		{"thrifty, fresh", register.Settings{ThriftyQuorum: &register.ThriftyQuorum{Delay: 80 * time.Millisecond}, FastRoundTimeout: 200 * time.Millisecond}},
 	}
 	var text strings.Builder
 	for _, kind := range kinds {
@@ -117,11 +117,11 @@
 	cluster.memberView = cluster.clientView
 	settings := register.DefaultSettings()
 	settings.FastRoundTimeout = kind.FastRoundTimeout
-	if kind.Thrift != nil {
-		thrift := *kind.Thrift
+	if kind.ThriftyQuorum != nil {
+		thrift := *kind.ThriftyQuorum
 		thrift.Reach, thrift.Now = reach.New(time.Now), time.Now
 		thrift.Hedges = limit.NewRetryBudget(limit.HedgePolicy(), time.Now())
-		settings.Thrift = &thrift
+		settings.ThriftyQuorum = &thrift
 	}
 	client := register.NewClient("client", cluster, cluster, register.SystemClock{}, rand.New(rand.NewPCG(seed, 2)), settings)
 	for change := range traceChanges {
--- a/node/storage/budgets.go
+++ b/node/storage/budgets.go
@@ -28,7 +28,7 @@
 	holderID := n.self.Node + "/" + uuid.NewString()
 	registerSettings := register.DefaultSettings()
 	registerSettings.RequestTimeout = registerRequestTimeout
-	registerSettings.Thrift = &register.ThriftyQuorum{
+	registerSettings.ThriftyQuorum = &register.ThriftyQuorum{
 		Local: n.self.Incarnation, Delay: registerHedgeDelay, Reach: reach.New(time.Now),
 		Hedges: limit.NewRetryBudget(limit.HedgePolicy(), time.Now()), Now: time.Now,
 	}
