--- a/coordination/register/exchange.go
+++ b/coordination/register/exchange.go
@@ -80,7 +80,7 @@
 	if e.members.Left() == 0 {
 		return
 	}
-	e.stopHedgeTimer = e.round.client.clock.AfterFunc(e.round.client.settings.ThriftyQuorum.Delay, func() {
+	e.stopHedgeTimer = e.round.client.clock.AfterFunc(e.round.client.settings.ThriftyQuorum.HedgeDelay, func() {
 		select {
 		case e.hedgeDue <- struct{}{}:
 		default:
--- a/coordination/register/thrift.go
+++ b/coordination/register/thrift.go
@@ -24,8 +24,8 @@
 	// Local is the incarnation of the member in this process, which is asked first; empty
 	// if there is none.
 	Local string
-	// Delay is the time after which another member is asked if those asked are late.
-	Delay time.Duration
+	// HedgeDelay is the time after which another member is asked if those asked are late.
+	HedgeDelay time.Duration
 	// Reach records which members answer and determines which to ask last.
 	Reach *reach.Tracker
 	// Hedges limits the requests that are sent because members are late. If all members
--- a/coordination/register/trace_test.go
+++ b/coordination/register/trace_test.go
@@ -91,8 +91,8 @@
 		settings register.Settings
 	}{
 		{"all at once", register.Settings{}},
-		{"thrifty", register.Settings{ThriftyQuorum: &register.ThriftyQuorum{Local: "c-1", Delay: 150 * time.Millisecond}}},
-		{"thrifty, fresh", register.Settings{ThriftyQuorum: &register.ThriftyQuorum{Delay: 80 * time.Millisecond}, FastRoundTimeout: 200 * time.Millisecond}},
+		{"thrifty", register.Settings{ThriftyQuorum: &register.ThriftyQuorum{Local: "c-1", HedgeDelay: 150 * time.Millisecond}}},
+		{"thrifty, fresh", register.Settings{ThriftyQuorum: &register.ThriftyQuorum{HedgeDelay: 80 * time.Millisecond}, FastRoundTimeout: 200 * time.Millisecond}},
 	}
 	var text strings.Builder
 	for _, kind := range kinds {
--- a/node/storage/budgets.go
+++ b/node/storage/budgets.go
@@ -29,7 +29,7 @@
 	registerSettings := register.DefaultSettings()
 	registerSettings.RequestTimeout = registerRequestTimeout
 	registerSettings.ThriftyQuorum = &register.ThriftyQuorum{
-		Local: n.self.Incarnation, Delay: registerHedgeDelay, Reach: reach.New(time.Now),
+		Local: n.self.Incarnation, HedgeDelay: registerHedgeDelay, Reach: reach.New(time.Now),
 		Hedges: limit.NewRetryBudget(limit.HedgePolicy(), time.Now()), Now: time.Now,
 	}
 	transport := peer.NewLocalTransport(n.self.Incarnation, n.replica, n.peers)
