--- a/coordination/register/thrift.go
+++ b/coordination/register/thrift.go
@@ -28,9 +28,9 @@
 	HedgeDelay time.Duration
 	// Reach records which members answer and determines which to ask last.
 	Reach *reach.Tracker
-	// Hedges limits the requests that are sent because members are late. If all members
+	// HedgeBudget limits the requests that are sent because members are late. If all members
 	// are late, they are overloaded, and more requests would make that worse.
-	Hedges *limit.RetryBudget
+	HedgeBudget *limit.RetryBudget
 	// Now is the clock of the hedge budget.
 	Now func() time.Time
 }
@@ -41,7 +41,7 @@
 	if t == nil {
 		return multicast.Hedging{}
 	}
-	return multicast.Hedging{Kind: hedgeKind, Budget: t.Hedges, Reach: t.Reach, Now: t.Now}
+	return multicast.Hedging{Kind: hedgeKind, Budget: t.HedgeBudget, Reach: t.Reach, Now: t.Now}
 }
 
 // Rank ranks a node for a key by rendezvous hashing (D. G. Thaler, C. V. Ravishankar,
