--- a/coordination/register/message.go
+++ b/coordination/register/message.go
@@ -60,8 +60,8 @@
 	Members []Member
 }
 
-// ErrRepeatedMember means that a view contains a node or an incarnation twice.
-var ErrRepeatedMember = merry.Sentinel("register: the view contains a node twice")
+// ErrDuplicateMember means that a view contains a node or an incarnation twice.
+var ErrDuplicateMember = merry.Sentinel("register: the view contains a node twice")
 
 // Validate returns ErrRepeatedMember for a view that counts a node twice, such as its old
 // and its new incarnation: a majority of such a view may be a minority of the nodes.
@@ -69,7 +69,7 @@
 	for index, member := range v.Members {
 		for _, earlier := range v.Members[:index] {
 			if member.Node == earlier.Node || member.Incarnation == earlier.Incarnation {
-				return merry.Wrap(ErrRepeatedMember, merry.AppendMessagef("%s in epoch %d of shard %d", member.Node, v.Epoch, v.Shard))
+				return merry.Wrap(ErrDuplicateMember, merry.AppendMessagef("%s in epoch %d of shard %d", member.Node, v.Epoch, v.Shard))
 			}
 		}
 	}
--- a/coordination/shard/repeated_test.go
+++ b/coordination/shard/repeated_test.go
@@ -19,13 +19,13 @@
 	other, third := register.Member{Node: "b", Incarnation: "b-1"}, register.Member{Node: "c", Incarnation: "c-1"}
 	current := register.View{Epoch: FirstEpoch, Members: []register.Member{old, other, third}}
 	repeated := register.View{Epoch: FirstEpoch + 1, Members: []register.Member{begun, old, other}}
-	assert.ErrorIs(t, repeated.Validate(), register.ErrRepeatedMember)
+	assert.ErrorIs(t, repeated.Validate(), register.ErrDuplicateMember)
 	assert.NilError(t, current.Validate())
 
 	members := &silentMembers{registers: make(map[string]replica.Register)}
 	driver := NewDriver("driver", members, NewMap(1), register.SystemClock{}, rand.New(rand.NewPCG(1, 1)), register.DefaultSettings(), zap.NewNop())
 	_, err := driver.Drive(context.Background(), current, repeated.Members)
-	assert.ErrorIs(t, err, register.ErrRepeatedMember)
+	assert.ErrorIs(t, err, register.ErrDuplicateMember)
 	assert.Assert(t, !members.proposed)
 
 	local := NewReplica(begun.Incarnation, replica.NewMemory(), NewMap(1), func() uint64 { return 0 })
