--- a/node/node.go
+++ b/node/node.go
@@ -161,7 +161,7 @@
 		if err != nil {
 			return err
 		}
-		if damage := disk.Damage(); damage != nil {
+		if damage := disk.Corruption(); damage != nil {
 			n.logger.Error("replica data was damaged and is set aside", zap.Error(damage))
 		}
 		n.store = disk
--- a/node/storage/run.go
+++ b/node/storage/run.go
@@ -56,7 +56,7 @@
 	if err != nil {
 		return err
 	}
-	if damage := disk.Damage(); damage != nil {
+	if damage := disk.Corruption(); damage != nil {
 		logger.Error("replica data was damaged and is set aside", zap.Error(damage))
 	}
 	n := &Node{
--- a/state/replica/corruption_test.go
+++ b/state/replica/corruption_test.go
@@ -44,13 +44,13 @@
 	defer disk.Close()
 	got, err := readAll(disk)
 	assert.NilError(t, err)
-	if disk.Damage() == nil {
+	if disk.Corruption() == nil {
 		assert.Equal(t, disk.Incarnation(), incarnation)
 		assert.DeepEqual(t, got, want)
 		return true
 	}
-	assert.ErrorIs(t, disk.Damage(), ErrCorrupt)
-	assert.Assert(t, strings.Contains(disk.Damage().Error(), "replica.db.corrupt-1"), disk.Damage())
+	assert.ErrorIs(t, disk.Corruption(), ErrCorrupt)
+	assert.Assert(t, strings.Contains(disk.Corruption().Error(), "replica.db.corrupt-1"), disk.Corruption())
 	assert.Assert(t, disk.Incarnation() != incarnation)
 	assert.Assert(t, !strings.Contains(strings.Join(got, "\n"), "each"), "%v", got)
 	_, err = os.Stat(filepath.Join(folder, "replica.db.corrupt-1"))
--- a/state/replica/disk.go
+++ b/state/replica/disk.go
@@ -32,9 +32,9 @@
 // the data, and a new one is generated if the data is lost.
 func (d *Disk) Incarnation() string { return d.incarnation }
 
-// Damage returns an error that describes the corruption that OpenDisk found in the data
+// Corruption returns an error that describes the corruption that OpenDisk found in the data
 // file and the path to which it renamed the file, or nil if the file was valid.
-func (d *Disk) Damage() error { return d.damage }
+func (d *Disk) Corruption() error { return d.damage }
 
 // Failure returns the error that stopped all writes, or nil if there was none. The content
 // of the disk is unknown after a failure; reopening the folder verifies it.
--- a/state/replica/open.go
+++ b/state/replica/open.go
@@ -22,7 +22,7 @@
 
 // OpenDisk opens the store in the folder, which it creates if necessary. It returns
 // ErrLocked if the folder is in use and ErrUnsupportedFormat if the file has another
-// format version. A corrupt file isn't an error but is replaced: see [Disk.Damage].
+// format version. A corrupt file isn't an error but is replaced: see [Disk.Corruption].
 func OpenDisk(folder string) (*Disk, error) { return openDisk(folder, rand.Reader) }
 
 // openDisk is OpenDisk with a random source for new incarnations.
--- a/state/replica/store_test.go
+++ b/state/replica/store_test.go
@@ -107,7 +107,7 @@
 		assert.NilError(rt, err)
 		assert.DeepEqual(rt, got, want)
 		assert.Equal(rt, disk.Incarnation(), incarnation)
-		assert.NilError(rt, disk.Damage())
+		assert.NilError(rt, disk.Corruption())
 		assert.NilError(rt, disk.Close())
 	})
 }
--- a/state/replica/stored_test.go
+++ b/state/replica/stored_test.go
@@ -177,7 +177,7 @@
 	disk, err := replica.OpenDisk(copyFolder(t, format1Folder))
 	assert.NilError(t, err)
 	defer disk.Close()
-	assert.NilError(t, disk.Damage())
+	assert.NilError(t, disk.Corruption())
 	assert.Equal(t, disk.Incarnation(), "30313233343536373839616263646566")
 	golden.Assert(t, dumpSample(t, disk), "format1.contents.golden")
 	memory := replica.NewMemory()
