--- a/node/storage/run.go
+++ b/node/storage/run.go
@@ -107,7 +107,7 @@
 		case <-ctx.Done():
 			return nil
 		case <-ticker.C:
-			if failure := n.disk.Failure(); failure != nil {
+			if failure := n.disk.WriteError(); failure != nil {
 				return merry.Wrap(errDiskFailed, merry.WithCause(failure), merry.AppendMessagef("%v", failure))
 			}
 		}
--- a/state/replica/disk.go
+++ b/state/replica/disk.go
@@ -36,9 +36,9 @@
 // file and the path to which it renamed the file, or nil if the file was valid.
 func (d *Disk) Corruption() error { return d.damage }
 
-// Failure returns the error that stopped all writes, or nil if there was none. The content
+// WriteError returns the error that stopped all writes, or nil if there was none. The content
 // of the disk is unknown after a failure; reopening the folder verifies it.
-func (d *Disk) Failure() error {
+func (d *Disk) WriteError() error {
 	if failure := d.writer.sharedFailure.Load(); failure != nil {
 		return *failure
 	}
