--- a/node/storage/workload.go
+++ b/node/storage/workload.go
@@ -26,9 +26,9 @@
 	n.metrics.MustRegister(
 		prometheus.NewCounterFunc(prometheus.CounterOpts{
 			Name: writtenMetric, Help: "Changes of registers, turns and meta values that reached the disk.",
-		}, func() float64 { changes, _ := n.disk.Written(); return float64(changes) }),
+		}, func() float64 { changes, _ := n.disk.WriteCounts(); return float64(changes) }),
 		prometheus.NewCounterFunc(prometheus.CounterOpts{
 			Name: commitsMetric, Help: "Commits to the disk, each with one or more changes.",
-		}, func() float64 { _, commits := n.disk.Written(); return float64(commits) }),
+		}, func() float64 { _, commits := n.disk.WriteCounts(); return float64(commits) }),
 	)
 }
--- a/state/replica/disk.go
+++ b/state/replica/disk.go
@@ -45,9 +45,9 @@
 	return nil
 }
 
-// Written returns the number of changes synced so far and of the transactions that they
+// WriteCounts returns the number of changes synced so far and of the transactions that they
 // took.
-func (d *Disk) Written() (changes, commits uint64) {
+func (d *Disk) WriteCounts() (changes, commits uint64) {
 	return d.writer.changeCount.Load(), d.writer.commitCount.Load()
 }
 
