--- a/coordination/expiry/collector.go
+++ b/coordination/expiry/collector.go
@@ -163,7 +163,7 @@
 		if !entry.isExpired(now) {
 			continue
 		}
-		if err := c.options.Store.DropProgram(shardOf[id], id); err != nil {
+		if err := c.options.Store.DeleteTurns(shardOf[id], id); err != nil {
 			return err
 		}
 		delete(c.usages, id)
--- a/state/replica/disk.go
+++ b/state/replica/disk.go
@@ -123,8 +123,8 @@
 	return decodeTurn(bytes.Clone(key), nil)
 }
 
-// DropProgram deletes the turns of the program, but not its register.
-func (d *Disk) DropProgram(shard uint32, program string) error {
+// DeleteTurns deletes the turns of the program, but not its register.
+func (d *Disk) DeleteTurns(shard uint32, program string) error {
 	if err := checkName(program); err != nil {
 		return err
 	}
--- a/state/replica/memory.go
+++ b/state/replica/memory.go
@@ -175,8 +175,8 @@
 	return nil
 }
 
-// DropProgram deletes the turns of the program, but not its register.
-func (m *Memory) DropProgram(shard uint32, program string) error {
+// DeleteTurns deletes the turns of the program, but not its register.
+func (m *Memory) DeleteTurns(shard uint32, program string) error {
 	if err := checkName(program); err != nil {
 		return err
 	}
--- a/state/replica/store.go
+++ b/state/replica/store.go
@@ -43,8 +43,8 @@
 	// EachTurn calls visit for all turns of the shard, in order of program, sequence and
 	// digest, until visit returns an error.
 	EachTurn(shard uint32, visit func(Turn) error) error
-	// DropProgram deletes the turns of an ended program, but not its register.
-	DropProgram(shard uint32, program string) error
+	// DeleteTurns deletes the turns of an ended program, but not its register.
+	DeleteTurns(shard uint32, program string) error
 
 	// LoadMeta returns a small named value of the shard, such as its epoch, or nil if
 	// there is none.
--- a/state/replica/store_test.go
+++ b/state/replica/store_test.go
@@ -62,7 +62,7 @@
 	number := rapid.Uint64Range(0, 3).Draw(t, "number")
 	switch rapid.IntRange(0, 9).Draw(t, "kind") {
 	case 0:
-		return func(s Store) error { return s.DropProgram(shard, name) }
+		return func(s Store) error { return s.DeleteTurns(shard, name) }
 	case 1:
 		return func(s Store) error { return s.DropShard(shard) }
 	case 2, 3:
--- a/state/replica/stored_test.go
+++ b/state/replica/stored_test.go
@@ -87,7 +87,7 @@
 	assert.NilError(t, store.SaveMeta(2, "removed", []byte("x")))
 	assert.NilError(t, store.SaveMeta(2, "removed", nil))
 	assert.NilError(t, store.PutTurn(1, replica.Turn{Program: "ended", Sequence: 1, Object: []byte("x")}))
-	assert.NilError(t, store.DropProgram(1, "ended"))
+	assert.NilError(t, store.DeleteTurns(1, "ended"))
 	assert.NilError(t, store.SaveRegister(2, "dropped", replica.Register{Promised: replica.Ballot{Counter: 1, Proposer: "g-1/b"}}))
 	assert.NilError(t, store.DropShard(2))
 }
