--- a/state/replica/disk.go
+++ b/state/replica/disk.go
@@ -112,8 +112,8 @@
 	})
 }
 
-// EachTurnName implements TurnLister.
-func (d *Disk) EachTurnName(shard uint32, visit func(Turn) error) error {
+// EachTurnKey implements TurnLister.
+func (d *Disk) EachTurnKey(shard uint32, visit func(Turn) error) error {
 	prefix := kindPrefix(kindTurn, shard)
 	return d.eachTurn(prefix, prefix, decodeTurnKey, visit)
 }
--- a/state/replica/memory.go
+++ b/state/replica/memory.go
@@ -160,8 +160,8 @@
 	return all, nil
 }
 
-// EachTurnName implements TurnLister.
-func (m *Memory) EachTurnName(shard uint32, visit func(Turn) error) error {
+// EachTurnKey implements TurnLister.
+func (m *Memory) EachTurnKey(shard uint32, visit func(Turn) error) error {
 	turns, err := m.snapshotTurns(shard)
 	if err != nil {
 		return err
--- a/state/replica/store.go
+++ b/state/replica/store.go
@@ -59,8 +59,8 @@
 
 // TurnLister is implemented by stores that can list turns without reading their objects.
 type TurnLister interface {
-	// EachTurnName visits the turns of the shard like EachTurn, but without their objects.
-	EachTurnName(shard uint32, visit func(Turn) error) error
+	// EachTurnKey visits the turns of the shard like EachTurn, but without their objects.
+	EachTurnKey(shard uint32, visit func(Turn) error) error
 }
 
 var (
@@ -72,7 +72,7 @@
 // TurnLister, the objects aren't read.
 func EachTurnName(store Store, shard uint32, visit func(Turn) error) error {
 	if lister, found := store.(TurnLister); found {
-		return lister.EachTurnName(shard, visit)
+		return lister.EachTurnKey(shard, visit)
 	}
 	return store.EachTurn(shard, func(turn Turn) error {
 		turn.Object = nil
