--- a/coordination/expiry/collector.go
+++ b/coordination/expiry/collector.go
@@ -95,7 +95,7 @@
 	}
 	shardOf := make(map[string]uint32)
 	for shard := range c.options.Shards() {
-		err := replica.EachTurnName(c.options.Store, shard, func(stored replica.Turn) error {
+		err := replica.EachTurnKey(c.options.Store, shard, func(stored replica.Turn) error {
 			shardOf[stored.Program] = shard
 			return ctx.Err()
 		})
--- a/coordination/shard/transition.go
+++ b/coordination/shard/transition.go
@@ -118,7 +118,7 @@
 }
 
 func (r *Replica) eachTurnName(shard uint32, visit func(replica.Turn) error) error {
-	return replica.EachTurnName(r.store, shard, visit)
+	return replica.EachTurnKey(r.store, shard, visit)
 }
 
 func (r *Replica) pullRegisters(shard uint32, visit func(PullItem) error) error {
--- a/state/replica/store.go
+++ b/state/replica/store.go
@@ -68,9 +68,9 @@
 	_ TurnLister = (*Disk)(nil)
 )
 
-// EachTurnName visits the turns of the shard without their objects. If the store is a
+// EachTurnKey visits the turns of the shard without their objects. If the store is a
 // TurnLister, the objects aren't read.
-func EachTurnName(store Store, shard uint32, visit func(Turn) error) error {
+func EachTurnKey(store Store, shard uint32, visit func(Turn) error) error {
 	if lister, found := store.(TurnLister); found {
 		return lister.EachTurnKey(shard, visit)
 	}
--- a/state/replica/store_test.go
+++ b/state/replica/store_test.go
@@ -43,7 +43,7 @@
 			addLine("each turn ", shard, turn.Program, turn.Sequence, turn.Digest, xxhash.Sum64(turn.Object))
 			return nil
 		})
-		namesErr := EachTurnName(store, shard, func(turn Turn) error {
+		namesErr := EachTurnKey(store, shard, func(turn Turn) error {
 			addLine("each name ", shard, turn.Program, turn.Sequence, turn.Digest, turn.Object == nil)
 			return nil
 		})
--- a/state/replica/stored_test.go
+++ b/state/replica/stored_test.go
@@ -260,7 +260,7 @@
 			}
 		}
 		assert.NilError(t, store.EachTurn(shard, addTurn("turn")))
-		assert.NilError(t, replica.EachTurnName(store, shard, addTurn("name")))
+		assert.NilError(t, replica.EachTurnKey(store, shard, addTurn("name")))
 		assert.NilError(t, store.ReadTurns(shard, "p-1", 2, addTurn("from 2")))
 	}
 	return text.String()
