--- a/coordination/limit/adaptive.go
+++ b/coordination/limit/adaptive.go
@@ -22,11 +22,11 @@
 	return AdaptivePolicy{Start: 32, Min: 4, Max: 256, DecreaseFactor: 0.7, DecreaseInterval: 200 * time.Millisecond}
 }
 
-// Adaptive limits concurrent operations so that an overloaded node rejects some at once
+// AdaptiveLimit limits concurrent operations so that an overloaded node rejects some at once
 // instead of starting all and completing none in time. It adapts the limit to how
 // operations end, by additive increase and multiplicative decrease with slow start
 // (V. Jacobson, "Congestion Avoidance and Control", 1988).
-type Adaptive struct {
+type AdaptiveLimit struct {
 	policy AdaptivePolicy
 	now    func() time.Time
 
@@ -40,13 +40,13 @@
 }
 
 // NewAdaptive returns a limit with no operations in flight.
-func NewAdaptive(policy AdaptivePolicy, now func() time.Time) *Adaptive {
-	return &Adaptive{policy: policy, now: now, limit: policy.Start, slowStartThreshold: policy.Max}
+func NewAdaptive(policy AdaptivePolicy, now func() time.Time) *AdaptiveLimit {
+	return &AdaptiveLimit{policy: policy, now: now, limit: policy.Start, slowStartThreshold: policy.Max}
 }
 
 // Begin reports whether an operation may start. If so, it counts as in flight until End is
 // called.
-func (a *Adaptive) Begin() bool {
+func (a *AdaptiveLimit) Begin() bool {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	if float64(a.inFlight) >= a.limit {
@@ -58,7 +58,7 @@
 
 // Enter starts an operation regardless of the limit. It counts as in flight until End is
 // called.
-func (a *Adaptive) Enter() {
+func (a *AdaptiveLimit) Enter() {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	a.inFlight++
@@ -66,7 +66,7 @@
 
 // End records the end of an operation and adapts the limit; late means that the operation
 // didn't complete in time. The limit grows only while at least half of it is in use.
-func (a *Adaptive) End(late bool) {
+func (a *AdaptiveLimit) End(late bool) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	wasUtilized := 2*float64(a.inFlight) >= a.limit
@@ -83,7 +83,7 @@
 }
 
 // decrease lowers the limit, at most once in DecreaseInterval, and ends slow start.
-func (a *Adaptive) decrease(now time.Time) {
+func (a *AdaptiveLimit) decrease(now time.Time) {
 	if now.Sub(a.decreasedAt) < a.policy.DecreaseInterval {
 		return
 	}
@@ -93,7 +93,7 @@
 }
 
 // Limit returns the current limit of operations in flight.
-func (a *Adaptive) Limit() int {
+func (a *AdaptiveLimit) Limit() int {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	return int(a.limit)
--- a/coordination/limit/adaptive_test.go
+++ b/coordination/limit/adaptive_test.go
@@ -13,7 +13,7 @@
 // operations in flight.
 type processor struct {
 	now      time.Time
-	adaptive *limit.Adaptive
+	adaptive *limit.AdaptiveLimit
 	// inFlight holds the admitted operations that haven't ended.
 	inFlight  []operation
 	completed int
--- a/coordination/tokenbudget/admission.go
+++ b/coordination/tokenbudget/admission.go
@@ -51,8 +51,8 @@
 type admission struct {
 	now func() time.Time
 	// allChanges bounds every change, lowPriorityChanges those of low priority.
-	allChanges         *limit.Adaptive
-	lowPriorityChanges *limit.Adaptive
+	allChanges         *limit.AdaptiveLimit
+	lowPriorityChanges *limit.AdaptiveLimit
 	// lastSuccess is when a record was last changed, in Unix nanoseconds.
 	lastSuccess atomic.Int64
 
