--- a/coordination/limit/adaptive.go
+++ b/coordination/limit/adaptive.go
@@ -39,8 +39,8 @@
 	decreasedAt time.Time
 }
 
-// NewAdaptive returns a limit with no operations in flight.
-func NewAdaptive(policy AdaptivePolicy, now func() time.Time) *AdaptiveLimit {
+// NewAdaptiveLimit returns a limit with no operations in flight.
+func NewAdaptiveLimit(policy AdaptivePolicy, now func() time.Time) *AdaptiveLimit {
 	return &AdaptiveLimit{policy: policy, now: now, limit: policy.Start, slowStartThreshold: policy.Max}
 }
 
--- a/coordination/limit/adaptive_test.go
+++ b/coordination/limit/adaptive_test.go
@@ -79,7 +79,7 @@
 // once the overload is over.
 func TestOverloadFinishesWhatItBegins(t *testing.T) {
 	s := &processor{now: time.Unix(1_000_000, 0)}
-	s.adaptive = limit.NewAdaptive(limit.DefaultAdaptivePolicy(), func() time.Time { return s.now })
+	s.adaptive = limit.NewAdaptiveLimit(limit.DefaultAdaptivePolicy(), func() time.Time { return s.now })
 	s.run(20_000, 1)
 	assert.Assert(t, s.completed >= 4000, "%d of 5000 possible operations completed, %d timed out, %d were rejected", s.completed, s.timedOut, s.rejected)
 	s.run(1000, 0)
@@ -91,7 +91,7 @@
 // TestLimitIsBounded checks that the limit stays between Min and Max.
 func TestLimitIsBounded(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
-	adaptive := limit.NewAdaptive(limit.DefaultAdaptivePolicy(), func() time.Time { return now })
+	adaptive := limit.NewAdaptiveLimit(limit.DefaultAdaptivePolicy(), func() time.Time { return now })
 	for range 100 {
 		now = now.Add(time.Second)
 		assert.Assert(t, adaptive.Begin())
--- a/coordination/tokenbudget/admission.go
+++ b/coordination/tokenbudget/admission.go
@@ -63,7 +63,7 @@
 
 func newAdmission(allPolicy, lowPriorityPolicy limit.AdaptivePolicy, now func() time.Time) *admission {
 	return &admission{
-		now: now, allChanges: limit.NewAdaptive(allPolicy, now), lowPriorityChanges: limit.NewAdaptive(lowPriorityPolicy, now),
+		now: now, allChanges: limit.NewAdaptiveLimit(allPolicy, now), lowPriorityChanges: limit.NewAdaptiveLimit(lowPriorityPolicy, now),
 		runningPrograms: recent.New(runningProgramWindow, func(time.Time) struct{} { return struct{}{} }),
 	}
 }
