--- a/coordination/limit/adaptive.go
+++ b/coordination/limit/adaptive.go
@@ -44,9 +44,9 @@
 	return &AdaptiveLimit{policy: policy, now: now, limit: policy.Start, slowStartThreshold: policy.Max}
 }
 
-// Begin reports whether an operation may start. If so, it counts as in flight until End is
+// TryAcquire reports whether an operation may start. If so, it counts as in flight until End is
 // called.
-func (a *AdaptiveLimit) Begin() bool {
+func (a *AdaptiveLimit) TryAcquire() bool {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	if float64(a.inFlight) >= a.limit {
--- a/coordination/limit/adaptive_test.go
+++ b/coordination/limit/adaptive_test.go
@@ -33,7 +33,7 @@
 )
 
 func (s *processor) offer() {
-	if !s.adaptive.Begin() {
+	if !s.adaptive.TryAcquire() {
 		s.rejected++
 		return
 	}
@@ -94,13 +94,13 @@
 	adaptive := limit.NewAdaptiveLimit(limit.DefaultAdaptivePolicy(), func() time.Time { return now })
 	for range 100 {
 		now = now.Add(time.Second)
-		assert.Assert(t, adaptive.Begin())
+		assert.Assert(t, adaptive.TryAcquire())
 		adaptive.End(true)
 	}
 	assert.Equal(t, adaptive.Limit(), 4)
 	for range 1000 {
 		begun := 0
-		for adaptive.Begin() {
+		for adaptive.TryAcquire() {
 			begun++
 		}
 		assert.Assert(t, begun <= 256)
--- a/coordination/tokenbudget/admission.go
+++ b/coordination/tokenbudget/admission.go
@@ -90,10 +90,10 @@
 func (a *admission) beginChange(level priority) error {
 	if level == highPriority {
 		a.lowPriorityChanges.Enter()
-	} else if !a.lowPriorityChanges.Begin() {
+	} else if !a.lowPriorityChanges.TryAcquire() {
 		return merry.Wrap(ErrOverloaded, merry.AppendMessagef("the limit of %d budget changes in progress is reached for new programs", a.lowPriorityChanges.Limit()))
 	}
-	if a.allChanges.Begin() {
+	if a.allChanges.TryAcquire() {
 		return nil
 	}
 	a.lowPriorityChanges.End(true)
