--- a/coordination/limit/adaptive.go
+++ b/coordination/limit/adaptive.go
@@ -56,9 +56,9 @@
 	return true
 }
 
-// Enter starts an operation regardless of the limit. It counts as in flight until End is
+// ForceAcquire starts an operation regardless of the limit. It counts as in flight until End is
 // called.
-func (a *AdaptiveLimit) Enter() {
+func (a *AdaptiveLimit) ForceAcquire() {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	a.inFlight++
--- a/coordination/tokenbudget/admission.go
+++ b/coordination/tokenbudget/admission.go
@@ -89,7 +89,7 @@
 // ended by endChange, with the time at which it began.
 func (a *admission) beginChange(level priority) error {
 	if level == highPriority {
-		a.lowPriorityChanges.Enter()
+		a.lowPriorityChanges.ForceAcquire()
 	} else if !a.lowPriorityChanges.TryAcquire() {
 		return merry.Wrap(ErrOverloaded, merry.AppendMessagef("the limit of %d budget changes in progress is reached for new programs", a.lowPriorityChanges.Limit()))
 	}
