--- a/coordination/limit/adaptive.go
+++ b/coordination/limit/adaptive.go
@@ -64,9 +64,9 @@
 	a.inFlight++
 }
 
-// End records the end of an operation and adapts the limit; late means that the operation
+// Release records the end of an operation and adapts the limit; late means that the operation
 // didn't complete in time. The limit grows only while at least half of it is in use.
-func (a *AdaptiveLimit) End(late bool) {
+func (a *AdaptiveLimit) Release(late bool) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	wasUtilized := 2*float64(a.inFlight) >= a.limit
--- a/coordination/limit/adaptive_test.go
+++ b/coordination/limit/adaptive_test.go
@@ -52,10 +52,10 @@
 		switch {
 		case o.remaining <= 0:
 			s.completed++
-			s.adaptive.End(false)
+			s.adaptive.Release(false)
 		case s.now.After(o.deadline):
 			s.timedOut++
-			s.adaptive.End(true)
+			s.adaptive.Release(true)
 		default:
 			rest = append(rest, o)
 		}
@@ -95,7 +95,7 @@
 	for range 100 {
 		now = now.Add(time.Second)
 		assert.Assert(t, adaptive.TryAcquire())
-		adaptive.End(true)
+		adaptive.Release(true)
 	}
 	assert.Equal(t, adaptive.Limit(), 4)
 	for range 1000 {
@@ -105,7 +105,7 @@
 		}
 		assert.Assert(t, begun <= 256)
 		for range begun {
-			adaptive.End(false)
+			adaptive.Release(false)
 		}
 	}
 	assert.Equal(t, adaptive.Limit(), 256)
--- a/coordination/tokenbudget/admission.go
+++ b/coordination/tokenbudget/admission.go
@@ -96,15 +96,15 @@
 	if a.allChanges.TryAcquire() {
 		return nil
 	}
-	a.lowPriorityChanges.End(true)
+	a.lowPriorityChanges.Release(true)
 	return a.refusalError()
 }
 
 // endChange records the result of a change.
 func (a *admission) endChange(began time.Time, err error) {
 	now := a.now()
-	a.allChanges.End(err != nil)
-	a.lowPriorityChanges.End(err != nil || now.Sub(began) > slowChangeThreshold)
+	a.allChanges.Release(err != nil)
+	a.lowPriorityChanges.Release(err != nil || now.Sub(began) > slowChangeThreshold)
 	if err == nil {
 		a.lastSuccess.Store(now.UnixNano())
 	}
