--- a/coordination/limit/adaptive_test.go
+++ b/coordination/limit/adaptive_test.go
@@ -74,10 +74,10 @@
 	}
 }
 
-// TestOverloadFinishesWhatItBegins checks that at four times the capacity most of the
+// TestAdaptiveLimitKeepsGoodputUnderOverload checks that at four times the capacity most of the
 // capacity still goes to operations that complete in time, and that nothing is rejected
 // once the overload is over.
-func TestOverloadFinishesWhatItBegins(t *testing.T) {
+func TestAdaptiveLimitKeepsGoodputUnderOverload(t *testing.T) {
 	s := &processor{now: time.Unix(1_000_000, 0)}
 	s.adaptive = limit.NewAdaptiveLimit(limit.DefaultAdaptivePolicy(), func() time.Time { return s.now })
 	s.run(20_000, 1)
