--- a/coordination/backend/ejection.go
+++ b/coordination/backend/ejection.go
@@ -35,13 +35,13 @@
 // ejected and probed early, and never more than half of a service is ejected.
 func EjectionPolicy() limit.EjectionPolicy {
 	return limit.EjectionPolicy{
-		SlowFactor:  slowFactor,
-		Failures:    consecutiveFailures,
-		FaultShare:  failureRate,
-		MinSamples:  minSamples,
-		BaseTime:    baseEjectionTime,
-		MaxTime:     maxEjectionTime,
-		MaxFraction: maxEjectedFraction,
-		Probes:      requiredProbes,
+		SlowFactor:          slowFactor,
+		ConsecutiveFailures: consecutiveFailures,
+		FaultShare:          failureRate,
+		MinSamples:          minSamples,
+		BaseTime:            baseEjectionTime,
+		MaxTime:             maxEjectionTime,
+		MaxFraction:         maxEjectedFraction,
+		Probes:              requiredProbes,
 	}
 }
--- a/coordination/limit/ejection.go
+++ b/coordination/limit/ejection.go
@@ -12,8 +12,8 @@
 	// which the engine is ejected. Slowness is the moving average of the ratio of a call's
 	// time to its expected time.
 	SlowFactor float64
-	// Failures is the number of consecutive failed calls after which an engine is ejected.
-	Failures int
+	// ConsecutiveFailures is the number of consecutive failed calls after which an engine is ejected.
+	ConsecutiveFailures int
 	// FaultShare is the moving average of the fraction of failed calls at which an engine
 	// is ejected. Zero disables this rule.
 	FaultShare float64
@@ -37,13 +37,13 @@
 // DefaultEjectionPolicy suits fleets of ten or more engines.
 func DefaultEjectionPolicy() EjectionPolicy {
 	return EjectionPolicy{
-		SlowFactor:  3,
-		Failures:    5,
-		MinSamples:  8,
-		BaseTime:    10 * time.Second,
-		MaxTime:     5 * time.Minute,
-		MaxFraction: 0.3,
-		Probes:      3,
+		SlowFactor:          3,
+		ConsecutiveFailures: 5,
+		MinSamples:          8,
+		BaseTime:            10 * time.Second,
+		MaxTime:             5 * time.Minute,
+		MaxFraction:         0.3,
+		Probes:              3,
 	}
 }
 
@@ -184,7 +184,7 @@
 
 // isOutlier reports whether an engine qualifies for ejection.
 func (e *Ejector) isOutlier(record *engineRecord) bool {
-	if record.consecutiveFailures >= e.policy.Failures {
+	if record.consecutiveFailures >= e.policy.ConsecutiveFailures {
 		return true
 	}
 	if e.policy.FaultShare > 0 && record.calls >= e.policy.MinSamples && record.failureRate >= e.policy.FaultShare {
