--- a/coordination/backend/ejection.go
+++ b/coordination/backend/ejection.go
@@ -37,7 +37,7 @@
 	return limit.EjectionPolicy{
 		SlowFactor:          slowFactor,
 		ConsecutiveFailures: consecutiveFailures,
-		FaultShare:          failureRate,
+		FailureRate:         failureRate,
 		MinSamples:          minSamples,
 		BaseTime:            baseEjectionTime,
 		MaxTime:             maxEjectionTime,
--- a/coordination/limit/ejection.go
+++ b/coordination/limit/ejection.go
@@ -14,9 +14,9 @@
 	SlowFactor float64
 	// ConsecutiveFailures is the number of consecutive failed calls after which an engine is ejected.
 	ConsecutiveFailures int
-	// FaultShare is the moving average of the fraction of failed calls at which an engine
+	// FailureRate is the moving average of the fraction of failed calls at which an engine
 	// is ejected. Zero disables this rule.
-	FaultShare float64
+	FailureRate float64
 	// MinSamples is the number of calls required before SlowFactor and FaultShare apply to
 	// an engine.
 	MinSamples int
@@ -187,7 +187,7 @@
 	if record.consecutiveFailures >= e.policy.ConsecutiveFailures {
 		return true
 	}
-	if e.policy.FaultShare > 0 && record.calls >= e.policy.MinSamples && record.failureRate >= e.policy.FaultShare {
+	if e.policy.FailureRate > 0 && record.calls >= e.policy.MinSamples && record.failureRate >= e.policy.FailureRate {
 		return true
 	}
 	if record.samples < e.policy.MinSamples {
