--- a/coordination/backend/ejection.go
+++ b/coordination/backend/ejection.go
@@ -39,7 +39,7 @@
 		ConsecutiveFailures: consecutiveFailures,
 		FailureRate:         failureRate,
 		MinSamples:          minSamples,
-		BaseTime:            baseEjectionTime,
+		BaseEjectionTime:    baseEjectionTime,
 		MaxTime:             maxEjectionTime,
 		MaxFraction:         maxEjectedFraction,
 		Probes:              requiredProbes,
--- a/coordination/limit/ejection.go
+++ b/coordination/limit/ejection.go
@@ -20,10 +20,10 @@
 	// MinSamples is the number of calls required before SlowFactor and FaultShare apply to
 	// an engine.
 	MinSamples int
-	// BaseTime is the duration of a first ejection. It doubles with each ejection that
+	// BaseEjectionTime is the duration of a first ejection. It doubles with each ejection that
 	// follows within MaxTime of the engine's return, up to MaxTime.
-	BaseTime time.Duration
-	MaxTime  time.Duration
+	BaseEjectionTime time.Duration
+	MaxTime          time.Duration
 	// MaxFraction is the fraction of the engines that may be ejected or probed at once,
 	// rounded down, but at least one engine if there are two or more. A fleet in which most
 	// engines are slow is overloaded, and ejecting engines would increase the load on the
@@ -40,7 +40,7 @@
 		SlowFactor:          3,
 		ConsecutiveFailures: 5,
 		MinSamples:          8,
-		BaseTime:            10 * time.Second,
+		BaseEjectionTime:    10 * time.Second,
 		MaxTime:             5 * time.Minute,
 		MaxFraction:         0.3,
 		Probes:              3,
@@ -229,7 +229,7 @@
 
 // eject ejects the engine and resets its statistics.
 func (e *Ejector) eject(record *engineRecord, now time.Time) {
-	duration := e.policy.BaseTime
+	duration := e.policy.BaseEjectionTime
 	for range record.recentEjections {
 		duration = min(2*duration, e.policy.MaxTime)
 	}
--- a/coordination/limit/limit_test.go
+++ b/coordination/limit/limit_test.go
@@ -46,14 +46,14 @@
 	assert.Equal(t, ejector.Health("slow", now), limit.Ejected)
 	assert.Equal(t, ejector.Health("good-0", now), limit.Healthy)
 
-	now = now.Add(policy.BaseTime)
+	now = now.Add(policy.BaseEjectionTime)
 	assert.Equal(t, ejector.Health("slow", now), limit.Probed)
 	assert.Assert(t, ejector.Probe("slow", time.Minute, now))
 	assert.Assert(t, !ejector.Probe("slow", time.Minute, now), "only one probe may be in flight")
 	assert.Equal(t, observe("slow", 5), limit.Ejected)
-	now = now.Add(policy.BaseTime)
+	now = now.Add(policy.BaseEjectionTime)
 	assert.Equal(t, ejector.Health("slow", now), limit.Ejected, "the second ejection lasts longer")
-	now = now.Add(policy.BaseTime)
+	now = now.Add(policy.BaseEjectionTime)
 	for range policy.Probes {
 		assert.Assert(t, ejector.Probe("slow", time.Minute, now))
 		observe("slow", 1)
