--- a/coordination/backend/ejection.go
+++ b/coordination/backend/ejection.go
@@ -40,7 +40,7 @@
 		FailureRate:         failureRate,
 		MinSamples:          minSamples,
 		BaseEjectionTime:    baseEjectionTime,
-		MaxTime:             maxEjectionTime,
+		MaxEjectionTime:     maxEjectionTime,
 		MaxFraction:         maxEjectedFraction,
 		Probes:              requiredProbes,
 	}
--- a/coordination/limit/ejection.go
+++ b/coordination/limit/ejection.go
@@ -23,7 +23,7 @@
 	// BaseEjectionTime is the duration of a first ejection. It doubles with each ejection that
 	// follows within MaxTime of the engine's return, up to MaxTime.
 	BaseEjectionTime time.Duration
-	MaxTime          time.Duration
+	MaxEjectionTime  time.Duration
 	// MaxFraction is the fraction of the engines that may be ejected or probed at once,
 	// rounded down, but at least one engine if there are two or more. A fleet in which most
 	// engines are slow is overloaded, and ejecting engines would increase the load on the
@@ -41,7 +41,7 @@
 		ConsecutiveFailures: 5,
 		MinSamples:          8,
 		BaseEjectionTime:    10 * time.Second,
-		MaxTime:             5 * time.Minute,
+		MaxEjectionTime:     5 * time.Minute,
 		MaxFraction:         0.3,
 		Probes:              3,
 	}
@@ -231,7 +231,7 @@
 func (e *Ejector) eject(record *engineRecord, now time.Time) {
 	duration := e.policy.BaseEjectionTime
 	for range record.recentEjections {
-		duration = min(2*duration, e.policy.MaxTime)
+		duration = min(2*duration, e.policy.MaxEjectionTime)
 	}
 	*record = engineRecord{health: Ejected, until: now.Add(duration), recentEjections: record.recentEjections + 1}
 }
@@ -247,7 +247,7 @@
 	}
 	record.successfulProbes++
 	if record.successfulProbes >= e.policy.Probes {
-		*record = engineRecord{recentEjections: record.recentEjections, until: now.Add(e.policy.MaxTime)}
+		*record = engineRecord{recentEjections: record.recentEjections, until: now.Add(e.policy.MaxEjectionTime)}
 	}
 }
 
