--- a/coordination/backend/ejection.go
+++ b/coordination/backend/ejection.go
@@ -41,7 +41,7 @@
 		MinSamples:          minSamples,
 		BaseEjectionTime:    baseEjectionTime,
 		MaxEjectionTime:     maxEjectionTime,
-		MaxFraction:         maxEjectedFraction,
+		MaxEjectedFraction:  maxEjectedFraction,
 		Probes:              requiredProbes,
 	}
 }
--- a/coordination/limit/ejection.go
+++ b/coordination/limit/ejection.go
@@ -24,11 +24,11 @@
 	// follows within MaxTime of the engine's return, up to MaxTime.
 	BaseEjectionTime time.Duration
 	MaxEjectionTime  time.Duration
-	// MaxFraction is the fraction of the engines that may be ejected or probed at once,
+	// MaxEjectedFraction is the fraction of the engines that may be ejected or probed at once,
 	// rounded down, but at least one engine if there are two or more. A fleet in which most
 	// engines are slow is overloaded, and ejecting engines would increase the load on the
 	// others.
-	MaxFraction float64
+	MaxEjectedFraction float64
 	// Probes is the number of probe calls, one at a time, that must succeed before an engine
 	// returns.
 	Probes int
@@ -42,7 +42,7 @@
 		MinSamples:          8,
 		BaseEjectionTime:    10 * time.Second,
 		MaxEjectionTime:     5 * time.Minute,
-		MaxFraction:         0.3,
+		MaxEjectedFraction:  0.3,
 		Probes:              3,
 	}
 }
@@ -220,7 +220,7 @@
 			ejected++
 		}
 	}
-	allowed := int(e.policy.MaxFraction * float64(len(e.engines)))
+	allowed := int(e.policy.MaxEjectedFraction * float64(len(e.engines)))
 	if len(e.engines) > 1 {
 		allowed = max(allowed, 1)
 	}
--- a/coordination/limit/limit_test.go
+++ b/coordination/limit/limit_test.go
@@ -76,7 +76,7 @@
 				ejected++
 			}
 		}
-		allowed := int(policy.MaxFraction * float64(count))
+		allowed := int(policy.MaxEjectedFraction * float64(count))
 		if count > 1 {
 			allowed = max(allowed, 1)
 		}
