--- a/coordination/backend/ejection.go
+++ b/coordination/backend/ejection.go
@@ -42,6 +42,6 @@
 		BaseEjectionTime:    baseEjectionTime,
 		MaxEjectionTime:     maxEjectionTime,
 		MaxEjectedFraction:  maxEjectedFraction,
-		Probes:              requiredProbes,
+		RequiredProbes:      requiredProbes,
 	}
 }
--- a/coordination/limit/ejection.go
+++ b/coordination/limit/ejection.go
@@ -29,9 +29,9 @@
 	// engines are slow is overloaded, and ejecting engines would increase the load on the
 	// others.
 	MaxEjectedFraction float64
-	// Probes is the number of probe calls, one at a time, that must succeed before an engine
+	// RequiredProbes is the number of probe calls, one at a time, that must succeed before an engine
 	// returns.
-	Probes int
+	RequiredProbes int
 }
 
 // DefaultEjectionPolicy suits fleets of ten or more engines.
@@ -43,7 +43,7 @@
 		BaseEjectionTime:    10 * time.Second,
 		MaxEjectionTime:     5 * time.Minute,
 		MaxEjectedFraction:  0.3,
-		Probes:              3,
+		RequiredProbes:      3,
 	}
 }
 
@@ -246,7 +246,7 @@
 		return
 	}
 	record.successfulProbes++
-	if record.successfulProbes >= e.policy.Probes {
+	if record.successfulProbes >= e.policy.RequiredProbes {
 		*record = engineRecord{recentEjections: record.recentEjections, until: now.Add(e.policy.MaxEjectionTime)}
 	}
 }
--- a/coordination/limit/limit_test.go
+++ b/coordination/limit/limit_test.go
@@ -54,7 +54,7 @@
 	now = now.Add(policy.BaseEjectionTime)
 	assert.Equal(t, ejector.Health("slow", now), limit.Ejected, "the second ejection lasts longer")
 	now = now.Add(policy.BaseEjectionTime)
-	for range policy.Probes {
+	for range policy.RequiredProbes {
 		assert.Assert(t, ejector.Probe("slow", time.Minute, now))
 		observe("slow", 1)
 	}
