--- a/coordination/backend/eligibility.go
+++ b/coordination/backend/eligibility.go
@@ -44,7 +44,7 @@
 		return ineligible
 	case input.addressLost || input.health == limit.Ejected:
 		return lastResort
-	case input.health == limit.Probed:
+	case input.health == limit.Probing:
 		return probed
 	}
 	return eligible
--- a/coordination/backend/pool_test.go
+++ b/coordination/backend/pool_test.go
@@ -117,7 +117,7 @@
 	other, err := pool.Acquire(backend.Query{Service: "app"})
 	assert.NilError(t, err)
 	assert.Assert(t, other.Instance.ID != "i0", "one probe at a time")
-	assert.Equal(t, probe.Release(backend.Completed{}), limit.Probed)
+	assert.Equal(t, probe.Release(backend.Completed{}), limit.Probing)
 }
 
 // TestAllEjected checks that failing instances are used if there are no others.
--- a/coordination/backend/rules_test.go
+++ b/coordination/backend/rules_test.go
@@ -18,10 +18,10 @@
 		want  eligibility
 	}{
 		{"healthy", eligibilityInput{health: limit.Healthy}, eligible},
-		{"probed", eligibilityInput{health: limit.Probed}, probed},
+		{"probed", eligibilityInput{health: limit.Probing}, probed},
 		{"ejected", eligibilityInput{health: limit.Ejected}, lastResort},
 		{"lost its address", eligibilityInput{addressLost: true}, lastResort},
-		{"lost its address while probed", eligibilityInput{addressLost: true, health: limit.Probed}, lastResort},
+		{"lost its address while probed", eligibilityInput{addressLost: true, health: limit.Probing}, lastResort},
 		{"leaving", eligibilityInput{isLeaving: true}, ineligible},
 		{"leaving while ejected", eligibilityInput{isLeaving: true, health: limit.Ejected}, ineligible},
 		{"tried before", eligibilityInput{wasTried: true}, ineligible},
--- a/coordination/fleet/fleet.go
+++ b/coordination/fleet/fleet.go
@@ -314,7 +314,7 @@
 	now := f.Now()
 	for index := range states {
 		state := &states[index]
-		if state.Ejected && f.ejector.Health(state.Name, now) == limit.Probed {
+		if state.Ejected && f.ejector.Health(state.Name, now) == limit.Probing {
 			state.Ejected = !f.ejector.Probe(state.Name, probeTimeout, now)
 		}
 	}
--- a/coordination/limit/ejection.go
+++ b/coordination/limit/ejection.go
@@ -56,8 +56,8 @@
 	Healthy EngineHealth = iota
 	// Ejected engines receive no calls.
 	Ejected
-	// Probed engines receive one call at a time.
-	Probed
+	// Probing engines receive one call at a time.
+	Probing
 )
 
 // Outcome is the result of a call to an engine.
@@ -117,7 +117,7 @@
 	record := e.getOrCreate(engine)
 	record.advance(now)
 	record.observe(outcome, e.policy.SlowFactor)
-	if record.health == Probed {
+	if record.health == Probing {
 		e.recordProbe(record, outcome, now)
 		return record.health
 	}
@@ -150,7 +150,7 @@
 		return false
 	}
 	record.advance(now)
-	if record.health != Probed || (record.probeInFlight && now.Before(record.probeDeadline)) {
+	if record.health != Probing || (record.probeInFlight && now.Before(record.probeDeadline)) {
 		return false
 	}
 	record.probeInFlight = true
@@ -259,7 +259,7 @@
 	}
 	switch r.health {
 	case Ejected:
-		r.health = Probed
+		r.health = Probing
 	case Healthy:
 		r.recentEjections = 0
 	}
--- a/coordination/limit/limit_test.go
+++ b/coordination/limit/limit_test.go
@@ -47,7 +47,7 @@
 	assert.Equal(t, ejector.Health("good-0", now), limit.Healthy)
 
 	now = now.Add(policy.BaseEjectionTime)
-	assert.Equal(t, ejector.Health("slow", now), limit.Probed)
+	assert.Equal(t, ejector.Health("slow", now), limit.Probing)
 	assert.Assert(t, ejector.Probe("slow", time.Minute, now))
 	assert.Assert(t, !ejector.Probe("slow", time.Minute, now), "only one probe may be in flight")
 	assert.Equal(t, observe("slow", 5), limit.Ejected)
--- a/lab/experiment/marblering.go
+++ b/lab/experiment/marblering.go
@@ -103,7 +103,7 @@
 	switch own.ejector.Health(name, now) {
 	case limit.Ejected:
 		return false
-	case limit.Probed:
+	case limit.Probing:
 		return own.ejector.Probe(name, probeTimeout, now)
 	}
 	return true
