--- a/coordination/backend/health.go
+++ b/coordination/backend/health.go
@@ -84,7 +84,7 @@
 func (h *serviceHealth) observe(instance, route string, ending Outcome, now time.Time) limit.EngineHealth {
 	switch e := ending.(type) {
 	case Completed:
-		outcome := limit.Outcome{Failed: e.ServerError, Took: e.Wait}
+		outcome := limit.Outcome{Failed: e.ServerError, Duration: e.Wait}
 		if !e.ServerError {
 			outcome.Expected = h.recordWait(route, e.Wait, now)
 		}
@@ -106,5 +106,5 @@
 		return h.ejector.Health(instance, now)
 	}
 	expected := h.recordWait(route, wait, now)
-	return h.ejector.Observe(instance, limit.Outcome{Expected: expected, Took: wait}, now)
+	return h.ejector.Observe(instance, limit.Outcome{Expected: expected, Duration: wait}, now)
 }
--- a/coordination/fleet/reserve.go
+++ b/coordination/fleet/reserve.go
@@ -39,7 +39,7 @@
 	f.Admitter.Leave(engine, name)
 	if report.Err == nil {
 		f.learn(engine, report)
-		f.observe(engine, limit.Outcome{Expected: decision.Expected, Took: report.Total}, now)
+		f.observe(engine, limit.Outcome{Expected: decision.Expected, Duration: report.Total}, now)
 		return
 	}
 	var failure *execution.EngineError
@@ -51,7 +51,7 @@
 		f.takeLeaving(engine, true)
 		return
 	}
-	f.observe(engine, limit.Outcome{Failed: true, Expected: decision.Expected, Took: report.Total}, now)
+	f.observe(engine, limit.Outcome{Failed: true, Expected: decision.Expected, Duration: report.Total}, now)
 }
 
 // observe has the ejector judge the engine by one outcome, and says when that
@@ -63,7 +63,7 @@
 		return
 	}
 	f.Logger.Info("engine ejected", zap.String("engine", engine), zap.Bool("failed", outcome.Failed),
-		zap.Duration("took", outcome.Took), zap.Duration("expected", outcome.Expected))
+		zap.Duration("took", outcome.Duration), zap.Duration("expected", outcome.Expected))
 }
 
 func (f *Fleet) tellLeaving(engine string, leaving bool) {
--- a/coordination/limit/ejection.go
+++ b/coordination/limit/ejection.go
@@ -67,8 +67,8 @@
 	// Expected is the time that a healthy engine of the same kind would have needed with
 	// the same queue; zero if unknown.
 	Expected time.Duration
-	// Took is the time that the call took.
-	Took time.Duration
+	// Duration is the time that the call took.
+	Duration time.Duration
 }
 
 // movingAverageWeight is the weight of a new sample in an engine's moving averages.
@@ -240,7 +240,7 @@
 // again, for longer.
 func (e *Ejector) recordProbe(record *engineRecord, outcome Outcome, now time.Time) {
 	record.probeInFlight = false
-	slow := outcome.Expected > 0 && outcome.Took.Seconds() > e.policy.SlowFactor*outcome.Expected.Seconds()
+	slow := outcome.Expected > 0 && outcome.Duration.Seconds() > e.policy.SlowFactor*outcome.Expected.Seconds()
 	if outcome.Failed || slow {
 		e.eject(record, now)
 		return
@@ -279,7 +279,7 @@
 	if outcome.Expected <= 0 {
 		return
 	}
-	ratio := min(outcome.Took.Seconds()/outcome.Expected.Seconds(), 2*slowFactor)
+	ratio := min(outcome.Duration.Seconds()/outcome.Expected.Seconds(), 2*slowFactor)
 	r.samples++
 	if r.samples == 1 {
 		r.slowness = ratio
--- a/coordination/limit/limit_test.go
+++ b/coordination/limit/limit_test.go
@@ -35,7 +35,7 @@
 	ejector := limit.NewEjector(policy)
 	now := testTime
 	observe := func(engine string, factor int) limit.EngineHealth {
-		return ejector.Observe(engine, limit.Outcome{Expected: time.Second, Took: time.Duration(factor) * time.Second}, now)
+		return ejector.Observe(engine, limit.Outcome{Expected: time.Second, Duration: time.Duration(factor) * time.Second}, now)
 	}
 	for range 10 {
 		for i := range 9 {
--- a/lab/experiment/marblering.go
+++ b/lab/experiment/marblering.go
@@ -147,7 +147,7 @@
 
 func (p *marblering) finished(s *simulation, a *attempt, usage engine.Usage) {
 	s.releaseAll(a.call.program, a.engine.index)
-	p.observe(s, a, limit.Outcome{Expected: a.choice.expected, Took: s.schedule.now - a.sent})
+	p.observe(s, a, limit.Outcome{Expected: a.choice.expected, Duration: s.schedule.now - a.sent})
 }
 
 func (p *marblering) failed(s *simulation, a *attempt) {
