--- a/coordination/backend/instance.go
+++ b/coordination/backend/instance.go
@@ -63,7 +63,7 @@
 			next.services[instance.Service] = svc
 		}
 		svc.members = append(svc.members, added)
-		svc.health.ejector.Know(instance.ID)
+		svc.health.ejector.Add(instance.ID)
 	}
 	for _, svc := range next.services {
 		slices.SortFunc(svc.members, func(a, b *member) int { return cmp.Compare(a.ID, b.ID) })
--- a/coordination/backend/pool.go
+++ b/coordination/backend/pool.go
@@ -81,7 +81,7 @@
 			removed = append(removed, id)
 		case current.load != old.load:
 			p.endIncarnation(previous, old)
-			next.services[current.Service].health.ejector.Know(id)
+			next.services[current.Service].health.ejector.Add(id)
 			restarts = append(restarts, Restart{Previous: old.Incarnation(), Current: current.Incarnation(), InFlight: old.load.outstanding.Load()})
 		}
 	}
--- a/coordination/limit/ejection.go
+++ b/coordination/limit/ejection.go
@@ -158,9 +158,9 @@
 	return true
 }
 
-// Know adds an engine before any of its calls has ended, so that MaxFraction refers to the
+// Add adds an engine before any of its calls has ended, so that MaxFraction refers to the
 // whole fleet.
-func (e *Ejector) Know(engine string) {
+func (e *Ejector) Add(engine string) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	e.getOrCreate(engine)
