--- a/coordination/backend/pool.go
+++ b/coordination/backend/pool.go
@@ -95,7 +95,7 @@
 // endIncarnation marks an incarnation as ended and drops its health.
 func (p *Pool) endIncarnation(previous *snapshot, old *member) {
 	old.load.ended.Store(true)
-	previous.services[old.Service].health.ejector.Forget(old.ID)
+	previous.services[old.Service].health.ejector.Remove(old.ID)
 }
 
 // MarkAddressLost records that another instance was found at the address of this incarnation, which
--- a/coordination/fleet/fleet.go
+++ b/coordination/fleet/fleet.go
@@ -170,7 +170,7 @@
 	f.ledger.Forget(engine)
 	f.locality.ForgetEngine(engine)
 	f.speeds.Forget(engine)
-	f.ejector.Forget(engine)
+	f.ejector.Remove(engine)
 }
 
 // MarkLeaving takes in what membership says of the engine: that it takes no more
--- a/coordination/limit/ejection.go
+++ b/coordination/limit/ejection.go
@@ -166,8 +166,8 @@
 	e.getOrCreate(engine)
 }
 
-// Forget removes an engine.
-func (e *Ejector) Forget(engine string) {
+// Remove removes an engine.
+func (e *Ejector) Remove(engine string) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	delete(e.engines, engine)
