--- a/coordination/backend/eligibility.go
+++ b/coordination/backend/eligibility.go
@@ -61,7 +61,7 @@
 		case eligible:
 			healthy = append(healthy, m.candidate(key))
 		case probed:
-			if s.health.ejector.Probe(m.ID, probeTimeout, now) {
+			if s.health.ejector.ClaimProbe(m.ID, probeTimeout, now) {
 				return []candidate{m.candidate(key)}
 			}
 			fallback = append(fallback, m.candidate(key))
--- a/coordination/fleet/fleet.go
+++ b/coordination/fleet/fleet.go
@@ -315,7 +315,7 @@
 	for index := range states {
 		state := &states[index]
 		if state.Ejected && f.ejector.Health(state.Name, now) == limit.Probing {
-			state.Ejected = !f.ejector.Probe(state.Name, probeTimeout, now)
+			state.Ejected = !f.ejector.ClaimProbe(state.Name, probeTimeout, now)
 		}
 	}
 	return states
--- a/coordination/limit/ejection.go
+++ b/coordination/limit/ejection.go
@@ -140,9 +140,9 @@
 	return record.health
 }
 
-// Probe claims the single call that a Probed engine may receive, and reports whether it
+// ClaimProbe claims the single call that a Probed engine may receive, and reports whether it
 // succeeded. Observe or the timeout ends the claim.
-func (e *Ejector) Probe(engine string, timeout time.Duration, now time.Time) bool {
+func (e *Ejector) ClaimProbe(engine string, timeout time.Duration, now time.Time) bool {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	record, known := e.engines[engine]
--- a/coordination/limit/limit_test.go
+++ b/coordination/limit/limit_test.go
@@ -48,14 +48,14 @@
 
 	now = now.Add(policy.BaseEjectionTime)
 	assert.Equal(t, ejector.Health("slow", now), limit.Probing)
-	assert.Assert(t, ejector.Probe("slow", time.Minute, now))
-	assert.Assert(t, !ejector.Probe("slow", time.Minute, now), "only one probe may be in flight")
+	assert.Assert(t, ejector.ClaimProbe("slow", time.Minute, now))
+	assert.Assert(t, !ejector.ClaimProbe("slow", time.Minute, now), "only one probe may be in flight")
 	assert.Equal(t, observe("slow", 5), limit.Ejected)
 	now = now.Add(policy.BaseEjectionTime)
 	assert.Equal(t, ejector.Health("slow", now), limit.Ejected, "the second ejection lasts longer")
 	now = now.Add(policy.BaseEjectionTime)
 	for range policy.RequiredProbes {
-		assert.Assert(t, ejector.Probe("slow", time.Minute, now))
+		assert.Assert(t, ejector.ClaimProbe("slow", time.Minute, now))
 		observe("slow", 1)
 	}
 	assert.Equal(t, ejector.Health("slow", now), limit.Healthy)
--- a/lab/experiment/marblering.go
+++ b/lab/experiment/marblering.go
@@ -104,7 +104,7 @@
 	case limit.Ejected:
 		return false
 	case limit.Probing:
-		return own.ejector.Probe(name, probeTimeout, now)
+		return own.ejector.ClaimProbe(name, probeTimeout, now)
 	}
 	return true
 }
