--- a/coordination/limit/retry.go
+++ b/coordination/limit/retry.go
@@ -16,8 +16,8 @@
 	MinPerSecond float64
 	// Burst is the maximum number of unused retries in the budget.
 	Burst float64
-	// Saved is the number of retries in the budget at the start.
-	Saved float64
+	// InitialRetries is the number of retries in the budget at the start.
+	InitialRetries float64
 }
 
 // DefaultRetryPolicy allows retries to add a tenth to the load, as recommended in "Site
@@ -30,7 +30,7 @@
 // tenth to the load, and a few per second under low traffic. Members that are late
 // together are overloaded, and unbounded hedging would add to their load.
 func HedgePolicy() RetryPolicy {
-	return RetryPolicy{Ratio: 0.1, MinPerSecond: 4, Burst: 20, Saved: 8}
+	return RetryPolicy{Ratio: 0.1, MinPerSecond: 4, Burst: 20, InitialRetries: 8}
 }
 
 // RetryBudget bounds the retries of a node and of each of its tenants, so that a failure
@@ -59,13 +59,13 @@
 		node:   NewBucket(policy.MinPerSecond, policy.Burst, now),
 	}
 	budget.tenants = recent.New(tenantIdleTimeout, budget.newTenant)
-	budget.node.Add(policy.Saved)
+	budget.node.Add(policy.InitialRetries)
 	return budget
 }
 
 func (r *RetryBudget) newTenant(now time.Time) Bucket {
 	bucket := NewBucket(r.policy.MinPerSecond*tenantFraction, r.policy.Burst*tenantFraction, now)
-	bucket.Add(r.policy.Saved)
+	bucket.Add(r.policy.InitialRetries)
 	return bucket
 }
 
--- a/coordination/multicast/round_test.go
+++ b/coordination/multicast/round_test.go
@@ -26,7 +26,7 @@
 	now := func() time.Time { return time.Unix(1000, 0) }
 	f := &fixture{tracker: reach.New(now)}
 	// One kind of requests may use half of the burst.
-	budget := limit.NewRetryBudget(limit.RetryPolicy{Burst: 2 * hedges, Saved: hedges}, now())
+	budget := limit.NewRetryBudget(limit.RetryPolicy{Burst: 2 * hedges, InitialRetries: hedges}, now())
 	hedging := multicast.Hedging{Kind: "test", Budget: budget, Reach: f.tracker, Now: now}
 	f.Round = multicast.New(addresses, hedging, func(index int) { f.asked = append(f.asked, index) })
 	return f
--- a/transport/relay/retry.go
+++ b/transport/relay/retry.go
@@ -19,10 +19,10 @@
 // failure would multiply the load otherwise.
 func RetryPolicy() limit.RetryPolicy {
 	return limit.RetryPolicy{
-		Ratio:        0.2, // retries for each request
-		MinPerSecond: 4,   // retries a second
-		Burst:        40,  // retries
-		Saved:        20,  // retries
+		Ratio:          0.2, // retries for each request
+		MinPerSecond:   4,   // retries a second
+		Burst:          40,  // retries
+		InitialRetries: 20,  // retries
 	}
 }
 
