--- a/coordination/limit/example_test.go
+++ b/coordination/limit/example_test.go
@@ -11,7 +11,7 @@
 	now := time.Unix(1000, 0)
 	budget := limit.NewRetryBudget(limit.RetryPolicy{Ratio: 0.1, Burst: 20}, now)
 	for range 20 {
-		budget.Attempted("tenant-a", now)
+		budget.RecordAttempt("tenant-a", now)
 	}
 	fmt.Println(budget.Retry("tenant-a", now), budget.Retry("tenant-a", now), budget.Retry("tenant-a", now))
 	// Output: true true false
--- a/coordination/limit/limit_test.go
+++ b/coordination/limit/limit_test.go
@@ -19,7 +19,7 @@
 	retries := map[string]int{}
 	for i := range 1000 {
 		tenant := []string{"broken", "other"}[i%2]
-		budget.Attempted(tenant, testTime)
+		budget.RecordAttempt(tenant, testTime)
 		for range 3 {
 			if budget.Retry(tenant, testTime) {
 				retries[tenant]++
--- a/coordination/limit/retry.go
+++ b/coordination/limit/retry.go
@@ -69,8 +69,8 @@
 	return bucket
 }
 
-// Attempted records a first attempt, which adds Ratio retries to the budget.
-func (r *RetryBudget) Attempted(tenant string, now time.Time) {
+// RecordAttempt records a first attempt, which adds Ratio retries to the budget.
+func (r *RetryBudget) RecordAttempt(tenant string, now time.Time) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.node.Add(r.policy.Ratio)
--- a/coordination/multicast/round.go
+++ b/coordination/multicast/round.go
@@ -61,7 +61,7 @@
 // Begin asks the first members and records the round in the budget, which allows hedges in
 // proportion to the rounds.
 func (r *Round) Begin(first int) {
-	r.hedging.Budget.Attempted(r.hedging.Kind, r.hedging.Now())
+	r.hedging.Budget.RecordAttempt(r.hedging.Kind, r.hedging.Now())
 	r.Ask(first)
 }
 
--- a/node/limits.go
+++ b/node/limits.go
@@ -90,7 +90,7 @@
 
 // Enter implements execution.Limiter.
 func (l *limits) Enter(ctx context.Context, tenant, call string, tokens uint64) (leave func(), pause time.Duration) {
-	l.retries.Attempted(tenant, time.Now())
+	l.retries.RecordAttempt(tenant, time.Now())
 	configured, found := l.holder.Current().Tenant(tenant)
 	if !found {
 		return func() {}, 0
--- a/transport/relay/run.go
+++ b/transport/relay/run.go
@@ -12,7 +12,7 @@
 
 // run tries instances until the response is delivered or the request is given up.
 func (c *call) run(ctx context.Context) {
-	c.handler.options.Retries.Attempted(c.routing.route.Name, c.handler.options.Now())
+	c.handler.options.Retries.RecordAttempt(c.routing.route.Name, c.handler.options.Now())
 	for {
 		choice, err := c.acquire()
 		if err != nil {
