--- a/coordination/limit/example_test.go
+++ b/coordination/limit/example_test.go
@@ -13,6 +13,6 @@
 	for range 20 {
 		budget.RecordAttempt("tenant-a", now)
 	}
-	fmt.Println(budget.Retry("tenant-a", now), budget.Retry("tenant-a", now), budget.Retry("tenant-a", now))
+	fmt.Println(budget.TryRetry("tenant-a", now), budget.TryRetry("tenant-a", now), budget.TryRetry("tenant-a", now))
 	// Output: true true false
 }
--- a/coordination/limit/limit_test.go
+++ b/coordination/limit/limit_test.go
@@ -21,7 +21,7 @@
 		tenant := []string{"broken", "other"}[i%2]
 		budget.RecordAttempt(tenant, testTime)
 		for range 3 {
-			if budget.Retry(tenant, testTime) {
+			if budget.TryRetry(tenant, testTime) {
 				retries[tenant]++
 			}
 		}
--- a/coordination/limit/retry.go
+++ b/coordination/limit/retry.go
@@ -77,9 +77,9 @@
 	r.tenants.Get(tenant, now).Add(r.policy.Ratio)
 }
 
-// Retry takes a retry from the budget and reports whether one was available. If not, the
+// TryRetry takes a retry from the budget and reports whether one was available. If not, the
 // caller must not retry.
-func (r *RetryBudget) Retry(tenant string, now time.Time) bool {
+func (r *RetryBudget) TryRetry(tenant string, now time.Time) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	bucket := r.tenants.Get(tenant, now)
--- a/coordination/multicast/round.go
+++ b/coordination/multicast/round.go
@@ -84,7 +84,7 @@
 // Hedge marks the pending members as late and asks one further member, if one is left. If
 // the budget is exhausted, it does nothing and returns false.
 func (r *Round) Hedge() bool {
-	if !r.hedging.Budget.Retry(r.hedging.Kind, r.hedging.Now()) {
+	if !r.hedging.Budget.TryRetry(r.hedging.Kind, r.hedging.Now()) {
 		return false
 	}
 	for index, state := range r.states {
--- a/node/limits.go
+++ b/node/limits.go
@@ -126,7 +126,7 @@
 
 // Retry implements execution.Limiter.
 func (l *limits) Retry(tenant string) bool {
-	if l.retries.Retry(tenant, time.Now()) {
+	if l.retries.TryRetry(tenant, time.Now()) {
 		return true
 	}
 	l.refused(limitRetryBudget)
--- a/transport/relay/run.go
+++ b/transport/relay/run.go
@@ -63,7 +63,7 @@
 func (c *call) nextStep(last attemptResult) nextStep {
 	step := last.next()
 	retry, isRetry := step.(tryNextInstance)
-	if !isRetry || !retry.usesRetryBudget || c.handler.options.Retries.Retry(c.routing.route.Name, c.handler.options.Now()) {
+	if !isRetry || !retry.usesRetryBudget || c.handler.options.Retries.TryRetry(c.routing.route.Name, c.handler.options.Now()) {
 		return step
 	}
 	return last.giveUp()
