--- a/coordination/limit/retry.go
+++ b/coordination/limit/retry.go
@@ -26,10 +26,10 @@
 	return RetryPolicy{Ratio: 0.1, MinPerSecond: 0.5, Burst: 20}
 }
 
-// HedgePolicy allows hedges (requests to further members when others are late) to add a
+// DefaultHedgePolicy allows hedges (requests to further members when others are late) to add a
 // tenth to the load, and a few per second under low traffic. Members that are late
 // together are overloaded, and unbounded hedging would add to their load.
-func HedgePolicy() RetryPolicy {
+func DefaultHedgePolicy() RetryPolicy {
 	return RetryPolicy{Ratio: 0.1, MinPerSecond: 4, Burst: 20, InitialRetries: 8}
 }
 
--- a/coordination/multicast/round_test.go
+++ b/coordination/multicast/round_test.go
@@ -104,7 +104,7 @@
 func Example() {
 	now := func() time.Time { return time.Unix(1000, 0) }
 	hedging := multicast.Hedging{
-		Kind: "reads", Budget: limit.NewRetryBudget(limit.HedgePolicy(), now()), Reach: reach.New(now), Now: now,
+		Kind: "reads", Budget: limit.NewRetryBudget(limit.DefaultHedgePolicy(), now()), Reach: reach.New(now), Now: now,
 	}
 	members := []string{"10.0.0.1:7000", "10.0.0.2:7000", "10.0.0.3:7000"}
 	round := multicast.New(members, hedging, func(index int) { fmt.Println("ask", members[index]) })
--- a/coordination/register/thrift_test.go
+++ b/coordination/register/thrift_test.go
@@ -64,7 +64,7 @@
 	settings := register.DefaultSettings()
 	settings.BackoffBase = time.Microsecond
 	settings.ThriftyQuorum = &register.ThriftyQuorum{
-		HedgeDelay: hedgeDelay, Reach: reach.New(time.Now), HedgeBudget: limit.NewRetryBudget(limit.HedgePolicy(), time.Now()), Now: time.Now,
+		HedgeDelay: hedgeDelay, Reach: reach.New(time.Now), HedgeBudget: limit.NewRetryBudget(limit.DefaultHedgePolicy(), time.Now()), Now: time.Now,
 	}
 	return register.NewClient(incarnation, transport, views, register.SystemClock{}, rand.New(rand.NewPCG(1, 1)), settings)
 }
--- a/coordination/register/trace_test.go
+++ b/coordination/register/trace_test.go
@@ -120,7 +120,7 @@
 	if kind.ThriftyQuorum != nil {
 		thrift := *kind.ThriftyQuorum
 		thrift.Reach, thrift.Now = reach.New(time.Now), time.Now
-		thrift.HedgeBudget = limit.NewRetryBudget(limit.HedgePolicy(), time.Now())
+		thrift.HedgeBudget = limit.NewRetryBudget(limit.DefaultHedgePolicy(), time.Now())
 		settings.ThriftyQuorum = &thrift
 	}
 	client := register.NewClient("client", cluster, cluster, register.SystemClock{}, rand.New(rand.NewPCG(seed, 2)), settings)
--- a/node/storage/budgets.go
+++ b/node/storage/budgets.go
@@ -30,7 +30,7 @@
 	registerSettings.RequestTimeout = registerRequestTimeout
 	registerSettings.ThriftyQuorum = &register.ThriftyQuorum{
 		Local: n.self.Incarnation, HedgeDelay: registerHedgeDelay, Reach: reach.New(time.Now),
-		HedgeBudget: limit.NewRetryBudget(limit.HedgePolicy(), time.Now()), Now: time.Now,
+		HedgeBudget: limit.NewRetryBudget(limit.DefaultHedgePolicy(), time.Now()), Now: time.Now,
 	}
 	transport := peer.NewLocalTransport(n.self.Incarnation, n.replica, n.peers)
 	registers := register.NewClient(holderID, transport, n.lookup, register.SystemClock{}, newRandom(), registerSettings)
