--- a/coordination/multicast/round.go
+++ b/coordination/multicast/round.go
@@ -18,8 +18,8 @@
 
 // Hedging is the configuration that rounds of one kind share.
 type Hedging struct {
-	// Kind is the key of these requests in the budget.
-	Kind string
+	// BudgetKey is the key of these requests in the budget.
+	BudgetKey string
 	// Budget bounds the hedges. Members that are late together are overloaded, and
 	// unbounded hedging would add to their load.
 	Budget *limit.RetryBudget
@@ -61,7 +61,7 @@
 // Begin asks the first members and records the round in the budget, which allows hedges in
 // proportion to the rounds.
 func (r *Round) Begin(first int) {
-	r.hedging.Budget.RecordAttempt(r.hedging.Kind, r.hedging.Now())
+	r.hedging.Budget.RecordAttempt(r.hedging.BudgetKey, r.hedging.Now())
 	r.Ask(first)
 }
 
@@ -84,7 +84,7 @@
 // Hedge marks the pending members as late and asks one further member, if one is left. If
 // the budget is exhausted, it does nothing and returns false.
 func (r *Round) Hedge() bool {
-	if !r.hedging.Budget.TryRetry(r.hedging.Kind, r.hedging.Now()) {
+	if !r.hedging.Budget.TryRetry(r.hedging.BudgetKey, r.hedging.Now()) {
 		return false
 	}
 	for index, state := range r.states {
