--- a/coordination/multicast/round.go
+++ b/coordination/multicast/round.go
@@ -23,8 +23,8 @@
 	// Budget bounds the hedges. Members that are late together are overloaded, and
 	// unbounded hedging would add to their load.
 	Budget *limit.RetryBudget
-	// Reach records which members to ask last for a while.
-	Reach *reach.Tracker
+	// Tracker records which members to ask last for a while.
+	Tracker *reach.Tracker
 	// Now returns the current time for the budget.
 	Now func() time.Time
 }
@@ -106,7 +106,7 @@
 	for index, state := range r.states {
 		if state == late {
 			r.states[index] = pending
-			r.hedging.Reach.Failed(r.addresses[index])
+			r.hedging.Tracker.Failed(r.addresses[index])
 		}
 	}
 }
@@ -116,7 +116,7 @@
 func (r *Round) AvoidPending() {
 	for index, state := range r.states {
 		if state == pending || state == late {
-			r.hedging.Reach.Failed(r.addresses[index])
+			r.hedging.Tracker.Failed(r.addresses[index])
 		}
 	}
 }
--- a/coordination/multicast/round_test.go
+++ b/coordination/multicast/round_test.go
@@ -27,7 +27,7 @@
 	f := &fixture{tracker: reach.New(now)}
 	// One kind of requests may use half of the burst.
 	budget := limit.NewRetryBudget(limit.RetryPolicy{Burst: 2 * hedges, InitialRetries: hedges}, now())
-	hedging := multicast.Hedging{BudgetKey: "test", Budget: budget, Reach: f.tracker, Now: now}
+	hedging := multicast.Hedging{BudgetKey: "test", Budget: budget, Tracker: f.tracker, Now: now}
 	f.Round = multicast.New(addresses, hedging, func(index int) { f.asked = append(f.asked, index) })
 	return f
 }
@@ -104,7 +104,7 @@
 func Example() {
 	now := func() time.Time { return time.Unix(1000, 0) }
 	hedging := multicast.Hedging{
-		BudgetKey: "reads", Budget: limit.NewRetryBudget(limit.DefaultHedgePolicy(), now()), Reach: reach.New(now), Now: now,
+		BudgetKey: "reads", Budget: limit.NewRetryBudget(limit.DefaultHedgePolicy(), now()), Tracker: reach.New(now), Now: now,
 	}
 	members := []string{"10.0.0.1:7000", "10.0.0.2:7000", "10.0.0.3:7000"}
 	round := multicast.New(members, hedging, func(index int) { fmt.Println("ask", members[index]) })
@@ -113,7 +113,7 @@
 	round.Hedge()
 	round.Answered(1)
 	round.AvoidLate()
-	fmt.Println("asked last from now on:", hedging.Reach.IsAvoided(members[0]))
+	fmt.Println("asked last from now on:", hedging.Tracker.IsAvoided(members[0]))
 	// Output:
 	// ask 10.0.0.1:7000
 	// ask 10.0.0.2:7000
--- a/coordination/register/thrift.go
+++ b/coordination/register/thrift.go
@@ -41,7 +41,7 @@
 	if t == nil {
 		return multicast.Hedging{}
 	}
-	return multicast.Hedging{BudgetKey: hedgeKind, Budget: t.HedgeBudget, Reach: t.Reach, Now: t.Now}
+	return multicast.Hedging{BudgetKey: hedgeKind, Budget: t.HedgeBudget, Tracker: t.Reach, Now: t.Now}
 }
 
 // Rank ranks a node for a key by rendezvous hashing (D. G. Thaler, C. V. Ravishankar,
--- a/coordination/turnstore/quorum.go
+++ b/coordination/turnstore/quorum.go
@@ -54,7 +54,7 @@
 func (s *Store) orderByPreference(members []register.Member) []register.Member {
 	ordered := slices.Clone(members)
 	slices.SortStableFunc(ordered, func(a, b register.Member) int {
-		return cmp.Or(s.hedging.Reach.Compare(a.Address, b.Address), zoneDistance(a, s.zone)-zoneDistance(b, s.zone))
+		return cmp.Or(s.hedging.Tracker.Compare(a.Address, b.Address), zoneDistance(a, s.zone)-zoneDistance(b, s.zone))
 	})
 	return ordered
 }
--- a/coordination/turnstore/round.go
+++ b/coordination/turnstore/round.go
@@ -130,8 +130,8 @@
 func (s *Store) reportReachability(ctx context.Context, address string, err error) {
 	switch {
 	case err == nil:
-		s.hedging.Reach.Heard(address)
+		s.hedging.Tracker.Heard(address)
 	case !errors.Is(ctx.Err(), context.Canceled):
-		s.hedging.Reach.Failed(address)
+		s.hedging.Tracker.Failed(address)
 	}
 }
--- a/coordination/turnstore/store.go
+++ b/coordination/turnstore/store.go
@@ -75,7 +75,7 @@
 		return nil, err
 	}
 	hedging := multicast.Hedging{
-		BudgetKey: hedgeKind, Budget: limit.NewRetryBudget(limit.DefaultHedgePolicy(), time.Now()), Reach: tracker, Now: time.Now,
+		BudgetKey: hedgeKind, Budget: limit.NewRetryBudget(limit.DefaultHedgePolicy(), time.Now()), Tracker: tracker, Now: time.Now,
 	}
 	return &Store{zone: zone, replicas: replicas, views: views, hedging: hedging, codec: codec, cache: newCache(cacheBytes)}, nil
 }
