--- a/coordination/multicast/round.go
+++ b/coordination/multicast/round.go
@@ -67,7 +67,7 @@
 
 // Ask asks up to count further members.
 func (r *Round) Ask(count int) {
-	for ; r.Left() > 0 && count > 0; count-- {
+	for ; r.Remaining() > 0 && count > 0; count-- {
 		index := r.asked
 		r.asked++
 		r.states[index] = pending
@@ -78,8 +78,8 @@
 // Asked returns the number of members that were asked.
 func (r *Round) Asked() int { return r.asked }
 
-// Left returns the number of members that weren't asked.
-func (r *Round) Left() int { return len(r.addresses) - r.asked }
+// Remaining returns the number of members that weren't asked.
+func (r *Round) Remaining() int { return len(r.addresses) - r.asked }
 
 // Hedge marks the pending members as late and asks one further member, if one is left. If
 // the budget is exhausted, it does nothing and returns false.
--- a/coordination/multicast/round_test.go
+++ b/coordination/multicast/round_test.go
@@ -49,12 +49,12 @@
 	f.Begin(2)
 	f.Ask(0)
 	assert.DeepEqual(t, f.asked, []int{0, 1})
-	assert.Equal(t, f.Left(), 2)
+	assert.Equal(t, f.Remaining(), 2)
 	f.Ask(9)
 	f.Ask(-1)
 	assert.DeepEqual(t, f.asked, []int{0, 1, 2, 3})
 	assert.Equal(t, f.Asked(), 4)
-	assert.Equal(t, f.Left(), 0)
+	assert.Equal(t, f.Remaining(), 0)
 }
 
 // TestHedgesAreBoundedByBudget checks that a rejected hedge asks no member and marks none as
@@ -86,7 +86,7 @@
 	f.AvoidLate()
 	assert.Equal(t, len(f.avoided()), 0)
 	assert.Assert(t, f.Hedge(), "a hedge without members left")
-	assert.Equal(t, f.Left(), 0)
+	assert.Equal(t, f.Remaining(), 0)
 	f.AvoidLate()
 	assert.DeepEqual(t, f.avoided(), []string{"c", "d"})
 }
--- a/coordination/register/exchange.go
+++ b/coordination/register/exchange.go
@@ -77,7 +77,7 @@
 
 // startHedgeTimer starts the timer of the next hedge, unless all members were asked.
 func (e *exchange) startHedgeTimer() {
-	if e.members.Left() == 0 {
+	if e.members.Remaining() == 0 {
 		return
 	}
 	e.stopHedgeTimer = e.round.client.clock.AfterFunc(e.round.client.settings.ThriftyQuorum.HedgeDelay, func() {
--- a/coordination/turnstore/round.go
+++ b/coordination/turnstore/round.go
@@ -60,7 +60,7 @@
 			}
 		case <-hedge.C:
 			// Retried at each tick, since the budget may have denied the last hedge.
-			if r.requests.Left() > 0 {
+			if r.requests.Remaining() > 0 {
 				r.requests.Hedge()
 			}
 		case <-ctx.Done():
