--- a/coordination/multicast/round.go
+++ b/coordination/multicast/round.go
@@ -96,8 +96,8 @@
 	return true
 }
 
-// Answered records that the member has answered or its request has failed.
-func (r *Round) Answered(index int) { r.states[index] = answered }
+// RecordAnswer records that the member has answered or its request has failed.
+func (r *Round) RecordAnswer(index int) { r.states[index] = answered }
 
 // AvoidLate reports the late members as failed, so that later requests ask them last for a
 // while. The caller calls it when a member answers, because that member may have been
--- a/coordination/multicast/round_test.go
+++ b/coordination/multicast/round_test.go
@@ -63,7 +63,7 @@
 	f := newFixture(1)
 	f.Begin(1)
 	assert.Assert(t, f.Hedge())
-	f.Answered(0)
+	f.RecordAnswer(0)
 	assert.Assert(t, !f.Hedge())
 	assert.DeepEqual(t, f.asked, []int{0, 1})
 	f.AvoidLate()
@@ -77,9 +77,9 @@
 	f.Begin(3)
 	f.AvoidLate()
 	assert.Equal(t, len(f.avoided()), 0, "no hedge was sent yet")
-	f.Answered(0)
+	f.RecordAnswer(0)
 	assert.Assert(t, f.Hedge())
-	f.Answered(1)
+	f.RecordAnswer(1)
 	f.AvoidLate()
 	assert.DeepEqual(t, f.avoided(), []string{"c"})
 	f.tracker.Heard("c")
@@ -96,7 +96,7 @@
 	f := newFixture(1)
 	f.Begin(2)
 	assert.Assert(t, f.Hedge())
-	f.Answered(0)
+	f.RecordAnswer(0)
 	f.AvoidPending()
 	assert.DeepEqual(t, f.avoided(), []string{"b", "c"})
 }
@@ -111,7 +111,7 @@
 	round.Begin(1)
 	// The first member is late, so another one is asked, which answers.
 	round.Hedge()
-	round.Answered(1)
+	round.RecordAnswer(1)
 	round.AvoidLate()
 	fmt.Println("asked last from now on:", hedging.Tracker.IsAvoided(members[0]))
 	// Output:
--- a/coordination/register/exchange.go
+++ b/coordination/register/exchange.go
@@ -98,7 +98,7 @@
 
 // recordAnswer records that the member has answered or that its request has failed.
 func (e *exchange) recordAnswer(received answer) {
-	e.members.Answered(received.position)
+	e.members.RecordAnswer(received.position)
 	thrift := e.round.client.settings.ThriftyQuorum
 	if thrift == nil {
 		return
--- a/coordination/turnstore/round.go
+++ b/coordination/turnstore/round.go
@@ -90,7 +90,7 @@
 // handleAnswer counts an answer, sends further requests if they are needed, and returns
 // whether the round is over, and its error.
 func (r *round) handleAnswer(answered answer) (isOver bool, err error) {
-	r.requests.Answered(answered.memberIndex)
+	r.requests.RecordAnswer(answered.memberIndex)
 	if answered.err != nil {
 		r.failed++
 		r.lastErr = answered.err
