--- a/coordination/multicast/round_test.go
+++ b/coordination/multicast/round_test.go
@@ -82,7 +82,7 @@
 	f.RecordAnswer(1)
 	f.AvoidLate()
 	assert.DeepEqual(t, f.avoided(), []string{"c"})
-	f.tracker.Heard("c")
+	f.tracker.RecordResponse("c")
 	f.AvoidLate()
 	assert.Equal(t, len(f.avoided()), 0)
 	assert.Assert(t, f.Hedge(), "a hedge without members left")
--- a/coordination/quota/client.go
+++ b/coordination/quota/client.go
@@ -258,7 +258,7 @@
 	defer cancel()
 	answer, err := c.holders.TakePermits(bounded, address, ask)
 	if err == nil {
-		c.reach.Heard(address)
+		c.reach.RecordResponse(address)
 		return answer
 	}
 	if ctx.Err() == nil {
--- a/coordination/reach/reach.go
+++ b/coordination/reach/reach.go
@@ -37,8 +37,8 @@
 	return &Tracker{now: now, failedAt: make(map[string]time.Time)}
 }
 
-// Heard records that the peer responded, whatever the response was.
-func (t *Tracker) Heard(peer string) {
+// RecordResponse records that the peer responded, whatever the response was.
+func (t *Tracker) RecordResponse(peer string) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	delete(t.failedAt, peer)
--- a/coordination/reach/reach_test.go
+++ b/coordination/reach/reach_test.go
@@ -27,9 +27,9 @@
 	tracker.Failed("a")
 	assert.Assert(t, tracker.IsAvoided("a"))
 	assert.Assert(t, !tracker.IsAvoided("b"))
-	tracker.Heard("b")
+	tracker.RecordResponse("b")
 	assert.Assert(t, tracker.IsAvoided("a"), "the response came from another peer")
-	tracker.Heard("a")
+	tracker.RecordResponse("a")
 	assert.Assert(t, !tracker.IsAvoided("a"))
 	tracker.Failed("a")
 	c.advance(2 * time.Second)
@@ -40,7 +40,7 @@
 // responded for a while, until a peer responds.
 func TestCutOff(t *testing.T) {
 	c, tracker := newTracker()
-	tracker.Heard("a")
+	tracker.RecordResponse("a")
 	assert.Assert(t, !tracker.IsCutOff())
 	c.advance(time.Hour)
 	assert.Assert(t, !tracker.IsCutOff(), "a node without requests isn't cut off")
@@ -49,14 +49,14 @@
 	assert.Assert(t, !tracker.IsCutOff(), "too few requests have failed")
 	tracker.Failed("a")
 	assert.Assert(t, tracker.IsCutOff())
-	tracker.Heard("b")
+	tracker.RecordResponse("b")
 	for range 5 {
 		tracker.Failed("a")
 	}
 	assert.Assert(t, !tracker.IsCutOff(), "another peer has just responded")
 	c.advance(time.Second)
 	assert.Assert(t, tracker.IsCutOff())
-	tracker.Heard("a")
+	tracker.RecordResponse("a")
 	assert.Assert(t, !tracker.IsCutOff())
 }
 
--- a/coordination/register/exchange.go
+++ b/coordination/register/exchange.go
@@ -108,7 +108,7 @@
 		thrift.Reach.Failed(address)
 		return
 	}
-	thrift.Reach.Heard(address)
+	thrift.Reach.RecordResponse(address)
 	e.members.AvoidLate()
 }
 
--- a/coordination/tokenbudget/client.go
+++ b/coordination/tokenbudget/client.go
@@ -164,14 +164,14 @@
 	reported := c.takePendingEnds(address)
 	err := c.hosts.Reserve(ctx, address, reservation, reported)
 	if err == nil {
-		c.tracker.Heard(address)
+		c.tracker.RecordResponse(address)
 		c.mutex.Lock()
 		c.grantedBy[reservation.Name] = address
 		c.mutex.Unlock()
 		return nil
 	}
 	if IsRefusal(err) || errors.Is(err, ErrOverloaded) {
-		c.tracker.Heard(address)
+		c.tracker.RecordResponse(address)
 		return err
 	}
 	if !errors.Is(ctx.Err(), context.Canceled) {
--- a/coordination/turnstore/round.go
+++ b/coordination/turnstore/round.go
@@ -130,7 +130,7 @@
 func (s *Store) reportReachability(ctx context.Context, address string, err error) {
 	switch {
 	case err == nil:
-		s.hedging.Tracker.Heard(address)
+		s.hedging.Tracker.RecordResponse(address)
 	case !errors.Is(ctx.Err(), context.Canceled):
 		s.hedging.Tracker.Failed(address)
 	}
--- a/node/gateway/prober.go
+++ b/node/gateway/prober.go
@@ -64,6 +64,6 @@
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	if _, err := p.watcher.WatchMirror(ctx, node, mirror.KindSets, math.MaxInt64, 0); err == nil {
-		p.reachability.Heard(node.String())
+		p.reachability.RecordResponse(node.String())
 	}
 }
