--- a/coordination/multicast/round.go
+++ b/coordination/multicast/round.go
@@ -106,7 +106,7 @@
 	for index, state := range r.states {
 		if state == late {
 			r.states[index] = pending
-			r.hedging.Tracker.Failed(r.addresses[index])
+			r.hedging.Tracker.RecordFailure(r.addresses[index])
 		}
 	}
 }
@@ -116,7 +116,7 @@
 func (r *Round) AvoidPending() {
 	for index, state := range r.states {
 		if state == pending || state == late {
-			r.hedging.Tracker.Failed(r.addresses[index])
+			r.hedging.Tracker.RecordFailure(r.addresses[index])
 		}
 	}
 }
--- a/coordination/quota/client.go
+++ b/coordination/quota/client.go
@@ -262,7 +262,7 @@
 		return answer
 	}
 	if ctx.Err() == nil {
-		c.reach.Failed(address)
+		c.reach.RecordFailure(address)
 	}
 	c.logger.Info("quota holder did not answer", zap.String("address", address), zap.Uint32("slot", ask.Part.Slot),
 		zap.String("tenant", ask.Tenant), zap.Error(err))
--- a/coordination/reach/reach.go
+++ b/coordination/reach/reach.go
@@ -45,8 +45,8 @@
 	t.respondedAt, t.failures = t.now(), 0
 }
 
-// Failed records that the peer didn't respond or couldn't process the request.
-func (t *Tracker) Failed(peer string) {
+// RecordFailure records that the peer didn't respond or couldn't process the request.
+func (t *Tracker) RecordFailure(peer string) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.failedAt[peer] = t.now()
--- a/coordination/register/exchange.go
+++ b/coordination/register/exchange.go
@@ -105,7 +105,7 @@
 	}
 	address := e.round.view.Members[received.member].Address
 	if received.err != nil {
-		thrift.Reach.Failed(address)
+		thrift.Reach.RecordFailure(address)
 		return
 	}
 	thrift.Reach.RecordResponse(address)
--- a/coordination/tokenbudget/client.go
+++ b/coordination/tokenbudget/client.go
@@ -175,7 +175,7 @@
 		return err
 	}
 	if !errors.Is(ctx.Err(), context.Canceled) {
-		c.tracker.Failed(address)
+		c.tracker.RecordFailure(address)
 	}
 	c.logger.Info("budget host failed", zap.String("address", address), zap.String("program", reservation.Program),
 		zap.String("reservation", reservation.Name), zap.Error(err))
--- a/coordination/tokenbudget/reserved_elsewhere_test.go
+++ b/coordination/tokenbudget/reserved_elsewhere_test.go
@@ -103,7 +103,7 @@
 	assert.NilError(t, client.Reserve(t.Context(), reservation))
 	primary := transport.asked[0]
 	transport.hosts[primary] = tokenbudget.NewHost(newLedger(name(primary, 2), shared), time.Now)
-	tracker.Failed(primary)
+	tracker.RecordFailure(primary)
 	reservation.Name = "t2"
 	assert.ErrorIs(t, client.Reserve(t.Context(), reservation), budget.ErrSpent)
 	assert.Equal(t, transport.asked[len(transport.asked)-1], primary)
--- a/coordination/turnstore/round.go
+++ b/coordination/turnstore/round.go
@@ -132,6 +132,6 @@
 	case err == nil:
 		s.hedging.Tracker.RecordResponse(address)
 	case !errors.Is(ctx.Err(), context.Canceled):
-		s.hedging.Tracker.Failed(address)
+		s.hedging.Tracker.RecordFailure(address)
 	}
 }
