--- a/coordination/follow/follower.go
+++ b/coordination/follow/follower.go
@@ -19,8 +19,8 @@
 	Name     string
 	Source   Source
 	Settings Settings
-	// Lost is called when the store becomes unavailable; it may be nil.
-	Lost func()
+	// OnLost is called when the store becomes unavailable; it may be nil.
+	OnLost func()
 	// Apply is called with the complete view after each change. Calls don't overlap.
 	Apply  func(Snapshot)
 	Logger *zap.Logger
@@ -188,8 +188,8 @@
 	}
 	f.options.Logger.Warn("store lost", zap.String("objects", f.options.Name),
 		zap.Int64("revision", f.revision()), zap.Error(err))
-	if f.options.Lost != nil {
-		f.options.Lost()
+	if f.options.OnLost != nil {
+		f.options.OnLost()
 	}
 }
 
--- a/node/gateway/revocation_test.go
+++ b/node/gateway/revocation_test.go
@@ -183,8 +183,8 @@
 		Name: mirror.KindConfiguration, Settings: calls, Logger: zap.NewNop(), Now: time.Now,
 		Source: mirror.NewSource(mirror.KindConfiguration, s.source(address.String()), upstreams, simulatedNetwork{s, address.String()},
 			mirror.SourceSettings{Wait: 300 * time.Millisecond, MaxAge: 3 * time.Second, Patience: patience}, zap.NewNop()),
-		Apply: func(snapshot follow.Snapshot) { holder.Keep(mirror.KindConfiguration, snapshot) },
-		Lost:  func() { holder.Lost(mirror.KindConfiguration) },
+		Apply:  func(snapshot follow.Snapshot) { holder.Keep(mirror.KindConfiguration, snapshot) },
+		OnLost: func() { holder.Lost(mirror.KindConfiguration) },
 	})
 	holder.Through(mirror.KindConfiguration, follower)
 	s.mutex.Lock()
