--- a/coordination/follow/follower.go
+++ b/coordination/follow/follower.go
@@ -95,7 +95,7 @@
 			zap.Int64("revision", snapshot.At), zap.Int64("known_revision", f.revision()))
 		return fmt.Errorf("listing has revision %d, older than the known revision %d", snapshot.At, f.revision())
 	}
-	f.recordProof(snapshot.Proved)
+	f.recordProof(snapshot.FreshAt)
 	f.relist = false
 	f.options.Logger.Info("objects listed", zap.String("objects", f.options.Name),
 		zap.Int64("revision", snapshot.At), zap.Int("count", len(snapshot.Objects)))
--- a/coordination/follow/follower_test.go
+++ b/coordination/follow/follower_test.go
@@ -225,7 +225,7 @@
 		requested := time.Now()
 		snapshot, err := source.List(t.Context())
 		assert.NilError(t, err)
-		assert.Assert(t, snapshot.Proved.Equal(requested))
+		assert.Assert(t, snapshot.FreshAt.Equal(requested))
 		time.Sleep(interval / 5)
 		changes, err := source.Watch(t.Context(), 1, time.Hour)
 		assert.NilError(t, err)
--- a/coordination/follow/polled.go
+++ b/coordination/follow/polled.go
@@ -34,7 +34,7 @@
 	if err != nil {
 		return Snapshot{}, err
 	}
-	snapshot.Proved = p.lastListing
+	snapshot.FreshAt = p.lastListing
 	return snapshot, nil
 }
 
--- a/coordination/follow/view.go
+++ b/coordination/follow/view.go
@@ -27,9 +27,9 @@
 	// Age is the time since the store's answer when the snapshot was received from
 	// another node; zero for a direct answer of the store.
 	Age time.Duration `json:"-"`
-	// Proved is a time before which the store had nothing newer, by this node's
+	// FreshAt is a time before which the store had nothing newer, by this node's
 	// monotonic clock; zero if no such time is known.
-	Proved time.Time `json:"-"`
+	FreshAt time.Time `json:"-"`
 }
 
 // Event is the change of one object.
@@ -109,7 +109,7 @@
 
 // Snapshot converts whole changes to a snapshot.
 func (c Changes) Snapshot() Snapshot {
-	snapshot := Snapshot{At: c.At, Age: c.Age, Proved: c.Proved, Objects: make([]Object, 0, len(c.Events))}
+	snapshot := Snapshot{At: c.At, Age: c.Age, FreshAt: c.Proved, Objects: make([]Object, 0, len(c.Events))}
 	for _, event := range c.Events {
 		snapshot.Objects = append(snapshot.Objects, event.Object)
 	}
@@ -118,7 +118,7 @@
 
 // Changes converts the snapshot to whole changes.
 func (s Snapshot) Changes() Changes {
-	changes := Changes{At: s.At, IsWhole: true, Age: s.Age, Proved: s.Proved}
+	changes := Changes{At: s.At, IsWhole: true, Age: s.Age, Proved: s.FreshAt}
 	for _, object := range s.Objects {
 		changes.Events = append(changes.Events, Event{Object: object})
 	}
--- a/node/gateway/revocation_test.go
+++ b/node/gateway/revocation_test.go
@@ -110,7 +110,7 @@
 
 func (f proofFromResponseSource) List(ctx context.Context) (follow.Snapshot, error) {
 	snapshot, err := f.Source.List(ctx)
-	snapshot.Proved = time.Now()
+	snapshot.FreshAt = time.Now()
 	return snapshot, err
 }
 
