--- a/coordination/follow/follower.go
+++ b/coordination/follow/follower.go
@@ -161,7 +161,7 @@
 	f.recordAnswer(f.options.Now().Add(-changes.Age))
 	f.logUnreadable(changes.Unreadable, changes.At)
 	changed := f.applyChanges(changes)
-	f.recordProof(changes.Proved)
+	f.recordProof(changes.FreshAt)
 	if changed {
 		_ = sleep.For(ctx, settings.Gather)
 	}
--- a/coordination/follow/follower_test.go
+++ b/coordination/follow/follower_test.go
@@ -229,7 +229,7 @@
 		time.Sleep(interval / 5)
 		changes, err := source.Watch(t.Context(), 1, time.Hour)
 		assert.NilError(t, err)
-		assert.Assert(t, changes.Proved.Equal(requested.Add(interval)))
+		assert.Assert(t, changes.FreshAt.Equal(requested.Add(interval)))
 		assert.Assert(t, changes.IsWhole)
 	})
 }
--- a/coordination/follow/view.go
+++ b/coordination/follow/view.go
@@ -51,8 +51,8 @@
 	// was deleted.
 	IsWhole bool
 	// Age and Proved have the same meaning as in Snapshot.
-	Age    time.Duration
-	Proved time.Time
+	Age     time.Duration
+	FreshAt time.Time
 }
 
 // view is the copy of the objects at one revision, which never decreases. It isn't safe
@@ -109,7 +109,7 @@
 
 // Snapshot converts whole changes to a snapshot.
 func (c Changes) Snapshot() Snapshot {
-	snapshot := Snapshot{At: c.At, Age: c.Age, FreshAt: c.Proved, Objects: make([]Object, 0, len(c.Events))}
+	snapshot := Snapshot{At: c.At, Age: c.Age, FreshAt: c.FreshAt, Objects: make([]Object, 0, len(c.Events))}
 	for _, event := range c.Events {
 		snapshot.Objects = append(snapshot.Objects, event.Object)
 	}
@@ -118,7 +118,7 @@
 
 // Changes converts the snapshot to whole changes.
 func (s Snapshot) Changes() Changes {
-	changes := Changes{At: s.At, IsWhole: true, Age: s.Age, Proved: s.FreshAt}
+	changes := Changes{At: s.At, IsWhole: true, Age: s.Age, FreshAt: s.FreshAt}
 	for _, object := range s.Objects {
 		changes.Events = append(changes.Events, Event{Object: object})
 	}
--- a/coordination/mirror/changes.go
+++ b/coordination/mirror/changes.go
@@ -162,7 +162,7 @@
 	// The time is read before the changes, so that these are at least as new.
 	proved := s.upstream.Proved()
 	changes := s.changesSince(revision)
-	changes.Age, changes.Proved = age, proved
+	changes.Age, changes.FreshAt = age, proved
 	return Current{Changes: changes}, changes.IsWhole || len(changes.Events) > 0
 }
 
--- a/node/gateway/revocation_test.go
+++ b/node/gateway/revocation_test.go
@@ -116,7 +116,7 @@
 
 func (f proofFromResponseSource) Watch(ctx context.Context, from int64, wait time.Duration) (follow.Changes, error) {
 	changes, err := f.Source.Watch(ctx, from, wait)
-	changes.Proved = time.Now()
+	changes.FreshAt = time.Now()
 	return changes, err
 }
 
@@ -145,8 +145,8 @@
 	if err != nil {
 		return nil, err
 	}
-	if current, ok := answer.(mirror.Current); ok && !current.Changes.Proved.IsZero() {
-		current.Changes.Proved = sent.Add(-arrived.Sub(current.Changes.Proved))
+	if current, ok := answer.(mirror.Current); ok && !current.Changes.FreshAt.IsZero() {
+		current.Changes.FreshAt = sent.Add(-arrived.Sub(current.Changes.FreshAt))
 		return current, nil
 	}
 	return answer, nil
--- a/transport/peer/mirror.go
+++ b/transport/peer/mirror.go
@@ -86,7 +86,7 @@
 func changesFromWire(message *peerv1.WatchMirrorResponse, asked time.Time) follow.Changes {
 	changes := follow.Changes{At: message.GetAt(), IsWhole: message.GetWhole(), Age: time.Duration(message.GetAgeMs()) * time.Millisecond}
 	if message.GetProved() {
-		changes.Proved = asked.Add(-time.Duration(message.GetStalenessUs()) * time.Microsecond)
+		changes.FreshAt = asked.Add(-time.Duration(message.GetStalenessUs()) * time.Microsecond)
 	}
 	for _, object := range message.GetChanged() {
 		changes.Events = append(changes.Events, follow.Event{Object: objectFromWire(object)})
@@ -103,9 +103,9 @@
 		Verdict: peerv1.WatchMirrorResponse_VERDICT_CURRENT, At: changes.At, AgeMs: changes.Age.Milliseconds(),
 		Whole: changes.IsWhole,
 	}
-	if !changes.Proved.IsZero() {
+	if !changes.FreshAt.IsZero() {
 		// Rounded up: a microsecond too much is on the safe side.
-		message.Proved, message.StalenessUs = true, arrived.Sub(changes.Proved).Microseconds()+1
+		message.Proved, message.StalenessUs = true, arrived.Sub(changes.FreshAt).Microseconds()+1
 	}
 	for _, event := range changes.Events {
 		if event.Gone {
