--- a/coordination/follow/follower.go
+++ b/coordination/follow/follower.go
@@ -89,7 +89,7 @@
 		return err
 	}
 	f.recordAnswer(f.options.Now().Add(-snapshot.Age))
-	f.logUnreadable(snapshot.Unreadable, snapshot.At)
+	f.logUnreadable(snapshot.Unnamed, snapshot.At)
 	if !f.replaceView(snapshot) {
 		f.options.Logger.Warn("outdated listing ignored", zap.String("objects", f.options.Name),
 			zap.Int64("revision", snapshot.At), zap.Int64("known_revision", f.revision()))
--- a/coordination/follow/view.go
+++ b/coordination/follow/view.go
@@ -22,8 +22,8 @@
 	Objects []Object
 	// At is the revision of the store.
 	At int64
-	// Unreadable counts the objects that were left out because they have no name.
-	Unreadable int `json:"-"`
+	// Unnamed counts the objects that were left out because they have no name.
+	Unnamed int `json:"-"`
 	// Age is the time since the store's answer when the snapshot was received from
 	// another node; zero for a direct answer of the store.
 	Age time.Duration `json:"-"`
--- a/coordination/register/stored_test.go
+++ b/coordination/register/stored_test.go
@@ -178,7 +178,7 @@
 	assert.NilError(t, err)
 	holder.Keep("instances", follow.Snapshot{
 		Objects: []follow.Object{{Name: "i-1", Revision: 7, Spec: []byte(`{"a":1}`), Status: []byte(`{}`)}},
-		At:      9, Unreadable: 1, Age: time.Second, FreshAt: time.Now(),
+		At:      9, Unnamed: 1, Age: time.Second, FreshAt: time.Now(),
 	})
 	done := make(chan struct{})
 	go func() {
