--- a/coordination/follow/follower.go
+++ b/coordination/follow/follower.go
@@ -159,7 +159,7 @@
 		return err
 	}
 	f.recordAnswer(f.options.Now().Add(-changes.Age))
-	f.logUnreadable(changes.Unreadable, changes.At)
+	f.logUnreadable(changes.Unnamed, changes.At)
 	changed := f.applyChanges(changes)
 	f.recordProof(changes.FreshAt)
 	if changed {
--- a/coordination/follow/view.go
+++ b/coordination/follow/view.go
@@ -44,9 +44,9 @@
 	Events []Event
 	// At is the revision to watch from next.
 	At int64
-	// Unreadable counts the events that were left out because their objects have no
+	// Unnamed counts the events that were left out because their objects have no
 	// name.
-	Unreadable int
+	Unnamed int
 	// IsWhole is set if the events list all existing objects, so that any other object
 	// was deleted.
 	IsWhole bool
