--- a/coordination/follow/follower_test.go
+++ b/coordination/follow/follower_test.go
@@ -178,7 +178,7 @@
 // don't list, and that older ones are ignored.
 func TestWholeChangesReplaceTheView(t *testing.T) {
 	whole := func(at int64, objects ...Object) func() (Snapshot, Changes, error) {
-		changes := Changes{At: at, IsWhole: true}
+		changes := Changes{At: at, IsFull: true}
 		for _, one := range objects {
 			changes.Events = append(changes.Events, Event{Object: one})
 		}
@@ -230,6 +230,6 @@
 		changes, err := source.Watch(t.Context(), 1, time.Hour)
 		assert.NilError(t, err)
 		assert.Assert(t, changes.FreshAt.Equal(requested.Add(interval)))
-		assert.Assert(t, changes.IsWhole)
+		assert.Assert(t, changes.IsFull)
 	})
 }
--- a/coordination/follow/view.go
+++ b/coordination/follow/view.go
@@ -47,9 +47,9 @@
 	// Unnamed counts the events that were left out because their objects have no
 	// name.
 	Unnamed int
-	// IsWhole is set if the events list all existing objects, so that any other object
+	// IsFull is set if the events list all existing objects, so that any other object
 	// was deleted.
-	IsWhole bool
+	IsFull bool
 	// Age and Proved have the same meaning as in Snapshot.
 	Age     time.Duration
 	FreshAt time.Time
@@ -80,7 +80,7 @@
 
 // applyChanges updates the view and reports whether any object changed.
 func (v *view) applyChanges(changes Changes) bool {
-	if changes.IsWhole {
+	if changes.IsFull {
 		return !v.confirmUnchanged(changes) && v.replace(changes.Snapshot())
 	}
 	changed := false
@@ -118,7 +118,7 @@
 
 // Changes converts the snapshot to whole changes.
 func (s Snapshot) Changes() Changes {
-	changes := Changes{At: s.At, IsWhole: true, Age: s.Age, FreshAt: s.FreshAt}
+	changes := Changes{At: s.At, IsFull: true, Age: s.Age, FreshAt: s.FreshAt}
 	for _, object := range s.Objects {
 		changes.Events = append(changes.Events, Event{Object: object})
 	}
--- a/coordination/mirror/changes.go
+++ b/coordination/mirror/changes.go
@@ -163,7 +163,7 @@
 	proved := s.upstream.Proved()
 	changes := s.changesSince(revision)
 	changes.Age, changes.FreshAt = age, proved
-	return Current{Changes: changes}, changes.IsWhole || len(changes.Events) > 0
+	return Current{Changes: changes}, changes.IsFull || len(changes.Events) > 0
 }
 
 // Watch returns as soon as the kind has changed after the revision or this holder has lost
--- a/coordination/mirror/changes_test.go
+++ b/coordination/mirror/changes_test.go
@@ -108,7 +108,7 @@
 		known := maps.Clone(states[from])
 		switch answer := holder.Watch(context.Background(), mirror.KindInstances, from, 0).(type) {
 		case mirror.Current:
-			if answer.Changes.IsWhole {
+			if answer.Changes.IsFull {
 				assert.Assert(rt, from < at && !slices.Contains(revisions, from), "unexpected whole snapshot for revision %d; the holder had %v", from, revisions)
 				clear(known)
 			}
@@ -134,9 +134,9 @@
 		return holder.Watch(context.Background(), mirror.KindInstances, from, 0)
 	}
 	early, isCurrent := watch(10).(mirror.Current)
-	assert.Assert(t, isCurrent && early.Changes.IsWhole)
+	assert.Assert(t, isCurrent && early.Changes.IsFull)
 	recent, isCurrent := watch(removals - 10).(mirror.Current)
-	assert.Assert(t, isCurrent && !recent.Changes.IsWhole)
+	assert.Assert(t, isCurrent && !recent.Changes.IsFull)
 	assert.Equal(t, len(recent.Changes.Events), 12)
 }
 
--- a/coordination/mirror/source.go
+++ b/coordination/mirror/source.go
@@ -148,7 +148,7 @@
 	if err != nil {
 		return follow.Snapshot{}, err
 	}
-	if !changes.IsWhole || changes.At < s.newestRevision.Load() {
+	if !changes.IsFull || changes.At < s.newestRevision.Load() {
 		return follow.Snapshot{}, errHolderBehind
 	}
 	s.recordHolderAnswer(holder, changes.At)
--- a/coordination/mirror/source_test.go
+++ b/coordination/mirror/source_test.go
@@ -109,7 +109,7 @@
 
 func wholeAnswer(at int64, age time.Duration) mirror.Answer {
 	events := []follow.Event{{Object: follow.Object{Name: "main", Revision: at}}}
-	return mirror.Current{Changes: follow.Changes{At: at, IsWhole: true, Age: age, Events: events}}
+	return mirror.Current{Changes: follow.Changes{At: at, IsFull: true, Age: age, Events: events}}
 }
 
 // TestSourceSkipsUnusableHolder checks that one call goes on to the next holder and then to
--- a/transport/peer/mirror.go
+++ b/transport/peer/mirror.go
@@ -84,7 +84,7 @@
 // changesFromWire counts what the peer knows of the store from when the peer was asked:
 // the call arrived there later.
 func changesFromWire(message *peerv1.WatchMirrorResponse, asked time.Time) follow.Changes {
-	changes := follow.Changes{At: message.GetAt(), IsWhole: message.GetWhole(), Age: time.Duration(message.GetAgeMs()) * time.Millisecond}
+	changes := follow.Changes{At: message.GetAt(), IsFull: message.GetWhole(), Age: time.Duration(message.GetAgeMs()) * time.Millisecond}
 	if message.GetProved() {
 		changes.FreshAt = asked.Add(-time.Duration(message.GetStalenessUs()) * time.Microsecond)
 	}
@@ -101,7 +101,7 @@
 func changesToWire(changes follow.Changes, arrived time.Time) *peerv1.WatchMirrorResponse {
 	message := &peerv1.WatchMirrorResponse{
 		Verdict: peerv1.WatchMirrorResponse_VERDICT_CURRENT, At: changes.At, AgeMs: changes.Age.Milliseconds(),
-		Whole: changes.IsWhole,
+		Whole: changes.IsFull,
 	}
 	if !changes.FreshAt.IsZero() {
 		// Rounded up: a microsecond too much is on the safe side.
