--- a/coordination/follow/follower_test.go
+++ b/coordination/follow/follower_test.go
@@ -86,7 +86,7 @@
 	calls, applied := runScript(
 		listStep(5, object("a", 3)),
 		changeStep(7, Event{Object: object("b", 7)}),
-		changeStep(9, Event{Object: object("a", 9), Gone: true}),
+		changeStep(9, Event{Object: object("a", 9), Deleted: true}),
 	)
 	fmt.Println(calls)
 	fmt.Println(applied)
@@ -114,8 +114,8 @@
 // objects, and against needless Apply calls.
 func TestOldOrRepeatedEventChangesNothing(t *testing.T) {
 	_, applied := runScript(listStep(5, object("a", 5)),
-		changeStep(6, Event{Object: object("a", 4)}, Event{Object: object("a", 5)}, Event{Object: object("a", 4), Gone: true}),
-		changeStep(7, Event{Object: object("none", 7), Gone: true}),
+		changeStep(6, Event{Object: object("a", 4)}, Event{Object: object("a", 5)}, Event{Object: object("a", 4), Deleted: true}),
+		changeStep(7, Event{Object: object("none", 7), Deleted: true}),
 		changeStep(8, Event{Object: object("a", 8)}))
 	assert.DeepEqual(t, applied, [][]string{{"a5"}, {"a8"}})
 }
@@ -145,7 +145,7 @@
 			name := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "name")
 			_, exists := state[name]
 			gone := exists && rapid.Bool().Draw(t, "gone")
-			history = append(history, Event{Object: object(name, revision), Gone: gone})
+			history = append(history, Event{Object: object(name, revision), Deleted: gone})
 			state[name] = object(name, revision)
 			if gone {
 				delete(state, name)
--- a/coordination/follow/view.go
+++ b/coordination/follow/view.go
@@ -35,8 +35,8 @@
 // Event is the change of one object.
 type Event struct {
 	Object Object
-	// Gone is set if the object was deleted.
-	Gone bool
+	// Deleted is set if the object was deleted.
+	Deleted bool
 }
 
 // Changes holds the events between two revisions.
@@ -132,7 +132,7 @@
 	if exists && event.Object.Revision < known.Revision {
 		return false
 	}
-	if event.Gone {
+	if event.Deleted {
 		delete(v.objects, event.Object.Name)
 		return exists
 	}
--- a/coordination/mirror/changes.go
+++ b/coordination/mirror/changes.go
@@ -143,7 +143,7 @@
 	for _, removed := range s.removals {
 		if removed.revision > revision {
 			object := follow.Object{Name: removed.name, Revision: removed.revision}
-			changes.Events = append(changes.Events, follow.Event{Object: object, Gone: true})
+			changes.Events = append(changes.Events, follow.Event{Object: object, Deleted: true})
 		}
 	}
 	return changes
--- a/coordination/mirror/changes_test.go
+++ b/coordination/mirror/changes_test.go
@@ -78,7 +78,7 @@
 		revision, exists := known[event.Object.Name]
 		switch {
 		case exists && event.Object.Revision < revision:
-		case event.Gone:
+		case event.Deleted:
 			delete(known, event.Object.Name)
 		default:
 			known[event.Object.Name] = event.Object.Revision
--- a/transport/peer/mirror.go
+++ b/transport/peer/mirror.go
@@ -93,7 +93,7 @@
 	}
 	for _, removed := range message.GetRemoved() {
 		gone := follow.Object{Name: removed.GetName(), Revision: removed.GetRevision()}
-		changes.Events = append(changes.Events, follow.Event{Object: gone, Gone: true})
+		changes.Events = append(changes.Events, follow.Event{Object: gone, Deleted: true})
 	}
 	return changes
 }
@@ -108,7 +108,7 @@
 		message.Proved, message.StalenessUs = true, arrived.Sub(changes.FreshAt).Microseconds()+1
 	}
 	for _, event := range changes.Events {
-		if event.Gone {
+		if event.Deleted {
 			message.Removed = append(message.Removed, &peerv1.MirroredObject{Name: event.Object.Name, Revision: event.Object.Revision})
 			continue
 		}
