--- a/coordination/follow/follower.go
+++ b/coordination/follow/follower.go
@@ -163,7 +163,7 @@
 	changed := f.applyChanges(changes)
 	f.recordProof(changes.FreshAt)
 	if changed {
-		_ = sleep.For(ctx, settings.Gather)
+		_ = sleep.For(ctx, settings.BatchDelay)
 	}
 	return nil
 }
--- a/coordination/follow/settings.go
+++ b/coordination/follow/settings.go
@@ -11,9 +11,9 @@
 	// WatchSlack is how much longer than WatchWait the response may take. An
 	// unresponsive store is detected after the sum of both.
 	WatchSlack time.Duration
-	// Gather is the pause after changes, so that further changes shortly afterwards
+	// BatchDelay is the pause after changes, so that further changes shortly afterwards
 	// arrive in one response.
-	Gather time.Duration
+	BatchDelay time.Duration
 	// MinPause and MaxPause limit the exponential backoff after failed calls.
 	MinPause time.Duration
 	MaxPause time.Duration
@@ -25,7 +25,7 @@
 		ListTimeout: 1500 * time.Millisecond,
 		WatchWait:   2 * time.Second,
 		WatchSlack:  700 * time.Millisecond,
-		Gather:      150 * time.Millisecond,
+		BatchDelay:  150 * time.Millisecond,
 		MinPause:    50 * time.Millisecond,
 		MaxPause:    400 * time.Millisecond,
 	}
