--- a/coordination/follow/follower.go
+++ b/coordination/follow/follower.go
@@ -147,7 +147,7 @@
 // watch waits for changes and applies them.
 func (f *Follower) watch(ctx context.Context) error {
 	settings := f.options.Settings
-	bounded, cancel := context.WithTimeout(ctx, settings.WatchWait+settings.WatchSlack)
+	bounded, cancel := context.WithTimeout(ctx, settings.WatchWait+settings.WatchGrace)
 	defer cancel()
 	changes, err := f.options.Source.Watch(bounded, f.revision(), settings.WatchWait)
 	if errors.Is(err, ErrHistoryGone) {
--- a/coordination/follow/settings.go
+++ b/coordination/follow/settings.go
@@ -8,9 +8,9 @@
 	ListTimeout time.Duration
 	// WatchWait is how long the store may hold a watch request without changes.
 	WatchWait time.Duration
-	// WatchSlack is how much longer than WatchWait the response may take. An
+	// WatchGrace is how much longer than WatchWait the response may take. An
 	// unresponsive store is detected after the sum of both.
-	WatchSlack time.Duration
+	WatchGrace time.Duration
 	// BatchDelay is the pause after changes, so that further changes shortly afterwards
 	// arrive in one response.
 	BatchDelay time.Duration
@@ -24,7 +24,7 @@
 	return Settings{
 		ListTimeout: 1500 * time.Millisecond,
 		WatchWait:   2 * time.Second,
-		WatchSlack:  700 * time.Millisecond,
+		WatchGrace:  700 * time.Millisecond,
 		BatchDelay:  150 * time.Millisecond,
 		MinPause:    50 * time.Millisecond,
 		MaxPause:    400 * time.Millisecond,
--- a/node/gateway/followplan.go
+++ b/node/gateway/followplan.go
@@ -133,7 +133,7 @@
 func callSettings(limits settings.Gateway) follow.Settings {
 	calls := follow.DefaultSettings()
 	calls.WatchWait = watchWait(limits.UndisturbedTime)
-	calls.WatchSlack = watchSlack
+	calls.WatchGrace = watchSlack
 	calls.MaxPause = maxHolderPause
 	return calls
 }
--- a/node/gateway/followplan_test.go
+++ b/node/gateway/followplan_test.go
@@ -18,7 +18,7 @@
 	revoking.RevokeLimit = 2400 * ms
 	defaults := followPlan{
 		calls: follow.Settings{
-			ListTimeout: 1500 * ms, WatchWait: 1500 * ms, WatchSlack: 700 * ms,
+			ListTimeout: 1500 * ms, WatchWait: 1500 * ms, WatchGrace: 700 * ms,
 			BatchDelay: 150 * ms, MinPause: 50 * ms, MaxPause: 250 * ms,
 		},
 		holders: mirror.SourceSettings{
@@ -28,7 +28,7 @@
 	}
 	replicaSets := followPlan{
 		calls: follow.Settings{
-			ListTimeout: 1500 * ms, WatchWait: 20_000 * ms, WatchSlack: 700 * ms,
+			ListTimeout: 1500 * ms, WatchWait: 20_000 * ms, WatchGrace: 700 * ms,
 			BatchDelay: 150 * ms, MinPause: 50 * ms, MaxPause: 400 * ms,
 		},
 		holders: mirror.SourceSettings{
--- a/node/gateway/revocation_test.go
+++ b/node/gateway/revocation_test.go
@@ -177,7 +177,7 @@
 		return []netip.AddrPort{holderAddress(index % revocationStoreReaders), holderAddress((index + 1) % revocationStoreReaders)}
 	}, time.Now)
 	calls := follow.DefaultSettings()
-	calls.ListTimeout, calls.WatchWait, calls.WatchSlack = time.Second, mirror.ProofInterval(revokeLimit), 400*time.Millisecond
+	calls.ListTimeout, calls.WatchWait, calls.WatchGrace = time.Second, mirror.ProofInterval(revokeLimit), 400*time.Millisecond
 	patience := mirror.Patience{Unreached: time.Second, Lost: mirror.ProofInterval(revokeLimit)}
 	follower := follow.New(follow.Options{
 		Name: mirror.KindConfiguration, Settings: calls, Logger: zap.NewNop(), Now: time.Now,
--- a/node/gateway/storeload_test.go
+++ b/node/gateway/storeload_test.go
@@ -228,7 +228,7 @@
 		Patience: mirror.Patience{Unreached: time.Second, Lost: 2 * time.Second},
 	}
 	calls := follow.DefaultSettings()
-	calls.ListTimeout, calls.WatchWait, calls.WatchSlack = time.Second, 3300*time.Millisecond, 400*time.Millisecond
+	calls.ListTimeout, calls.WatchWait, calls.WatchGrace = time.Second, 3300*time.Millisecond, 400*time.Millisecond
 	follower := follow.New(follow.Options{
 		Name: kind, Settings: calls, Logger: zap.NewNop(), Now: time.Now,
 		Source: mirror.NewSource(kind, roleSource{store: f.store, role: "storage", empty: kind != mirror.KindInstances}, upstreams, f.network, sourceSettings, zap.NewNop()),
--- a/node/storage/mirroring.go
+++ b/node/storage/mirroring.go
@@ -50,8 +50,8 @@
 func boundedFollowSettings(applyLimit time.Duration) follow.Settings {
 	result := follow.DefaultSettings()
 	result.ListTimeout = mirrorListTimeout
-	result.WatchSlack = min(maxMirrorWatchSlack, applyLimit/applyLimitDivisor)
-	result.WatchWait = applyLimit - result.WatchSlack - min(maxMirrorListReserve, applyLimit/applyLimitDivisor)
+	result.WatchGrace = min(maxMirrorWatchSlack, applyLimit/applyLimitDivisor)
+	result.WatchWait = applyLimit - result.WatchGrace - min(maxMirrorListReserve, applyLimit/applyLimitDivisor)
 	return result
 }
 
--- a/node/storage/storage_test.go
+++ b/node/storage/storage_test.go
@@ -13,8 +13,8 @@
 func TestSilentStoreIsNoticedWithinApplyLimit(t *testing.T) {
 	for _, limit := range []time.Duration{100 * time.Millisecond, time.Second, 2 * time.Second, 3 * time.Second, time.Minute} {
 		followSettings := boundedFollowSettings(limit)
-		noticed := followSettings.WatchWait + followSettings.WatchSlack
-		assert.Assert(t, followSettings.WatchWait > 0 && followSettings.WatchSlack > 0, "%s", limit)
+		noticed := followSettings.WatchWait + followSettings.WatchGrace
+		assert.Assert(t, followSettings.WatchWait > 0 && followSettings.WatchGrace > 0, "%s", limit)
 		assert.Assert(t, noticed <= limit-min(limit/4, 300*time.Millisecond), "%s: noticed after %s", limit, noticed)
 	}
 }
