--- a/coordination/follow/follower.go
+++ b/coordination/follow/follower.go
@@ -56,11 +56,11 @@
 // Serve follows the objects until the context ends, with exponential backoff after
 // failed calls.
 func (f *Follower) Serve(ctx context.Context) error {
-	pause := f.options.Settings.MinPause
+	pause := f.options.Settings.MinBackoff
 	for ctx.Err() == nil {
 		err := f.step(ctx)
 		if err == nil {
-			pause = f.options.Settings.MinPause
+			pause = f.options.Settings.MinBackoff
 			continue
 		}
 		f.recordFailure(err)
--- a/coordination/follow/settings.go
+++ b/coordination/follow/settings.go
@@ -14,9 +14,9 @@
 	// BatchDelay is the pause after changes, so that further changes shortly afterwards
 	// arrive in one response.
 	BatchDelay time.Duration
-	// MinPause and MaxPause limit the exponential backoff after failed calls.
-	MinPause time.Duration
-	MaxPause time.Duration
+	// MinBackoff and MaxPause limit the exponential backoff after failed calls.
+	MinBackoff time.Duration
+	MaxPause   time.Duration
 }
 
 // DefaultSettings returns settings that detect an unresponsive store within three seconds.
@@ -26,7 +26,7 @@
 		WatchWait:   2 * time.Second,
 		WatchGrace:  700 * time.Millisecond,
 		BatchDelay:  150 * time.Millisecond,
-		MinPause:    50 * time.Millisecond,
+		MinBackoff:  50 * time.Millisecond,
 		MaxPause:    400 * time.Millisecond,
 	}
 }
