--- a/coordination/follow/follower.go
+++ b/coordination/follow/follower.go
@@ -67,7 +67,7 @@
 		if sleep.For(ctx, sleep.Jitter(pause)) != nil {
 			break
 		}
-		pause = min(2*pause, f.options.Settings.MaxPause)
+		pause = min(2*pause, f.options.Settings.MaxBackoff)
 	}
 	return ctx.Err()
 }
--- a/coordination/follow/follower_test.go
+++ b/coordination/follow/follower_test.go
@@ -59,7 +59,7 @@
 func runScript(steps ...func() (Snapshot, Changes, error)) (calls []string, applied [][]string) {
 	source := &scriptedSource{steps: steps}
 	ctx, cancel := context.WithCancel(context.Background())
-	settings := Settings{ListTimeout: time.Minute, WatchWait: time.Minute, WatchGrace: time.Minute, MinBackoff: 1, MaxPause: 1}
+	settings := Settings{ListTimeout: time.Minute, WatchWait: time.Minute, WatchGrace: time.Minute, MinBackoff: 1, MaxBackoff: 1}
 	follower := New(Options{
 		Name: "things", Source: source, Settings: settings, Logger: zap.NewNop(), Now: time.Now,
 		Apply: func(snapshot Snapshot) {
@@ -125,7 +125,7 @@
 	source := &scriptedSource{steps: []func() (Snapshot, Changes, error){listStep(5)}}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	settings := Settings{ListTimeout: 1, WatchWait: 1, WatchGrace: 1, MinBackoff: 1, MaxPause: 1}
+	settings := Settings{ListTimeout: 1, WatchWait: 1, WatchGrace: 1, MinBackoff: 1, MaxBackoff: 1}
 	follower := New(Options{Source: source, Settings: settings, Logger: zap.NewNop(), Now: time.Now, Apply: func(Snapshot) {}})
 	assert.NilError(t, follower.step(ctx))
 	assert.ErrorIs(t, follower.step(ctx), context.DeadlineExceeded)
--- a/coordination/follow/settings.go
+++ b/coordination/follow/settings.go
@@ -16,7 +16,7 @@
 	BatchDelay time.Duration
 	// MinBackoff and MaxPause limit the exponential backoff after failed calls.
 	MinBackoff time.Duration
-	MaxPause   time.Duration
+	MaxBackoff time.Duration
 }
 
 // DefaultSettings returns settings that detect an unresponsive store within three seconds.
@@ -27,6 +27,6 @@
 		WatchGrace:  700 * time.Millisecond,
 		BatchDelay:  150 * time.Millisecond,
 		MinBackoff:  50 * time.Millisecond,
-		MaxPause:    400 * time.Millisecond,
+		MaxBackoff:  400 * time.Millisecond,
 	}
 }
--- a/node/gateway/followplan.go
+++ b/node/gateway/followplan.go
@@ -121,7 +121,7 @@
 // provenPlan returns the plan for a configuration whose freshness must be proven.
 func provenPlan(limits settings.Gateway) followPlan {
 	calls := callSettings(limits)
-	calls.MaxPause = mirror.ProofPause
+	calls.MaxBackoff = mirror.ProofPause
 	return followPlan{
 		calls:        calls,
 		holders:      provenHolderSettings(limits.RevokeLimit, holderSettings(limits)),
@@ -134,7 +134,7 @@
 	calls := follow.DefaultSettings()
 	calls.WatchWait = watchWait(limits.UndisturbedTime)
 	calls.WatchGrace = watchSlack
-	calls.MaxPause = maxHolderPause
+	calls.MaxBackoff = maxHolderPause
 	return calls
 }
 
--- a/node/gateway/followplan_test.go
+++ b/node/gateway/followplan_test.go
@@ -19,7 +19,7 @@
 	defaults := followPlan{
 		calls: follow.Settings{
 			ListTimeout: 1500 * ms, WatchWait: 1500 * ms, WatchGrace: 700 * ms,
-			BatchDelay: 150 * ms, MinBackoff: 50 * ms, MaxPause: 250 * ms,
+			BatchDelay: 150 * ms, MinBackoff: 50 * ms, MaxBackoff: 250 * ms,
 		},
 		holders: mirror.SourceSettings{
 			Wait: 1000 * ms, MaxAge: 2000 * ms, StorePause: 1000 * ms,
@@ -29,7 +29,7 @@
 	replicaSets := followPlan{
 		calls: follow.Settings{
 			ListTimeout: 1500 * ms, WatchWait: 20_000 * ms, WatchGrace: 700 * ms,
-			BatchDelay: 150 * ms, MinBackoff: 50 * ms, MaxPause: 400 * ms,
+			BatchDelay: 150 * ms, MinBackoff: 50 * ms, MaxBackoff: 400 * ms,
 		},
 		holders: mirror.SourceSettings{
 			Wait: 1000 * ms, MaxAge: 30_000 * ms, StorePause: 2000 * ms,
@@ -37,7 +37,7 @@
 		},
 	}
 	proven := defaults
-	proven.calls.MaxPause = 100 * ms
+	proven.calls.MaxBackoff = 100 * ms
 	proven.holders.Wait, proven.holders.MaxAge, proven.holders.StorePause = 240*ms, 800*ms, 0
 	proven.pollInterval = 240 * ms
 	cases := []struct {
--- a/node/storage/mirroring.go
+++ b/node/storage/mirroring.go
@@ -73,7 +73,7 @@
 	if kind == mirror.KindConfiguration && n.settings.RevokeLimit > 0 {
 		interval := mirror.ProofInterval(n.settings.RevokeLimit)
 		direct = follow.Polled(direct, interval, time.Now)
-		followSettings.WatchWait, followSettings.MaxPause = interval, mirror.ProofPause
+		followSettings.WatchWait, followSettings.MaxBackoff = interval, mirror.ProofPause
 		// Polling already paces the calls at the store.
 		sourceSettings.Patience.Lost, sourceSettings.StorePause = interval, 0
 	}
