--- a/coordination/follow/follower.go
+++ b/coordination/follow/follower.go
@@ -150,7 +150,7 @@
 	bounded, cancel := context.WithTimeout(ctx, settings.WatchWait+settings.WatchGrace)
 	defer cancel()
 	changes, err := f.options.Source.Watch(bounded, f.revision(), settings.WatchWait)
-	if errors.Is(err, ErrHistoryGone) {
+	if errors.Is(err, ErrHistoryCompacted) {
 		f.options.Logger.Info("change history gone, listing again", zap.String("objects", f.options.Name), zap.Int64("revision", f.revision()))
 		f.relist = true
 		return nil
--- a/coordination/follow/follower_test.go
+++ b/coordination/follow/follower_test.go
@@ -97,7 +97,7 @@
 
 // TestFailedWatchListsAgain guards against changes lost with a failed response.
 func TestFailedWatchListsAgain(t *testing.T) {
-	for name, err := range map[string]error{"cut": errors.New("cut"), "history gone": ErrHistoryGone} {
+	for name, err := range map[string]error{"cut": errors.New("cut"), "history gone": ErrHistoryCompacted} {
 		calls, applied := runScript(listStep(5, object("a", 3)), errorStep(err), listStep(9, object("b", 8)), changeStep(10))
 		assert.DeepEqual(t, calls, []string{"list", "watch 5", "list", "watch 9"})
 		assert.Assert(t, slices.EqualFunc(applied, [][]string{{"a3"}, {"b8"}}, slices.Equal), "%s: %v", name, applied)
--- a/coordination/follow/source.go
+++ b/coordination/follow/source.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// ErrHistoryGone means that the store no longer has all changes since the requested
+// ErrHistoryCompacted means that the store no longer has all changes since the requested
 // revision. The objects have to be listed again.
-var ErrHistoryGone = errors.New("the store no longer has the requested changes")
+var ErrHistoryCompacted = errors.New("the store no longer has the requested changes")
 
 // ErrNobodyAsked means that the Source made no call, so that no response with changes can
 // have been lost.
--- a/coordination/mirror/source.go
+++ b/coordination/mirror/source.go
@@ -270,7 +270,7 @@
 		s.advanceRevision(at)
 		s.lastStoreAnswer = now
 		s.gate.storeAnswered(now)
-	case errors.Is(err, follow.ErrHistoryGone):
+	case errors.Is(err, follow.ErrHistoryCompacted):
 		s.gate.storeAnswered(now)
 	default:
 		s.gate.storeFailed(now)
--- a/coordination/mirror/source_test.go
+++ b/coordination/mirror/source_test.go
@@ -280,7 +280,7 @@
 			assert.Assert(t, asksStore())
 			f.store.err = nil
 			assert.Assert(t, asksStore(), "after one failure")
-			f.store.err = follow.ErrHistoryGone
+			f.store.err = follow.ErrHistoryCompacted
 			for range 5 {
 				assert.Assert(t, asksStore(), "a store without the history still answers")
 			}
