--- a/coordination/follow/follower.go
+++ b/coordination/follow/follower.go
@@ -198,7 +198,7 @@
 // a listing while its revision is older than the known one, which is common even when it
 // misses no change, since the revision covers all kinds of objects; listing would then
 // always end at the store itself.
-func needsListing(err error) bool { return !errors.Is(err, ErrNobodyAsked) }
+func needsListing(err error) bool { return !errors.Is(err, ErrNotQueried) }
 
 // logUnreadable logs how many objects were skipped because they have no name.
 func (f *Follower) logUnreadable(count int, revision int64) {
--- a/coordination/follow/follower_test.go
+++ b/coordination/follow/follower_test.go
@@ -192,7 +192,7 @@
 // TestNoListingWithoutQuery checks that ErrNobodyAsked causes no new listing, while any
 // other failure does.
 func TestNoListingWithoutQuery(t *testing.T) {
-	calls, _ := runScript(listStep(7), errorStep(fmt.Errorf("no holder: %w", ErrNobodyAsked)), changeStep(9), errorStep(errors.New("cut")), listStep(9))
+	calls, _ := runScript(listStep(7), errorStep(fmt.Errorf("no holder: %w", ErrNotQueried)), changeStep(9), errorStep(errors.New("cut")), listStep(9))
 	assert.DeepEqual(t, calls[:5], []string{"list", "watch 7", "watch 7", "watch 9", "list"})
 }
 
--- a/coordination/follow/source.go
+++ b/coordination/follow/source.go
@@ -10,9 +10,9 @@
 // revision. The objects have to be listed again.
 var ErrHistoryCompacted = errors.New("the store no longer has the requested changes")
 
-// ErrNobodyAsked means that the Source made no call, so that no response with changes can
+// ErrNotQueried means that the Source made no call, so that no response with changes can
 // have been lost.
-var ErrNobodyAsked = errors.New("the store was not queried")
+var ErrNotQueried = errors.New("the store was not queried")
 
 // Source reads one kind of objects of a store. Its calls don't overlap.
 type Source interface {
--- a/coordination/mirror/attempts.go
+++ b/coordination/mirror/attempts.go
@@ -18,7 +18,7 @@
 
 // errNoHolder is returned if no holder gives a usable answer and the store may not be asked
 // yet.
-var errNoHolder = fmt.Errorf("no holder answers: %w", follow.ErrNobodyAsked)
+var errNoHolder = fmt.Errorf("no holder answers: %w", follow.ErrNotQueried)
 
 // usableChanges returns the changes of a holder's answer, or the reason why it can't be used.
 // The holder must follow the kind and be in contact with the store, which must have confirmed
--- a/coordination/mirror/source_test.go
+++ b/coordination/mirror/source_test.go
@@ -335,7 +335,7 @@
 	f.addresses = []netip.AddrPort{holderA}
 	for range 20 {
 		_, err := f.source.Watch(t.Context(), 7, time.Second)
-		assert.ErrorIs(t, err, follow.ErrNobodyAsked)
+		assert.ErrorIs(t, err, follow.ErrNotQueried)
 		f.now = f.now.Add(250 * time.Millisecond)
 	}
 	delete(f.watcher.answers, holderA)
@@ -413,7 +413,7 @@
 	for _, source := range sources {
 		calls.Go(func() {
 			_, err := source.Watch(context.Background(), 7, time.Second)
-			assert.Check(t, errors.Is(err, follow.ErrNobodyAsked))
+			assert.Check(t, errors.Is(err, follow.ErrNotQueried))
 		})
 	}
 	calls.Wait()
