--- a/coordination/follow/counted.go
+++ b/coordination/follow/counted.go
@@ -8,9 +8,9 @@
 // Counter is the part of prometheus.Counter that Counted needs.
 type Counter interface{ Inc() }
 
-// Counted wraps a source and counts every call to it, since each is load on the store
+// NewCountingSource wraps a source and counts every call to it, since each is load on the store
 // that all nodes share.
-func Counted(source Source, calls Counter) Source { return countingSource{source, calls} }
+func NewCountingSource(source Source, calls Counter) Source { return countingSource{source, calls} }
 
 type countingSource struct {
 	source Source
--- a/node/gateway/followers.go
+++ b/node/gateway/followers.go
@@ -44,7 +44,7 @@
 	if plan.pollInterval > 0 {
 		store = follow.Polled(store, plan.pollInterval, time.Now)
 	}
-	counted := follow.Counted(store, g.followers.storeCalls.WithLabelValues(kind))
+	counted := follow.NewCountingSource(store, g.followers.storeCalls.WithLabelValues(kind))
 	source := mirror.NewSource(kind, counted, g.followers.holders, g.storage.peers, plan.holders, g.followers.logger)
 	follower := follow.New(follow.Options{
 		Name: kind, Source: source, Settings: plan.calls,
--- a/node/storage/mirroring.go
+++ b/node/storage/mirroring.go
@@ -100,7 +100,7 @@
 // through this node. Only a few storage nodes watch the store directly; the others use
 // them as upstreams.
 func (n *Node) newMirroredFollower(kind string, direct follow.Source, followSettings follow.Settings, sourceSettings mirror.SourceSettings, apply func(follow.Snapshot)) *follow.Follower {
-	counted := follow.Counted(direct, n.storeCalls.WithLabelValues(kind))
+	counted := follow.NewCountingSource(direct, n.storeCalls.WithLabelValues(kind))
 	follower := follow.New(follow.Options{
 		Name: kind, Settings: followSettings, Logger: n.logger, Now: time.Now,
 		Source: mirror.NewSource(kind, counted, n.upstreams, n.peers, sourceSettings, n.limitedLogger),
