--- a/coordination/follow/follower_test.go
+++ b/coordination/follow/follower_test.go
@@ -217,7 +217,7 @@
 func TestPolledSourceProvesRequestTime(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		const interval = 500 * time.Millisecond
-		source := Polled(&firstCallHangs{}, interval, time.Now)
+		source := NewPollingSource(&firstCallHangs{}, interval, time.Now)
 		start := time.Now()
 		_, err := source.List(t.Context())
 		assert.ErrorIs(t, err, context.DeadlineExceeded)
--- a/coordination/follow/polled.go
+++ b/coordination/follow/polled.go
@@ -7,12 +7,12 @@
 	"github.com/marblering/marblering/coordination/sleep"
 )
 
-// Polled returns a source that lists at a fixed interval instead of long polling, so that
+// NewPollingSource returns a source that lists at a fixed interval instead of long polling, so that
 // each answer proves that the store had nothing newer when the request was sent. The
 // listings of the source must be linearizable. A long poll proves less at the same cost:
 // its answer only covers the time at which the request was sent, a whole wait ago, and a
 // store that compacts its history may not answer with the changes.
-func Polled(source Source, interval time.Duration, now func() time.Time) Source {
+func NewPollingSource(source Source, interval time.Duration, now func() time.Time) Source {
 	return &pollingSource{source: source, interval: interval, now: now}
 }
 
--- a/node/gateway/followers.go
+++ b/node/gateway/followers.go
@@ -42,7 +42,7 @@
 func (g *Gateway) newFollower(kind string, store follow.Source, apply func(follow.Snapshot)) (*follow.Follower, *mirror.Source) {
 	plan := newFollowPlan(kind, g.settings)
 	if plan.pollInterval > 0 {
-		store = follow.Polled(store, plan.pollInterval, time.Now)
+		store = follow.NewPollingSource(store, plan.pollInterval, time.Now)
 	}
 	counted := follow.NewCountingSource(store, g.followers.storeCalls.WithLabelValues(kind))
 	source := mirror.NewSource(kind, counted, g.followers.holders, g.storage.peers, plan.holders, g.followers.logger)
--- a/node/gateway/revocation_test.go
+++ b/node/gateway/revocation_test.go
@@ -158,7 +158,7 @@
 
 // source returns the store as polled by the node.
 func (s *revocationSimulation) source(node string) follow.Source {
-	polled := follow.Polled(simulatedStore{s, node}, mirror.ProofInterval(revokeLimit), time.Now)
+	polled := follow.NewPollingSource(simulatedStore{s, node}, mirror.ProofInterval(revokeLimit), time.Now)
 	if s.proofFromResponse {
 		return proofFromResponseSource{polled}
 	}
--- a/node/storage/mirroring.go
+++ b/node/storage/mirroring.go
@@ -72,7 +72,7 @@
 	followSettings := boundedFollowSettings(n.settings.ApplyLimit)
 	if kind == mirror.KindConfiguration && n.settings.RevokeLimit > 0 {
 		interval := mirror.ProofInterval(n.settings.RevokeLimit)
-		direct = follow.Polled(direct, interval, time.Now)
+		direct = follow.NewPollingSource(direct, interval, time.Now)
 		followSettings.WatchWait, followSettings.MaxBackoff = interval, mirror.ProofPause
 		// Polling already paces the calls at the store.
 		sourceSettings.Patience.Lost, sourceSettings.StorePause = interval, 0
