--- a/coordination/directory/keeper.go
+++ b/coordination/directory/keeper.go
@@ -35,10 +35,10 @@
 	maxPublishDelay = 800 * time.Millisecond
 )
 
-// Keeper writes one storage node's part of the directory: it announces the node, creates
+// Writer writes one storage node's part of the directory: it announces the node, creates
 // the initial sets, and publishes newer sets than the store has. It implements
 // suture.Service; followers call ApplyNodes and ApplySets.
-type Keeper struct {
+type Writer struct {
 	self     register.Member
 	objects  Objects
 	shardMap func() *shard.Map
@@ -65,19 +65,19 @@
 
 // NewKeeper returns a keeper for the node self. Function shardMap returns the node's map
 // of the sets; nil before the sets are known.
-func NewKeeper(self register.Member, objects Objects, shardMap func() *shard.Map, settings Settings, now func() time.Time, logger *zap.Logger) *Keeper {
-	return &Keeper{
+func NewKeeper(self register.Member, objects Objects, shardMap func() *shard.Map, settings Settings, now func() time.Time, logger *zap.Logger) *Writer {
+	return &Writer{
 		self: self, objects: objects, shardMap: shardMap, settings: settings, now: now, logger: logger,
 		input: PlanInput{Self: self}, changed: make(chan struct{}, 1), randomDelay: rand.N[time.Duration],
 	}
 }
 
 // String returns the service name for the supervisor's log messages.
-func (k *Keeper) String() string { return "directory keeper" }
+func (k *Writer) String() string { return "directory keeper" }
 
 // ApplyNodes records the announced storage nodes. A snapshot older than the last one is
 // ignored.
-func (k *Keeper) ApplyNodes(snapshot follow.Snapshot) {
+func (k *Writer) ApplyNodes(snapshot follow.Snapshot) {
 	nodes, revisions := DecodeNodes(snapshot)
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
@@ -91,7 +91,7 @@
 }
 
 // ApplySets records the published sets. Invalid sets are logged and ignored.
-func (k *Keeper) ApplySets(snapshot follow.Snapshot) {
+func (k *Writer) ApplySets(snapshot follow.Snapshot) {
 	published, found, err := DecodeSets(snapshot)
 	if err != nil {
 		k.logger.Error("invalid replica sets ignored", zap.Int64("revision", snapshot.At), zap.Error(err))
@@ -107,7 +107,7 @@
 	k.notify()
 }
 
-func (k *Keeper) notify() {
+func (k *Writer) notify() {
 	select {
 	case k.changed <- struct{}{}:
 	default:
@@ -115,7 +115,7 @@
 }
 
 // Serve plans and writes until the context ends.
-func (k *Keeper) Serve(ctx context.Context) error {
+func (k *Writer) Serve(ctx context.Context) error {
 	for ctx.Err() == nil {
 		wrote := k.executePlan(ctx)
 		pause := k.nextDelay()
@@ -136,7 +136,7 @@
 }
 
 // nextDelay returns the time until the next plan unless the input changes earlier.
-func (k *Keeper) nextDelay() time.Duration {
+func (k *Writer) nextDelay() time.Duration {
 	if k.publishAt.IsZero() {
 		return maxPlanInterval
 	}
@@ -145,7 +145,7 @@
 
 // executePlan plans, executes the action if it is due, and reports whether it tried to
 // write.
-func (k *Keeper) executePlan(ctx context.Context) bool {
+func (k *Writer) executePlan(ctx context.Context) bool {
 	input, revision := k.currentInput()
 	action, sets := Plan(input, k.settings)
 	if !k.isDue(action) {
@@ -171,7 +171,7 @@
 
 // isDue reports whether the action is to be executed now. Bootstrap and Publish wait for
 // a random delay, in which another node may write the sets.
-func (k *Keeper) isDue(action Action) bool {
+func (k *Writer) isDue(action Action) bool {
 	switch action {
 	case None:
 		k.publishAt = time.Time{}
@@ -188,7 +188,7 @@
 
 // currentInput returns the input for a plan, and the revision of this node's object; zero
 // if there is none.
-func (k *Keeper) currentInput() (PlanInput, int64) {
+func (k *Writer) currentInput() (PlanInput, int64) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	input := k.input
@@ -201,7 +201,7 @@
 
 // announce creates this node's object, or replaces the one of an earlier process of this
 // node.
-func (k *Keeper) announce(ctx context.Context, revision int64) error {
+func (k *Writer) announce(ctx context.Context, revision int64) error {
 	spec, err := json.Marshal(Node{Member: k.self})
 	if err != nil {
 		return err
@@ -226,7 +226,7 @@
 // bootstrap creates the sets, unless the storage nodes in the store differ from the planned
 // ones, which are then updated. Otherwise a node with an outdated listing could assign all
 // sets to a few nodes for good.
-func (k *Keeper) bootstrap(ctx context.Context, planned []register.Member, sets Sets) error {
+func (k *Writer) bootstrap(ctx context.Context, planned []register.Member, sets Sets) error {
 	snapshot, err := k.objects.List(ctx, KindNodes)
 	if err != nil {
 		return merry.Prepend(err, "list storage nodes before creating replica sets")
@@ -249,7 +249,7 @@
 }
 
 // encodeAndWrite encodes the sets and passes them to the given function.
-func (k *Keeper) encodeAndWrite(sets Sets, write func(spec []byte) error) error {
+func (k *Writer) encodeAndWrite(sets Sets, write func(spec []byte) error) error {
 	spec, err := json.Marshal(sets)
 	if err != nil {
 		return err
--- a/coordination/directory/keeper_test.go
+++ b/coordination/directory/keeper_test.go
@@ -28,7 +28,7 @@
 	spec      []byte
 	writes    int
 	conflicts int
-	keepers   []*Keeper
+	keepers   []*Writer
 }
 
 func (s *sharedStore) Create(context.Context, string, string, []byte) error { return ErrExists }
--- a/coordination/directory/plan_test.go
+++ b/coordination/directory/plan_test.go
@@ -60,7 +60,7 @@
 func publishedSnapshot(t *testing.T, sets Sets) follow.Snapshot {
 	t.Helper()
 	store := &sharedStore{}
-	keeper := &Keeper{}
+	keeper := &Writer{}
 	assert.NilError(t, keeper.encodeAndWrite(sets, func(spec []byte) error { store.spec = spec; return nil }))
 	return follow.Snapshot{At: 1, Objects: []follow.Object{{Name: SetsName, Revision: 1, Spec: store.spec}}}
 }
--- a/node/storage/storage.go
+++ b/node/storage/storage.go
@@ -71,7 +71,7 @@
 	// Membership of nodes and of replica sets.
 	membership *membership.Service
 	repair     *repair.Service
-	keeper     *directory.Keeper
+	keeper     *directory.Writer
 	lookup     *directory.Lookup
 	retirement *retirement.Service
 
