--- a/coordination/directory/keeper.go
+++ b/coordination/directory/keeper.go
@@ -63,9 +63,9 @@
 	randomDelay func(time.Duration) time.Duration
 }
 
-// NewKeeper returns a keeper for the node self. Function shardMap returns the node's map
+// NewWriter returns a keeper for the node self. Function shardMap returns the node's map
 // of the sets; nil before the sets are known.
-func NewKeeper(self register.Member, objects Objects, shardMap func() *shard.Map, settings Settings, now func() time.Time, logger *zap.Logger) *Writer {
+func NewWriter(self register.Member, objects Objects, shardMap func() *shard.Map, settings Settings, now func() time.Time, logger *zap.Logger) *Writer {
 	return &Writer{
 		self: self, objects: objects, shardMap: shardMap, settings: settings, now: now, logger: logger,
 		input: PlanInput{Self: self}, changed: make(chan struct{}, 1), randomDelay: rand.N[time.Duration],
--- a/coordination/directory/keeper_test.go
+++ b/coordination/directory/keeper_test.go
@@ -73,7 +73,7 @@
 			self := register.Member{Node: fmt.Sprint("storage-", index)}
 			view.Members = append(view.Members, self)
 			maps[index] = shard.NewMap(1)
-			keeper := NewKeeper(self, store, func() *shard.Map { return maps[index] }, Settings{Shards: 1, Factor: 3}, time.Now, zap.NewNop())
+			keeper := NewWriter(self, store, func() *shard.Map { return maps[index] }, Settings{Shards: 1, Factor: 3}, time.Now, zap.NewNop())
 			keeper.randomDelay = func(limit time.Duration) time.Duration { return limit * time.Duration(index) / nodes }
 			store.keepers = append(store.keepers, keeper)
 			serving.Go(func() { _ = keeper.Serve(ctx) })
--- a/coordination/directory/start_test.go
+++ b/coordination/directory/start_test.go
@@ -77,7 +77,7 @@
 		store := &startupStore{}
 		store.announce(t, members)
 		views := shard.NewMap(0)
-		keeper := NewKeeper(members[0], store, func() *shard.Map { return views },
+		keeper := NewWriter(members[0], store, func() *shard.Map { return views },
 			Settings{Shards: 4, Factor: 5, Settle: 800 * time.Millisecond, Patience: 6 * time.Second}, time.Now, zap.NewNop())
 		var serving sync.WaitGroup
 		serving.Go(func() { _ = keeper.Serve(ctx) })
@@ -112,7 +112,7 @@
 		self := storageNodes(1, 1)[0]
 		store := &startupStore{}
 		views := shard.NewMap(0)
-		keeper := NewKeeper(self, store, func() *shard.Map { return views }, Settings{Shards: 4, Factor: 5}, time.Now, zap.NewNop())
+		keeper := NewWriter(self, store, func() *shard.Map { return views }, Settings{Shards: 4, Factor: 5}, time.Now, zap.NewNop())
 		var serving sync.WaitGroup
 		serving.Go(func() { _ = keeper.Serve(ctx) })
 		keeper.ApplyNodes(follow.Snapshot{})
