--- a/coordination/directory/lookup.go
+++ b/coordination/directory/lookup.go
@@ -30,10 +30,10 @@
 	return l
 }
 
-// OnFounded sets a function that is called with the number of shards before this node's
+// OnShardCount sets a function that is called with the number of shards before this node's
 // map gets it, for example to store it on disk. If the function fails, the map stays
-// without shards. OnFounded must be called before Apply.
-func (l *Lookup) OnFounded(store func(shards uint32) error) { l.onShardCount = store }
+// without shards. OnShardCount must be called before Apply.
+func (l *Lookup) OnShardCount(store func(shards uint32) error) { l.onShardCount = store }
 
 // Map returns the map. It may be nil before the sets were created.
 func (l *Lookup) Map() *shard.Map { return l.shardMap.Load() }
--- a/coordination/directory/plan_test.go
+++ b/coordination/directory/plan_test.go
@@ -73,7 +73,7 @@
 	lookup := NewLookup(views, zap.NewNop())
 	storeErr := errors.New("the disk is full")
 	var stored []uint32
-	lookup.OnFounded(func(shards uint32) error { stored = append(stored, shards); return storeErr })
+	lookup.OnShardCount(func(shards uint32) error { stored = append(stored, shards); return storeErr })
 	sets := Sets{Shards: 6, Views: []register.View{{Shard: 5, Epoch: shard.FirstEpoch, Members: nodes}}}
 	lookup.Apply(publishedSnapshot(t, sets))
 	assert.Equal(t, views.Count(), uint32(0))
--- a/node/storage/sets.go
+++ b/node/storage/sets.go
@@ -57,7 +57,7 @@
 	views := func() *shard.Map { return n.views }
 	n.keeper = directory.NewWriter(n.self, n.parts.Objects, views, founding, time.Now, n.logger)
 	n.lookup = directory.NewLookup(n.views, n.logger)
-	n.lookup.OnFounded(n.saveShardCount)
+	n.lookup.OnShardCount(n.saveShardCount)
 	n.retirement = retirement.New(retirement.Options{
 		Node: n.self.Node, Incarnation: n.self.Incarnation, Sets: heldSets{n.views, n.installer},
 		SetLeaving: n.membership.SetLeaving, Reporter: n.parts.Reporter, Logger: n.logger,
