--- a/coordination/directory/plan.go
+++ b/coordination/directory/plan.go
@@ -31,9 +31,9 @@
 	Shards uint32
 	// Factor is the replication factor.
 	Factor int
-	// Settle is how long the announced nodes must be unchanged before the sets are
+	// StableFor is how long the announced nodes must be unchanged before the sets are
 	// created.
-	Settle time.Duration
+	StableFor time.Duration
 	// Patience is how long the announced nodes must be unchanged before the sets are
 	// created with fewer than Factor nodes.
 	Patience time.Duration
@@ -75,7 +75,7 @@
 		return planPublish(input)
 	}
 	stableFor := input.Now.Sub(input.NodesChangedAt)
-	isEnough := len(input.Nodes) >= settings.Factor && stableFor >= settings.Settle
+	isEnough := len(input.Nodes) >= settings.Factor && stableFor >= settings.StableFor
 	if isEnough || len(input.Nodes) > 0 && stableFor >= settings.Patience {
 		return Bootstrap, initialSets(input.Nodes, settings)
 	}
