--- a/coordination/directory/plan.go
+++ b/coordination/directory/plan.go
@@ -34,9 +34,9 @@
 	// StableFor is how long the announced nodes must be unchanged before the sets are
 	// created.
 	StableFor time.Duration
-	// Patience is how long the announced nodes must be unchanged before the sets are
+	// DegradedAfter is how long the announced nodes must be unchanged before the sets are
 	// created with fewer than Factor nodes.
-	Patience time.Duration
+	DegradedAfter time.Duration
 }
 
 // Action is the next write of a storage node.
@@ -76,7 +76,7 @@
 	}
 	stableFor := input.Now.Sub(input.NodesChangedAt)
 	isEnough := len(input.Nodes) >= settings.Factor && stableFor >= settings.StableFor
-	if isEnough || len(input.Nodes) > 0 && stableFor >= settings.Patience {
+	if isEnough || len(input.Nodes) > 0 && stableFor >= settings.DegradedAfter {
 		return Bootstrap, initialSets(input.Nodes, settings)
 	}
 	return None, Sets{}
--- a/coordination/directory/start_test.go
+++ b/coordination/directory/start_test.go
@@ -78,7 +78,7 @@
 		store.announce(t, members)
 		views := shard.NewMap(0)
 		keeper := NewWriter(members[0], store, func() *shard.Map { return views },
-			Settings{Shards: 4, Factor: 5, StableFor: 800 * time.Millisecond, Patience: 6 * time.Second}, time.Now, zap.NewNop())
+			Settings{Shards: 4, Factor: 5, StableFor: 800 * time.Millisecond, DegradedAfter: 6 * time.Second}, time.Now, zap.NewNop())
 		var serving sync.WaitGroup
 		serving.Go(func() { _ = keeper.Serve(ctx) })
 		keeper.ApplySets(follow.Snapshot{})
--- a/node/storage/sets.go
+++ b/node/storage/sets.go
@@ -52,7 +52,7 @@
 // sets, and carry out orders to empty this node.
 func (n *Node) buildDirectory() {
 	founding := directory.Settings{
-		Shards: uint32(n.settings.Shards), Factor: n.settings.ReplicationFactor(), StableFor: foundingDelay, Patience: incompleteFoundingDelay,
+		Shards: uint32(n.settings.Shards), Factor: n.settings.ReplicationFactor(), StableFor: foundingDelay, DegradedAfter: incompleteFoundingDelay,
 	}
 	views := func() *shard.Map { return n.views }
 	n.keeper = directory.NewWriter(n.self, n.parts.Objects, views, founding, time.Now, n.logger)
