--- a/coordination/retirement/retirement.go
+++ b/coordination/retirement/retirement.go
@@ -32,8 +32,8 @@
 type Order struct {
 	Node string
 	// Reported is the last reported state. It is only valid if Known is set.
-	Reported State
-	Known    bool
+	Reported  State
+	HasReport bool
 }
 
 // Reporter reports the state of a retirement to the operator.
@@ -135,14 +135,14 @@
 	s.mutex.Lock()
 	order := s.order
 	s.mutex.Unlock()
-	if order == nil || order.Known && order.Reported == Completed {
+	if order == nil || order.HasReport && order.Reported == Completed {
 		return
 	}
 	state := Running
 	if s.isDrained(ctx) {
 		state = Completed
 	}
-	if order.Known && order.Reported == state {
+	if order.HasReport && order.Reported == state {
 		return
 	}
 	bounded, cancel := context.WithTimeout(ctx, reportTimeout)
@@ -155,7 +155,7 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.order == order {
-		s.order = &Order{Node: order.Node, Reported: state, Known: true}
+		s.order = &Order{Node: order.Node, Reported: state, HasReport: true}
 	}
 }
 
