--- a/coordination/retirement/retirement.go
+++ b/coordination/retirement/retirement.go
@@ -45,8 +45,8 @@
 type Sets interface {
 	// Views returns the open views.
 	Views() []register.View
-	// Holds reports whether every member of the view holds all of its data.
-	Holds(ctx context.Context, view register.View) bool
+	// HoldsAllData reports whether every member of the view holds all of its data.
+	HoldsAllData(ctx context.Context, view register.View) bool
 }
 
 const (
@@ -173,7 +173,7 @@
 	bounded, cancel := context.WithTimeout(ctx, holdsTimeout)
 	defer cancel()
 	for _, view := range views {
-		if !s.options.Sets.Holds(bounded, view) {
+		if !s.options.Sets.HoldsAllData(bounded, view) {
 			return false
 		}
 	}
--- a/node/storage/sets.go
+++ b/node/storage/sets.go
@@ -73,8 +73,8 @@
 // Views returns the newest known view of each replica set.
 func (s heldSets) Views() []register.View { return s.views.Views() }
 
-// Holds reports whether every member of the view holds all of its data.
-func (s heldSets) Holds(ctx context.Context, view register.View) bool {
+// HoldsAllData reports whether every member of the view holds all of its data.
+func (s heldSets) HoldsAllData(ctx context.Context, view register.View) bool {
 	return s.installer.AllHold(ctx, view)
 }
 
