--- a/coordination/retirement/retirement.go
+++ b/coordination/retirement/retirement.go
@@ -98,9 +98,9 @@
 	}
 }
 
-// Decode returns a follower's Apply function that decodes the orders. An invalid order is
+// Decoder returns a follower's Apply function that decodes the orders. An invalid order is
 // logged and skipped.
-func (s *Service) Decode(decode func(follow.Object) (Order, error)) func(follow.Snapshot) {
+func (s *Service) Decoder(decode func(follow.Object) (Order, error)) func(follow.Snapshot) {
 	return func(snapshot follow.Snapshot) {
 		var orders []Order
 		for _, object := range snapshot.Objects {
--- a/node/storage/storage.go
+++ b/node/storage/storage.go
@@ -170,7 +170,7 @@
 	return []suture.Service{
 		n.newRelaxedFollower(mirror.KindNodes, n.parts.Nodes, n.applyNodes),
 		sets, n.newSetsReader(sets),
-		n.newRelaxedFollower(mirror.KindRetirements, n.parts.Retirements, n.retirement.Decode(n.parts.DecodeRetirement)),
+		n.newRelaxedFollower(mirror.KindRetirements, n.parts.Retirements, n.retirement.Decoder(n.parts.DecodeRetirement)),
 		n.newBoundedFollower(mirror.KindConfiguration, n.parts.Configuration),
 		n.newBoundedFollower(mirror.KindInstances, n.parts.Instances),
 	}
