--- a/coordination/repair/repair.go
+++ b/coordination/repair/repair.go
@@ -122,7 +122,7 @@
 	goneSince := make(map[string]time.Time)
 	for _, member := range r.options.Members().All() {
 		node := shard.Node{
-			Member:        Member(member),
+			Member:        RegisterMember(member),
 			HasDataFolder: member.HasDataFolder,
 			Leaving:       member.Leaving,
 			Started:       member.Started,
@@ -199,8 +199,8 @@
 	return count
 }
 
-// Member converts a member of the cluster to a member of a replica set.
-func Member(member membership.Member) register.Member {
+// RegisterMember converts a member of the cluster to a member of a replica set.
+func RegisterMember(member membership.Member) register.Member {
 	return register.Member{
 		Node:        member.Node,
 		Incarnation: member.Incarnation,
--- a/node/bootstrap.go
+++ b/node/bootstrap.go
@@ -83,7 +83,7 @@
 			continue
 		}
 		candidates = append(candidates, shard.Candidate{
-			Member:        repair.Member(member),
+			Member:        repair.RegisterMember(member),
 			HasDataFolder: member.HasDataFolder,
 		})
 	}
--- a/node/configuration.go
+++ b/node/configuration.go
@@ -93,7 +93,7 @@
 			versions[member.Address] = version
 		}
 		peers = append(peers, configuration.Peer{
-			Member:  configuration.Member(repair.Member(member)),
+			Member:  configuration.Member(repair.RegisterMember(member)),
 			Leaving: member.Leaving,
 			Version: version,
 		})
