--- a/coordination/mirror/attempts.go
+++ b/coordination/mirror/attempts.go
@@ -23,7 +23,7 @@
 // usableChanges returns the changes of a holder's answer, or the reason why it can't be used.
 // The holder must follow the kind and be in contact with the store, which must have confirmed
 // the data within maxAge. Otherwise recent changes may be missing.
-func usableChanges(answer Answer, maxAge time.Duration) (follow.Changes, error) {
+func usableChanges(answer WatchAnswer, maxAge time.Duration) (follow.Changes, error) {
 	switch answer := answer.(type) {
 	case Current:
 		if answer.Changes.Age > maxAge {
--- a/coordination/mirror/changes.go
+++ b/coordination/mirror/changes.go
@@ -23,8 +23,8 @@
 	revision int64
 }
 
-// Answer is a holder's answer to a watch call: Current, Lost or Missed.
-type Answer interface{ isAnswer() }
+// WatchAnswer is a holder's answer to a watch call: Current, Lost or Missed.
+type WatchAnswer interface{ isAnswer() }
 
 // Current carries the changes since the revision that was asked for.
 type Current struct {
@@ -151,7 +151,7 @@
 
 // currentAnswer returns the present answer to a call that watches from the revision; done is
 // false if nothing has changed, so that the call may wait.
-func (s *kindState) currentAnswer(revision int64) (answer Answer, done bool) {
+func (s *kindState) currentAnswer(revision int64) (answer WatchAnswer, done bool) {
 	if s.upstream == nil || s.upstream.IsLost() {
 		return Lost{}, true
 	}
@@ -168,7 +168,7 @@
 
 // Watch returns as soon as the kind has changed after the revision or this holder has lost
 // the store. After the wait it returns an answer without changes.
-func (h *Holder) Watch(ctx context.Context, kind string, revision int64, wait time.Duration) Answer {
+func (h *Holder) Watch(ctx context.Context, kind string, revision int64, wait time.Duration) WatchAnswer {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	for timedOut := false; ; {
--- a/coordination/mirror/changes_test.go
+++ b/coordination/mirror/changes_test.go
@@ -130,7 +130,7 @@
 	for at := int64(1); at <= removals+1; at++ {
 		holder.Keep(mirror.KindInstances, follow.Snapshot{At: at, Objects: []follow.Object{{Name: fmt.Sprint(at), Revision: at}}})
 	}
-	watch := func(from int64) mirror.Answer {
+	watch := func(from int64) mirror.WatchAnswer {
 		return holder.Watch(context.Background(), mirror.KindInstances, from, 0)
 	}
 	early, isCurrent := watch(10).(mirror.Current)
@@ -146,7 +146,7 @@
 	upstream := &fakeUpstream{}
 	holder.Through(mirror.KindConfiguration, upstream)
 	holder.Keep(mirror.KindConfiguration, snapshot(5))
-	answers := make(chan mirror.Answer, 1)
+	answers := make(chan mirror.WatchAnswer, 1)
 	go func() { answers <- holder.Watch(context.Background(), mirror.KindConfiguration, 5, time.Hour) }()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		holder.Lost(mirror.KindConfiguration)
--- a/coordination/mirror/rules_test.go
+++ b/coordination/mirror/rules_test.go
@@ -12,10 +12,10 @@
 
 func TestUsableChanges(t *testing.T) {
 	const maxAge = 2 * time.Second
-	aged := func(age time.Duration) Answer { return Current{Changes: follow.Changes{At: 7, Age: age}} }
+	aged := func(age time.Duration) WatchAnswer { return Current{Changes: follow.Changes{At: 7, Age: age}} }
 	cases := []struct {
 		name     string
-		answer   Answer
+		answer   WatchAnswer
 		want     error
 		unusable bool
 	}{
--- a/coordination/mirror/source.go
+++ b/coordination/mirror/source.go
@@ -31,7 +31,7 @@
 
 // Watcher asks one holder for changes. peer.Client implements it.
 type Watcher interface {
-	WatchMirror(ctx context.Context, address netip.AddrPort, kind string, revision int64, wait time.Duration) (Answer, error)
+	WatchMirror(ctx context.Context, address netip.AddrPort, kind string, revision int64, wait time.Duration) (WatchAnswer, error)
 }
 
 // SourceSettings configure a Source.
--- a/coordination/mirror/source_test.go
+++ b/coordination/mirror/source_test.go
@@ -26,7 +26,7 @@
 // fakeWatcher returns a set answer for each holder. Calls to holders without one fail after
 // the delay.
 type fakeWatcher struct {
-	answers map[netip.AddrPort]mirror.Answer
+	answers map[netip.AddrPort]mirror.WatchAnswer
 	now     *time.Time
 	delay   time.Duration
 	mutex   sync.Mutex
@@ -37,7 +37,7 @@
 	barrier *sync.WaitGroup
 }
 
-func (w *fakeWatcher) WatchMirror(_ context.Context, holder netip.AddrPort, _ string, _ int64, wait time.Duration) (mirror.Answer, error) {
+func (w *fakeWatcher) WatchMirror(_ context.Context, holder netip.AddrPort, _ string, _ int64, wait time.Duration) (mirror.WatchAnswer, error) {
 	if w.barrier != nil {
 		w.barrier.Done()
 		w.barrier.Wait()
@@ -85,11 +85,11 @@
 }
 
 // newSourceFixture creates a source that falls back to the store at once.
-func newSourceFixture(answers map[netip.AddrPort]mirror.Answer) *sourceFixture {
+func newSourceFixture(answers map[netip.AddrPort]mirror.WatchAnswer) *sourceFixture {
 	return newDelayedSourceFixture(answers, mirror.Patience{})
 }
 
-func newDelayedSourceFixture(answers map[netip.AddrPort]mirror.Answer, delays mirror.Patience) *sourceFixture {
+func newDelayedSourceFixture(answers map[netip.AddrPort]mirror.WatchAnswer, delays mirror.Patience) *sourceFixture {
 	f := &sourceFixture{now: time.Unix(1000, 0), addresses: []netip.AddrPort{holderA, holderB, holderC}}
 	f.watcher = fakeWatcher{answers: answers, now: &f.now}
 	holders := mirror.NewHolders(func() []netip.AddrPort { return f.addresses }, func() time.Time { return f.now })
@@ -105,9 +105,11 @@
 	return changes
 }
 
-func currentAnswer(at int64) mirror.Answer { return mirror.Current{Changes: follow.Changes{At: at}} }
+func currentAnswer(at int64) mirror.WatchAnswer {
+	return mirror.Current{Changes: follow.Changes{At: at}}
+}
 
-func wholeAnswer(at int64, age time.Duration) mirror.Answer {
+func wholeAnswer(at int64, age time.Duration) mirror.WatchAnswer {
 	events := []follow.Event{{Object: follow.Object{Name: "main", Revision: at}}}
 	return mirror.Current{Changes: follow.Changes{At: at, IsFull: true, Age: age, Events: events}}
 }
@@ -115,12 +117,12 @@
 // TestSourceSkipsUnusableHolder checks that one call goes on to the next holder and then to
 // the store, from the same revision, and that the first holder is asked again later.
 func TestSourceSkipsUnusableHolder(t *testing.T) {
-	for name, answer := range map[string]mirror.Answer{
+	for name, answer := range map[string]mirror.WatchAnswer{
 		"no answer": nil, "lost": mirror.Lost{}, "not following": mirror.Missed{},
 		"stale": mirror.Current{Changes: follow.Changes{At: 7, Age: 5 * time.Second}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f := newSourceFixture(map[netip.AddrPort]mirror.Answer{holderA: answer, holderB: currentAnswer(8), holderC: answer})
+			f := newSourceFixture(map[netip.AddrPort]mirror.WatchAnswer{holderA: answer, holderB: currentAnswer(8), holderC: answer})
 			assert.Equal(t, f.watch(t, 7).At, int64(8))
 			f.watcher.answers[holderB] = mirror.Lost{}
 			assert.Equal(t, f.watch(t, 8).At, int64(9))
@@ -139,7 +141,7 @@
 // the store, with the rest of the wait: another holder might time out too and delay changes
 // beyond their limit.
 func TestSourceAsksStoreAfterSlowFailure(t *testing.T) {
-	f := newSourceFixture(map[netip.AddrPort]mirror.Answer{holderB: currentAnswer(8)})
+	f := newSourceFixture(map[netip.AddrPort]mirror.WatchAnswer{holderB: currentAnswer(8)})
 	f.watcher.delay = 1400 * time.Millisecond
 	assert.Equal(t, f.watch(t, 7).At, int64(9))
 	assert.Assert(t, slices.Equal(f.watcher.asked, []netip.AddrPort{holderA}), "%v", f.watcher.asked)
@@ -150,7 +152,7 @@
 // TestFailingHolderBacksOff checks that the backoff doubles up to its maximum and starts over
 // after an answer.
 func TestFailingHolderBacksOff(t *testing.T) {
-	f := newSourceFixture(map[netip.AddrPort]mirror.Answer{holderB: currentAnswer(8)})
+	f := newSourceFixture(map[netip.AddrPort]mirror.WatchAnswer{holderB: currentAnswer(8)})
 	pauses := func(count int) (found []time.Duration) {
 		last := f.now
 		for len(found) < count {
@@ -176,7 +178,7 @@
 // the store if the holder's answer can't be used.
 func TestListPrefersUsableHolder(t *testing.T) {
 	for name, c := range map[string]struct {
-		answer mirror.Answer
+		answer mirror.WatchAnswer
 		listed int
 		age    time.Duration
 	}{
@@ -188,7 +190,7 @@
 		"partial":   {currentAnswer(12), 1, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f := newSourceFixture(map[netip.AddrPort]mirror.Answer{holderA: currentAnswer(5)})
+			f := newSourceFixture(map[netip.AddrPort]mirror.WatchAnswer{holderA: currentAnswer(5)})
 			assert.Equal(t, f.watch(t, 5).At, int64(5))
 			f.watcher.answers[holderA] = c.answer
 			listed, err := f.source.List(context.Background())
@@ -204,7 +206,7 @@
 // TestCancelledCallCausesNoBackoff checks that a call that its caller cancels isn't counted
 // as a failure of the holder.
 func TestCancelledCallCausesNoBackoff(t *testing.T) {
-	f := newSourceFixture(map[netip.AddrPort]mirror.Answer{})
+	f := newSourceFixture(map[netip.AddrPort]mirror.WatchAnswer{})
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	_, err := f.source.Watch(ctx, 7, time.Second)
@@ -220,14 +222,14 @@
 	delays := mirror.Patience{Unreached: time.Second, Lost: 4 * time.Second}
 	// The jitter of a source lengthens its delays by up to a factor of two.
 	for name, c := range map[string]struct {
-		answer            mirror.Answer
+		answer            mirror.WatchAnswer
 		shortest, longest time.Duration
 	}{
 		"unreachable": {nil, time.Second, 2 * time.Second},
 		"lost":        {mirror.Lost{}, 4 * time.Second, 8 * time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f := newDelayedSourceFixture(map[netip.AddrPort]mirror.Answer{holderA: c.answer, holderB: c.answer, holderC: c.answer}, delays)
+			f := newDelayedSourceFixture(map[netip.AddrPort]mirror.WatchAnswer{holderA: c.answer, holderB: c.answer, holderC: c.answer}, delays)
 			f.store.err = errStore
 			var pauses []time.Duration
 			last := f.now
@@ -261,10 +263,10 @@
 // call. A single failure at the store changes nothing; after two in a row the delay applies
 // again.
 func TestSourceFollowsStoreUntilHolderAnswers(t *testing.T) {
-	for name, answer := range map[string]mirror.Answer{"unreachable": nil, "lost": mirror.Lost{}} {
+	for name, answer := range map[string]mirror.WatchAnswer{"unreachable": nil, "lost": mirror.Lost{}} {
 		t.Run(name, func(t *testing.T) {
 			delays := mirror.Patience{Unreached: time.Second, Lost: 4 * time.Second}
-			f := newDelayedSourceFixture(map[netip.AddrPort]mirror.Answer{holderA: answer, holderB: answer, holderC: answer}, delays)
+			f := newDelayedSourceFixture(map[netip.AddrPort]mirror.WatchAnswer{holderA: answer, holderB: answer, holderC: answer}, delays)
 			asksStore := func() bool {
 				before := f.store.watchCalls
 				_, _ = f.source.Watch(t.Context(), 7, 2*time.Second)
@@ -316,7 +318,7 @@
 			assert.NilError(t, err)
 		}
 		assert.Equal(t, time.Since(start), 4*pause)
-		watcher.answers = map[netip.AddrPort]mirror.Answer{holderA: currentAnswer(9)}
+		watcher.answers = map[netip.AddrPort]mirror.WatchAnswer{holderA: currentAnswer(9)}
 		time.Sleep(3 * time.Second)
 		start = time.Now()
 		for range 5 {
@@ -331,7 +333,7 @@
 // the store ends when these don't answer any more.
 func TestLostHolderBecomesUnreachable(t *testing.T) {
 	delays := mirror.Patience{Unreached: time.Second, Lost: time.Minute}
-	f := newDelayedSourceFixture(map[netip.AddrPort]mirror.Answer{holderA: mirror.Lost{}}, delays)
+	f := newDelayedSourceFixture(map[netip.AddrPort]mirror.WatchAnswer{holderA: mirror.Lost{}}, delays)
 	f.addresses = []netip.AddrPort{holderA}
 	for range 20 {
 		_, err := f.source.Watch(t.Context(), 7, time.Second)
@@ -347,7 +349,7 @@
 // the store is followed, are asked without a wait: an unreachable holder delays changes until
 // the call times out.
 func TestOnlyFirstHolderMayHoldCall(t *testing.T) {
-	f := newDelayedSourceFixture(map[netip.AddrPort]mirror.Answer{holderC: currentAnswer(8)}, mirror.Patience{Unreached: time.Minute})
+	f := newDelayedSourceFixture(map[netip.AddrPort]mirror.WatchAnswer{holderC: currentAnswer(8)}, mirror.Patience{Unreached: time.Minute})
 	f.watch(t, 7)
 	assert.DeepEqual(t, f.watcher.waits, []time.Duration{time.Second, 0, 0})
 	clear(f.watcher.answers)
@@ -362,7 +364,7 @@
 // TestHoldersPerCallAreLimited checks that a source that loses all of its holders at once
 // doesn't ask every one of them in one call.
 func TestHoldersPerCallAreLimited(t *testing.T) {
-	f := newDelayedSourceFixture(map[netip.AddrPort]mirror.Answer{}, mirror.Patience{Unreached: time.Second, Lost: time.Second})
+	f := newDelayedSourceFixture(map[netip.AddrPort]mirror.WatchAnswer{}, mirror.Patience{Unreached: time.Second, Lost: time.Second})
 	f.addresses = nil
 	for index := range 20 {
 		holder := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 1, byte(index)}), 1)
@@ -383,7 +385,7 @@
 // TestRecoveredHolderIsUsedSoon checks that a holder that has lost the store is asked again
 // within 250 ms, however often it has answered so before.
 func TestRecoveredHolderIsUsedSoon(t *testing.T) {
-	f := newDelayedSourceFixture(map[netip.AddrPort]mirror.Answer{holderA: mirror.Lost{}}, mirror.Patience{Lost: time.Minute})
+	f := newDelayedSourceFixture(map[netip.AddrPort]mirror.WatchAnswer{holderA: mirror.Lost{}}, mirror.Patience{Lost: time.Minute})
 	f.addresses = []netip.AddrPort{holderA}
 	for range 20 {
 		_, err := f.source.List(t.Context())
@@ -399,7 +401,7 @@
 // TestConcurrentFailuresCountOnce checks that a holder that fails the calls of several kinds
 // at the same moment backs off as after one failure.
 func TestConcurrentFailuresCountOnce(t *testing.T) {
-	f := newDelayedSourceFixture(map[netip.AddrPort]mirror.Answer{}, mirror.Patience{Unreached: time.Minute, Lost: time.Minute})
+	f := newDelayedSourceFixture(map[netip.AddrPort]mirror.WatchAnswer{}, mirror.Patience{Unreached: time.Minute, Lost: time.Minute})
 	holders := mirror.NewHolders(func() []netip.AddrPort { return f.addresses }, func() time.Time { return f.now })
 	settings := mirror.SourceSettings{Wait: time.Second, MaxAge: 4 * time.Second, Patience: mirror.Patience{Unreached: time.Minute, Lost: time.Minute}}
 	var sources []*mirror.Source
--- a/node/gateway/revocation_test.go
+++ b/node/gateway/revocation_test.go
@@ -127,9 +127,9 @@
 	node       string
 }
 
-func (n simulatedNetwork) WatchMirror(ctx context.Context, address netip.AddrPort, kind string, revision int64, wait time.Duration) (mirror.Answer, error) {
+func (n simulatedNetwork) WatchMirror(ctx context.Context, address netip.AddrPort, kind string, revision int64, wait time.Duration) (mirror.WatchAnswer, error) {
 	sent := time.Now()
-	var answer mirror.Answer
+	var answer mirror.WatchAnswer
 	var arrived time.Time
 	err := n.simulation.call(ctx, n.node+" "+address.String(), func() error {
 		n.simulation.mutex.Lock()
--- a/node/gateway/storageoutage_test.go
+++ b/node/gateway/storageoutage_test.go
@@ -32,7 +32,7 @@
 	down  bool
 }
 
-func (n *unreachableNetwork) WatchMirror(ctx context.Context, address netip.AddrPort, kind string, revision int64, wait time.Duration) (mirror.Answer, error) {
+func (n *unreachableNetwork) WatchMirror(ctx context.Context, address netip.AddrPort, kind string, revision int64, wait time.Duration) (mirror.WatchAnswer, error) {
 	if n.isDown() {
 		if err := sleep.For(ctx, dialTimeout); err != nil {
 			return nil, err
--- a/node/gateway/storeload_test.go
+++ b/node/gateway/storeload_test.go
@@ -140,7 +140,7 @@
 
 var errRefused = errors.New("connection refused")
 
-func (n *fakeNetwork) WatchMirror(ctx context.Context, address netip.AddrPort, kind string, revision int64, wait time.Duration) (mirror.Answer, error) {
+func (n *fakeNetwork) WatchMirror(ctx context.Context, address netip.AddrPort, kind string, revision int64, wait time.Duration) (mirror.WatchAnswer, error) {
 	if err := sleep.For(ctx, fleetRoundTrip); err != nil {
 		return nil, err
 	}
--- a/transport/peer/mirror.go
+++ b/transport/peer/mirror.go
@@ -16,7 +16,7 @@
 // Mirror gives copies of what the store had. mirror.Holder is one.
 type Mirror interface {
 	Copies() []mirror.Copy
-	Watch(ctx context.Context, kind string, revision int64, wait time.Duration) mirror.Answer
+	Watch(ctx context.Context, kind string, revision int64, wait time.Duration) mirror.WatchAnswer
 }
 
 var (
@@ -63,7 +63,7 @@
 }
 
 // WatchMirror implements mirror.Watcher.
-func (c *Client) WatchMirror(ctx context.Context, address netip.AddrPort, kind string, revision int64, wait time.Duration) (mirror.Answer, error) {
+func (c *Client) WatchMirror(ctx context.Context, address netip.AddrPort, kind string, revision int64, wait time.Duration) (mirror.WatchAnswer, error) {
 	asked := time.Now()
 	response, err := c.stubs(address.String()).mirror.WatchMirror(ctx, connect.NewRequest(&peerv1.WatchMirrorRequest{
 		Kind: kind, Since: revision, WaitMs: wait.Milliseconds(),
