--- a/coordination/mirror/attempts.go
+++ b/coordination/mirror/attempts.go
@@ -25,7 +25,7 @@
 // the data within maxAge. Otherwise recent changes may be missing.
 func usableChanges(answer WatchAnswer, maxAge time.Duration) (follow.Changes, error) {
 	switch answer := answer.(type) {
-	case Current:
+	case Changed:
 		if answer.Changes.Age > maxAge {
 			return follow.Changes{}, errHolderStale
 		}
--- a/coordination/mirror/changes.go
+++ b/coordination/mirror/changes.go
@@ -26,8 +26,8 @@
 // WatchAnswer is a holder's answer to a watch call: Current, Lost or Missed.
 type WatchAnswer interface{ isAnswer() }
 
-// Current carries the changes since the revision that was asked for.
-type Current struct {
+// Changed carries the changes since the revision that was asked for.
+type Changed struct {
 	Changes follow.Changes
 }
 
@@ -37,7 +37,7 @@
 // Missed means that the holder doesn't follow the kind.
 type Missed struct{}
 
-func (Current) isAnswer() {}
+func (Changed) isAnswer() {}
 func (Lost) isAnswer()    {}
 func (Missed) isAnswer()  {}
 
@@ -163,7 +163,7 @@
 	proved := s.upstream.Proved()
 	changes := s.changesSince(revision)
 	changes.Age, changes.FreshAt = age, proved
-	return Current{Changes: changes}, changes.IsFull || len(changes.Events) > 0
+	return Changed{Changes: changes}, changes.IsFull || len(changes.Events) > 0
 }
 
 // Watch returns as soon as the kind has changed after the revision or this holder has lost
--- a/coordination/mirror/changes_test.go
+++ b/coordination/mirror/changes_test.go
@@ -107,7 +107,7 @@
 		from := rapid.Int64Range(0, last).Draw(rt, "known revision")
 		known := maps.Clone(states[from])
 		switch answer := holder.Watch(context.Background(), mirror.KindInstances, from, 0).(type) {
-		case mirror.Current:
+		case mirror.Changed:
 			if answer.Changes.IsFull {
 				assert.Assert(rt, from < at && !slices.Contains(revisions, from), "unexpected whole snapshot for revision %d; the holder had %v", from, revisions)
 				clear(known)
@@ -133,9 +133,9 @@
 	watch := func(from int64) mirror.WatchAnswer {
 		return holder.Watch(context.Background(), mirror.KindInstances, from, 0)
 	}
-	early, isCurrent := watch(10).(mirror.Current)
+	early, isCurrent := watch(10).(mirror.Changed)
 	assert.Assert(t, isCurrent && early.Changes.IsFull)
-	recent, isCurrent := watch(removals - 10).(mirror.Current)
+	recent, isCurrent := watch(removals - 10).(mirror.Changed)
 	assert.Assert(t, isCurrent && !recent.Changes.IsFull)
 	assert.Equal(t, len(recent.Changes.Events), 12)
 }
--- a/coordination/mirror/rules_test.go
+++ b/coordination/mirror/rules_test.go
@@ -12,7 +12,7 @@
 
 func TestUsableChanges(t *testing.T) {
 	const maxAge = 2 * time.Second
-	aged := func(age time.Duration) WatchAnswer { return Current{Changes: follow.Changes{At: 7, Age: age}} }
+	aged := func(age time.Duration) WatchAnswer { return Changed{Changes: follow.Changes{At: 7, Age: age}} }
 	cases := []struct {
 		name     string
 		answer   WatchAnswer
--- a/coordination/mirror/source_test.go
+++ b/coordination/mirror/source_test.go
@@ -106,12 +106,12 @@
 }
 
 func currentAnswer(at int64) mirror.WatchAnswer {
-	return mirror.Current{Changes: follow.Changes{At: at}}
+	return mirror.Changed{Changes: follow.Changes{At: at}}
 }
 
 func wholeAnswer(at int64, age time.Duration) mirror.WatchAnswer {
 	events := []follow.Event{{Object: follow.Object{Name: "main", Revision: at}}}
-	return mirror.Current{Changes: follow.Changes{At: at, IsFull: true, Age: age, Events: events}}
+	return mirror.Changed{Changes: follow.Changes{At: at, IsFull: true, Age: age, Events: events}}
 }
 
 // TestSourceSkipsUnusableHolder checks that one call goes on to the next holder and then to
@@ -119,7 +119,7 @@
 func TestSourceSkipsUnusableHolder(t *testing.T) {
 	for name, answer := range map[string]mirror.WatchAnswer{
 		"no answer": nil, "lost": mirror.Lost{}, "not following": mirror.Missed{},
-		"stale": mirror.Current{Changes: follow.Changes{At: 7, Age: 5 * time.Second}},
+		"stale": mirror.Changed{Changes: follow.Changes{At: 7, Age: 5 * time.Second}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newSourceFixture(map[netip.AddrPort]mirror.WatchAnswer{holderA: answer, holderB: currentAnswer(8), holderC: answer})
--- a/node/gateway/revocation_test.go
+++ b/node/gateway/revocation_test.go
@@ -145,7 +145,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if current, ok := answer.(mirror.Current); ok && !current.Changes.FreshAt.IsZero() {
+	if current, ok := answer.(mirror.Changed); ok && !current.Changes.FreshAt.IsZero() {
 		current.Changes.FreshAt = sent.Add(-arrived.Sub(current.Changes.FreshAt))
 		return current, nil
 	}
--- a/transport/peer/mirror.go
+++ b/transport/peer/mirror.go
@@ -74,7 +74,7 @@
 	message := response.Msg
 	switch message.GetVerdict() {
 	case peerv1.WatchMirrorResponse_VERDICT_CURRENT:
-		return mirror.Current{Changes: changesFromWire(message, asked)}, nil
+		return mirror.Changed{Changes: changesFromWire(message, asked)}, nil
 	case peerv1.WatchMirrorResponse_VERDICT_LOST:
 		return mirror.Lost{}, nil
 	}
@@ -137,7 +137,7 @@
 	wait := min(time.Duration(request.Msg.GetWaitMs())*time.Millisecond, maxMirrorWait)
 	response := &peerv1.WatchMirrorResponse{Verdict: peerv1.WatchMirrorResponse_VERDICT_MISSED}
 	switch answer := s.mirror.Watch(ctx, request.Msg.GetKind(), request.Msg.GetSince(), wait).(type) {
-	case mirror.Current:
+	case mirror.Changed:
 		response = changesToWire(answer.Changes, arrived)
 	case mirror.Lost:
 		response.Verdict = peerv1.WatchMirrorResponse_VERDICT_LOST
