--- a/coordination/mirror/attempts.go
+++ b/coordination/mirror/attempts.go
@@ -30,7 +30,7 @@
 			return follow.Changes{}, errHolderStale
 		}
 		return answer.Changes, nil
-	case Lost:
+	case StoreLost:
 		return follow.Changes{}, errHolderLost
 	}
 	return follow.Changes{}, errHolderNotFollowing
--- a/coordination/mirror/changes.go
+++ b/coordination/mirror/changes.go
@@ -31,15 +31,15 @@
 	Changes follow.Changes
 }
 
-// Lost means that the holder has no contact with the store.
-type Lost struct{}
+// StoreLost means that the holder has no contact with the store.
+type StoreLost struct{}
 
 // Missed means that the holder doesn't follow the kind.
 type Missed struct{}
 
-func (Changed) isAnswer() {}
-func (Lost) isAnswer()    {}
-func (Missed) isAnswer()  {}
+func (Changed) isAnswer()   {}
+func (StoreLost) isAnswer() {}
+func (Missed) isAnswer()    {}
 
 // Upstream is the state of the follower that feeds the holder. follow.Follower implements
 // it.
@@ -153,11 +153,11 @@
 // false if nothing has changed, so that the call may wait.
 func (s *kindState) currentAnswer(revision int64) (answer WatchAnswer, done bool) {
 	if s.upstream == nil || s.upstream.IsLost() {
-		return Lost{}, true
+		return StoreLost{}, true
 	}
 	age, heard := s.upstream.Age()
 	if !heard {
-		return Lost{}, true
+		return StoreLost{}, true
 	}
 	// The time is read before the changes, so that these are at least as new.
 	proved := s.upstream.Proved()
--- a/coordination/mirror/changes_test.go
+++ b/coordination/mirror/changes_test.go
@@ -161,6 +161,6 @@
 	lostUpstream := &fakeUpstream{lost: true}
 	holder.Through(mirror.KindConfiguration, lostUpstream)
 	holder.Lost(mirror.KindConfiguration)
-	_, isLost := (<-answers).(mirror.Lost)
+	_, isLost := (<-answers).(mirror.StoreLost)
 	assert.Assert(t, isLost)
 }
--- a/coordination/mirror/rules_test.go
+++ b/coordination/mirror/rules_test.go
@@ -22,7 +22,7 @@
 		{"just confirmed", aged(0), nil, false},
 		{"confirmed at the limit", aged(maxAge), nil, false},
 		{"confirmed too long ago", aged(maxAge + 1), errHolderStale, true},
-		{"has lost the store", Lost{}, errHolderLost, true},
+		{"has lost the store", StoreLost{}, errHolderLost, true},
 		{"doesn't follow the kind", Missed{}, errHolderNotFollowing, true},
 	}
 	for _, c := range cases {
--- a/coordination/mirror/source_test.go
+++ b/coordination/mirror/source_test.go
@@ -118,13 +118,13 @@
 // the store, from the same revision, and that the first holder is asked again later.
 func TestSourceSkipsUnusableHolder(t *testing.T) {
 	for name, answer := range map[string]mirror.WatchAnswer{
-		"no answer": nil, "lost": mirror.Lost{}, "not following": mirror.Missed{},
+		"no answer": nil, "lost": mirror.StoreLost{}, "not following": mirror.Missed{},
 		"stale": mirror.Changed{Changes: follow.Changes{At: 7, Age: 5 * time.Second}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newSourceFixture(map[netip.AddrPort]mirror.WatchAnswer{holderA: answer, holderB: currentAnswer(8), holderC: answer})
 			assert.Equal(t, f.watch(t, 7).At, int64(8))
-			f.watcher.answers[holderB] = mirror.Lost{}
+			f.watcher.answers[holderB] = mirror.StoreLost{}
 			assert.Equal(t, f.watch(t, 8).At, int64(9))
 			assert.Equal(t, f.store.watchCalls, 1)
 			assert.Equal(t, f.store.from, int64(8))
@@ -183,7 +183,7 @@
 		age    time.Duration
 	}{
 		"current":   {wholeAnswer(12, time.Second), 0, time.Second},
-		"lost":      {mirror.Lost{}, 1, 0},
+		"lost":      {mirror.StoreLost{}, 1, 0},
 		"no answer": {nil, 1, 0},
 		"stale":     {wholeAnswer(12, 5*time.Second), 1, 0},
 		"behind":    {wholeAnswer(4, 0), 1, 0},
@@ -226,7 +226,7 @@
 		shortest, longest time.Duration
 	}{
 		"unreachable": {nil, time.Second, 2 * time.Second},
-		"lost":        {mirror.Lost{}, 4 * time.Second, 8 * time.Second},
+		"lost":        {mirror.StoreLost{}, 4 * time.Second, 8 * time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newDelayedSourceFixture(map[netip.AddrPort]mirror.WatchAnswer{holderA: c.answer, holderB: c.answer, holderC: c.answer}, delays)
@@ -263,7 +263,7 @@
 // call. A single failure at the store changes nothing; after two in a row the delay applies
 // again.
 func TestSourceFollowsStoreUntilHolderAnswers(t *testing.T) {
-	for name, answer := range map[string]mirror.WatchAnswer{"unreachable": nil, "lost": mirror.Lost{}} {
+	for name, answer := range map[string]mirror.WatchAnswer{"unreachable": nil, "lost": mirror.StoreLost{}} {
 		t.Run(name, func(t *testing.T) {
 			delays := mirror.Patience{Unreached: time.Second, Lost: 4 * time.Second}
 			f := newDelayedSourceFixture(map[netip.AddrPort]mirror.WatchAnswer{holderA: answer, holderB: answer, holderC: answer}, delays)
@@ -333,7 +333,7 @@
 // the store ends when these don't answer any more.
 func TestLostHolderBecomesUnreachable(t *testing.T) {
 	delays := mirror.Patience{Unreached: time.Second, Lost: time.Minute}
-	f := newDelayedSourceFixture(map[netip.AddrPort]mirror.WatchAnswer{holderA: mirror.Lost{}}, delays)
+	f := newDelayedSourceFixture(map[netip.AddrPort]mirror.WatchAnswer{holderA: mirror.StoreLost{}}, delays)
 	f.addresses = []netip.AddrPort{holderA}
 	for range 20 {
 		_, err := f.source.Watch(t.Context(), 7, time.Second)
@@ -369,7 +369,7 @@
 	for index := range 20 {
 		holder := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 1, byte(index)}), 1)
 		f.addresses = append(f.addresses, holder)
-		f.watcher.answers[holder] = mirror.Lost{}
+		f.watcher.answers[holder] = mirror.StoreLost{}
 	}
 	_, err := f.source.Watch(t.Context(), 7, time.Second)
 	assert.Assert(t, err != nil)
@@ -385,7 +385,7 @@
 // TestRecoveredHolderIsUsedSoon checks that a holder that has lost the store is asked again
 // within 250 ms, however often it has answered so before.
 func TestRecoveredHolderIsUsedSoon(t *testing.T) {
-	f := newDelayedSourceFixture(map[netip.AddrPort]mirror.WatchAnswer{holderA: mirror.Lost{}}, mirror.Patience{Lost: time.Minute})
+	f := newDelayedSourceFixture(map[netip.AddrPort]mirror.WatchAnswer{holderA: mirror.StoreLost{}}, mirror.Patience{Lost: time.Minute})
 	f.addresses = []netip.AddrPort{holderA}
 	for range 20 {
 		_, err := f.source.List(t.Context())
--- a/transport/peer/mirror.go
+++ b/transport/peer/mirror.go
@@ -76,7 +76,7 @@
 	case peerv1.WatchMirrorResponse_VERDICT_CURRENT:
 		return mirror.Changed{Changes: changesFromWire(message, asked)}, nil
 	case peerv1.WatchMirrorResponse_VERDICT_LOST:
-		return mirror.Lost{}, nil
+		return mirror.StoreLost{}, nil
 	}
 	return mirror.Missed{}, nil
 }
@@ -139,7 +139,7 @@
 	switch answer := s.mirror.Watch(ctx, request.Msg.GetKind(), request.Msg.GetSince(), wait).(type) {
 	case mirror.Changed:
 		response = changesToWire(answer.Changes, arrived)
-	case mirror.Lost:
+	case mirror.StoreLost:
 		response.Verdict = peerv1.WatchMirrorResponse_VERDICT_LOST
 	}
 	return connect.NewResponse(response), nil
