--- a/coordination/mirror/changes.go
+++ b/coordination/mirror/changes.go
@@ -34,12 +34,12 @@
 // StoreLost means that the holder has no contact with the store.
 type StoreLost struct{}
 
-// Missed means that the holder doesn't follow the kind.
-type Missed struct{}
+// NotFollowed means that the holder doesn't follow the kind.
+type NotFollowed struct{}
 
-func (Changed) isAnswer()   {}
-func (StoreLost) isAnswer() {}
-func (Missed) isAnswer()    {}
+func (Changed) isAnswer()     {}
+func (StoreLost) isAnswer()   {}
+func (NotFollowed) isAnswer() {}
 
 // Upstream is the state of the follower that feeds the holder. follow.Follower implements
 // it.
@@ -176,7 +176,7 @@
 		state := h.states[kind]
 		if state == nil {
 			h.mutex.Unlock()
-			return Missed{}
+			return NotFollowed{}
 		}
 		answer, done := state.currentAnswer(revision)
 		changed := state.changed
--- a/coordination/mirror/rules_test.go
+++ b/coordination/mirror/rules_test.go
@@ -23,7 +23,7 @@
 		{"confirmed at the limit", aged(maxAge), nil, false},
 		{"confirmed too long ago", aged(maxAge + 1), errHolderStale, true},
 		{"has lost the store", StoreLost{}, errHolderLost, true},
-		{"doesn't follow the kind", Missed{}, errHolderNotFollowing, true},
+		{"doesn't follow the kind", NotFollowed{}, errHolderNotFollowing, true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/coordination/mirror/source_test.go
+++ b/coordination/mirror/source_test.go
@@ -118,7 +118,7 @@
 // the store, from the same revision, and that the first holder is asked again later.
 func TestSourceSkipsUnusableHolder(t *testing.T) {
 	for name, answer := range map[string]mirror.WatchAnswer{
-		"no answer": nil, "lost": mirror.StoreLost{}, "not following": mirror.Missed{},
+		"no answer": nil, "lost": mirror.StoreLost{}, "not following": mirror.NotFollowed{},
 		"stale": mirror.Changed{Changes: follow.Changes{At: 7, Age: 5 * time.Second}},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/transport/peer/mirror.go
+++ b/transport/peer/mirror.go
@@ -78,7 +78,7 @@
 	case peerv1.WatchMirrorResponse_VERDICT_LOST:
 		return mirror.StoreLost{}, nil
 	}
-	return mirror.Missed{}, nil
+	return mirror.NotFollowed{}, nil
 }
 
 // changesFromWire counts what the peer knows of the store from when the peer was asked:
