--- a/coordination/mirror/changes.go
+++ b/coordination/mirror/changes.go
@@ -47,9 +47,9 @@
 	// Age returns the time since the store last answered; ok is false before its first
 	// answer.
 	Age() (age time.Duration, ok bool)
-	// Proved returns the latest time at which the store is known to have had nothing newer
+	// FreshAt returns the latest time at which the store is known to have had nothing newer
 	// than the kept snapshot; zero for none.
-	Proved() time.Time
+	FreshAt() time.Time
 	// IsLost reports whether the last call failed.
 	IsLost() bool
 }
@@ -160,7 +160,7 @@
 		return StoreLost{}, true
 	}
 	// The time is read before the changes, so that these are at least as new.
-	proved := s.upstream.Proved()
+	proved := s.upstream.FreshAt()
 	changes := s.changesSince(revision)
 	changes.Age, changes.FreshAt = age, proved
 	return Changed{Changes: changes}, changes.IsFull || len(changes.Events) > 0
--- a/coordination/mirror/changes_test.go
+++ b/coordination/mirror/changes_test.go
@@ -41,7 +41,7 @@
 
 func (u *fakeUpstream) Age() (time.Duration, bool) { return u.age, true }
 func (u *fakeUpstream) IsLost() bool               { return u.lost }
-func (u *fakeUpstream) Proved() time.Time          { return u.proved }
+func (u *fakeUpstream) FreshAt() time.Time         { return u.proved }
 
 // history holds the state of the store at each revision: the names of the objects with the
 // revisions of their last changes.
