--- a/coordination/mirror/holder.go
+++ b/coordination/mirror/holder.go
@@ -29,14 +29,14 @@
 const (
 	KindConfiguration = "configuration"
 	KindInstances     = "instances"
-	KindSets          = "replica sets"
+	KindReplicaSets   = "replica sets"
 	KindNodes         = "storage nodes"
 	KindRetirements   = "retirements"
 )
 
 // Kinds returns the kinds whose copies are persisted, for nodes that start while the store
 // is unavailable. Other kinds are only passed on.
-func Kinds() []string { return []string{KindConfiguration, KindInstances, KindSets} }
+func Kinds() []string { return []string{KindConfiguration, KindInstances, KindReplicaSets} }
 
 // Copy is a snapshot of one kind of objects.
 type Copy struct {
--- a/coordination/mirror/mirror_test.go
+++ b/coordination/mirror/mirror_test.go
@@ -66,7 +66,7 @@
 // TestDamagedCopyIsIgnored checks that a holder starts without a copy that can't be decoded.
 func TestDamagedCopyIsIgnored(t *testing.T) {
 	medium := replica.NewMemory()
-	assert.NilError(t, medium.SaveMeta(1<<32-2, "mirror-"+mirror.KindSets, []byte("{")))
+	assert.NilError(t, medium.SaveMeta(1<<32-2, "mirror-"+mirror.KindReplicaSets, []byte("{")))
 	assert.Equal(t, len(newHolder(t, medium).Copies()), 0)
 }
 
--- a/node/gateway/followers.go
+++ b/node/gateway/followers.go
@@ -35,7 +35,7 @@
 	f.logger = telemetry.Following(g.logger)
 	f.configuration, f.configurationSource = g.newFollower(mirror.KindConfiguration, g.parts.Configuration, g.applyConfiguration)
 	f.instances, _ = g.newFollower(mirror.KindInstances, g.parts.Instances, g.applyInstances)
-	f.replicaSets, _ = g.newFollower(mirror.KindSets, g.parts.ReplicaSets, g.storage.lookup.Apply)
+	f.replicaSets, _ = g.newFollower(mirror.KindReplicaSets, g.parts.ReplicaSets, g.storage.lookup.Apply)
 }
 
 // newFollower creates a follower that asks holders first and falls back to the store.
@@ -59,7 +59,7 @@
 	followed := map[string]mirror.Follower{
 		mirror.KindConfiguration: g.followers.configuration,
 		mirror.KindInstances:     g.followers.instances,
-		mirror.KindSets:          g.followers.replicaSets,
+		mirror.KindReplicaSets:   g.followers.replicaSets,
 	}
 	return mirror.NewReader(g.orderedHolders, g.storage.peers, followed, time.Now, g.logger)
 }
--- a/node/gateway/followplan.go
+++ b/node/gateway/followplan.go
@@ -94,7 +94,7 @@
 //   - Replica sets have their own bounds, since a late change of them is harmless.
 func newFollowPlan(kind string, limits settings.Gateway) followPlan {
 	switch {
-	case kind == mirror.KindSets:
+	case kind == mirror.KindReplicaSets:
 		return replicaSetPlan()
 	case kind == mirror.KindConfiguration && limits.RevokeLimit > 0:
 		return provenPlan(limits)
--- a/node/gateway/followplan_test.go
+++ b/node/gateway/followplan_test.go
@@ -48,10 +48,10 @@
 	}{
 		{"configuration", mirror.KindConfiguration, limits, defaults},
 		{"instances", mirror.KindInstances, limits, defaults},
-		{"replica sets", mirror.KindSets, limits, replicaSets},
+		{"replica sets", mirror.KindReplicaSets, limits, replicaSets},
 		{"configuration with a revoke limit", mirror.KindConfiguration, revoking, proven},
 		{"instances with a revoke limit", mirror.KindInstances, revoking, defaults},
-		{"replica sets with a revoke limit", mirror.KindSets, revoking, replicaSets},
+		{"replica sets with a revoke limit", mirror.KindReplicaSets, revoking, replicaSets},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/node/gateway/prober.go
+++ b/node/gateway/prober.go
@@ -63,7 +63,7 @@
 	p.next++
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	if _, err := p.watcher.WatchMirror(ctx, node, mirror.KindSets, math.MaxInt64, 0); err == nil {
+	if _, err := p.watcher.WatchMirror(ctx, node, mirror.KindReplicaSets, math.MaxInt64, 0); err == nil {
 		p.reachability.RecordResponse(node.String())
 	}
 }
--- a/node/gateway/storeload_test.go
+++ b/node/gateway/storeload_test.go
@@ -173,7 +173,7 @@
 
 // holderKinds are the kinds of objects that storage nodes follow.
 var holderKinds = []string{
-	mirror.KindConfiguration, mirror.KindInstances, mirror.KindSets, mirror.KindNodes, mirror.KindRetirements,
+	mirror.KindConfiguration, mirror.KindInstances, mirror.KindReplicaSets, mirror.KindNodes, mirror.KindRetirements,
 }
 
 const (
--- a/node/storage/shards.go
+++ b/node/storage/shards.go
@@ -61,7 +61,7 @@
 // newSetsReader returns a service that reads the replica sets from other storage nodes
 // while the store is unreachable. A node with an empty disk has no other source.
 func (n *Node) newSetsReader(sets *follow.Follower) *mirror.Reader {
-	return mirror.NewReader(n.otherNodes, n.peers, map[string]mirror.Follower{mirror.KindSets: sets}, time.Now, n.logger)
+	return mirror.NewReader(n.otherNodes, n.peers, map[string]mirror.Follower{mirror.KindReplicaSets: sets}, time.Now, n.logger)
 }
 
 // otherNodes returns the addresses of the other known storage nodes.
--- a/node/storage/storage.go
+++ b/node/storage/storage.go
@@ -166,7 +166,7 @@
 
 // followers returns the services that follow the objects of the store.
 func (n *Node) followers() []suture.Service {
-	sets := n.newRelaxedFollower(mirror.KindSets, n.parts.Sets, n.applySets)
+	sets := n.newRelaxedFollower(mirror.KindReplicaSets, n.parts.Sets, n.applySets)
 	return []suture.Service{
 		n.newRelaxedFollower(mirror.KindNodes, n.parts.Nodes, n.applyNodes),
 		sets, n.newSetsReader(sets),
