--- a/coordination/mirror/changes_test.go
+++ b/coordination/mirror/changes_test.go
@@ -93,7 +93,7 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		states := drawHistory(rt)
 		last := int64(len(states) - 1)
-		holder, err := mirror.NewHolder(mirror.Kinds(), replica.NewMemory(), time.Now, zap.NewNop())
+		holder, err := mirror.NewHolder(mirror.PersistedKinds(), replica.NewMemory(), time.Now, zap.NewNop())
 		assert.NilError(rt, err)
 		holder.Through(mirror.KindInstances, &fakeUpstream{})
 		at := rapid.Int64Range(0, last).Draw(rt, "first revision of the holder")
--- a/coordination/mirror/holder.go
+++ b/coordination/mirror/holder.go
@@ -34,9 +34,9 @@
 	KindRetirements   = "retirements"
 )
 
-// Kinds returns the kinds whose copies are persisted, for nodes that start while the store
+// PersistedKinds returns the kinds whose copies are persisted, for nodes that start while the store
 // is unavailable. Other kinds are only passed on.
-func Kinds() []string { return []string{KindConfiguration, KindInstances, KindReplicaSets} }
+func PersistedKinds() []string { return []string{KindConfiguration, KindInstances, KindReplicaSets} }
 
 // Copy is a snapshot of one kind of objects.
 type Copy struct {
--- a/coordination/mirror/mirror_test.go
+++ b/coordination/mirror/mirror_test.go
@@ -24,7 +24,7 @@
 
 func newHolder(t *testing.T, medium mirror.Medium) *mirror.Holder {
 	t.Helper()
-	holder, err := mirror.NewHolder(mirror.Kinds(), medium, time.Now, zap.NewNop())
+	holder, err := mirror.NewHolder(mirror.PersistedKinds(), medium, time.Now, zap.NewNop())
 	assert.NilError(t, err)
 	return holder
 }
--- a/coordination/mirror/source_test.go
+++ b/coordination/mirror/source_test.go
@@ -405,7 +405,7 @@
 	holders := mirror.NewHolders(func() []netip.AddrPort { return f.addresses }, func() time.Time { return f.now })
 	settings := mirror.SourceSettings{Wait: time.Second, MaxAge: 4 * time.Second, Patience: mirror.Patience{Unreached: time.Minute, Lost: time.Minute}}
 	var sources []*mirror.Source
-	for _, kind := range mirror.Kinds() {
+	for _, kind := range mirror.PersistedKinds() {
 		sources = append(sources, mirror.NewSource(kind, &f.store, holders, &f.watcher, settings, zap.NewNop()))
 	}
 	f.watcher.barrier = &sync.WaitGroup{}
--- a/node/gateway/revocation_test.go
+++ b/node/gateway/revocation_test.go
@@ -168,7 +168,7 @@
 func (s *revocationSimulation) startHolder(ctx context.Context, t *testing.T, index int) {
 	t.Helper()
 	address := holderAddress(index)
-	holder, err := mirror.NewHolder(mirror.Kinds(), replica.NewMemory(), time.Now, zap.NewNop())
+	holder, err := mirror.NewHolder(mirror.PersistedKinds(), replica.NewMemory(), time.Now, zap.NewNop())
 	assert.NilError(t, err)
 	upstreams := mirror.NewHolders(func() []netip.AddrPort {
 		if index < revocationStoreReaders {
--- a/node/gateway/storeload_test.go
+++ b/node/gateway/storeload_test.go
@@ -204,7 +204,7 @@
 
 func (f *testFleet) startHolder(ctx context.Context, t *testing.T, self register.Member) {
 	t.Helper()
-	holder, err := mirror.NewHolder(mirror.Kinds(), replica.NewMemory(), time.Now, zap.NewNop())
+	holder, err := mirror.NewHolder(mirror.PersistedKinds(), replica.NewMemory(), time.Now, zap.NewNop())
 	assert.NilError(t, err)
 	upstreams := mirror.NewHolders(func() []netip.AddrPort { return mirror.Upstreams(self, f.members, nil) }, time.Now)
 	for _, kind := range holderKinds {
--- a/node/storage/storage.go
+++ b/node/storage/storage.go
@@ -113,7 +113,7 @@
 		return nil, err
 	}
 	n.upstreams = mirror.NewHolders(n.listUpstreams, time.Now)
-	n.mirror, err = mirror.NewHolder(mirror.Kinds(), n.disk, time.Now, n.logger)
+	n.mirror, err = mirror.NewHolder(mirror.PersistedKinds(), n.disk, time.Now, n.logger)
 	if err != nil {
 		return nil, err
 	}
