--- a/coordination/mirror/changes.go
+++ b/coordination/mirror/changes.go
@@ -82,7 +82,7 @@
 
 // update replaces the snapshot by a newer one and records which objects were removed.
 func (s *kindState) update(snapshot follow.Snapshot, receivedAt time.Time) {
-	if !s.latest.Heard.IsZero() {
+	if !s.latest.ReceivedAt.IsZero() {
 		// The revision of a copy loaded from disk isn't in revisions: no caller is sent the
 		// changes since then, so removals since then needn't be known.
 		s.recordRemovals(snapshot)
@@ -91,7 +91,7 @@
 		s.revisions = append(s.revisions, snapshot.At)
 	}
 	s.trimHistory()
-	s.latest.Snapshot, s.latest.Heard = snapshot, receivedAt
+	s.latest.Snapshot, s.latest.ReceivedAt = snapshot, receivedAt
 	s.notify()
 }
 
--- a/coordination/mirror/holder.go
+++ b/coordination/mirror/holder.go
@@ -42,8 +42,8 @@
 type Copy struct {
 	Kind     string
 	Snapshot follow.Snapshot
-	// Heard is when the snapshot was received; zero if the holder has restarted since.
-	Heard time.Time
+	// ReceivedAt is when the snapshot was received; zero if the holder has restarted since.
+	ReceivedAt time.Time
 }
 
 // Medium persists small values. replica.Store implements it.
--- a/coordination/mirror/mirror_test.go
+++ b/coordination/mirror/mirror_test.go
@@ -60,7 +60,7 @@
 		assert.DeepEqual(t, copies, []mirror.Copy{{Kind: mirror.KindConfiguration, Snapshot: snapshot(7)}})
 		return poll.Success()
 	})
-	assert.Assert(t, !first.Copies()[0].Heard.IsZero())
+	assert.Assert(t, !first.Copies()[0].ReceivedAt.IsZero())
 }
 
 // TestDamagedCopyIsIgnored checks that a holder starts without a copy that can't be decoded.
--- a/coordination/mirror/reader.go
+++ b/coordination/mirror/reader.go
@@ -166,8 +166,8 @@
 }
 
 func (r *Reader) age(received Copy) zap.Field {
-	if received.Heard.IsZero() {
+	if received.ReceivedAt.IsZero() {
 		return zap.String("age", "unknown")
 	}
-	return zap.Duration("age", r.now().Sub(received.Heard))
+	return zap.Duration("age", r.now().Sub(received.ReceivedAt))
 }
--- a/transport/peer/mirror.go
+++ b/transport/peer/mirror.go
@@ -46,7 +46,7 @@
 func copyFromWire(snapshot *peerv1.MirroredSnapshot, now time.Time) mirror.Copy {
 	received := mirror.Copy{Kind: snapshot.GetKind(), Snapshot: follow.Snapshot{At: snapshot.GetAt()}}
 	if snapshot.GetAgeKnown() {
-		received.Heard = now.Add(-time.Duration(snapshot.GetAgeMs()) * time.Millisecond)
+		received.ReceivedAt = now.Add(-time.Duration(snapshot.GetAgeMs()) * time.Millisecond)
 	}
 	for _, object := range snapshot.GetObjects() {
 		received.Snapshot.Objects = append(received.Snapshot.Objects, objectFromWire(object))
@@ -146,9 +146,9 @@
 }
 
 func copyToWire(kept mirror.Copy, now time.Time) *peerv1.MirroredSnapshot {
-	snapshot := &peerv1.MirroredSnapshot{Kind: kept.Kind, At: kept.Snapshot.At, AgeKnown: !kept.Heard.IsZero()}
+	snapshot := &peerv1.MirroredSnapshot{Kind: kept.Kind, At: kept.Snapshot.At, AgeKnown: !kept.ReceivedAt.IsZero()}
 	if snapshot.AgeKnown {
-		snapshot.AgeMs = now.Sub(kept.Heard).Milliseconds()
+		snapshot.AgeMs = now.Sub(kept.ReceivedAt).Milliseconds()
 	}
 	for _, object := range kept.Snapshot.Objects {
 		snapshot.Objects = append(snapshot.Objects, objectToWire(object))
