--- a/coordination/mirror/holder.go
+++ b/coordination/mirror/holder.go
@@ -46,8 +46,8 @@
 	ReceivedAt time.Time
 }
 
-// Medium persists small values. replica.Store implements it.
-type Medium interface {
+// MetaStore persists small values. replica.Store implements it.
+type MetaStore interface {
 	SaveMeta(shard uint32, name string, value []byte) error
 	// LoadMeta returns nil if there is no such value.
 	LoadMeta(shard uint32, name string) ([]byte, error)
@@ -56,7 +56,7 @@
 // Holder keeps copies of the store's objects and serves their changes to other nodes. It is
 // a suture service and safe for concurrent use.
 type Holder struct {
-	medium Medium
+	medium MetaStore
 	now    func() time.Time
 	logger *zap.Logger
 
@@ -73,7 +73,7 @@
 
 // NewHolder creates a holder that persists the kinds, and loads their copies from the
 // medium. Copies that can't be decoded are ignored; it fails if the medium can't be read.
-func NewHolder(kinds []string, medium Medium, now func() time.Time, logger *zap.Logger) (*Holder, error) {
+func NewHolder(kinds []string, medium MetaStore, now func() time.Time, logger *zap.Logger) (*Holder, error) {
 	h := &Holder{
 		medium: medium, now: now, logger: logger, persistedKinds: kinds,
 		states: make(map[string]*kindState), unsaved: make(map[string]bool), saveRequested: make(chan struct{}, 1),
--- a/coordination/mirror/mirror_test.go
+++ b/coordination/mirror/mirror_test.go
@@ -22,7 +22,7 @@
 	return follow.Snapshot{At: at, Objects: []follow.Object{{Name: "main", Revision: at, Spec: []byte(`{"a":1}`)}}}
 }
 
-func newHolder(t *testing.T, medium mirror.Medium) *mirror.Holder {
+func newHolder(t *testing.T, medium mirror.MetaStore) *mirror.Holder {
 	t.Helper()
 	holder, err := mirror.NewHolder(mirror.PersistedKinds(), medium, time.Now, zap.NewNop())
 	assert.NilError(t, err)
