--- a/coordination/mirror/holders.go
+++ b/coordination/mirror/holders.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// Holders selects the storage node through which a node follows the store: the first one in
+// HolderSelector selects the storage node through which a node follows the store: the first one in
 // the order of preference that isn't in backoff. It is safe for concurrent use.
-type Holders struct {
+type HolderSelector struct {
 	list func() []netip.AddrPort
 	now  func() time.Time
 
@@ -18,12 +18,12 @@
 
 // NewHolders creates Holders over the listed addresses, most preferred first. The list may
 // change between calls.
-func NewHolders(list func() []netip.AddrPort, now func() time.Time) *Holders {
-	return &Holders{list: list, now: now, backoffs: make(map[netip.AddrPort]backoff)}
+func NewHolders(list func() []netip.AddrPort, now func() time.Time) *HolderSelector {
+	return &HolderSelector{list: list, now: now, backoffs: make(map[netip.AddrPort]backoff)}
 }
 
 // pick returns the first holder that isn't in backoff.
-func (h *Holders) pick() (holder netip.AddrPort, found bool) {
+func (h *HolderSelector) pick() (holder netip.AddrPort, found bool) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	for _, holder := range h.list() {
@@ -35,24 +35,24 @@
 }
 
 // isEmpty reports whether there are no holders at all, with or without backoff.
-func (h *Holders) isEmpty() bool { return len(h.list()) == 0 }
+func (h *HolderSelector) isEmpty() bool { return len(h.list()) == 0 }
 
 // recordFailure puts a holder that didn't answer into backoff.
-func (h *Holders) recordFailure(holder netip.AddrPort) {
+func (h *HolderSelector) recordFailure(holder netip.AddrPort) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	h.backoffs[holder] = h.backoffs[holder].afterFailure(h.now())
 }
 
 // recordUnusable puts a holder whose answer can't be used into a short backoff.
-func (h *Holders) recordUnusable(holder netip.AddrPort) {
+func (h *HolderSelector) recordUnusable(holder netip.AddrPort) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	h.backoffs[holder] = h.backoffs[holder].afterUnusable(h.now())
 }
 
 // recordSuccess ends the backoff of a holder whose answer was used.
-func (h *Holders) recordSuccess(holder netip.AddrPort) {
+func (h *HolderSelector) recordSuccess(holder netip.AddrPort) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	delete(h.backoffs, holder)
--- a/coordination/mirror/source.go
+++ b/coordination/mirror/source.go
@@ -55,7 +55,7 @@
 type Source struct {
 	kind     string
 	store    follow.Source
-	holders  *Holders
+	holders  *HolderSelector
 	watcher  Watcher
 	settings SourceSettings
 	logger   *zap.Logger
@@ -71,7 +71,7 @@
 
 // NewSource creates a source of the kind that follows the holders, and the store as a
 // fallback.
-func NewSource(kind string, store follow.Source, holders *Holders, watcher Watcher, settings SourceSettings, logger *zap.Logger) *Source {
+func NewSource(kind string, store follow.Source, holders *HolderSelector, watcher Watcher, settings SourceSettings, logger *zap.Logger) *Source {
 	return &Source{
 		kind: kind, store: store, holders: holders, watcher: watcher, settings: settings, logger: logger,
 		gate: newStoreGate(settings.Patience, holders.now()),
--- a/node/gateway/followers.go
+++ b/node/gateway/followers.go
@@ -20,7 +20,7 @@
 	replicaSets   *follow.Follower
 	// configurationSource is the source of the follower of the configuration.
 	configurationSource *mirror.Source
-	holders             *mirror.Holders
+	holders             *mirror.HolderSelector
 	// storeCalls counts the direct calls of this gateway to the store, by kind of object.
 	storeCalls *prometheus.CounterVec
 	// logger logs which holders are used; it is rate-limited.
--- a/node/gateway/storeload_test.go
+++ b/node/gateway/storeload_test.go
@@ -222,7 +222,7 @@
 
 // startHolderFollower starts a follower of one kind for a storage node. It asks upstreams,
 // or the store if there are none.
-func (f *testFleet) startHolderFollower(ctx context.Context, kind string, holder *mirror.Holder, upstreams *mirror.Holders) {
+func (f *testFleet) startHolderFollower(ctx context.Context, kind string, holder *mirror.Holder, upstreams *mirror.HolderSelector) {
 	sourceSettings := mirror.SourceSettings{
 		Wait: 300 * time.Millisecond, MaxAge: fleetApplyLimit,
 		Patience: mirror.Patience{Unreached: time.Second, Lost: 2 * time.Second},
--- a/node/storage/storage.go
+++ b/node/storage/storage.go
@@ -83,7 +83,7 @@
 	// Mirrored objects of the store, and the upstream storage nodes through which this
 	// node follows the store.
 	mirror    *mirror.Holder
-	upstreams *mirror.Holders
+	upstreams *mirror.HolderSelector
 
 	metrics *prometheus.Registry
 	// storeCalls counts the direct calls at the store by kind of objects.
