--- a/coordination/mirror/holders.go
+++ b/coordination/mirror/holders.go
@@ -16,9 +16,9 @@
 	backoffs map[netip.AddrPort]backoff
 }
 
-// NewHolders creates Holders over the listed addresses, most preferred first. The list may
+// NewHolderSelector creates Holders over the listed addresses, most preferred first. The list may
 // change between calls.
-func NewHolders(list func() []netip.AddrPort, now func() time.Time) *HolderSelector {
+func NewHolderSelector(list func() []netip.AddrPort, now func() time.Time) *HolderSelector {
 	return &HolderSelector{list: list, now: now, backoffs: make(map[netip.AddrPort]backoff)}
 }
 
--- a/coordination/mirror/source_test.go
+++ b/coordination/mirror/source_test.go
@@ -92,7 +92,7 @@
 func newDelayedSourceFixture(answers map[netip.AddrPort]mirror.WatchAnswer, delays mirror.Patience) *sourceFixture {
 	f := &sourceFixture{now: time.Unix(1000, 0), addresses: []netip.AddrPort{holderA, holderB, holderC}}
 	f.watcher = fakeWatcher{answers: answers, now: &f.now}
-	holders := mirror.NewHolders(func() []netip.AddrPort { return f.addresses }, func() time.Time { return f.now })
+	holders := mirror.NewHolderSelector(func() []netip.AddrPort { return f.addresses }, func() time.Time { return f.now })
 	settings := mirror.SourceSettings{Wait: time.Second, MaxAge: 4 * time.Second, Patience: delays}
 	f.source = mirror.NewSource(mirror.KindInstances, &f.store, holders, &f.watcher, settings, zap.NewNop())
 	return f
@@ -310,7 +310,7 @@
 		store := &fakeStore{}
 		watcher := &fakeWatcher{}
 		list := func() []netip.AddrPort { return []netip.AddrPort{holderA} }
-		source := mirror.NewSource(mirror.KindInstances, store, mirror.NewHolders(list, time.Now), watcher,
+		source := mirror.NewSource(mirror.KindInstances, store, mirror.NewHolderSelector(list, time.Now), watcher,
 			mirror.SourceSettings{Wait: time.Second, MaxAge: time.Minute, StorePause: pause}, zap.NewNop())
 		start := time.Now()
 		for range 5 {
@@ -402,7 +402,7 @@
 // at the same moment backs off as after one failure.
 func TestConcurrentFailuresCountOnce(t *testing.T) {
 	f := newDelayedSourceFixture(map[netip.AddrPort]mirror.WatchAnswer{}, mirror.Patience{Unreached: time.Minute, Lost: time.Minute})
-	holders := mirror.NewHolders(func() []netip.AddrPort { return f.addresses }, func() time.Time { return f.now })
+	holders := mirror.NewHolderSelector(func() []netip.AddrPort { return f.addresses }, func() time.Time { return f.now })
 	settings := mirror.SourceSettings{Wait: time.Second, MaxAge: 4 * time.Second, Patience: mirror.Patience{Unreached: time.Minute, Lost: time.Minute}}
 	var sources []*mirror.Source
 	for _, kind := range mirror.PersistedKinds() {
--- a/node/gateway/followers.go
+++ b/node/gateway/followers.go
@@ -30,7 +30,7 @@
 // createFollowers creates the followers of all kinds of objects without starting them.
 func (g *Gateway) createFollowers() {
 	f := &g.followers
-	f.holders = mirror.NewHolders(g.orderedHolders, time.Now)
+	f.holders = mirror.NewHolderSelector(g.orderedHolders, time.Now)
 	f.storeCalls = telemetry.NewStoreCalls()
 	f.logger = telemetry.Following(g.logger)
 	f.configuration, f.configurationSource = g.newFollower(mirror.KindConfiguration, g.parts.Configuration, g.applyConfiguration)
--- a/node/gateway/revocation_test.go
+++ b/node/gateway/revocation_test.go
@@ -170,7 +170,7 @@
 	address := holderAddress(index)
 	holder, err := mirror.NewHolder(mirror.PersistedKinds(), replica.NewMemory(), time.Now, zap.NewNop())
 	assert.NilError(t, err)
-	upstreams := mirror.NewHolders(func() []netip.AddrPort {
+	upstreams := mirror.NewHolderSelector(func() []netip.AddrPort {
 		if index < revocationStoreReaders {
 			return nil
 		}
@@ -202,7 +202,7 @@
 
 func (s *revocationSimulation) startGateway(ctx context.Context, node string) *simulatedGateway {
 	gateway := &simulatedGateway{}
-	holders := mirror.NewHolders(func() []netip.AddrPort {
+	holders := mirror.NewHolderSelector(func() []netip.AddrPort {
 		return mirror.Spread(node, []netip.AddrPort{holderAddress(0), holderAddress(1), holderAddress(2), holderAddress(3)})
 	}, time.Now)
 	limits := settings.Gateway{ApplyLimit: 3 * time.Second, UndisturbedTime: 4 * time.Second}
--- a/node/gateway/storeload_test.go
+++ b/node/gateway/storeload_test.go
@@ -206,7 +206,7 @@
 	t.Helper()
 	holder, err := mirror.NewHolder(mirror.PersistedKinds(), replica.NewMemory(), time.Now, zap.NewNop())
 	assert.NilError(t, err)
-	upstreams := mirror.NewHolders(func() []netip.AddrPort { return mirror.Upstreams(self, f.members, nil) }, time.Now)
+	upstreams := mirror.NewHolderSelector(func() []netip.AddrPort { return mirror.Upstreams(self, f.members, nil) }, time.Now)
 	for _, kind := range holderKinds {
 		f.startHolderFollower(ctx, kind, holder, upstreams)
 	}
@@ -245,7 +245,7 @@
 }
 
 func (f *testFleet) startGateway(ctx context.Context, name, zone string) {
-	holders := mirror.NewHolders(func() []netip.AddrPort { return mirror.Near(zone, name, f.members) }, time.Now)
+	holders := mirror.NewHolderSelector(func() []netip.AddrPort { return mirror.Near(zone, name, f.members) }, time.Now)
 	limits := f.gatewayLimits()
 	var received, receivedLate sync.Once
 	follower := follow.New(follow.Options{
--- a/node/storage/storage.go
+++ b/node/storage/storage.go
@@ -112,7 +112,7 @@
 	if err != nil {
 		return nil, err
 	}
-	n.upstreams = mirror.NewHolders(n.listUpstreams, time.Now)
+	n.upstreams = mirror.NewHolderSelector(n.listUpstreams, time.Now)
 	n.mirror, err = mirror.NewHolder(mirror.PersistedKinds(), n.disk, time.Now, n.logger)
 	if err != nil {
 		return nil, err
