--- a/coordination/mirror/gate.go
+++ b/coordination/mirror/gate.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// Patience holds the delays before a source that hears from no holder asks the store.
+// FallbackDelays holds the delays before a source that hears from no holder asks the store.
 // Without a delay the load on the store would grow with the number of nodes whenever holders
 // fail or all nodes start. The zero value asks at once.
-type Patience struct {
+type FallbackDelays struct {
 	// Unreached applies while holders can't be reached or their answers are stale, counted
 	// from the last usable answer.
 	Unreached time.Duration
@@ -35,7 +35,7 @@
 //
 // Only the goroutine of the source's follower uses it.
 type storeGate struct {
-	delays Patience
+	delays FallbackDelays
 	// jitterFactor, from 1 to 2, multiplies the delays, so that sources that lose their
 	// holders at the same time don't ask the store at the same time.
 	jitterFactor float64
@@ -51,7 +51,7 @@
 	failuresLeft int
 }
 
-func newStoreGate(delays Patience, now time.Time) storeGate {
+func newStoreGate(delays FallbackDelays, now time.Time) storeGate {
 	return storeGate{delays: delays, jitterFactor: 1 + rand.Float64(), delayStart: now}
 }
 
--- a/coordination/mirror/source.go
+++ b/coordination/mirror/source.go
@@ -42,7 +42,7 @@
 	MaxAge time.Duration
 	// Patience holds the delays before the store is asked directly. If there are no holders
 	// at all, it is asked at once.
-	Patience Patience
+	Patience FallbackDelays
 	// StorePause is the shortest time between two calls to the store while it is followed in
 	// place of holders, so that changes in quick succession cost one call.
 	StorePause time.Duration
--- a/node/gateway/followplan.go
+++ b/node/gateway/followplan.go
@@ -112,7 +112,7 @@
 		holders: mirror.SourceSettings{
 			Wait:       holderWait,
 			MaxAge:     replicaSetMaxAge,
-			Patience:   mirror.Patience{Unreached: replicaSetPatience, Lost: lostPatience},
+			Patience:   mirror.FallbackDelays{Unreached: replicaSetPatience, Lost: lostPatience},
 			StorePause: replicaSetStorePause,
 		},
 	}
@@ -160,9 +160,9 @@
 }
 
 // holderPatience returns how long a gateway asks holders alone before it asks the store.
-func holderPatience(undisturbed time.Duration) mirror.Patience {
+func holderPatience(undisturbed time.Duration) mirror.FallbackDelays {
 	unreached := time.Duration(unreachedPatienceFraction * float64(undisturbed))
-	return mirror.Patience{
+	return mirror.FallbackDelays{
 		Unreached: min(max(unreached, minUnreachedPatience), maxUnreachedPatience),
 		Lost:      lostPatience,
 	}
--- a/node/storage/mirroring.go
+++ b/node/storage/mirroring.go
@@ -58,8 +58,8 @@
 // upstreamFallbackDelays returns how long this node waits for its upstream storage nodes
 // before it asks the store directly. The delays are short, since gateways follow the store
 // through this node.
-func upstreamFallbackDelays() mirror.Patience {
-	return mirror.Patience{Unreached: upstreamUnreachableDelay, Lost: upstreamStoreLostDelay}
+func upstreamFallbackDelays() mirror.FallbackDelays {
+	return mirror.FallbackDelays{Unreached: upstreamUnreachableDelay, Lost: upstreamStoreLostDelay}
 }
 
 // newBoundedFollower returns a follower of objects that gateways must apply within the
