--- a/coordination/mirror/gate.go
+++ b/coordination/mirror/gate.go
@@ -10,9 +10,9 @@
 // Without a delay the load on the store would grow with the number of nodes whenever holders
 // fail or all nodes start. The zero value asks at once.
 type FallbackDelays struct {
-	// Unreached applies while holders can't be reached or their answers are stale, counted
+	// HoldersUnreachable applies while holders can't be reached or their answers are stale, counted
 	// from the last usable answer.
-	Unreached time.Duration
+	HoldersUnreachable time.Duration
 	// Lost applies while holders answer that they have lost the store, counted from the last
 	// usable answer. The store is then probably unavailable to this node too.
 	Lost time.Duration
@@ -62,10 +62,10 @@
 		return true
 	case !g.lostReported.IsZero():
 		// The holders that answered may have become unreachable since.
-		unreachable := now.After(g.lostReported) && g.hasElapsed(now, g.lostReported, g.delays.Unreached)
+		unreachable := now.After(g.lostReported) && g.hasElapsed(now, g.lostReported, g.delays.HoldersUnreachable)
 		return unreachable || g.hasElapsed(now, g.delayStart, g.delays.Lost)
 	}
-	return g.hasElapsed(now, g.delayStart, g.delays.Unreached)
+	return g.hasElapsed(now, g.delayStart, g.delays.HoldersUnreachable)
 }
 
 // hasElapsed reports whether the delay, with jitter, has passed since the given time.
--- a/node/gateway/followplan.go
+++ b/node/gateway/followplan.go
@@ -112,7 +112,7 @@
 		holders: mirror.SourceSettings{
 			Wait:       holderWait,
 			MaxAge:     replicaSetMaxAge,
-			Patience:   mirror.FallbackDelays{Unreached: replicaSetPatience, Lost: lostPatience},
+			Patience:   mirror.FallbackDelays{HoldersUnreachable: replicaSetPatience, Lost: lostPatience},
 			StorePause: replicaSetStorePause,
 		},
 	}
@@ -163,8 +163,8 @@
 func holderPatience(undisturbed time.Duration) mirror.FallbackDelays {
 	unreached := time.Duration(unreachedPatienceFraction * float64(undisturbed))
 	return mirror.FallbackDelays{
-		Unreached: min(max(unreached, minUnreachedPatience), maxUnreachedPatience),
-		Lost:      lostPatience,
+		HoldersUnreachable: min(max(unreached, minUnreachedPatience), maxUnreachedPatience),
+		Lost:               lostPatience,
 	}
 }
 
--- a/node/storage/mirroring.go
+++ b/node/storage/mirroring.go
@@ -59,7 +59,7 @@
 // before it asks the store directly. The delays are short, since gateways follow the store
 // through this node.
 func upstreamFallbackDelays() mirror.FallbackDelays {
-	return mirror.FallbackDelays{Unreached: upstreamUnreachableDelay, Lost: upstreamStoreLostDelay}
+	return mirror.FallbackDelays{HoldersUnreachable: upstreamUnreachableDelay, Lost: upstreamStoreLostDelay}
 }
 
 // newBoundedFollower returns a follower of objects that gateways must apply within the
