--- a/coordination/follow/freshness.go
+++ b/coordination/follow/freshness.go
@@ -19,26 +19,26 @@
 // Staleness returns the time since the view was last proven to be current, by this node's
 // monotonic clock; ok is false if it never was.
 func (f *Follower) Staleness() (staleness time.Duration, ok bool) {
-	proved := f.Proved()
+	proved := f.FreshAt()
 	if proved.IsZero() {
 		return 0, false
 	}
 	return f.options.Now().Sub(proved), true
 }
 
-// Proved returns the latest time before which the store is known to have had nothing
+// FreshAt returns the latest time before which the store is known to have had nothing
 // newer than the view; zero if there is none.
-func (f *Follower) Proved() time.Time {
+func (f *Follower) FreshAt() time.Time {
 	if proved := f.provedAt.Load(); proved != nil {
 		return *proved
 	}
 	return time.Time{}
 }
 
-// recordProof advances the time that Proved returns. It must be called after the view was
+// recordProof advances the time that FreshAt returns. It must be called after the view was
 // applied, so that a caller that sees the time also sees the state as of then.
 func (f *Follower) recordProof(at time.Time) {
-	if !at.IsZero() && at.After(f.Proved()) {
+	if !at.IsZero() && at.After(f.FreshAt()) {
 		f.provedAt.Store(&at)
 	}
 }
