--- a/coordination/mirror/changes.go
+++ b/coordination/mirror/changes.go
@@ -195,8 +195,8 @@
 	}
 }
 
-// Through sets the upstream that feeds the kind.
-func (h *Holder) Through(kind string, upstream Upstream) {
+// SetUpstream sets the upstream that feeds the kind.
+func (h *Holder) SetUpstream(kind string, upstream Upstream) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	h.state(kind).upstream = upstream
--- a/coordination/mirror/changes_test.go
+++ b/coordination/mirror/changes_test.go
@@ -95,7 +95,7 @@
 		last := int64(len(states) - 1)
 		holder, err := mirror.NewHolder(mirror.PersistedKinds(), replica.NewMemory(), time.Now, zap.NewNop())
 		assert.NilError(rt, err)
-		holder.Through(mirror.KindInstances, &fakeUpstream{})
+		holder.SetUpstream(mirror.KindInstances, &fakeUpstream{})
 		at := rapid.Int64Range(0, last).Draw(rt, "first revision of the holder")
 		holder.Keep(mirror.KindInstances, states.snapshot(at))
 		revisions := []int64{at}
@@ -125,7 +125,7 @@
 // removal is sent the whole snapshot.
 func TestOldRemovalsAreForgotten(t *testing.T) {
 	holder := newHolder(t, replica.NewMemory())
-	holder.Through(mirror.KindInstances, &fakeUpstream{})
+	holder.SetUpstream(mirror.KindInstances, &fakeUpstream{})
 	const removals = 600
 	for at := int64(1); at <= removals+1; at++ {
 		holder.Keep(mirror.KindInstances, follow.Snapshot{At: at, Objects: []follow.Object{{Name: fmt.Sprint(at), Revision: at}}})
@@ -144,7 +144,7 @@
 func TestLossIsReportedAtOnce(t *testing.T) {
 	holder := newHolder(t, replica.NewMemory())
 	upstream := &fakeUpstream{}
-	holder.Through(mirror.KindConfiguration, upstream)
+	holder.SetUpstream(mirror.KindConfiguration, upstream)
 	holder.Keep(mirror.KindConfiguration, snapshot(5))
 	answers := make(chan mirror.WatchAnswer, 1)
 	go func() { answers <- holder.Watch(context.Background(), mirror.KindConfiguration, 5, time.Hour) }()
@@ -159,7 +159,7 @@
 	case <-time.After(20 * time.Millisecond):
 	}
 	lostUpstream := &fakeUpstream{lost: true}
-	holder.Through(mirror.KindConfiguration, lostUpstream)
+	holder.SetUpstream(mirror.KindConfiguration, lostUpstream)
 	holder.Lost(mirror.KindConfiguration)
 	_, isLost := (<-answers).(mirror.StoreLost)
 	assert.Assert(t, isLost)
--- a/node/gateway/revocation_test.go
+++ b/node/gateway/revocation_test.go
@@ -186,7 +186,7 @@
 		Apply:  func(snapshot follow.Snapshot) { holder.Keep(mirror.KindConfiguration, snapshot) },
 		OnLost: func() { holder.Lost(mirror.KindConfiguration) },
 	})
-	holder.Through(mirror.KindConfiguration, follower)
+	holder.SetUpstream(mirror.KindConfiguration, follower)
 	s.mutex.Lock()
 	s.holders[address] = holder
 	s.mutex.Unlock()
--- a/node/gateway/storeload_test.go
+++ b/node/gateway/storeload_test.go
@@ -235,7 +235,7 @@
 		Apply:  func(snapshot follow.Snapshot) { holder.Keep(kind, snapshot) },
 		OnLost: func() { holder.Lost(kind) },
 	})
-	holder.Through(kind, follower)
+	holder.SetUpstream(kind, follower)
 	go func() { _ = follower.Serve(ctx) }()
 }
 
--- a/node/storage/mirroring.go
+++ b/node/storage/mirroring.go
@@ -107,7 +107,7 @@
 		Apply:  apply,
 		OnLost: func() { n.mirror.Lost(kind) },
 	})
-	n.mirror.Through(kind, follower)
+	n.mirror.SetUpstream(kind, follower)
 	return follower
 }
 
