--- a/coordination/mirror/changes.go
+++ b/coordination/mirror/changes.go
@@ -202,8 +202,8 @@
 	h.state(kind).upstream = upstream
 }
 
-// Lost wakes the calls that watch the kind, so that they report the lost store.
-func (h *Holder) Lost(kind string) {
+// NotifyLost wakes the calls that watch the kind, so that they report the lost store.
+func (h *Holder) NotifyLost(kind string) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	h.state(kind).notify()
--- a/coordination/mirror/changes_test.go
+++ b/coordination/mirror/changes_test.go
@@ -149,7 +149,7 @@
 	answers := make(chan mirror.WatchAnswer, 1)
 	go func() { answers <- holder.Watch(context.Background(), mirror.KindConfiguration, 5, time.Hour) }()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		holder.Lost(mirror.KindConfiguration)
+		holder.NotifyLost(mirror.KindConfiguration)
 		return poll.Success()
 	})
 	// A wake-up without a loss doesn't end the call.
@@ -160,7 +160,7 @@
 	}
 	lostUpstream := &fakeUpstream{lost: true}
 	holder.SetUpstream(mirror.KindConfiguration, lostUpstream)
-	holder.Lost(mirror.KindConfiguration)
+	holder.NotifyLost(mirror.KindConfiguration)
 	_, isLost := (<-answers).(mirror.StoreLost)
 	assert.Assert(t, isLost)
 }
--- a/node/gateway/revocation_test.go
+++ b/node/gateway/revocation_test.go
@@ -184,7 +184,7 @@
 		Source: mirror.NewSource(mirror.KindConfiguration, s.source(address.String()), upstreams, simulatedNetwork{s, address.String()},
 			mirror.SourceSettings{Wait: 300 * time.Millisecond, MaxAge: 3 * time.Second, Patience: patience}, zap.NewNop()),
 		Apply:  func(snapshot follow.Snapshot) { holder.Keep(mirror.KindConfiguration, snapshot) },
-		OnLost: func() { holder.Lost(mirror.KindConfiguration) },
+		OnLost: func() { holder.NotifyLost(mirror.KindConfiguration) },
 	})
 	holder.SetUpstream(mirror.KindConfiguration, follower)
 	s.mutex.Lock()
--- a/node/gateway/storeload_test.go
+++ b/node/gateway/storeload_test.go
@@ -233,7 +233,7 @@
 		Name: kind, Settings: calls, Logger: zap.NewNop(), Now: time.Now,
 		Source: mirror.NewSource(kind, roleSource{store: f.store, role: "storage", empty: kind != mirror.KindInstances}, upstreams, f.network, sourceSettings, zap.NewNop()),
 		Apply:  func(snapshot follow.Snapshot) { holder.Keep(kind, snapshot) },
-		OnLost: func() { holder.Lost(kind) },
+		OnLost: func() { holder.NotifyLost(kind) },
 	})
 	holder.SetUpstream(kind, follower)
 	go func() { _ = follower.Serve(ctx) }()
--- a/node/storage/mirroring.go
+++ b/node/storage/mirroring.go
@@ -105,7 +105,7 @@
 		Name: kind, Settings: followSettings, Logger: n.logger, Now: time.Now,
 		Source: mirror.NewSource(kind, counted, n.upstreams, n.peers, sourceSettings, n.limitedLogger),
 		Apply:  apply,
-		OnLost: func() { n.mirror.Lost(kind) },
+		OnLost: func() { n.mirror.NotifyLost(kind) },
 	})
 	n.mirror.SetUpstream(kind, follower)
 	return follower
