--- a/coordination/mirror/changes_test.go
+++ b/coordination/mirror/changes_test.go
@@ -97,11 +97,11 @@
 		assert.NilError(rt, err)
 		holder.SetUpstream(mirror.KindInstances, &fakeUpstream{})
 		at := rapid.Int64Range(0, last).Draw(rt, "first revision of the holder")
-		holder.Keep(mirror.KindInstances, states.snapshot(at))
+		holder.Update(mirror.KindInstances, states.snapshot(at))
 		revisions := []int64{at}
 		for range rapid.IntRange(0, 10).Draw(rt, "updates") {
 			at = rapid.Int64Range(at, last).Draw(rt, "next revision of the holder")
-			holder.Keep(mirror.KindInstances, states.snapshot(at))
+			holder.Update(mirror.KindInstances, states.snapshot(at))
 			revisions = append(revisions, at)
 		}
 		from := rapid.Int64Range(0, last).Draw(rt, "known revision")
@@ -128,7 +128,7 @@
 	holder.SetUpstream(mirror.KindInstances, &fakeUpstream{})
 	const removals = 600
 	for at := int64(1); at <= removals+1; at++ {
-		holder.Keep(mirror.KindInstances, follow.Snapshot{At: at, Objects: []follow.Object{{Name: fmt.Sprint(at), Revision: at}}})
+		holder.Update(mirror.KindInstances, follow.Snapshot{At: at, Objects: []follow.Object{{Name: fmt.Sprint(at), Revision: at}}})
 	}
 	watch := func(from int64) mirror.WatchAnswer {
 		return holder.Watch(context.Background(), mirror.KindInstances, from, 0)
@@ -145,7 +145,7 @@
 	holder := newHolder(t, replica.NewMemory())
 	upstream := &fakeUpstream{}
 	holder.SetUpstream(mirror.KindConfiguration, upstream)
-	holder.Keep(mirror.KindConfiguration, snapshot(5))
+	holder.Update(mirror.KindConfiguration, snapshot(5))
 	answers := make(chan mirror.WatchAnswer, 1)
 	go func() { answers <- holder.Watch(context.Background(), mirror.KindConfiguration, 5, time.Hour) }()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
--- a/coordination/mirror/holder.go
+++ b/coordination/mirror/holder.go
@@ -106,8 +106,8 @@
 	return nil
 }
 
-// Keep replaces the copy of the kind, unless the snapshot is older.
-func (h *Holder) Keep(kind string, snapshot follow.Snapshot) {
+// Update replaces the copy of the kind, unless the snapshot is older.
+func (h *Holder) Update(kind string, snapshot follow.Snapshot) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	state := h.state(kind)
--- a/coordination/mirror/mirror_test.go
+++ b/coordination/mirror/mirror_test.go
@@ -50,8 +50,8 @@
 	medium := replica.NewMemory()
 	first := newHolder(t, medium)
 	serve(t, first)
-	first.Keep(mirror.KindConfiguration, snapshot(7))
-	first.Keep(mirror.KindConfiguration, snapshot(5))
+	first.Update(mirror.KindConfiguration, snapshot(7))
+	first.Update(mirror.KindConfiguration, snapshot(5))
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		copies := newHolder(t, medium).Copies()
 		if len(copies) == 0 {
--- a/coordination/register/stored_test.go
+++ b/coordination/register/stored_test.go
@@ -176,7 +176,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	holder, err := mirror.NewHolder([]string{"instances"}, n.store, time.Now, zap.NewNop())
 	assert.NilError(t, err)
-	holder.Keep("instances", follow.Snapshot{
+	holder.Update("instances", follow.Snapshot{
 		Objects: []follow.Object{{Name: "i-1", Revision: 7, Spec: []byte(`{"a":1}`), Status: []byte(`{}`)}},
 		At:      9, Unnamed: 1, Age: time.Second, FreshAt: time.Now(),
 	})
--- a/node/gateway/revocation_test.go
+++ b/node/gateway/revocation_test.go
@@ -183,7 +183,7 @@
 		Name: mirror.KindConfiguration, Settings: calls, Logger: zap.NewNop(), Now: time.Now,
 		Source: mirror.NewSource(mirror.KindConfiguration, s.source(address.String()), upstreams, simulatedNetwork{s, address.String()},
 			mirror.SourceSettings{Wait: 300 * time.Millisecond, MaxAge: 3 * time.Second, Patience: patience}, zap.NewNop()),
-		Apply:  func(snapshot follow.Snapshot) { holder.Keep(mirror.KindConfiguration, snapshot) },
+		Apply:  func(snapshot follow.Snapshot) { holder.Update(mirror.KindConfiguration, snapshot) },
 		OnLost: func() { holder.NotifyLost(mirror.KindConfiguration) },
 	})
 	holder.SetUpstream(mirror.KindConfiguration, follower)
--- a/node/gateway/storeload_test.go
+++ b/node/gateway/storeload_test.go
@@ -232,7 +232,7 @@
 	follower := follow.New(follow.Options{
 		Name: kind, Settings: calls, Logger: zap.NewNop(), Now: time.Now,
 		Source: mirror.NewSource(kind, roleSource{store: f.store, role: "storage", empty: kind != mirror.KindInstances}, upstreams, f.network, sourceSettings, zap.NewNop()),
-		Apply:  func(snapshot follow.Snapshot) { holder.Keep(kind, snapshot) },
+		Apply:  func(snapshot follow.Snapshot) { holder.Update(kind, snapshot) },
 		OnLost: func() { holder.NotifyLost(kind) },
 	})
 	holder.SetUpstream(kind, follower)
--- a/node/storage/mirroring.go
+++ b/node/storage/mirroring.go
@@ -77,7 +77,7 @@
 		// Polling already paces the calls at the store.
 		sourceSettings.Patience.Lost, sourceSettings.StorePause = interval, 0
 	}
-	keep := func(snapshot follow.Snapshot) { n.mirror.Keep(kind, snapshot) }
+	keep := func(snapshot follow.Snapshot) { n.mirror.Update(kind, snapshot) }
 	return n.newMirroredFollower(kind, direct, followSettings, sourceSettings, keep)
 }
 
@@ -92,7 +92,7 @@
 	}
 	return n.newMirroredFollower(kind, direct, followSettings, sourceSettings, func(snapshot follow.Snapshot) {
 		apply(snapshot)
-		n.mirror.Keep(kind, snapshot)
+		n.mirror.Update(kind, snapshot)
 	})
 }
 
