--- a/coordination/mirror/gate.go
+++ b/coordination/mirror/gate.go
@@ -13,9 +13,9 @@
 	// HoldersUnreachable applies while holders can't be reached or their answers are stale, counted
 	// from the last usable answer.
 	HoldersUnreachable time.Duration
-	// Lost applies while holders answer that they have lost the store, counted from the last
+	// StoreLost applies while holders answer that they have lost the store, counted from the last
 	// usable answer. The store is then probably unavailable to this node too.
-	Lost time.Duration
+	StoreLost time.Duration
 }
 
 // maxStoreFailures is the number of consecutive failed calls after which a store that
@@ -63,7 +63,7 @@
 	case !g.lostReported.IsZero():
 		// The holders that answered may have become unreachable since.
 		unreachable := now.After(g.lostReported) && g.hasElapsed(now, g.lostReported, g.delays.HoldersUnreachable)
-		return unreachable || g.hasElapsed(now, g.delayStart, g.delays.Lost)
+		return unreachable || g.hasElapsed(now, g.delayStart, g.delays.StoreLost)
 	}
 	return g.hasElapsed(now, g.delayStart, g.delays.HoldersUnreachable)
 }
--- a/coordination/mirror/rules_test.go
+++ b/coordination/mirror/rules_test.go
@@ -124,7 +124,7 @@
 	}
 	for name, steps := range cases {
 		t.Run(name, func(t *testing.T) {
-			g := storeGate{delays: FallbackDelays{HoldersUnreachable: time.Second, Lost: 4 * time.Second}, jitterFactor: 1, delayStart: start}
+			g := storeGate{delays: FallbackDelays{HoldersUnreachable: time.Second, StoreLost: 4 * time.Second}, jitterFactor: 1, delayStart: start}
 			for _, step := range steps {
 				now := start.Add(step.at)
 				step.apply(&g, now)
--- a/coordination/mirror/source_test.go
+++ b/coordination/mirror/source_test.go
@@ -219,7 +219,7 @@
 // TestStoreIsAskedOnlyAfterDelay checks the delay while holders are unreachable or have lost
 // the store, and that it applies again after a failed call. Without holders there is none.
 func TestStoreIsAskedOnlyAfterDelay(t *testing.T) {
-	delays := mirror.FallbackDelays{HoldersUnreachable: time.Second, Lost: 4 * time.Second}
+	delays := mirror.FallbackDelays{HoldersUnreachable: time.Second, StoreLost: 4 * time.Second}
 	// The jitter of a source lengthens its delays by up to a factor of two.
 	for name, c := range map[string]struct {
 		answer            mirror.WatchAnswer
@@ -265,7 +265,7 @@
 func TestSourceFollowsStoreUntilHolderAnswers(t *testing.T) {
 	for name, answer := range map[string]mirror.WatchAnswer{"unreachable": nil, "lost": mirror.StoreLost{}} {
 		t.Run(name, func(t *testing.T) {
-			delays := mirror.FallbackDelays{HoldersUnreachable: time.Second, Lost: 4 * time.Second}
+			delays := mirror.FallbackDelays{HoldersUnreachable: time.Second, StoreLost: 4 * time.Second}
 			f := newDelayedSourceFixture(map[netip.AddrPort]mirror.WatchAnswer{holderA: answer, holderB: answer, holderC: answer}, delays)
 			asksStore := func() bool {
 				before := f.store.watchCalls
@@ -332,7 +332,7 @@
 // TestLostHolderBecomesUnreachable checks that the longer delay for holders that have lost
 // the store ends when these don't answer any more.
 func TestLostHolderBecomesUnreachable(t *testing.T) {
-	delays := mirror.FallbackDelays{HoldersUnreachable: time.Second, Lost: time.Minute}
+	delays := mirror.FallbackDelays{HoldersUnreachable: time.Second, StoreLost: time.Minute}
 	f := newDelayedSourceFixture(map[netip.AddrPort]mirror.WatchAnswer{holderA: mirror.StoreLost{}}, delays)
 	f.addresses = []netip.AddrPort{holderA}
 	for range 20 {
@@ -364,7 +364,7 @@
 // TestHoldersPerCallAreLimited checks that a source that loses all of its holders at once
 // doesn't ask every one of them in one call.
 func TestHoldersPerCallAreLimited(t *testing.T) {
-	f := newDelayedSourceFixture(map[netip.AddrPort]mirror.WatchAnswer{}, mirror.FallbackDelays{HoldersUnreachable: time.Second, Lost: time.Second})
+	f := newDelayedSourceFixture(map[netip.AddrPort]mirror.WatchAnswer{}, mirror.FallbackDelays{HoldersUnreachable: time.Second, StoreLost: time.Second})
 	f.addresses = nil
 	for index := range 20 {
 		holder := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 1, byte(index)}), 1)
@@ -385,7 +385,7 @@
 // TestRecoveredHolderIsUsedSoon checks that a holder that has lost the store is asked again
 // within 250 ms, however often it has answered so before.
 func TestRecoveredHolderIsUsedSoon(t *testing.T) {
-	f := newDelayedSourceFixture(map[netip.AddrPort]mirror.WatchAnswer{holderA: mirror.StoreLost{}}, mirror.FallbackDelays{Lost: time.Minute})
+	f := newDelayedSourceFixture(map[netip.AddrPort]mirror.WatchAnswer{holderA: mirror.StoreLost{}}, mirror.FallbackDelays{StoreLost: time.Minute})
 	f.addresses = []netip.AddrPort{holderA}
 	for range 20 {
 		_, err := f.source.List(t.Context())
@@ -401,9 +401,9 @@
 // TestConcurrentFailuresCountOnce checks that a holder that fails the calls of several kinds
 // at the same moment backs off as after one failure.
 func TestConcurrentFailuresCountOnce(t *testing.T) {
-	f := newDelayedSourceFixture(map[netip.AddrPort]mirror.WatchAnswer{}, mirror.FallbackDelays{HoldersUnreachable: time.Minute, Lost: time.Minute})
+	f := newDelayedSourceFixture(map[netip.AddrPort]mirror.WatchAnswer{}, mirror.FallbackDelays{HoldersUnreachable: time.Minute, StoreLost: time.Minute})
 	holders := mirror.NewHolderSelector(func() []netip.AddrPort { return f.addresses }, func() time.Time { return f.now })
-	settings := mirror.SourceSettings{Wait: time.Second, MaxAge: 4 * time.Second, Patience: mirror.FallbackDelays{HoldersUnreachable: time.Minute, Lost: time.Minute}}
+	settings := mirror.SourceSettings{Wait: time.Second, MaxAge: 4 * time.Second, Patience: mirror.FallbackDelays{HoldersUnreachable: time.Minute, StoreLost: time.Minute}}
 	var sources []*mirror.Source
 	for _, kind := range mirror.PersistedKinds() {
 		sources = append(sources, mirror.NewSource(kind, &f.store, holders, &f.watcher, settings, zap.NewNop()))
--- a/node/gateway/followplan.go
+++ b/node/gateway/followplan.go
@@ -112,7 +112,7 @@
 		holders: mirror.SourceSettings{
 			Wait:       holderWait,
 			MaxAge:     replicaSetMaxAge,
-			Patience:   mirror.FallbackDelays{HoldersUnreachable: replicaSetPatience, Lost: lostPatience},
+			Patience:   mirror.FallbackDelays{HoldersUnreachable: replicaSetPatience, StoreLost: lostPatience},
 			StorePause: replicaSetStorePause,
 		},
 	}
@@ -164,7 +164,7 @@
 	unreached := time.Duration(unreachedPatienceFraction * float64(undisturbed))
 	return mirror.FallbackDelays{
 		HoldersUnreachable: min(max(unreached, minUnreachedPatience), maxUnreachedPatience),
-		Lost:               lostPatience,
+		StoreLost:          lostPatience,
 	}
 }
 
--- a/node/gateway/followplan_test.go
+++ b/node/gateway/followplan_test.go
@@ -23,7 +23,7 @@
 		},
 		holders: mirror.SourceSettings{
 			Wait: 1000 * ms, MaxAge: 2000 * ms, StorePause: 1000 * ms,
-			Patience: mirror.FallbackDelays{HoldersUnreachable: 1125 * ms, Lost: 4000 * ms},
+			Patience: mirror.FallbackDelays{HoldersUnreachable: 1125 * ms, StoreLost: 4000 * ms},
 		},
 	}
 	replicaSets := followPlan{
@@ -33,7 +33,7 @@
 		},
 		holders: mirror.SourceSettings{
 			Wait: 1000 * ms, MaxAge: 30_000 * ms, StorePause: 2000 * ms,
-			Patience: mirror.FallbackDelays{HoldersUnreachable: 700 * ms, Lost: 4000 * ms},
+			Patience: mirror.FallbackDelays{HoldersUnreachable: 700 * ms, StoreLost: 4000 * ms},
 		},
 	}
 	proven := defaults
@@ -68,7 +68,7 @@
 		10 * time.Second: maxUnreachedPatience,
 	}
 	for undisturbed, want := range cases {
-		assert.Equal(t, holderPatience(undisturbed), mirror.FallbackDelays{HoldersUnreachable: want, Lost: lostPatience}, undisturbed)
+		assert.Equal(t, holderPatience(undisturbed), mirror.FallbackDelays{HoldersUnreachable: want, StoreLost: lostPatience}, undisturbed)
 	}
 }
 
--- a/node/gateway/revocation_test.go
+++ b/node/gateway/revocation_test.go
@@ -178,7 +178,7 @@
 	}, time.Now)
 	calls := follow.DefaultSettings()
 	calls.ListTimeout, calls.WatchWait, calls.WatchGrace = time.Second, mirror.ProofInterval(revokeLimit), 400*time.Millisecond
-	patience := mirror.FallbackDelays{HoldersUnreachable: time.Second, Lost: mirror.ProofInterval(revokeLimit)}
+	patience := mirror.FallbackDelays{HoldersUnreachable: time.Second, StoreLost: mirror.ProofInterval(revokeLimit)}
 	follower := follow.New(follow.Options{
 		Name: mirror.KindConfiguration, Settings: calls, Logger: zap.NewNop(), Now: time.Now,
 		Source: mirror.NewSource(mirror.KindConfiguration, s.source(address.String()), upstreams, simulatedNetwork{s, address.String()},
--- a/node/gateway/storeload_test.go
+++ b/node/gateway/storeload_test.go
@@ -225,7 +225,7 @@
 func (f *testFleet) startHolderFollower(ctx context.Context, kind string, holder *mirror.Holder, upstreams *mirror.HolderSelector) {
 	sourceSettings := mirror.SourceSettings{
 		Wait: 300 * time.Millisecond, MaxAge: fleetApplyLimit,
-		Patience: mirror.FallbackDelays{HoldersUnreachable: time.Second, Lost: 2 * time.Second},
+		Patience: mirror.FallbackDelays{HoldersUnreachable: time.Second, StoreLost: 2 * time.Second},
 	}
 	calls := follow.DefaultSettings()
 	calls.ListTimeout, calls.WatchWait, calls.WatchGrace = time.Second, 3300*time.Millisecond, 400*time.Millisecond
--- a/node/storage/mirroring.go
+++ b/node/storage/mirroring.go
@@ -59,7 +59,7 @@
 // before it asks the store directly. The delays are short, since gateways follow the store
 // through this node.
 func upstreamFallbackDelays() mirror.FallbackDelays {
-	return mirror.FallbackDelays{HoldersUnreachable: upstreamUnreachableDelay, Lost: upstreamStoreLostDelay}
+	return mirror.FallbackDelays{HoldersUnreachable: upstreamUnreachableDelay, StoreLost: upstreamStoreLostDelay}
 }
 
 // newBoundedFollower returns a follower of objects that gateways must apply within the
@@ -75,7 +75,7 @@
 		direct = follow.NewPollingSource(direct, interval, time.Now)
 		followSettings.WatchWait, followSettings.MaxBackoff = interval, mirror.ProofPause
 		// Polling already paces the calls at the store.
-		sourceSettings.Patience.Lost, sourceSettings.StorePause = interval, 0
+		sourceSettings.Patience.StoreLost, sourceSettings.StorePause = interval, 0
 	}
 	keep := func(snapshot follow.Snapshot) { n.mirror.Update(kind, snapshot) }
 	return n.newMirroredFollower(kind, direct, followSettings, sourceSettings, keep)
