--- a/coordination/mirror/source.go
+++ b/coordination/mirror/source.go
@@ -36,8 +36,8 @@
 
 // SourceSettings configure a Source.
 type SourceSettings struct {
-	// Wait is the longest time that a holder may hold a call until there are changes.
-	Wait time.Duration
+	// HolderWait is the longest time that a holder may hold a call until there are changes.
+	HolderWait time.Duration
 	// MaxAge is the longest time since the store confirmed a holder's data.
 	MaxAge time.Duration
 	// Patience holds the delays before the store is asked directly. If there are no holders
@@ -169,7 +169,7 @@
 		if earlier > 0 || s.gate.followsStore() {
 			changes, err = s.probe(ctx, holder, from)
 		} else {
-			changes, err = s.watchHolder(ctx, holder, from, s.settings.Wait)
+			changes, err = s.watchHolder(ctx, holder, from, s.settings.HolderWait)
 		}
 		if err == nil {
 			s.recordHolderAnswer(holder, changes.At)
--- a/node/gateway/followplan.go
+++ b/node/gateway/followplan.go
@@ -110,7 +110,7 @@
 	return followPlan{
 		calls: calls,
 		holders: mirror.SourceSettings{
-			Wait:       holderWait,
+			HolderWait: holderWait,
 			MaxAge:     replicaSetMaxAge,
 			Patience:   mirror.FallbackDelays{HoldersUnreachable: replicaSetPatience, StoreLost: lostPatience},
 			StorePause: replicaSetStorePause,
@@ -141,7 +141,7 @@
 // holderSettings returns the bounds of following such objects through holders.
 func holderSettings(limits settings.Gateway) mirror.SourceSettings {
 	return mirror.SourceSettings{
-		Wait:       holderWait,
+		HolderWait: holderWait,
 		MaxAge:     limits.ApplyLimit,
 		Patience:   holderPatience(limits.UndisturbedTime),
 		StorePause: limits.ApplyLimit / storePauseDivisor,
@@ -152,7 +152,7 @@
 // holders are asked as often as the store, and an outdated one is dropped while there is
 // time to ask another.
 func provenHolderSettings(revokeLimit time.Duration, defaults mirror.SourceSettings) mirror.SourceSettings {
-	defaults.Wait = min(defaults.Wait, mirror.ProofInterval(revokeLimit))
+	defaults.HolderWait = min(defaults.HolderWait, mirror.ProofInterval(revokeLimit))
 	defaults.MaxAge = min(defaults.MaxAge, revokeLimit/provenMaxAgeDivisor)
 	// Polling already limits the rate of calls to the store.
 	defaults.StorePause = 0
