--- a/coordination/mirror/source.go
+++ b/coordination/mirror/source.go
@@ -38,8 +38,8 @@
 type SourceSettings struct {
 	// HolderWait is the longest time that a holder may hold a call until there are changes.
 	HolderWait time.Duration
-	// MaxAge is the longest time since the store confirmed a holder's data.
-	MaxAge time.Duration
+	// MaxHolderAge is the longest time since the store confirmed a holder's data.
+	MaxHolderAge time.Duration
 	// Patience holds the delays before the store is asked directly. If there are no holders
 	// at all, it is asked at once.
 	Patience FallbackDelays
@@ -225,7 +225,7 @@
 	if err != nil {
 		return follow.Changes{}, err
 	}
-	return usableChanges(answer, s.settings.MaxAge)
+	return usableChanges(answer, s.settings.MaxHolderAge)
 }
 
 // recordHolderAnswer records a usable answer of the holder.
--- a/node/gateway/followplan.go
+++ b/node/gateway/followplan.go
@@ -110,10 +110,10 @@
 	return followPlan{
 		calls: calls,
 		holders: mirror.SourceSettings{
-			HolderWait: holderWait,
-			MaxAge:     replicaSetMaxAge,
-			Patience:   mirror.FallbackDelays{HoldersUnreachable: replicaSetPatience, StoreLost: lostPatience},
-			StorePause: replicaSetStorePause,
+			HolderWait:   holderWait,
+			MaxHolderAge: replicaSetMaxAge,
+			Patience:     mirror.FallbackDelays{HoldersUnreachable: replicaSetPatience, StoreLost: lostPatience},
+			StorePause:   replicaSetStorePause,
 		},
 	}
 }
@@ -141,10 +141,10 @@
 // holderSettings returns the bounds of following such objects through holders.
 func holderSettings(limits settings.Gateway) mirror.SourceSettings {
 	return mirror.SourceSettings{
-		HolderWait: holderWait,
-		MaxAge:     limits.ApplyLimit,
-		Patience:   holderPatience(limits.UndisturbedTime),
-		StorePause: limits.ApplyLimit / storePauseDivisor,
+		HolderWait:   holderWait,
+		MaxHolderAge: limits.ApplyLimit,
+		Patience:     holderPatience(limits.UndisturbedTime),
+		StorePause:   limits.ApplyLimit / storePauseDivisor,
 	}
 }
 
@@ -153,7 +153,7 @@
 // time to ask another.
 func provenHolderSettings(revokeLimit time.Duration, defaults mirror.SourceSettings) mirror.SourceSettings {
 	defaults.HolderWait = min(defaults.HolderWait, mirror.ProofInterval(revokeLimit))
-	defaults.MaxAge = min(defaults.MaxAge, revokeLimit/provenMaxAgeDivisor)
+	defaults.MaxHolderAge = min(defaults.MaxHolderAge, revokeLimit/provenMaxAgeDivisor)
 	// Polling already limits the rate of calls to the store.
 	defaults.StorePause = 0
 	return defaults
--- a/node/gateway/followplan_test.go
+++ b/node/gateway/followplan_test.go
@@ -22,7 +22,7 @@
 			BatchDelay: 150 * ms, MinBackoff: 50 * ms, MaxBackoff: 250 * ms,
 		},
 		holders: mirror.SourceSettings{
-			HolderWait: 1000 * ms, MaxAge: 2000 * ms, StorePause: 1000 * ms,
+			HolderWait: 1000 * ms, MaxHolderAge: 2000 * ms, StorePause: 1000 * ms,
 			Patience: mirror.FallbackDelays{HoldersUnreachable: 1125 * ms, StoreLost: 4000 * ms},
 		},
 	}
@@ -32,13 +32,13 @@
 			BatchDelay: 150 * ms, MinBackoff: 50 * ms, MaxBackoff: 400 * ms,
 		},
 		holders: mirror.SourceSettings{
-			HolderWait: 1000 * ms, MaxAge: 30_000 * ms, StorePause: 2000 * ms,
+			HolderWait: 1000 * ms, MaxHolderAge: 30_000 * ms, StorePause: 2000 * ms,
 			Patience: mirror.FallbackDelays{HoldersUnreachable: 700 * ms, StoreLost: 4000 * ms},
 		},
 	}
 	proven := defaults
 	proven.calls.MaxBackoff = 100 * ms
-	proven.holders.HolderWait, proven.holders.MaxAge, proven.holders.StorePause = 240*ms, 800*ms, 0
+	proven.holders.HolderWait, proven.holders.MaxHolderAge, proven.holders.StorePause = 240*ms, 800*ms, 0
 	proven.pollInterval = 240 * ms
 	cases := []struct {
 		name   string
--- a/node/gateway/storeload_test.go
+++ b/node/gateway/storeload_test.go
@@ -224,7 +224,7 @@
 // or the store if there are none.
 func (f *testFleet) startHolderFollower(ctx context.Context, kind string, holder *mirror.Holder, upstreams *mirror.HolderSelector) {
 	sourceSettings := mirror.SourceSettings{
-		HolderWait: 300 * time.Millisecond, MaxAge: fleetApplyLimit,
+		HolderWait: 300 * time.Millisecond, MaxHolderAge: fleetApplyLimit,
 		Patience: mirror.FallbackDelays{HoldersUnreachable: time.Second, StoreLost: 2 * time.Second},
 	}
 	calls := follow.DefaultSettings()
--- a/node/storage/mirroring.go
+++ b/node/storage/mirroring.go
@@ -66,7 +66,7 @@
 // apply limit.
 func (n *Node) newBoundedFollower(kind string, direct follow.Source) *follow.Follower {
 	sourceSettings := mirror.SourceSettings{
-		HolderWait: boundedUpstreamWait, MaxAge: n.settings.ApplyLimit,
+		HolderWait: boundedUpstreamWait, MaxHolderAge: n.settings.ApplyLimit,
 		Patience: upstreamFallbackDelays(), StorePause: n.settings.ApplyLimit / storePauseDivisor,
 	}
 	followSettings := boundedFollowSettings(n.settings.ApplyLimit)
@@ -87,7 +87,7 @@
 	followSettings := follow.DefaultSettings()
 	followSettings.WatchWait = relaxedWatchWait
 	sourceSettings := mirror.SourceSettings{
-		HolderWait: relaxedUpstreamWait, MaxAge: relaxedMaxAge,
+		HolderWait: relaxedUpstreamWait, MaxHolderAge: relaxedMaxAge,
 		Patience: upstreamFallbackDelays(), StorePause: relaxedUpstreamWait,
 	}
 	return n.newMirroredFollower(kind, direct, followSettings, sourceSettings, func(snapshot follow.Snapshot) {
