--- a/coordination/mirror/source.go
+++ b/coordination/mirror/source.go
@@ -40,9 +40,9 @@
 	HolderWait time.Duration
 	// MaxHolderAge is the longest time since the store confirmed a holder's data.
 	MaxHolderAge time.Duration
-	// Patience holds the delays before the store is asked directly. If there are no holders
+	// FallbackDelays holds the delays before the store is asked directly. If there are no holders
 	// at all, it is asked at once.
-	Patience FallbackDelays
+	FallbackDelays FallbackDelays
 	// StorePause is the shortest time between two calls to the store while it is followed in
 	// place of holders, so that changes in quick succession cost one call.
 	StorePause time.Duration
@@ -74,7 +74,7 @@
 func NewSource(kind string, store follow.Source, holders *HolderSelector, watcher Watcher, settings SourceSettings, logger *zap.Logger) *Source {
 	return &Source{
 		kind: kind, store: store, holders: holders, watcher: watcher, settings: settings, logger: logger,
-		gate: newStoreGate(settings.Patience, holders.now()),
+		gate: newStoreGate(settings.FallbackDelays, holders.now()),
 	}
 }
 
--- a/coordination/mirror/source_test.go
+++ b/coordination/mirror/source_test.go
@@ -93,7 +93,7 @@
 	f := &sourceFixture{now: time.Unix(1000, 0), addresses: []netip.AddrPort{holderA, holderB, holderC}}
 	f.watcher = fakeWatcher{answers: answers, now: &f.now}
 	holders := mirror.NewHolderSelector(func() []netip.AddrPort { return f.addresses }, func() time.Time { return f.now })
-	settings := mirror.SourceSettings{HolderWait: time.Second, MaxHolderAge: 4 * time.Second, Patience: delays}
+	settings := mirror.SourceSettings{HolderWait: time.Second, MaxHolderAge: 4 * time.Second, FallbackDelays: delays}
 	f.source = mirror.NewSource(mirror.KindInstances, &f.store, holders, &f.watcher, settings, zap.NewNop())
 	return f
 }
@@ -403,7 +403,7 @@
 func TestConcurrentFailuresCountOnce(t *testing.T) {
 	f := newDelayedSourceFixture(map[netip.AddrPort]mirror.WatchAnswer{}, mirror.FallbackDelays{HoldersUnreachable: time.Minute, StoreLost: time.Minute})
 	holders := mirror.NewHolderSelector(func() []netip.AddrPort { return f.addresses }, func() time.Time { return f.now })
-	settings := mirror.SourceSettings{HolderWait: time.Second, MaxHolderAge: 4 * time.Second, Patience: mirror.FallbackDelays{HoldersUnreachable: time.Minute, StoreLost: time.Minute}}
+	settings := mirror.SourceSettings{HolderWait: time.Second, MaxHolderAge: 4 * time.Second, FallbackDelays: mirror.FallbackDelays{HoldersUnreachable: time.Minute, StoreLost: time.Minute}}
 	var sources []*mirror.Source
 	for _, kind := range mirror.PersistedKinds() {
 		sources = append(sources, mirror.NewSource(kind, &f.store, holders, &f.watcher, settings, zap.NewNop()))
--- a/node/gateway/followplan.go
+++ b/node/gateway/followplan.go
@@ -110,10 +110,10 @@
 	return followPlan{
 		calls: calls,
 		holders: mirror.SourceSettings{
-			HolderWait:   holderWait,
-			MaxHolderAge: replicaSetMaxAge,
-			Patience:     mirror.FallbackDelays{HoldersUnreachable: replicaSetPatience, StoreLost: lostPatience},
-			StorePause:   replicaSetStorePause,
+			HolderWait:     holderWait,
+			MaxHolderAge:   replicaSetMaxAge,
+			FallbackDelays: mirror.FallbackDelays{HoldersUnreachable: replicaSetPatience, StoreLost: lostPatience},
+			StorePause:     replicaSetStorePause,
 		},
 	}
 }
@@ -141,10 +141,10 @@
 // holderSettings returns the bounds of following such objects through holders.
 func holderSettings(limits settings.Gateway) mirror.SourceSettings {
 	return mirror.SourceSettings{
-		HolderWait:   holderWait,
-		MaxHolderAge: limits.ApplyLimit,
-		Patience:     holderPatience(limits.UndisturbedTime),
-		StorePause:   limits.ApplyLimit / storePauseDivisor,
+		HolderWait:     holderWait,
+		MaxHolderAge:   limits.ApplyLimit,
+		FallbackDelays: holderPatience(limits.UndisturbedTime),
+		StorePause:     limits.ApplyLimit / storePauseDivisor,
 	}
 }
 
--- a/node/gateway/followplan_test.go
+++ b/node/gateway/followplan_test.go
@@ -23,7 +23,7 @@
 		},
 		holders: mirror.SourceSettings{
 			HolderWait: 1000 * ms, MaxHolderAge: 2000 * ms, StorePause: 1000 * ms,
-			Patience: mirror.FallbackDelays{HoldersUnreachable: 1125 * ms, StoreLost: 4000 * ms},
+			FallbackDelays: mirror.FallbackDelays{HoldersUnreachable: 1125 * ms, StoreLost: 4000 * ms},
 		},
 	}
 	replicaSets := followPlan{
@@ -33,7 +33,7 @@
 		},
 		holders: mirror.SourceSettings{
 			HolderWait: 1000 * ms, MaxHolderAge: 30_000 * ms, StorePause: 2000 * ms,
-			Patience: mirror.FallbackDelays{HoldersUnreachable: 700 * ms, StoreLost: 4000 * ms},
+			FallbackDelays: mirror.FallbackDelays{HoldersUnreachable: 700 * ms, StoreLost: 4000 * ms},
 		},
 	}
 	proven := defaults
--- a/node/gateway/revocation_test.go
+++ b/node/gateway/revocation_test.go
@@ -182,7 +182,7 @@
 	follower := follow.New(follow.Options{
 		Name: mirror.KindConfiguration, Settings: calls, Logger: zap.NewNop(), Now: time.Now,
 		Source: mirror.NewSource(mirror.KindConfiguration, s.source(address.String()), upstreams, simulatedNetwork{s, address.String()},
-			mirror.SourceSettings{HolderWait: 300 * time.Millisecond, MaxHolderAge: 3 * time.Second, Patience: patience}, zap.NewNop()),
+			mirror.SourceSettings{HolderWait: 300 * time.Millisecond, MaxHolderAge: 3 * time.Second, FallbackDelays: patience}, zap.NewNop()),
 		Apply:  func(snapshot follow.Snapshot) { holder.Update(mirror.KindConfiguration, snapshot) },
 		OnLost: func() { holder.NotifyLost(mirror.KindConfiguration) },
 	})
--- a/node/gateway/storeload_test.go
+++ b/node/gateway/storeload_test.go
@@ -225,7 +225,7 @@
 func (f *testFleet) startHolderFollower(ctx context.Context, kind string, holder *mirror.Holder, upstreams *mirror.HolderSelector) {
 	sourceSettings := mirror.SourceSettings{
 		HolderWait: 300 * time.Millisecond, MaxHolderAge: fleetApplyLimit,
-		Patience: mirror.FallbackDelays{HoldersUnreachable: time.Second, StoreLost: 2 * time.Second},
+		FallbackDelays: mirror.FallbackDelays{HoldersUnreachable: time.Second, StoreLost: 2 * time.Second},
 	}
 	calls := follow.DefaultSettings()
 	calls.ListTimeout, calls.WatchWait, calls.WatchGrace = time.Second, 3300*time.Millisecond, 400*time.Millisecond
--- a/node/storage/mirroring.go
+++ b/node/storage/mirroring.go
@@ -67,7 +67,7 @@
 func (n *Node) newBoundedFollower(kind string, direct follow.Source) *follow.Follower {
 	sourceSettings := mirror.SourceSettings{
 		HolderWait: boundedUpstreamWait, MaxHolderAge: n.settings.ApplyLimit,
-		Patience: upstreamFallbackDelays(), StorePause: n.settings.ApplyLimit / storePauseDivisor,
+		FallbackDelays: upstreamFallbackDelays(), StorePause: n.settings.ApplyLimit / storePauseDivisor,
 	}
 	followSettings := boundedFollowSettings(n.settings.ApplyLimit)
 	if kind == mirror.KindConfiguration && n.settings.RevokeLimit > 0 {
@@ -75,7 +75,7 @@
 		direct = follow.NewPollingSource(direct, interval, time.Now)
 		followSettings.WatchWait, followSettings.MaxBackoff = interval, mirror.ProofPause
 		// Polling already paces the calls at the store.
-		sourceSettings.Patience.StoreLost, sourceSettings.StorePause = interval, 0
+		sourceSettings.FallbackDelays.StoreLost, sourceSettings.StorePause = interval, 0
 	}
 	keep := func(snapshot follow.Snapshot) { n.mirror.Update(kind, snapshot) }
 	return n.newMirroredFollower(kind, direct, followSettings, sourceSettings, keep)
@@ -88,7 +88,7 @@
 	followSettings.WatchWait = relaxedWatchWait
 	sourceSettings := mirror.SourceSettings{
 		HolderWait: relaxedUpstreamWait, MaxHolderAge: relaxedMaxAge,
-		Patience: upstreamFallbackDelays(), StorePause: relaxedUpstreamWait,
+		FallbackDelays: upstreamFallbackDelays(), StorePause: relaxedUpstreamWait,
 	}
 	return n.newMirroredFollower(kind, direct, followSettings, sourceSettings, func(snapshot follow.Snapshot) {
 		apply(snapshot)
