--- a/coordination/mirror/source.go
+++ b/coordination/mirror/source.go
@@ -253,8 +253,8 @@
 		zap.Int64("revision", from), zap.Error(err))
 }
 
-// Through describes, for logs, the holder or store that is followed.
-func (s *Source) Through() string {
+// UpstreamName describes, for logs, the holder or store that is followed.
+func (s *Source) UpstreamName() string {
 	if holder := s.lastHolder.Load(); holder != nil {
 		return "storage node " + holder.String()
 	}
--- a/node/gateway/freshness.go
+++ b/node/gateway/freshness.go
@@ -35,7 +35,7 @@
 
 // Source implements relay.Proof.
 func (f configurationFreshness) Source() string {
-	return f.gateway.followers.configurationSource.Through()
+	return f.gateway.followers.configurationSource.UpstreamName()
 }
 
 // isTooStaleForKeys reports whether requests with keys are refused because the active
