--- a/coordination/mirror/holders_test.go
+++ b/coordination/mirror/holders_test.go
@@ -91,7 +91,7 @@
 	members := []register.Member{storageNode(0, 1), storageNode(1, 0), storageNode(2, 0), storageNode(3, 1)}
 	first := make(map[netip.AddrPort]bool)
 	for reader := range 40 {
-		ordered := mirror.Near("zone-0", fmt.Sprint("edge-", reader), members)
+		ordered := mirror.OrderByZone("zone-0", fmt.Sprint("edge-", reader), members)
 		assert.Equal(t, len(ordered), len(members))
 		first[ordered[0]] = true
 	}
--- a/coordination/mirror/order.go
+++ b/coordination/mirror/order.go
@@ -9,10 +9,10 @@
 	"github.com/marblering/marblering/state/program"
 )
 
-// Near returns the addresses of storage nodes in the named node's order of preference: its
+// OrderByZone returns the addresses of storage nodes in the named node's order of preference: its
 // own zone first, then by affinity to its name, so that nodes spread over them. Members
 // whose address isn't an IP address and port are left out.
-func Near(zone, name string, members []register.Member) []netip.AddrPort {
+func OrderByZone(zone, name string, members []register.Member) []netip.AddrPort {
 	ordered := slices.Clone(members)
 	slices.SortFunc(ordered, func(a, b register.Member) int {
 		return cmp.Or(
--- a/coordination/mirror/upstreams.go
+++ b/coordination/mirror/upstreams.go
@@ -33,7 +33,7 @@
 	if slices.ContainsFunc(direct, isSelf) {
 		return nil
 	}
-	return Near(self.Zone, self.Node, direct)
+	return OrderByZone(self.Zone, self.Node, direct)
 }
 
 // directMembers chooses the members that follow the store directly, from as many zones as
--- a/node/gateway/followers.go
+++ b/node/gateway/followers.go
@@ -71,5 +71,5 @@
 	if views == nil {
 		return mirror.Spread(g.settings.Name, g.settings.Seeds)
 	}
-	return mirror.Near(g.settings.Zone, g.settings.Name, shard.MembersOf(views.Views()))
+	return mirror.OrderByZone(g.settings.Zone, g.settings.Name, shard.MembersOf(views.Views()))
 }
--- a/node/gateway/storageoutage_test.go
+++ b/node/gateway/storageoutage_test.go
@@ -160,7 +160,7 @@
 // startRecordingGateway starts a gateway that records when it applies each object.
 func (f *testFleet) startRecordingGateway(ctx context.Context, network mirror.Watcher, name string, limits settings.Gateway) *applyTimes {
 	times := &applyTimes{first: make(map[string]time.Time)}
-	holders := mirror.NewHolderSelector(func() []netip.AddrPort { return mirror.Near("zone-0", name, f.members) }, time.Now)
+	holders := mirror.NewHolderSelector(func() []netip.AddrPort { return mirror.OrderByZone("zone-0", name, f.members) }, time.Now)
 	follower := follow.New(follow.Options{
 		Name: mirror.KindInstances, Settings: callSettings(limits), Logger: zap.NewNop(), Now: time.Now, Apply: times.apply,
 		Source: mirror.NewSource(mirror.KindInstances, roleSource{store: f.store, role: "gateway"}, holders, network, holderSettings(limits), zap.NewNop()),
--- a/node/gateway/storeload_test.go
+++ b/node/gateway/storeload_test.go
@@ -245,7 +245,7 @@
 }
 
 func (f *testFleet) startGateway(ctx context.Context, name, zone string) {
-	holders := mirror.NewHolderSelector(func() []netip.AddrPort { return mirror.Near(zone, name, f.members) }, time.Now)
+	holders := mirror.NewHolderSelector(func() []netip.AddrPort { return mirror.OrderByZone(zone, name, f.members) }, time.Now)
 	limits := f.gatewayLimits()
 	var received, receivedLate sync.Once
 	follower := follow.New(follow.Options{
