--- a/coordination/mirror/order.go
+++ b/coordination/mirror/order.go
@@ -23,8 +23,8 @@
 	return parseAddresses(ordered)
 }
 
-// Spread orders addresses by affinity to the named node, so that nodes spread over them.
-func Spread(name string, addresses []netip.AddrPort) []netip.AddrPort {
+// OrderByAffinity orders addresses by affinity to the named node, so that nodes spread over them.
+func OrderByAffinity(name string, addresses []netip.AddrPort) []netip.AddrPort {
 	return slices.SortedFunc(slices.Values(addresses), func(a, b netip.AddrPort) int {
 		return cmp.Compare(program.Affinity(b.String(), name), program.Affinity(a.String(), name))
 	})
--- a/coordination/mirror/upstreams.go
+++ b/coordination/mirror/upstreams.go
@@ -69,5 +69,5 @@
 			return nil
 		}
 	}
-	return Spread(self.Node, seeds)
+	return OrderByAffinity(self.Node, seeds)
 }
--- a/node/gateway/followers.go
+++ b/node/gateway/followers.go
@@ -69,7 +69,7 @@
 func (g *Gateway) orderedHolders() []netip.AddrPort {
 	views := g.storage.lookup.Map()
 	if views == nil {
-		return mirror.Spread(g.settings.Name, g.settings.Seeds)
+		return mirror.OrderByAffinity(g.settings.Name, g.settings.Seeds)
 	}
 	return mirror.OrderByZone(g.settings.Zone, g.settings.Name, shard.MembersOf(views.Views()))
 }
--- a/node/gateway/revocation_test.go
+++ b/node/gateway/revocation_test.go
@@ -203,7 +203,7 @@
 func (s *revocationSimulation) startGateway(ctx context.Context, node string) *simulatedGateway {
 	gateway := &simulatedGateway{}
 	holders := mirror.NewHolderSelector(func() []netip.AddrPort {
-		return mirror.Spread(node, []netip.AddrPort{holderAddress(0), holderAddress(1), holderAddress(2), holderAddress(3)})
+		return mirror.OrderByAffinity(node, []netip.AddrPort{holderAddress(0), holderAddress(1), holderAddress(2), holderAddress(3)})
 	}, time.Now)
 	limits := settings.Gateway{ApplyLimit: 3 * time.Second, UndisturbedTime: 4 * time.Second}
 	gateway.follower = follow.New(follow.Options{
