--- a/coordination/mirror/proof.go
+++ b/coordination/mirror/proof.go
@@ -6,9 +6,9 @@
 // direct follower of the store is.
 const proofsPerLimit = 10
 
-// ProofPause is the longest pause between failed calls where answers have to prove how new
+// MaxProofRetryPause is the longest pause between failed calls where answers have to prove how new
 // they are: requests with keys are refused until they do.
-const ProofPause = 100 * time.Millisecond
+const MaxProofRetryPause = 100 * time.Millisecond
 
 // ProofInterval returns the interval of the calls whose answers prove that the store had
 // nothing newer, where data older than the limit can't be used. In normal operation a
--- a/node/gateway/followplan.go
+++ b/node/gateway/followplan.go
@@ -121,7 +121,7 @@
 // provenPlan returns the plan for a configuration whose freshness must be proven.
 func provenPlan(limits settings.Gateway) followPlan {
 	calls := callSettings(limits)
-	calls.MaxBackoff = mirror.ProofPause
+	calls.MaxBackoff = mirror.MaxProofRetryPause
 	return followPlan{
 		calls:        calls,
 		holders:      provenHolderSettings(limits.RevokeLimit, holderSettings(limits)),
--- a/node/storage/mirroring.go
+++ b/node/storage/mirroring.go
@@ -73,7 +73,7 @@
 	if kind == mirror.KindConfiguration && n.settings.RevokeLimit > 0 {
 		interval := mirror.ProofInterval(n.settings.RevokeLimit)
 		direct = follow.NewPollingSource(direct, interval, time.Now)
-		followSettings.WatchWait, followSettings.MaxBackoff = interval, mirror.ProofPause
+		followSettings.WatchWait, followSettings.MaxBackoff = interval, mirror.MaxProofRetryPause
 		// Polling already paces the calls at the store.
 		sourceSettings.FallbackDelays.StoreLost, sourceSettings.StorePause = interval, 0
 	}
