--- a/coordination/mirror/reader.go
+++ b/coordination/mirror/reader.go
@@ -48,9 +48,9 @@
 	FetchMirror(ctx context.Context, address netip.AddrPort) ([]Copy, error)
 }
 
-// Reader offers mirrored snapshots to the followers of one node while these hear nothing
+// CopyReader offers mirrored snapshots to the followers of one node while these hear nothing
 // from the store. It is a suture service.
-type Reader struct {
+type CopyReader struct {
 	holders   func() []netip.AddrPort
 	fetcher   Fetcher
 	followers map[string]Follower
@@ -62,15 +62,15 @@
 
 // NewReader creates a reader that asks the listed holders, most preferred first. The
 // followers are keyed by kind.
-func NewReader(holders func() []netip.AddrPort, fetcher Fetcher, followers map[string]Follower, now func() time.Time, logger *zap.Logger) *Reader {
-	return &Reader{holders: holders, fetcher: fetcher, followers: followers, now: now, logger: logger}
+func NewReader(holders func() []netip.AddrPort, fetcher Fetcher, followers map[string]Follower, now func() time.Time, logger *zap.Logger) *CopyReader {
+	return &CopyReader{holders: holders, fetcher: fetcher, followers: followers, now: now, logger: logger}
 }
 
 // String names the service in the supervisor's messages.
-func (r *Reader) String() string { return "mirror reader" }
+func (r *CopyReader) String() string { return "mirror reader" }
 
 // Serve fetches copies while any follower needs them, until the context ends.
-func (r *Reader) Serve(ctx context.Context) error {
+func (r *CopyReader) Serve(ctx context.Context) error {
 	pause, refresh := startDelay, minRefreshInterval
 	for {
 		if sleep.For(ctx, pause) != nil {
@@ -91,7 +91,7 @@
 }
 
 // needsRefresh reports whether any follower has lost the store or has no snapshot yet.
-func (r *Reader) needsRefresh() bool {
+func (r *CopyReader) needsRefresh() bool {
 	for _, follower := range r.followers {
 		if follower.IsLost() || !follower.IsKnown() {
 			return true
@@ -101,7 +101,7 @@
 }
 
 // needsSearch reports whether any follower has no snapshot yet.
-func (r *Reader) needsSearch() bool {
+func (r *CopyReader) needsSearch() bool {
 	for _, follower := range r.followers {
 		if !follower.IsKnown() {
 			return true
@@ -112,7 +112,7 @@
 
 // search asks the first holders with staggered, overlapping requests until every follower has
 // a snapshot.
-func (r *Reader) search(ctx context.Context) {
+func (r *CopyReader) search(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
 	holders := r.holders()
@@ -132,7 +132,7 @@
 }
 
 // refresh fetches the copies of the next holder, as the previous one may be behind others.
-func (r *Reader) refresh(ctx context.Context) {
+func (r *CopyReader) refresh(ctx context.Context) {
 	holders := r.holders()
 	if len(holders) == 0 {
 		return
@@ -144,7 +144,7 @@
 }
 
 // fetch fetches the copies of one holder and offers them to the followers.
-func (r *Reader) fetch(ctx context.Context, holder netip.AddrPort) {
+func (r *CopyReader) fetch(ctx context.Context, holder netip.AddrPort) {
 	copies, err := r.fetcher.FetchMirror(ctx, holder)
 	if err != nil {
 		r.logger.Debug("cannot fetch mirrored objects", zap.Stringer("holder", holder), zap.Error(err))
@@ -154,7 +154,7 @@
 }
 
 // offer passes each copy to the follower of its kind, unless that hears from the store.
-func (r *Reader) offer(holder netip.AddrPort, copies []Copy) {
+func (r *CopyReader) offer(holder netip.AddrPort, copies []Copy) {
 	for _, received := range copies {
 		follower, followed := r.followers[received.Kind]
 		if !followed || follower.IsKnown() && !follower.IsLost() || !follower.Offer(received.Snapshot) {
@@ -165,7 +165,7 @@
 	}
 }
 
-func (r *Reader) age(received Copy) zap.Field {
+func (r *CopyReader) age(received Copy) zap.Field {
 	if received.ReceivedAt.IsZero() {
 		return zap.String("age", "unknown")
 	}
--- a/node/gateway/followers.go
+++ b/node/gateway/followers.go
@@ -55,7 +55,7 @@
 
 // mirrorReader returns the service that offers the snapshots of storage nodes to the
 // followers while this gateway cannot reach the store.
-func (g *Gateway) mirrorReader() *mirror.Reader {
+func (g *Gateway) mirrorReader() *mirror.CopyReader {
 	followed := map[string]mirror.Follower{
 		mirror.KindConfiguration: g.followers.configuration,
 		mirror.KindInstances:     g.followers.instances,
--- a/node/storage/shards.go
+++ b/node/storage/shards.go
@@ -60,7 +60,7 @@
 
 // newSetsReader returns a service that reads the replica sets from other storage nodes
 // while the store is unreachable. A node with an empty disk has no other source.
-func (n *Node) newSetsReader(sets *follow.Follower) *mirror.Reader {
+func (n *Node) newSetsReader(sets *follow.Follower) *mirror.CopyReader {
 	return mirror.NewReader(n.otherNodes, n.peers, map[string]mirror.Follower{mirror.KindReplicaSets: sets}, time.Now, n.logger)
 }
 
