--- a/coordination/mirror/reader.go
+++ b/coordination/mirror/reader.go
@@ -34,9 +34,9 @@
 
 // Follower follows one kind of objects. follow.Follower implements it.
 type Follower interface {
-	// Offer applies the snapshot if it is newer than the known one, and reports whether it
+	// ApplyIfNewer applies the snapshot if it is newer than the known one, and reports whether it
 	// did.
-	Offer(snapshot follow.Snapshot) bool
+	ApplyIfNewer(snapshot follow.Snapshot) bool
 	// IsLost reports whether the store doesn't answer.
 	IsLost() bool
 	// IsKnown reports whether any snapshot was applied.
@@ -157,7 +157,7 @@
 func (r *CopyReader) offer(holder netip.AddrPort, copies []Copy) {
 	for _, received := range copies {
 		follower, followed := r.followers[received.Kind]
-		if !followed || follower.IsKnown() && !follower.IsLost() || !follower.Offer(received.Snapshot) {
+		if !followed || follower.IsKnown() && !follower.IsLost() || !follower.ApplyIfNewer(received.Snapshot) {
 			continue
 		}
 		r.logger.Info("mirrored objects taken", zap.String("objects", received.Kind), zap.Stringer("holder", holder),
