--- a/transport/listener/listener.go
+++ b/transport/listener/listener.go
@@ -1,5 +1,5 @@
-// Package listener runs one HTTP server as a suture service. The socket is opened
-// before the service starts, so that a taken address is an error of the start.
+// Package listener runs an HTTP server as a suture service. The socket is opened
+// before the service starts, so that an address already in use fails the startup.
 package listener
 
 import (
@@ -12,18 +12,19 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// HeaderTimeout bounds how long a client may take to send its headers.
+// HeaderTimeout is the longest time that a client may take to send its headers.
 const HeaderTimeout = 10 * time.Second
 
-// Listener is one HTTP server and its socket.
+// Listener is an HTTP server and the socket that it accepts connections from.
 type Listener struct {
 	name   string
 	server *http.Server
-	// Socket may be wrapped before Serve is called.
+	// Socket accepts the connections. It may be wrapped before Serve is called.
 	Socket net.Listener
 }
 
-// Open listens on the address, IP number and port, for the server.
+// Open starts listening on the address, given as ip:port. The name identifies the
+// listener in errors and in the supervisor's messages.
 func Open(name, address string, server *http.Server) (*Listener, error) {
 	socket, err := net.Listen("tcp", address)
 	if err != nil {
@@ -32,10 +33,12 @@
 	return &Listener{name: name, server: server, Socket: socket}, nil
 }
 
-// Address is where the server really listens, also for port 0.
+// Address returns the address that the socket is bound to. Where Open was given port
+// 0, it has the port that the system chose.
 func (l *Listener) Address() string { return l.Socket.Addr().String() }
 
-// Serve serves until Finish is called or the context ends.
+// Serve serves requests until the context ends. After Finish, it waits for the
+// context without serving.
 func (l *Listener) Serve(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, func() { _ = l.server.Close() })
 	defer stop()
@@ -47,11 +50,12 @@
 	return err
 }
 
-// Finish takes no more connections and waits until the answers under way have
-// been written: a handler returns before its answer has left the server.
+// Finish stops accepting connections and waits until the responses in flight have
+// been written. Waiting for the handlers alone isn't enough: they return before their
+// responses have left the server.
 func (l *Listener) Finish(ctx context.Context) error {
-	return merry.Prependf(l.server.Shutdown(ctx), "finishing the answers to %s", l.name)
+	return merry.Prependf(l.server.Shutdown(ctx), "shutting down the listener for %s", l.name)
 }
 
-// String names the service in the supervisor's messages.
+// String implements fmt.Stringer. The supervisor names the service by it.
 func (l *Listener) String() string { return "listener " + l.name }
--- a/transport/listener/listener_test.go
+++ b/transport/listener/listener_test.go
@@ -13,23 +13,23 @@
 	"github.com/marblering/marblering/transport/listener"
 )
 
-// heldListener holds what the server writes until nobody can connect any more.
-type heldListener struct {
+// delayingListener delays the writes of its connections until the listener is closed.
+type delayingListener struct {
 	net.Listener
 	written atomic.Bool
 }
 
-func (l *heldListener) Accept() (net.Conn, error) {
+func (l *delayingListener) Accept() (net.Conn, error) {
 	connection, err := l.Listener.Accept()
-	return &heldConnection{connection, l}, err
+	return &delayingConnection{connection, l}, err
 }
 
-type heldConnection struct {
+type delayingConnection struct {
 	net.Conn
-	listener *heldListener
+	listener *delayingListener
 }
 
-func (c *heldConnection) Write(piece []byte) (int, error) {
+func (c *delayingConnection) Write(data []byte) (int, error) {
 	for {
 		probe, err := net.Dial("tcp", c.listener.Addr().String())
 		if err != nil {
@@ -38,13 +38,13 @@
 		_ = probe.Close()
 		time.Sleep(time.Millisecond)
 	}
-	count, err := c.Conn.Write(piece)
+	count, err := c.Conn.Write(data)
 	c.listener.written.Store(err == nil)
 	return count, err
 }
 
-// TestFinishWaitsForAnswers has an answer leave the server only after its
-// handler has returned and the listener is closed.
+// TestFinishWaitsForAnswers guards against a shutdown that returns before a response
+// whose handler has already returned is written.
 func TestFinishWaitsForAnswers(t *testing.T) {
 	returned := make(chan struct{})
 	handler := http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) {
@@ -54,8 +54,8 @@
 	served := &http.Server{Handler: handler}
 	server, err := listener.Open("callers", "127.0.0.1:0", served)
 	assert.NilError(t, err)
-	held := &heldListener{Listener: server.Socket}
-	server.Socket = held
+	delaying := &delayingListener{Listener: server.Socket}
+	server.Socket = delaying
 	ended := make(chan error, 1)
 	go func() { ended <- server.Serve(t.Context()) }()
 	answers := make(chan string, 1)
@@ -71,7 +71,7 @@
 	}()
 	<-returned
 	assert.NilError(t, server.Finish(t.Context()))
-	assert.Assert(t, held.written.Load())
+	assert.Assert(t, delaying.written.Load())
 	assert.NilError(t, served.Close())
 	assert.Equal(t, <-answers, "whole")
 }
