--- a/coordination/sleep/sleep.go
+++ b/coordination/sleep/sleep.go
@@ -1,4 +1,4 @@
-// Package sleep pauses until a time is over or a context ends.
+// Package sleep pauses for a duration or until a context ends.
 package sleep
 
 import (
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// For returns nil after the pause, and the context's error where that ends
-// first.
+// For waits for the pause and returns nil. If the context ends first, it returns the
+// context's error at once.
 func For(ctx context.Context, pause time.Duration) error {
 	timer := time.NewTimer(pause)
 	defer timer.Stop()
@@ -20,6 +20,6 @@
 	}
 }
 
-// Jitter draws a pause around the given one, from half of it to one and a half, so
-// that nodes that failed at the same moment don't go on at the same moment.
+// Jitter returns a random duration between half and one and a half times the pause, so
+// that nodes that failed together don't retry together. The pause must be positive.
 func Jitter(pause time.Duration) time.Duration { return pause/2 + rand.N(pause) }
--- a/coordination/sleep/sleep_test.go
+++ b/coordination/sleep/sleep_test.go
@@ -16,7 +16,7 @@
 	// Output: <nil>
 }
 
-func TestContextEndsThePause(t *testing.T) {
+func TestForReturnsWhenContextEnds(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	assert.ErrorIs(t, sleep.For(ctx, time.Hour), context.Canceled)
