--- a/transport/peer/budget.go
+++ b/transport/peer/budget.go
@@ -28,7 +28,7 @@
 		Program: message.GetProgram(), Name: message.GetTurn(), Limit: message.GetLimit(), Most: message.GetMost(),
 		Lifetime: time.Duration(message.GetLifetimeMs()) * time.Millisecond, Running: message.GetRunning(),
 	})
-	response := &peerv1.ReserveTokensResponse{Verdict: verdictOf(err)}
+	response := &peerv1.ReserveTokensResponse{Verdict: verdictFromError(err)}
 	if err != nil {
 		response.Reason = err.Error()
 	}
@@ -40,7 +40,7 @@
 	return &peerv1.EndTurnsResponse{}
 }
 
-func verdictOf(err error) peerv1.ReserveVerdict {
+func verdictFromError(err error) peerv1.ReserveVerdict {
 	switch {
 	case err == nil:
 		return peerv1.ReserveVerdict_RESERVE_VERDICT_GRANTED
--- a/transport/peer/budget_test.go
+++ b/transport/peer/budget_test.go
@@ -14,14 +14,14 @@
 // The end of the turn "t" of program "p" with 100 tokens, as gateways of earlier versions
 // write it, and what is added to it where the name is that of one attempt.
 const (
-	earlierEnd = "0a017012017418" + "64"
-	uniqueMark = "2001"
+	earlierEndedTurn = "0a017012017418" + "64"
+	uniqueField      = "2001"
 )
 
-// TestEndsOfEarlierVersionsMayNameAnotherAttempt: what an earlier gateway sends says
+// TestEndedTurnsOfEarlierVersionsMayRecur: what an earlier gateway sends says
 // nothing of its name, and an earlier host reads all that it knows of what is sent now.
-func TestEndsOfEarlierVersionsMayNameAnotherAttempt(t *testing.T) {
-	encoded, err := hex.DecodeString(earlierEnd)
+func TestEndedTurnsOfEarlierVersionsMayRecur(t *testing.T) {
+	encoded, err := hex.DecodeString(earlierEndedTurn)
 	assert.NilError(t, err)
 	earlier := &peerv1.EndedTurn{}
 	assert.NilError(t, proto.Unmarshal(encoded, earlier))
@@ -30,6 +30,6 @@
 
 	now, err := proto.Marshal(endedToWire([]tokenbudget.Ended{{Program: "p", Reservation: "t", HandedOut: 100}})[0])
 	assert.NilError(t, err)
-	assert.Equal(t, hex.EncodeToString(now), earlierEnd+uniqueMark)
+	assert.Equal(t, hex.EncodeToString(now), earlierEndedTurn+uniqueField)
 	assert.Assert(t, !endedFromWire(endedToWire([]tokenbudget.Ended{{}}))[0].MayRecur)
 }
--- a/transport/peer/call.go
+++ b/transport/peer/call.go
@@ -25,7 +25,7 @@
 		call.TimeoutMs = max(deadline.Sub(began).Milliseconds(), 1)
 	}
 	answer, err := c.link(address).call(ctx, call)
-	c.metrics.called(sideClient, call, answer, time.Since(began))
+	c.metrics.observeCall(sideClient, call, answer, time.Since(began))
 	if err != nil {
 		return nil, err
 	}
@@ -89,7 +89,7 @@
 	if err != nil {
 		return archive.Reply{}, err
 	}
-	return reply(answer.GetPutTurn().GetRefusal(), answer.GetPutTurn().GetView()), nil
+	return replyFromWire(answer.GetPutTurn().GetRefusal(), answer.GetPutTurn().GetView()), nil
 }
 
 // ReadMany implements turnstore.Replicas.
@@ -108,5 +108,5 @@
 		}
 		turns = append(turns, turn)
 	}
-	return turns, reply(answer.GetReadMany().GetRefusal(), answer.GetReadMany().GetView()), nil
+	return turns, replyFromWire(answer.GetReadMany().GetRefusal(), answer.GetReadMany().GetView()), nil
 }
--- a/transport/peer/client.go
+++ b/transport/peer/client.go
@@ -25,9 +25,9 @@
 	timeout time.Duration
 	options []connect.ClientOption
 	metrics *Metrics
-	// known maps addresses to *stubs; count is about how many there are.
-	known sync.Map
-	count atomic.Int64
+	// cachedStubs maps addresses to *stubs; count is about how many there are.
+	cachedStubs sync.Map
+	cachedCount atomic.Int64
 }
 
 var (
--- a/transport/peer/convert.go
+++ b/transport/peer/convert.go
@@ -8,7 +8,7 @@
 	"github.com/marblering/marblering/state/replica"
 )
 
-var errNoView = merry.New("the request names no shard view")
+var errMissingView = merry.New("the request names no shard view")
 
 func fenceToWire(fence register.Fence) *peerv1.Fence {
 	return &peerv1.Fence{
--- a/transport/peer/inflight.go
+++ b/transport/peer/inflight.go
@@ -11,46 +11,46 @@
 // peer that went dark would otherwise gather all that is asked of it.
 const maxInFlight = 128
 
-// errTooMany means that nothing was sent.
-var errTooMany = merry.Sentinel("too many requests wait for this peer")
+// errTooManyRequests means that nothing was sent.
+var errTooManyRequests = merry.Sentinel("too many requests wait for this peer")
 
-// boundedTransport is an http.RoundTripper that refuses what is beyond the bound
+// limitedTransport is an http.RoundTripper that refuses what is beyond the bound
 // at once.
-type boundedTransport struct {
+type limitedTransport struct {
 	next http.RoundTripper
 
-	mutex   sync.Mutex
-	waiting map[string]int
+	mutex    sync.Mutex
+	inFlight map[string]int
 }
 
-func newBoundedTransport(next http.RoundTripper) *boundedTransport {
-	return &boundedTransport{next: next, waiting: make(map[string]int)}
+func newLimitedTransport(next http.RoundTripper) *limitedTransport {
+	return &limitedTransport{next: next, inFlight: make(map[string]int)}
 }
 
 // RoundTrip implements http.RoundTripper.
-func (t *boundedTransport) RoundTrip(request *http.Request) (*http.Response, error) {
-	if !t.enter(request.URL.Host) {
-		return nil, errTooMany
+func (t *limitedTransport) RoundTrip(request *http.Request) (*http.Response, error) {
+	if !t.acquire(request.URL.Host) {
+		return nil, errTooManyRequests
 	}
-	defer t.leave(request.URL.Host)
+	defer t.release(request.URL.Host)
 	return t.next.RoundTrip(request)
 }
 
-func (t *boundedTransport) enter(host string) bool {
+func (t *limitedTransport) acquire(host string) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	if t.waiting[host] >= maxInFlight {
+	if t.inFlight[host] >= maxInFlight {
 		return false
 	}
-	t.waiting[host]++
+	t.inFlight[host]++
 	return true
 }
 
-func (t *boundedTransport) leave(host string) {
+func (t *limitedTransport) release(host string) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.waiting[host]--
-	if t.waiting[host] == 0 {
-		delete(t.waiting, host)
+	t.inFlight[host]--
+	if t.inFlight[host] == 0 {
+		delete(t.inFlight, host)
 	}
 }
--- a/transport/peer/inflight_test.go
+++ b/transport/peer/inflight_test.go
@@ -15,9 +15,9 @@
 	"github.com/marblering/marblering/transport/peer"
 )
 
-// TestSilentPeerGathersNoRequests: beyond a bound they fail at once, and another
+// TestUnresponsivePeerLimitsRequestsInFlight: beyond a bound they fail at once, and another
 // peer is still asked.
-func TestSilentPeerGathersNoRequests(t *testing.T) {
+func TestUnresponsivePeerLimitsRequestsInFlight(t *testing.T) {
 	const asked, bound = 300, 128
 	free := make(chan struct{})
 	silent := httptest.NewUnstartedServer(nil)
--- a/transport/peer/link.go
+++ b/transport/peer/link.go
@@ -12,14 +12,14 @@
 	"github.com/marblering/marblering/api/peer/v1/peerv1connect"
 )
 
-// gatheredBytes is where calls or answers that wait are no longer gathered into one
+// batchBytes is where calls or answers that wait are no longer gathered into one
 // message: what goes out together would hold up what follows, and a message has a
 // largest size (maxMessageBytes).
-const gatheredBytes = 256 << 10
+const batchBytes = 256 << 10
 
-// errLinkLost means that nothing is known of the effect of the calls that were
+// errConnectionLost means that nothing is known of the effect of the calls that were
 // under way.
-var errLinkLost = merry.Sentinel("the connection to the peer was lost")
+var errConnectionLost = merry.Sentinel("the connection to the peer was lost")
 
 // link is one stream of calls to a peer. What waits while a message is written
 // goes out with the next one. It is safe for concurrent use, and can't be used
@@ -31,14 +31,14 @@
 	wake chan struct{}
 	done chan struct{}
 
-	mutex     sync.Mutex
-	last      uint64
-	queued    []*peerv1.Call
-	abandoned []uint64
-	// waiting are the calls without an answer, by number; nil once the link is
+	mutex      sync.Mutex
+	lastNumber uint64
+	queued     []*peerv1.Call
+	abandoned  []uint64
+	// pending are the calls without an answer, by number; nil once the link is
 	// lost.
-	waiting map[uint64]chan *peerv1.Answer
-	failure error
+	pending  map[uint64]chan *peerv1.Answer
+	closeErr error
 }
 
 // newLink begins a stream. It fails later where the peer can't be reached.
@@ -46,7 +46,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	l := &link{
 		stream: service.Stream(ctx), cancel: cancel, wake: make(chan struct{}, 1), done: make(chan struct{}),
-		waiting: make(map[uint64]chan *peerv1.Answer),
+		pending: make(map[uint64]chan *peerv1.Answer),
 	}
 	go l.send()
 	go l.receive()
@@ -63,7 +63,7 @@
 	case answer := <-answered:
 		return answer, nil
 	case <-l.done:
-		return nil, l.failure
+		return nil, l.closeErr
 	case <-ctx.Done():
 		l.abandon(call.GetNumber())
 		return nil, context.Cause(ctx)
@@ -73,18 +73,18 @@
 func (l *link) enqueue(call *peerv1.Call) (<-chan *peerv1.Answer, error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if l.waiting == nil {
-		return nil, l.failure
+	if l.pending == nil {
+		return nil, l.closeErr
 	}
-	if len(l.waiting) >= maxInFlight {
-		return nil, errTooMany
+	if len(l.pending) >= maxInFlight {
+		return nil, errTooManyRequests
 	}
-	l.last++
-	call.Number = l.last
+	l.lastNumber++
+	call.Number = l.lastNumber
 	answered := make(chan *peerv1.Answer, 1)
-	l.waiting[call.Number] = answered
+	l.pending[call.Number] = answered
 	l.queued = append(l.queued, call)
-	l.wakeUp()
+	l.signal()
 	return answered, nil
 }
 
@@ -93,7 +93,7 @@
 func (l *link) abandon(number uint64) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	delete(l.waiting, number)
+	delete(l.pending, number)
 	for i, call := range l.queued {
 		if call.GetNumber() == number {
 			l.queued = append(l.queued[:i], l.queued[i+1:]...)
@@ -101,10 +101,10 @@
 		}
 	}
 	l.abandoned = append(l.abandoned, number)
-	l.wakeUp()
+	l.signal()
 }
 
-func (l *link) wakeUp() {
+func (l *link) signal() {
 	select {
 	case l.wake <- struct{}{}:
 	default:
@@ -119,32 +119,32 @@
 		case <-l.done:
 			return
 		}
-		message := l.take()
+		message := l.nextBatch()
 		if message == nil {
 			continue
 		}
 		if err := l.stream.Send(message); err != nil {
-			l.lose(err)
+			l.closeWithError(err)
 			return
 		}
 	}
 }
 
-func (l *link) take() *peerv1.Calls {
+func (l *link) nextBatch() *peerv1.Calls {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if len(l.queued) == 0 && len(l.abandoned) == 0 {
 		return nil
 	}
 	size, count := 0, 0
-	for count < len(l.queued) && size < gatheredBytes {
+	for count < len(l.queued) && size < batchBytes {
 		size += proto.Size(l.queued[count])
 		count++
 	}
 	message := &peerv1.Calls{Calls: l.queued[:count:count], Abandoned: l.abandoned}
 	l.queued, l.abandoned = l.queued[count:], nil
 	if len(l.queued) > 0 {
-		l.wakeUp()
+		l.signal()
 	}
 	return message
 }
@@ -154,33 +154,33 @@
 	for {
 		message, err := l.stream.Receive()
 		if err != nil {
-			l.lose(err)
+			l.closeWithError(err)
 			return
 		}
 		for _, answer := range message.GetAnswers() {
-			l.hand(answer)
+			l.deliver(answer)
 		}
 	}
 }
 
-func (l *link) hand(answer *peerv1.Answer) {
+func (l *link) deliver(answer *peerv1.Answer) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if answered, found := l.waiting[answer.GetNumber()]; found {
-		delete(l.waiting, answer.GetNumber())
+	if answered, found := l.pending[answer.GetNumber()]; found {
+		delete(l.pending, answer.GetNumber())
 		answered <- answer
 	}
 }
 
-// lose ends the link: all calls that wait fail.
-func (l *link) lose(err error) {
+// closeWithError ends the link: all calls that wait fail.
+func (l *link) closeWithError(err error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if l.waiting == nil {
+	if l.pending == nil {
 		return
 	}
-	l.waiting, l.queued = nil, nil
-	l.failure = merry.Wrap(errLinkLost, merry.WithCause(err), merry.AppendMessagef("%v", err))
+	l.pending, l.queued = nil, nil
+	l.closeErr = merry.Wrap(errConnectionLost, merry.WithCause(err), merry.AppendMessagef("%v", err))
 	l.cancel()
 	close(l.done)
 }
@@ -189,11 +189,11 @@
 func (l *link) isInUse() bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	return len(l.waiting) > 0
+	return len(l.pending) > 0
 }
 
-// isLost tells that the link can't be used any more.
-func (l *link) isLost() bool {
+// isClosed tells that the link can't be used any more.
+func (l *link) isClosed() bool {
 	select {
 	case <-l.done:
 		return true
--- a/transport/peer/link_test.go
+++ b/transport/peer/link_test.go
@@ -20,21 +20,21 @@
 	"github.com/marblering/marblering/transport/peer"
 )
 
-// echoReplica answers a prepare with its key as value. Requests for the held key
+// echoingReplica answers a prepare with its key as value. Requests for the held key
 // wait until their context ends.
-type echoReplica struct {
+type echoingReplica struct {
 	peer.Replica
-	holding atomic.Int64
+	blocked atomic.Int64
 	ended   atomic.Int64
 }
 
-const heldKey = "held"
+const blockingKey = "held"
 
-func (r *echoReplica) Prepare(ctx context.Context, request register.PrepareRequest) register.PrepareReply {
-	if request.Key == heldKey {
-		r.holding.Add(1)
+func (r *echoingReplica) Prepare(ctx context.Context, request register.PrepareRequest) register.PrepareReply {
+	if request.Key == blockingKey {
+		r.blocked.Add(1)
 		<-ctx.Done()
-		r.holding.Add(-1)
+		r.blocked.Add(-1)
 		r.ended.Add(1)
 	}
 	return register.PrepareReply{Value: []byte(request.Key)}
@@ -75,15 +75,15 @@
 	return string(reply.Value), err
 }
 
-// TestCallsShareALink: each caller gets its own answer, also while others wait.
-func TestCallsShareALink(t *testing.T) {
-	echo, host := &echoReplica{}, &countingHost{}
+// TestConcurrentCallsShareALink: each caller gets its own answer, also while others wait.
+func TestConcurrentCallsShareALink(t *testing.T) {
+	echo, host := &echoingReplica{}, &countingHost{}
 	server := servePeer(t, echo, host)
 	client := newPeerClient(t)
 	ctx, cancel := context.WithCancel(t.Context())
 	var held sync.WaitGroup
 	held.Go(func() {
-		_, err := prepare(ctx, client, memberAt(server), heldKey)
+		_, err := prepare(ctx, client, memberAt(server), blockingKey)
 		assert.Check(t, err != nil)
 	})
 	var calls sync.WaitGroup
@@ -103,22 +103,22 @@
 	held.Wait()
 }
 
-// turnReplica keeps the sizes of turns.
-type turnReplica struct {
+// sizeRecordingReplica keeps the sizes of turns.
+type sizeRecordingReplica struct {
 	peer.Replica
 	bytes atomic.Int64
 }
 
-func (r *turnReplica) PutTurn(_ context.Context, _ register.Fence, turn replica.Turn) archive.Reply {
+func (r *sizeRecordingReplica) PutTurn(_ context.Context, _ register.Fence, turn replica.Turn) archive.Reply {
 	r.bytes.Add(int64(len(turn.Object)))
 	return archive.Reply{}
 }
 
-// TestLargeCallsShareALink: what waits isn't gathered beyond what a message may
+// TestLargeCallsStayWithinMessageLimit: what waits isn't gathered beyond what a message may
 // have.
-func TestLargeCallsShareALink(t *testing.T) {
+func TestLargeCallsStayWithinMessageLimit(t *testing.T) {
 	const turns, size = 60, 1 << 20
-	kept := &turnReplica{}
+	kept := &sizeRecordingReplica{}
 	server := servePeer(t, kept, &countingHost{})
 	client := newPeerClient(t)
 	var calls sync.WaitGroup
@@ -133,56 +133,56 @@
 	assert.Equal(t, kept.bytes.Load(), int64(turns*size))
 }
 
-// TestAbandonedCallEndsAtThePeer, by its caller's word or by its time.
-func TestAbandonedCallEndsAtThePeer(t *testing.T) {
-	echo := &echoReplica{}
+// TestAbandonedCallEndsAtPeer, by its caller's word or by its time.
+func TestAbandonedCallEndsAtPeer(t *testing.T) {
+	echo := &echoingReplica{}
 	server := servePeer(t, echo, &countingHost{})
 	client := newPeerClient(t)
 	ctx, cancel := context.WithCancel(t.Context())
 	var calls sync.WaitGroup
 	calls.Go(func() {
-		_, err := prepare(ctx, client, memberAt(server), heldKey)
+		_, err := prepare(ctx, client, memberAt(server), blockingKey)
 		assert.Check(t, err != nil)
 	})
-	harness.Eventually(t, func() (bool, string) { return echo.holding.Load() == 1, "the call isn't served" })
+	harness.Eventually(t, func() (bool, string) { return echo.blocked.Load() == 1, "the call isn't served" })
 	cancel()
 	harness.Eventually(t, func() (bool, string) { return echo.ended.Load() == 1, "the call goes on without its caller" })
 	timed, stop := context.WithTimeout(t.Context(), 50*time.Millisecond)
 	defer stop()
 	// The peer may notice the time first, and its answer still come through.
-	_, _ = prepare(timed, client, memberAt(server), heldKey)
+	_, _ = prepare(timed, client, memberAt(server), blockingKey)
 	harness.Eventually(t, func() (bool, string) { return echo.ended.Load() == 2, "the call goes on past its time" })
 	calls.Wait()
 }
 
-// TestLostLinkFailsItsCalls, and the next call opens another.
-func TestLostLinkFailsItsCalls(t *testing.T) {
-	echo := &echoReplica{}
+// TestConnectionLossFailsCalls, and the next call opens another.
+func TestConnectionLossFailsCalls(t *testing.T) {
+	echo := &echoingReplica{}
 	server := servePeer(t, echo, &countingHost{})
 	client := newPeerClient(t)
 	for range 3 {
 		var calls sync.WaitGroup
 		for range 10 {
 			calls.Go(func() {
-				_, err := prepare(t.Context(), client, memberAt(server), heldKey)
+				_, err := prepare(t.Context(), client, memberAt(server), blockingKey)
 				assert.Check(t, err != nil)
 			})
 		}
-		harness.Eventually(t, func() (bool, string) { return echo.holding.Load() == 10, "the calls aren't served" })
+		harness.Eventually(t, func() (bool, string) { return echo.blocked.Load() == 10, "the calls aren't served" })
 		server.CloseClientConnections()
 		calls.Wait()
 		harness.Eventually(t, func() (bool, string) {
 			value, err := prepare(t.Context(), client, memberAt(server), "again")
 			return err == nil && value == "again", fmt.Sprint("no call gets through: ", err)
 		})
-		harness.Eventually(t, func() (bool, string) { return echo.holding.Load() == 0, "calls of a lost link go on" })
+		harness.Eventually(t, func() (bool, string) { return echo.blocked.Load() == 0, "calls of a lost link go on" })
 	}
 }
 
-// TestSilentLinkIsReplaced: a connection that carries nothing any more, without a
+// TestUnresponsiveConnectionIsReplaced: a connection that carries nothing any more, without a
 // reset, is found out by its ping, and calls go through a new one.
-func TestSilentLinkIsReplaced(t *testing.T) {
-	server := servePeer(t, &echoReplica{}, &countingHost{})
+func TestUnresponsiveConnectionIsReplaced(t *testing.T) {
+	server := servePeer(t, &echoingReplica{}, &countingHost{})
 	path := harness.StartForwarder(t, server.Listener.Addr().String())
 	member := register.Member{Node: "n", Address: path.Address()}
 	client := newPeerClient(t)
@@ -199,19 +199,19 @@
 	assert.Assert(t, path.Opened() > silent, "a call was answered on a silent connection")
 }
 
-// TestUnreachablePeerFailsAtOnce.
-func TestUnreachablePeerFailsAtOnce(t *testing.T) {
-	server := servePeer(t, &echoReplica{}, &countingHost{})
+// TestCallToUnreachablePeerFailsImmediately.
+func TestCallToUnreachablePeerFailsImmediately(t *testing.T) {
+	server := servePeer(t, &echoingReplica{}, &countingHost{})
 	member := memberAt(server)
 	server.Close()
 	_, err := prepare(t.Context(), newPeerClient(t), member, "key")
 	assert.ErrorContains(t, err, "connection to the peer was lost")
 }
 
-// TestSilentPeerGathersNoCalls: beyond a bound they fail at once.
-func TestSilentPeerGathersNoCalls(t *testing.T) {
+// TestUnresponsivePeerLimitsCallsInFlight: beyond a bound they fail at once.
+func TestUnresponsivePeerLimitsCallsInFlight(t *testing.T) {
 	const asked, bound = 300, 128
-	echo := &echoReplica{}
+	echo := &echoingReplica{}
 	server := servePeer(t, echo, &countingHost{})
 	client := newPeerClient(t)
 	ctx, cancel := context.WithCancel(t.Context())
@@ -219,7 +219,7 @@
 	var calls sync.WaitGroup
 	for range asked {
 		calls.Go(func() {
-			_, err := prepare(ctx, client, memberAt(server), heldKey)
+			_, err := prepare(ctx, client, memberAt(server), blockingKey)
 			if ctx.Err() == nil {
 				assert.Check(t, err != nil)
 				refused.Add(1)
@@ -227,24 +227,24 @@
 		})
 	}
 	harness.Eventually(t, func() (bool, string) {
-		return refused.Load() == asked-bound && echo.holding.Load() == bound, fmt.Sprint(refused.Load(), " refused")
+		return refused.Load() == asked-bound && echo.blocked.Load() == bound, fmt.Sprint(refused.Load(), " refused")
 	})
 	cancel()
 	calls.Wait()
 }
 
-// TestManyAddressesAreForgotten, and a call that is under way meanwhile isn't.
-func TestManyAddressesAreForgotten(t *testing.T) {
-	echo := &echoReplica{}
+// TestStubsOfIdlePeersAreEvicted, and a call that is under way meanwhile isn't.
+func TestStubsOfIdlePeersAreEvicted(t *testing.T) {
+	echo := &echoingReplica{}
 	server := servePeer(t, echo, &countingHost{})
 	client := newPeerClient(t)
 	ctx, cancel := context.WithCancel(t.Context())
 	var calls sync.WaitGroup
 	calls.Go(func() {
-		_, err := prepare(ctx, client, memberAt(server), heldKey)
+		_, err := prepare(ctx, client, memberAt(server), blockingKey)
 		assert.Check(t, ctx.Err() != nil, "the call ended early: %v", err)
 	})
-	harness.Eventually(t, func() (bool, string) { return echo.holding.Load() == 1, "the call isn't served" })
+	harness.Eventually(t, func() (bool, string) { return echo.blocked.Load() == 1, "the call isn't served" })
 	ended, end := context.WithCancel(t.Context())
 	end()
 	for i := range 3000 {
@@ -254,22 +254,22 @@
 	value, err := prepare(t.Context(), client, memberAt(server), "again")
 	assert.NilError(t, err)
 	assert.Equal(t, value, "again")
-	assert.Equal(t, echo.holding.Load(), int64(1))
+	assert.Equal(t, echo.blocked.Load(), int64(1))
 	cancel()
 	calls.Wait()
 }
 
-// TestClosedClientEndsItsCalls, at the peer as well.
-func TestClosedClientEndsItsCalls(t *testing.T) {
-	echo := &echoReplica{}
+// TestCloseEndsCalls, at the peer as well.
+func TestCloseEndsCalls(t *testing.T) {
+	echo := &echoingReplica{}
 	server := servePeer(t, echo, &countingHost{})
 	client := newPeerClient(t)
 	var calls sync.WaitGroup
 	calls.Go(func() {
-		_, err := prepare(t.Context(), client, memberAt(server), heldKey)
+		_, err := prepare(t.Context(), client, memberAt(server), blockingKey)
 		assert.Check(t, err != nil)
 	})
-	harness.Eventually(t, func() (bool, string) { return echo.holding.Load() == 1, "the call isn't served" })
+	harness.Eventually(t, func() (bool, string) { return echo.blocked.Load() == 1, "the call isn't served" })
 	client.Close()
 	calls.Wait()
 	harness.Eventually(t, func() (bool, string) { return echo.ended.Load() == 1, "the call goes on" })
--- a/transport/peer/metrics.go
+++ b/transport/peer/metrics.go
@@ -20,8 +20,8 @@
 	sent     *prometheus.CounterVec
 	received *prometheus.CounterVec
 	seconds  *prometheus.HistogramVec
-	// kinds holds *procedureMetrics by kindKey.
-	kinds sync.Map
+	// procedures holds *procedureMetrics by kindKey.
+	procedures sync.Map
 }
 
 // NewMetrics registers the metrics of the internal protocol.
@@ -62,9 +62,9 @@
 		}
 		m.requests.WithLabelValues(side, procedure).Inc()
 		m.seconds.WithLabelValues(side, procedure).Observe(time.Since(began).Seconds())
-		outgoing, incoming := size(request.Any()), 0
+		outgoing, incoming := messageSize(request.Any()), 0
 		if err == nil {
-			incoming = size(response.Any())
+			incoming = messageSize(response.Any())
 		}
 		if side == sideServer {
 			outgoing, incoming = incoming, outgoing
@@ -75,9 +75,9 @@
 	}
 }
 
-// called counts one call of a stream.
-func (m *Metrics) called(side string, call *peerv1.Call, answer *peerv1.Answer, took time.Duration) {
-	counted := m.ofKind(side, kindOf(call))
+// observeCall counts one call of a stream.
+func (m *Metrics) observeCall(side string, call *peerv1.Call, answer *peerv1.Answer, took time.Duration) {
+	counted := m.forKind(side, callKind(call))
 	counted.requests.Inc()
 	counted.seconds.Observe(took.Seconds())
 	outgoing, incoming := proto.Size(call), proto.Size(answer)
@@ -88,8 +88,8 @@
 	counted.received.Add(float64(incoming))
 }
 
-// kindOf names the kind of call.
-func kindOf(call *peerv1.Call) string {
+// callKind names the kind of call.
+func callKind(call *peerv1.Call) string {
 	switch call.GetRequest().(type) {
 	case *peerv1.Call_Prepare:
 		return "Prepare"
@@ -116,12 +116,12 @@
 	seconds                  prometheus.Observer
 }
 
-// kindKey names the metrics of one kind of call at one side.
-type kindKey struct{ side, kind string }
+// procedureKey names the metrics of one kind of call at one side.
+type procedureKey struct{ side, kind string }
 
-func (m *Metrics) ofKind(side, kind string) *procedureMetrics {
-	key := kindKey{side, kind}
-	if known, found := m.kinds.Load(key); found {
+func (m *Metrics) forKind(side, kind string) *procedureMetrics {
+	key := procedureKey{side, kind}
+	if known, found := m.procedures.Load(key); found {
 		return known.(*procedureMetrics)
 	}
 	procedure := "/" + peerv1connect.CallServiceName + "/" + kind
@@ -129,7 +129,7 @@
 		requests: m.requests.WithLabelValues(side, procedure), seconds: m.seconds.WithLabelValues(side, procedure),
 		sent: m.sent.WithLabelValues(side, procedure), received: m.received.WithLabelValues(side, procedure),
 	}
-	m.kinds.Store(key, made)
+	m.procedures.Store(key, made)
 	return made
 }
 
@@ -137,7 +137,7 @@
 func (m *Metrics) WrapStreamingClient(next connect.StreamingClientFunc) connect.StreamingClientFunc {
 	return func(ctx context.Context, spec connect.Spec) connect.StreamingClientConn {
 		m.requests.WithLabelValues(sideClient, spec.Procedure).Inc()
-		return &countedClient{StreamingClientConn: next(ctx, spec), metrics: m}
+		return &countingClientConn{StreamingClientConn: next(ctx, spec), metrics: m}
 	}
 }
 
@@ -145,51 +145,51 @@
 func (m *Metrics) WrapStreamingHandler(next connect.StreamingHandlerFunc) connect.StreamingHandlerFunc {
 	return func(ctx context.Context, stream connect.StreamingHandlerConn) error {
 		m.requests.WithLabelValues(sideServer, stream.Spec().Procedure).Inc()
-		return next(ctx, &countedHandler{StreamingHandlerConn: stream, metrics: m})
+		return next(ctx, &countingHandlerConn{StreamingHandlerConn: stream, metrics: m})
 	}
 }
 
-type countedClient struct {
+type countingClientConn struct {
 	connect.StreamingClientConn
 	metrics *Metrics
 }
 
 // Send implements connect.StreamingClientConn.
-func (c *countedClient) Send(message any) error {
-	c.metrics.sent.WithLabelValues(sideClient, c.Spec().Procedure).Add(float64(size(message)))
+func (c *countingClientConn) Send(message any) error {
+	c.metrics.sent.WithLabelValues(sideClient, c.Spec().Procedure).Add(float64(messageSize(message)))
 	return c.StreamingClientConn.Send(message)
 }
 
 // Receive implements connect.StreamingClientConn.
-func (c *countedClient) Receive(message any) error {
+func (c *countingClientConn) Receive(message any) error {
 	err := c.StreamingClientConn.Receive(message)
 	if err == nil {
-		c.metrics.received.WithLabelValues(sideClient, c.Spec().Procedure).Add(float64(size(message)))
+		c.metrics.received.WithLabelValues(sideClient, c.Spec().Procedure).Add(float64(messageSize(message)))
 	}
 	return err
 }
 
-type countedHandler struct {
+type countingHandlerConn struct {
 	connect.StreamingHandlerConn
 	metrics *Metrics
 }
 
 // Send implements connect.StreamingHandlerConn.
-func (c *countedHandler) Send(message any) error {
-	c.metrics.sent.WithLabelValues(sideServer, c.Spec().Procedure).Add(float64(size(message)))
+func (c *countingHandlerConn) Send(message any) error {
+	c.metrics.sent.WithLabelValues(sideServer, c.Spec().Procedure).Add(float64(messageSize(message)))
 	return c.StreamingHandlerConn.Send(message)
 }
 
 // Receive implements connect.StreamingHandlerConn.
-func (c *countedHandler) Receive(message any) error {
+func (c *countingHandlerConn) Receive(message any) error {
 	err := c.StreamingHandlerConn.Receive(message)
 	if err == nil {
-		c.metrics.received.WithLabelValues(sideServer, c.Spec().Procedure).Add(float64(size(message)))
+		c.metrics.received.WithLabelValues(sideServer, c.Spec().Procedure).Add(float64(messageSize(message)))
 	}
 	return err
 }
 
-func size(message any) int {
+func messageSize(message any) int {
 	encoded, ok := message.(proto.Message)
 	if !ok {
 		return 0
--- a/transport/peer/mirror.go
+++ b/transport/peer/mirror.go
@@ -24,8 +24,8 @@
 	_ mirror.Watcher = (*Client)(nil)
 )
 
-// maxMirrorWait bounds how long a call is held for a caller that asks for more.
-const maxMirrorWait = 10 * time.Second
+// maxWatchWait bounds how long a call is held for a caller that asks for more.
+const maxWatchWait = 10 * time.Second
 
 // FetchMirror implements mirror.Fetcher.
 func (c *Client) FetchMirror(ctx context.Context, address netip.AddrPort) ([]mirror.Copy, error) {
@@ -134,7 +134,7 @@
 // WatchMirror answers with what changed, as soon as anything does.
 func (s *mirrorServer) WatchMirror(ctx context.Context, request *connect.Request[peerv1.WatchMirrorRequest]) (*connect.Response[peerv1.WatchMirrorResponse], error) {
 	arrived := time.Now()
-	wait := min(time.Duration(request.Msg.GetWaitMs())*time.Millisecond, maxMirrorWait)
+	wait := min(time.Duration(request.Msg.GetWaitMs())*time.Millisecond, maxWatchWait)
 	response := &peerv1.WatchMirrorResponse{Verdict: peerv1.WatchMirrorResponse_VERDICT_MISSED}
 	switch answer := s.mirror.Watch(ctx, request.Msg.GetKind(), request.Msg.GetSince(), wait).(type) {
 	case mirror.Current:
--- a/transport/peer/protocol.go
+++ b/transport/peer/protocol.go
@@ -22,7 +22,7 @@
 func NewHTTPClient() *http.Client {
 	transport := &http.Transport{DialContext: socket.Dialer(dialTimeout, unacknowledgedTimeout).DialContext}
 	UseProtocols(transport)
-	return &http.Client{Transport: newBoundedTransport(transport)}
+	return &http.Client{Transport: newLimitedTransport(transport)}
 }
 
 // NewHTTPServer returns a server that speaks HTTP/1.1 and HTTP/2 without TLS.
--- a/transport/peer/pull_test.go
+++ b/transport/peer/pull_test.go
@@ -17,13 +17,13 @@
 	"github.com/marblering/marblering/transport/peer"
 )
 
-// fullReplica holds many registers and some turns.
-type fullReplica struct {
+// generatedReplica holds many registers and some turns.
+type generatedReplica struct {
 	peer.Replica
 	registers, turns int
 }
 
-func (r *fullReplica) Pull(_ context.Context, _ shard.PullRequest, visit func(shard.PullItem) error) (archive.Reply, error) {
+func (r *generatedReplica) Pull(_ context.Context, _ shard.PullRequest, visit func(shard.PullItem) error) (archive.Reply, error) {
 	for i := range r.registers {
 		state := replica.Register{Accepted: replica.Ballot{Counter: uint64(i + 1), Proposer: "p"}, Value: []byte(fmt.Sprint("value", i))}
 		if err := visit(shard.PullItem{Register: &shard.RegisterState{Key: fmt.Sprint("key", i), State: state}}); err != nil {
@@ -39,9 +39,9 @@
 	return archive.Reply{}, nil
 }
 
-// TestPullGathersItems: all items come, in few messages, none of which is large.
-func TestPullGathersItems(t *testing.T) {
-	held := &fullReplica{registers: 5000, turns: 40}
+// TestPullBatchesItems: all items come, in few messages, none of which is large.
+func TestPullBatchesItems(t *testing.T) {
+	held := &generatedReplica{registers: 5000, turns: 40}
 	server := servePeer(t, held, &countingHost{})
 	var registers, turns int
 	_, err := newPeerClient(t).Pull(t.Context(), memberAt(server), shard.PullRequest{}, func(item shard.PullItem) error {
--- a/transport/peer/reconfigure.go
+++ b/transport/peer/reconfigure.go
@@ -17,7 +17,7 @@
 	_ shard.Source  = (*Client)(nil)
 )
 
-func reply(refusal peerv1.Refusal, view *peerv1.ShardView) archive.Reply {
+func replyFromWire(refusal peerv1.Refusal, view *peerv1.ShardView) archive.Reply {
 	return archive.Reply{Refusal: register.Refusal(refusal), View: ViewFromWire(view)}
 }
 
@@ -32,7 +32,7 @@
 	if err != nil {
 		return archive.Reply{}, err
 	}
-	return reply(response.Msg.GetRefusal(), response.Msg.GetView()), nil
+	return replyFromWire(response.Msg.GetRefusal(), response.Msg.GetView()), nil
 }
 
 // Install implements shard.Members. Copying a shard takes long, so only the
@@ -47,7 +47,7 @@
 	if err != nil {
 		return archive.Reply{}, err
 	}
-	return reply(response.Msg.GetRefusal(), response.Msg.GetView()), nil
+	return replyFromWire(response.Msg.GetRefusal(), response.Msg.GetView()), nil
 }
 
 // Open implements shard.Members.
@@ -60,7 +60,7 @@
 	if err != nil {
 		return archive.Reply{}, err
 	}
-	return reply(response.Msg.GetRefusal(), response.Msg.GetView()), nil
+	return replyFromWire(response.Msg.GetRefusal(), response.Msg.GetView()), nil
 }
 
 // Pull implements shard.Source. Only the caller's context bounds it.
@@ -83,7 +83,7 @@
 	for stream.Receive() {
 		message := stream.Msg()
 		if message.GetRefusal() != peerv1.Refusal_REFUSAL_UNSPECIFIED {
-			return reply(message.GetRefusal(), message.GetView()), nil
+			return replyFromWire(message.GetRefusal(), message.GetView()), nil
 		}
 		if err := visitItems(message, visit); err != nil {
 			return archive.Reply{}, err
@@ -120,11 +120,11 @@
 }
 
 const (
-	// pulledItems and pulledBytes bound the items of one message of a pull: enough
+	// pullBatchItems and pulledBytes bound the items of one message of a pull: enough
 	// that a message costs little for each, and few enough that neither side holds
 	// much of a shard in memory.
-	pulledItems = 512
-	pulledBytes = 64 << 10
+	pullBatchItems = 512
+	pullBatchBytes = 64 << 10
 )
 
 // pullWriter sends the items of a pull in messages of some of them.
@@ -153,7 +153,7 @@
 		})
 		w.bytes += len(item.Register.State.Value)
 	}
-	if w.items < pulledItems && w.bytes < pulledBytes {
+	if w.items < pullBatchItems && w.bytes < pullBatchBytes {
 		return nil
 	}
 	return w.flush()
@@ -173,7 +173,7 @@
 func (s *replicaServer) Seal(ctx context.Context, request *connect.Request[peerv1.SealRequest]) (*connect.Response[peerv1.SealResponse], error) {
 	successor := ViewFromWire(request.Msg.GetSuccessor())
 	if successor == nil {
-		return nil, connect.NewError(connect.CodeInvalidArgument, errNoView)
+		return nil, connect.NewError(connect.CodeInvalidArgument, errMissingView)
 	}
 	answer := s.replica.Seal(ctx, shard.SealRequest{
 		Fence:     fenceFromWire(request.Msg.GetFence()),
@@ -190,7 +190,7 @@
 	previous := ViewFromWire(request.Msg.GetPrevious())
 	successor := ViewFromWire(request.Msg.GetSuccessor())
 	if previous == nil || successor == nil {
-		return nil, connect.NewError(connect.CodeInvalidArgument, errNoView)
+		return nil, connect.NewError(connect.CodeInvalidArgument, errMissingView)
 	}
 	answer := s.installer.Install(ctx, shard.InstallRequest{
 		Previous:  *previous,
@@ -208,7 +208,7 @@
 func (s *replicaServer) Open(ctx context.Context, request *connect.Request[peerv1.OpenRequest]) (*connect.Response[peerv1.OpenResponse], error) {
 	view := ViewFromWire(request.Msg.GetView())
 	if view == nil {
-		return nil, connect.NewError(connect.CodeInvalidArgument, errNoView)
+		return nil, connect.NewError(connect.CodeInvalidArgument, errMissingView)
 	}
 	answer := s.replica.Open(ctx, shard.OpenRequest{View: *view})
 	return connect.NewResponse(&peerv1.OpenResponse{
--- a/transport/peer/session.go
+++ b/transport/peer/session.go
@@ -15,12 +15,12 @@
 	"github.com/marblering/marblering/api/peer/v1/peerv1connect"
 )
 
-// maxServed bounds the calls of one stream that are served at once. Callers keep
+// maxConcurrentCalls bounds the calls of one stream that are served at once. Callers keep
 // below it; further calls aren't read before others have ended.
-const maxServed = 2 * maxInFlight
+const maxConcurrentCalls = 2 * maxInFlight
 
-// errNotServed is the failure of a call that this node doesn't serve.
-var errNotServed = merry.Sentinel("this node doesn't serve the call")
+// errUnsupportedCall is the failure of a call that this node doesn't serve.
+var errUnsupportedCall = merry.Sentinel("this node doesn't serve the call")
 
 // callServer serves streams of calls.
 type callServer struct {
@@ -36,17 +36,17 @@
 func (s *callServer) Stream(ctx context.Context, stream *connect.BidiStream[peerv1.Calls, peerv1.Answers]) error {
 	ctx, cancel := context.WithCancel(ctx)
 	session := &session{
-		server: s, stream: stream, answers: make(chan *peerv1.Answer, maxServed),
-		places: make(chan struct{}, maxServed), underWay: make(map[uint64]context.CancelFunc),
+		server: s, stream: stream, answers: make(chan *peerv1.Answer, maxConcurrentCalls),
+		slots: make(chan struct{}, maxConcurrentCalls), cancels: make(map[uint64]context.CancelFunc),
 	}
 	answering := make(chan struct{})
 	go func() {
 		defer close(answering)
-		session.answer(ctx)
+		session.sendAnswers(ctx)
 	}()
 	err := session.receive(ctx)
 	cancel()
-	session.calls.Wait()
+	session.running.Wait()
 	<-answering
 	if errors.Is(err, io.EOF) {
 		return nil
@@ -59,12 +59,12 @@
 	server  *callServer
 	stream  *connect.BidiStream[peerv1.Calls, peerv1.Answers]
 	answers chan *peerv1.Answer
-	places  chan struct{}
-	calls   sync.WaitGroup
+	slots   chan struct{}
+	running sync.WaitGroup
 
 	mutex sync.Mutex
-	// underWay ends the calls that are served.
-	underWay map[uint64]context.CancelFunc
+	// cancels ends the calls that are served.
+	cancels map[uint64]context.CancelFunc
 }
 
 func (s *session) receive(ctx context.Context) error {
@@ -74,50 +74,50 @@
 			return err
 		}
 		for _, number := range message.GetAbandoned() {
-			s.end(number)
+			s.cancelCall(number)
 		}
 		for _, call := range message.GetCalls() {
 			select {
-			case s.places <- struct{}{}:
+			case s.slots <- struct{}{}:
 			case <-ctx.Done():
 				return ctx.Err()
 			}
-			s.begin(ctx, call)
+			s.start(ctx, call)
 		}
 	}
 }
 
-func (s *session) begin(ctx context.Context, call *peerv1.Call) {
+func (s *session) start(ctx context.Context, call *peerv1.Call) {
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(call.GetTimeoutMs())*time.Millisecond)
 	s.mutex.Lock()
-	s.underWay[call.GetNumber()] = cancel
+	s.cancels[call.GetNumber()] = cancel
 	s.mutex.Unlock()
-	s.calls.Go(func() {
+	s.running.Go(func() {
 		answer := s.server.serve(ctx, call)
 		answer.Number = call.GetNumber()
-		s.end(call.GetNumber())
+		s.cancelCall(call.GetNumber())
 		// Each call that is served has a place of its own in the channel.
 		s.answers <- answer
 	})
 }
 
-// end ends the call where it is still under way.
-func (s *session) end(number uint64) {
+// cancelCall ends the call where it is still under way.
+func (s *session) cancelCall(number uint64) {
 	s.mutex.Lock()
-	cancel, found := s.underWay[number]
-	delete(s.underWay, number)
+	cancel, found := s.cancels[number]
+	delete(s.cancels, number)
 	s.mutex.Unlock()
 	if found {
 		cancel()
 	}
 }
 
-// answer writes answers, those that wait in one message, until the context ends.
-func (s *session) answer(ctx context.Context) {
+// sendAnswers writes answers, those that wait in one message, until the context ends.
+func (s *session) sendAnswers(ctx context.Context) {
 	for {
 		select {
 		case first := <-s.answers:
-			if s.stream.Send(&peerv1.Answers{Answers: s.gather(first)}) != nil {
+			if s.stream.Send(&peerv1.Answers{Answers: s.collectBatch(first)}) != nil {
 				// The peer is gone, which the receiving side is told as well.
 				<-ctx.Done()
 				return
@@ -128,15 +128,15 @@
 	}
 }
 
-func (s *session) gather(first *peerv1.Answer) []*peerv1.Answer {
+func (s *session) collectBatch(first *peerv1.Answer) []*peerv1.Answer {
 	gathered := []*peerv1.Answer{first}
-	<-s.places
-	for size := proto.Size(first); size < gatheredBytes; {
+	<-s.slots
+	for size := proto.Size(first); size < batchBytes; {
 		select {
 		case next := <-s.answers:
 			gathered = append(gathered, next)
 			size += proto.Size(next)
-			<-s.places
+			<-s.slots
 		default:
 			return gathered
 		}
@@ -151,7 +151,7 @@
 	if err != nil {
 		answer = &peerv1.Answer{Response: &peerv1.Answer_Failure{Failure: err.Error()}}
 	}
-	s.metrics.called(sideServer, call, answer, time.Since(began))
+	s.metrics.observeCall(sideServer, call, answer, time.Since(began))
 	return answer
 }
 
@@ -180,5 +180,5 @@
 			return &peerv1.Answer{Response: &peerv1.Answer_TakePermits{TakePermits: takePermits(s.quotas, request.TakePermits)}}, nil
 		}
 	}
-	return nil, errNotServed
+	return nil, errUnsupportedCall
 }
--- a/transport/peer/stub.go
+++ b/transport/peer/stub.go
@@ -20,8 +20,8 @@
 	mutex sync.Mutex
 	// current is the link in use; nil before the first call.
 	current *link
-	// forgotten is set once the client doesn't know these stubs any more.
-	forgotten bool
+	// evicted is set once the client doesn't know these stubs any more.
+	evicted bool
 }
 
 // link returns the link to the peer, a new one where the last was lost; nil where
@@ -29,39 +29,39 @@
 func (s *stubs) link() *link {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if s.forgotten {
+	if s.evicted {
 		return nil
 	}
-	if s.current == nil || s.current.isLost() {
+	if s.current == nil || s.current.isClosed() {
 		s.current = newLink(s.calls)
 	}
 	return s.current
 }
 
-// forget ends the link, where calls are under way only if they are to be given up
+// evict ends the link, where calls are under way only if they are to be given up
 // too. It says whether it did.
-func (s *stubs) forget(evenInUse bool) bool {
+func (s *stubs) evict(evenInUse bool) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.current != nil {
 		if !evenInUse && s.current.isInUse() {
 			return false
 		}
-		s.current.lose(errClosed)
+		s.current.closeWithError(errClientClosed)
 	}
-	s.forgotten = true
+	s.evicted = true
 	return true
 }
 
-// errClosed means that this node has stopped making calls.
-var errClosed = merry.Sentinel("the client is closed")
+// errClientClosed means that this node has stopped making calls.
+var errClientClosed = merry.Sentinel("the client is closed")
 
-// maxStubs is how many addresses are remembered before those without calls under
+// maxCachedStubs is how many addresses are remembered before those without calls under
 // way are forgotten.
-const maxStubs = 1024
+const maxCachedStubs = 1024
 
 func (c *Client) stubs(address string) *stubs {
-	if known, found := c.known.Load(address); found {
+	if known, found := c.cachedStubs.Load(address); found {
 		return known.(*stubs)
 	}
 	base := "http://" + address
@@ -71,25 +71,25 @@
 		mirror:  peerv1connect.NewMirrorServiceClient(c.http, base, c.options...),
 		calls:   peerv1connect.NewCallServiceClient(c.http, base, connect.WithAcceptCompression(gzipName, nil, nil)),
 	}
-	if c.count.Load() >= maxStubs {
-		c.forget(false)
+	if c.cachedCount.Load() >= maxCachedStubs {
+		c.evictStubs(false)
 	}
-	kept, found := c.known.LoadOrStore(address, made)
+	kept, found := c.cachedStubs.LoadOrStore(address, made)
 	if !found {
-		c.count.Add(1)
+		c.cachedCount.Add(1)
 	}
 	return kept.(*stubs)
 }
 
 // Close ends the links to all peers; calls under way fail. The next call opens
 // another.
-func (c *Client) Close() { c.forget(true) }
+func (c *Client) Close() { c.evictStubs(true) }
 
-func (c *Client) forget(evenInUse bool) {
-	c.known.Range(func(address, known any) bool {
-		if known.(*stubs).forget(evenInUse) {
-			c.known.Delete(address)
-			c.count.Add(-1)
+func (c *Client) evictStubs(evenInUse bool) {
+	c.cachedStubs.Range(func(address, known any) bool {
+		if known.(*stubs).evict(evenInUse) {
+			c.cachedStubs.Delete(address)
+			c.cachedCount.Add(-1)
 		}
 		return true
 	})
