--- a/transport/peer/budget.go
+++ b/transport/peer/budget.go
@@ -12,7 +12,8 @@
 	"github.com/marblering/marblering/state/budget"
 )
 
-// BudgetHost serves budgets. tokenbudget.Host is one.
+// BudgetHost grants reservations of tokens and releases them when turns end.
+// tokenbudget.Host implements it.
 type BudgetHost interface {
 	Reserve(ctx context.Context, wanted tokenbudget.Reservation) error
 	End(ended []tokenbudget.Ended)
@@ -54,12 +55,13 @@
 	return peerv1.ReserveVerdict_RESERVE_VERDICT_UNAVAILABLE
 }
 
-// BudgetClient implements tokenbudget.Hosts.
+// BudgetClient sends reservations to the nodes that host budgets. It implements
+// tokenbudget.Hosts.
 type BudgetClient struct {
 	client *Client
 }
 
-// Budgets returns the client of the budget service.
+// Budgets returns a client for the budgets that other nodes host.
 func (c *Client) Budgets() BudgetClient { return BudgetClient{client: c} }
 
 var _ tokenbudget.Hosts = BudgetClient{}
@@ -84,7 +86,7 @@
 	case peerv1.ReserveVerdict_RESERVE_VERDICT_OVERLOADED:
 		return merry.Wrap(tokenbudget.ErrOverloaded, merry.AppendMessage(response.GetReason()))
 	}
-	return merry.Errorf("the host can't reach the record: %s", response.GetReason())
+	return merry.Errorf("the budget's host can't access the record of program %q: %s", wanted.Program, response.GetReason())
 }
 
 // End implements tokenbudget.Hosts.
--- a/transport/peer/budget_test.go
+++ b/transport/peer/budget_test.go
@@ -11,15 +11,17 @@
 	"github.com/marblering/marblering/coordination/tokenbudget"
 )
 
-// The end of the turn "t" of program "p" with 100 tokens, as gateways of earlier versions
-// write it, and what is added to it where the name is that of one attempt.
+// The encoded end of turn "t" of program "p" with 100 tokens, as gateways of earlier
+// versions send it, and the field that current gateways append to say that the name is
+// unique to one attempt.
 const (
 	earlierEndedTurn = "0a017012017418" + "64"
 	uniqueField      = "2001"
 )
 
-// TestEndedTurnsOfEarlierVersionsMayRecur: what an earlier gateway sends says
-// nothing of its name, and an earlier host reads all that it knows of what is sent now.
+// TestEndedTurnsOfEarlierVersionsMayRecur guards the compatibility with earlier
+// versions in both directions: without the field, the name may recur, and the field
+// only follows what an earlier host decodes.
 func TestEndedTurnsOfEarlierVersionsMayRecur(t *testing.T) {
 	encoded, err := hex.DecodeString(earlierEndedTurn)
 	assert.NilError(t, err)
--- a/transport/peer/doc.go
+++ b/transport/peer/doc.go
@@ -1,10 +1,10 @@
-// Package peer carries the internal protocol between nodes over connect-go: the
-// client that coordination packages use through their own interfaces, and the
-// server that hands requests to this node's replica, budgets, quotas and copies
-// of the store. What only nodes of marblering serve ask each other is in package
-// nodepeer.
+// Package peer implements the internal protocol between nodes over connect-go: a
+// client, which coordination packages use through their own interfaces, and a server,
+// which passes requests on to this node's replica, budgets, quotas and copies of the
+// store. Requests that only nodes run by "marblering serve" send each other are in
+// package nodepeer.
 //
-// It owns the links to other nodes (one stream an address, opened with the first
-// call) and the counts of messages and bytes. It relies on package socket to give
-// up connections to machines that went dark.
+// The client keeps one stream of calls per address, opened with the first call. Both
+// sides count messages and bytes. Package socket closes connections to machines that
+// stopped responding.
 package peer
