--- a/transport/peer/call.go
+++ b/transport/peer/call.go
@@ -12,20 +12,21 @@
 	"github.com/marblering/marblering/state/replica"
 )
 
-// errCallFailed means that the peer couldn't make the call; nothing is known of
-// its effect.
-var errCallFailed = merry.Sentinel("the peer failed")
+// errCallFailed is returned where the peer answered with a failure. The call may have
+// had its effect.
+var errCallFailed = merry.Sentinel("the peer failed to serve the call")
 
-// call sends one call over the peer's link and waits for its answer.
+// call sends a call over the link to the address and waits for its answer, for the
+// client's timeout at most.
 func (c *Client) call(ctx context.Context, address string, call *peerv1.Call) (*peerv1.Answer, error) {
 	ctx, cancel := c.Bound(ctx)
 	defer cancel()
-	began := time.Now()
+	start := time.Now()
 	if deadline, bounded := ctx.Deadline(); bounded {
-		call.TimeoutMs = max(deadline.Sub(began).Milliseconds(), 1)
+		call.TimeoutMs = max(deadline.Sub(start).Milliseconds(), 1)
 	}
 	answer, err := c.link(address).call(ctx, call)
-	c.metrics.observeCall(sideClient, call, answer, time.Since(began))
+	c.metrics.observeCall(sideClient, call, answer, time.Since(start))
 	if err != nil {
 		return nil, err
 	}
--- a/transport/peer/client.go
+++ b/transport/peer/client.go
@@ -16,16 +16,17 @@
 	"github.com/marblering/marblering/state/replica"
 )
 
-// gzipName is the compression that connect offers unless it is taken out.
+// gzipName is the compression that connect accepts by default.
 const gzipName = "gzip"
 
-// Client sends requests to other nodes. It is safe for concurrent use.
+// Client sends requests to other nodes. It implements the interfaces by which
+// coordination packages call peers, and is safe for concurrent use.
 type Client struct {
 	http    *http.Client
 	timeout time.Duration
 	options []connect.ClientOption
 	metrics *Metrics
-	// cachedStubs maps addresses to *stubs; count is about how many there are.
+	// cachedStubs maps addresses to *stubs. cachedCount is their approximate number.
 	cachedStubs sync.Map
 	cachedCount atomic.Int64
 }
@@ -35,7 +36,8 @@
 	_ archive.Replicas   = (*Client)(nil)
 )
 
-// NewClient makes a client whose requests end after the timeout at the latest.
+// NewClient returns a client whose requests time out after the timeout, except those
+// that are documented to be bounded by the caller's context alone.
 func NewClient(httpClient *http.Client, timeout time.Duration, metrics *Metrics) *Client {
 	return &Client{
 		http:    httpClient,
@@ -43,8 +45,8 @@
 		metrics: metrics,
 		options: []connect.ClientOption{
 			connect.WithInterceptors(metrics),
-			// Control messages are short and turns are compressed already, while a
-			// compressor for each answer holds nearly a megabyte.
+			// Compression is disabled: control messages are short and turns are
+			// already compressed.
 			connect.WithAcceptCompression(gzipName, nil, nil),
 		},
 	}
@@ -54,11 +56,11 @@
 	return c.stubs(address).replica
 }
 
-// Node returns the generated client of the node at the address, for the calls that
-// only some daemons answer. Calls through it are to be bound by Bound.
+// Node returns the generated client for the node at the address, for calls that not
+// every kind of node serves. Callers have to apply the timeout with Bound.
 func (c *Client) Node(address string) peerv1connect.NodeServiceClient { return c.stubs(address).node }
 
-// Bound ends the context after the client's timeout at the latest.
+// Bound returns a context that ends after the client's timeout at the latest.
 func (c *Client) Bound(ctx context.Context) (context.Context, context.CancelFunc) {
 	return context.WithTimeout(ctx, c.timeout)
 }
@@ -94,7 +96,8 @@
 	return turns, archive.Reply{}, stream.Err()
 }
 
-// Exchange runs one round of gossip with the node at the address.
+// Exchange runs one round of gossip with the node at the address. It implements
+// membership.Exchanger.
 func (c *Client) Exchange(ctx context.Context, address string, request *peerv1.ExchangeRequest) (*peerv1.ExchangeResponse, error) {
 	ctx, cancel := c.Bound(ctx)
 	defer cancel()
@@ -105,7 +108,7 @@
 	return response.Msg, nil
 }
 
-// Peek asks one replica for its copy of a register, a hint.
+// Peek returns one replica's copy of a register, which may be out of date.
 func (c *Client) Peek(ctx context.Context, member register.Member, fence register.Fence, key string) ([]byte, register.Refusal, error) {
 	ctx, cancel := c.Bound(ctx)
 	defer cancel()
