--- a/transport/peer/convert.go
+++ b/transport/peer/convert.go
@@ -8,7 +8,7 @@
 	"github.com/marblering/marblering/state/replica"
 )
 
-var errMissingView = merry.New("the request names no shard view")
+var errMissingView = merry.New("the request contains no shard view")
 
 func fenceToWire(fence register.Fence) *peerv1.Fence {
 	return &peerv1.Fence{
@@ -57,7 +57,7 @@
 	}
 }
 
-// ViewToWire converts a view; nil stays nil.
+// ViewToWire converts a view to its wire form. It returns nil for nil.
 func ViewToWire(view *register.View) *peerv1.ShardView {
 	if view == nil {
 		return nil
@@ -69,7 +69,7 @@
 	return converted
 }
 
-// ViewFromWire converts a view; nil stays nil.
+// ViewFromWire converts a view from its wire form. It returns nil for nil.
 func ViewFromWire(view *peerv1.ShardView) *register.View {
 	if view == nil {
 		return nil
@@ -105,7 +105,7 @@
 
 func digestFromWire(digest []byte) ([32]byte, error) {
 	if len(digest) != 32 {
-		return [32]byte{}, merry.Errorf("a digest has 32 bytes, got %d", len(digest))
+		return [32]byte{}, merry.Errorf("digest has %d bytes, want 32", len(digest))
 	}
 	return [32]byte(digest), nil
 }
--- a/transport/peer/inflight.go
+++ b/transport/peer/inflight.go
@@ -7,19 +7,22 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// maxInFlight bounds the requests to one peer that wait for an answer's head. A
-// peer that went dark would otherwise gather all that is asked of it.
+// maxInFlight is the highest number of requests to one peer that wait for response
+// headers, and of calls on one link that wait for answers. Without a limit, requests to
+// an unresponsive peer would pile up.
 const maxInFlight = 128
 
-// errTooManyRequests means that nothing was sent.
-var errTooManyRequests = merry.Sentinel("too many requests wait for this peer")
+// errTooManyRequests is returned for a request that exceeds maxInFlight. The request
+// wasn't sent.
+var errTooManyRequests = merry.Sentinel("too many requests to this peer are in flight")
 
-// limitedTransport is an http.RoundTripper that refuses what is beyond the bound
-// at once.
+// limitedTransport is an http.RoundTripper that limits the requests in flight to each
+// host. It rejects further requests immediately.
 type limitedTransport struct {
 	next http.RoundTripper
 
-	mutex    sync.Mutex
+	mutex sync.Mutex
+	// inFlight counts the requests by host.
 	inFlight map[string]int
 }
 
--- a/transport/peer/inflight_test.go
+++ b/transport/peer/inflight_test.go
@@ -15,26 +15,26 @@
 	"github.com/marblering/marblering/transport/peer"
 )
 
-// TestUnresponsivePeerLimitsRequestsInFlight: beyond a bound they fail at once, and another
-// peer is still asked.
+// TestUnresponsivePeerLimitsRequestsInFlight guards against requests that pile up at an
+// unresponsive peer, or that affect other peers.
 func TestUnresponsivePeerLimitsRequestsInFlight(t *testing.T) {
-	const asked, bound = 300, 128
-	free := make(chan struct{})
-	silent := httptest.NewUnstartedServer(nil)
-	silent.Config = peer.NewHTTPServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { <-free }))
-	silent.Start()
-	defer silent.Close()
-	answering := httptest.NewUnstartedServer(nil)
-	answering.Config = peer.NewHTTPServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
-	answering.Start()
-	defer answering.Close()
+	const requests, limit = 300, 128
+	release := make(chan struct{})
+	unresponsive := httptest.NewUnstartedServer(nil)
+	unresponsive.Config = peer.NewHTTPServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { <-release }))
+	unresponsive.Start()
+	defer unresponsive.Close()
+	responsive := httptest.NewUnstartedServer(nil)
+	responsive.Config = peer.NewHTTPServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
+	responsive.Start()
+	defer responsive.Close()
 
 	client := peer.NewHTTPClient()
 	var refused atomic.Int64
-	var running sync.WaitGroup
-	for range asked {
-		running.Go(func() {
-			request, err := http.NewRequestWithContext(context.Background(), http.MethodGet, silent.URL, nil)
+	var calls sync.WaitGroup
+	for range requests {
+		calls.Go(func() {
+			request, err := http.NewRequestWithContext(context.Background(), http.MethodGet, unresponsive.URL, nil)
 			if err != nil {
 				return
 			}
@@ -48,10 +48,10 @@
 			}
 		})
 	}
-	harness.Eventually(t, func() (bool, string) { return refused.Load() == asked-bound, "requests still gather" })
-	response, err := client.Get(answering.URL)
+	harness.Eventually(t, func() (bool, string) { return refused.Load() == requests-limit, "requests beyond the limit were not refused" })
+	response, err := client.Get(responsive.URL)
 	assert.NilError(t, err)
 	assert.NilError(t, response.Body.Close())
-	close(free)
-	running.Wait()
+	close(release)
+	calls.Wait()
 }
