--- a/transport/peer/link.go
+++ b/transport/peer/link.go
@@ -12,36 +12,37 @@
 	"github.com/marblering/marblering/api/peer/v1/peerv1connect"
 )
 
-// batchBytes is where calls or answers that wait are no longer gathered into one
-// message: what goes out together would hold up what follows, and a message has a
-// largest size (maxMessageBytes).
+// batchBytes is the size at which no further calls or answers are added to a message.
+// Larger messages would delay those behind them, and maxMessageBytes limits their size.
 const batchBytes = 256 << 10
 
-// errConnectionLost means that nothing is known of the effect of the calls that were
-// under way.
+// errConnectionLost is returned for calls that were in flight when the link closed.
+// They may have had their effect.
 var errConnectionLost = merry.Sentinel("the connection to the peer was lost")
 
-// link is one stream of calls to a peer. What waits while a message is written
-// goes out with the next one. It is safe for concurrent use, and can't be used
-// any more once done is closed.
+// link is a stream of calls to a peer. Calls that are queued while a message is being
+// written are sent together in the next one. A link is safe for concurrent use and
+// rejects calls once done is closed.
 type link struct {
 	stream *connect.BidiStreamForClient[peerv1.Calls, peerv1.Answers]
 	cancel context.CancelFunc
-	// wake tells the sender that something waits.
+	// wake signals the sender that calls or abandoned numbers are queued.
 	wake chan struct{}
 	done chan struct{}
 
-	mutex      sync.Mutex
+	mutex sync.Mutex
+	// lastNumber is the number of the latest call.
 	lastNumber uint64
 	queued     []*peerv1.Call
 	abandoned  []uint64
-	// pending are the calls without an answer, by number; nil once the link is
-	// lost.
+	// pending holds the channels of calls without an answer, by number. It is nil once
+	// the link is closed.
 	pending  map[uint64]chan *peerv1.Answer
 	closeErr error
 }
 
-// newLink begins a stream. It fails later where the peer can't be reached.
+// newLink opens a stream. It doesn't wait for the connection: where the peer is
+// unreachable, calls fail.
 func newLink(service peerv1connect.CallServiceClient) *link {
 	ctx, cancel := context.WithCancel(context.Background())
 	l := &link{
@@ -53,7 +54,7 @@
 	return l
 }
 
-// call sends the request and waits for its answer, until the context ends.
+// call sends a call and waits for its answer or until the context ends.
 func (l *link) call(ctx context.Context, call *peerv1.Call) (*peerv1.Answer, error) {
 	answered, err := l.enqueue(call)
 	if err != nil {
@@ -88,8 +89,7 @@
 	return answered, nil
 }
 
-// abandon forgets a call. One that was sent is told to the peer, which may leave
-// it undone.
+// abandon drops a call. If it was already sent, the peer is told to cancel it.
 func (l *link) abandon(number uint64) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -111,7 +111,7 @@
 	}
 }
 
-// send writes what waits, until the link is lost.
+// send writes the queued calls until the link is closed.
 func (l *link) send() {
 	for {
 		select {
@@ -149,7 +149,7 @@
 	return message
 }
 
-// receive hands answers to their callers, until the link is lost.
+// receive delivers answers to their callers until the link is closed.
 func (l *link) receive() {
 	for {
 		message, err := l.stream.Receive()
@@ -172,7 +172,7 @@
 	}
 }
 
-// closeWithError ends the link: all calls that wait fail.
+// closeWithError closes the link. All pending calls fail with errConnectionLost.
 func (l *link) closeWithError(err error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -185,14 +185,14 @@
 	close(l.done)
 }
 
-// isInUse tells that calls wait for answers.
+// isInUse reports whether calls wait for answers.
 func (l *link) isInUse() bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return len(l.pending) > 0
 }
 
-// isClosed tells that the link can't be used any more.
+// isClosed reports whether the link is closed.
 func (l *link) isClosed() bool {
 	select {
 	case <-l.done:
