--- a/transport/peer/inflight_test.go
+++ b/transport/peer/inflight_test.go
@@ -48,7 +48,9 @@
 			}
 		})
 	}
-	harness.Eventually(t, func() (bool, string) { return refused.Load() == requests-limit, "requests beyond the limit were not refused" })
+	harness.Eventually(t, func() (bool, string) {
+		return refused.Load() == requests-limit, "requests beyond the limit were not refused"
+	})
 	response, err := client.Get(responsive.URL)
 	assert.NilError(t, err)
 	assert.NilError(t, response.Body.Close())
