--- a/transport/peer/link_test.go
+++ b/transport/peer/link_test.go
@@ -20,8 +20,8 @@
 	"github.com/marblering/marblering/transport/peer"
 )
 
-// echoingReplica answers a prepare with its key as value. Requests for the held key
-// wait until their context ends.
+// echoingReplica answers a prepare with its key as value. Requests for blockingKey
+// block until their context ends. The counters are of such requests.
 type echoingReplica struct {
 	peer.Replica
 	blocked atomic.Int64
@@ -40,13 +40,13 @@
 	return register.PrepareReply{Value: []byte(request.Key)}
 }
 
-// countingHost grants every reservation.
+// countingHost grants every reservation and counts the turns that ended.
 type countingHost struct{ ended atomic.Int64 }
 
 func (*countingHost) Reserve(context.Context, tokenbudget.Reservation) error { return nil }
 func (h *countingHost) End(ended []tokenbudget.Ended)                        { h.ended.Add(int64(len(ended))) }
 
-// servePeer serves the replica and the host to peers.
+// servePeer starts a server for the replica and the budget host.
 func servePeer(t *testing.T, served peer.Replica, host peer.BudgetHost) *httptest.Server {
 	t.Helper()
 	server := httptest.NewUnstartedServer(nil)
@@ -75,14 +75,15 @@
 	return string(reply.Value), err
 }
 
-// TestConcurrentCallsShareALink: each caller gets its own answer, also while others wait.
+// TestConcurrentCallsShareALink guards against answers that reach the wrong caller and
+// against a pending call that blocks others.
 func TestConcurrentCallsShareALink(t *testing.T) {
 	echo, host := &echoingReplica{}, &countingHost{}
 	server := servePeer(t, echo, host)
 	client := newPeerClient(t)
 	ctx, cancel := context.WithCancel(t.Context())
-	var held sync.WaitGroup
-	held.Go(func() {
+	var blocked sync.WaitGroup
+	blocked.Go(func() {
 		_, err := prepare(ctx, client, memberAt(server), blockingKey)
 		assert.Check(t, err != nil)
 	})
@@ -100,10 +101,10 @@
 	assert.NilError(t, client.Budgets().End(t.Context(), memberAt(server).Address, []tokenbudget.Ended{{Program: "p"}, {Program: "q"}}))
 	assert.Equal(t, host.ended.Load(), int64(2))
 	cancel()
-	held.Wait()
+	blocked.Wait()
 }
 
-// sizeRecordingReplica keeps the sizes of turns.
+// sizeRecordingReplica sums up the sizes of the turns put to it.
 type sizeRecordingReplica struct {
 	peer.Replica
 	bytes atomic.Int64
@@ -114,12 +115,12 @@
 	return archive.Reply{}
 }
 
-// TestLargeCallsStayWithinMessageLimit: what waits isn't gathered beyond what a message may
-// have.
+// TestLargeCallsStayWithinMessageLimit guards against batches of calls that exceed the
+// largest message size.
 func TestLargeCallsStayWithinMessageLimit(t *testing.T) {
 	const turns, size = 60, 1 << 20
-	kept := &sizeRecordingReplica{}
-	server := servePeer(t, kept, &countingHost{})
+	recorder := &sizeRecordingReplica{}
+	server := servePeer(t, recorder, &countingHost{})
 	client := newPeerClient(t)
 	var calls sync.WaitGroup
 	for i := range turns {
@@ -130,10 +131,11 @@
 		})
 	}
 	calls.Wait()
-	assert.Equal(t, kept.bytes.Load(), int64(turns*size))
+	assert.Equal(t, recorder.bytes.Load(), int64(turns*size))
 }
 
-// TestAbandonedCallEndsAtPeer, by its caller's word or by its time.
+// TestAbandonedCallEndsAtPeer guards against calls that keep running at the peer after
+// their caller has cancelled them or their deadline has passed.
 func TestAbandonedCallEndsAtPeer(t *testing.T) {
 	echo := &echoingReplica{}
 	server := servePeer(t, echo, &countingHost{})
@@ -144,18 +146,19 @@
 		_, err := prepare(ctx, client, memberAt(server), blockingKey)
 		assert.Check(t, err != nil)
 	})
-	harness.Eventually(t, func() (bool, string) { return echo.blocked.Load() == 1, "the call isn't served" })
+	harness.Eventually(t, func() (bool, string) { return echo.blocked.Load() == 1, "the call has not reached the peer" })
 	cancel()
-	harness.Eventually(t, func() (bool, string) { return echo.ended.Load() == 1, "the call goes on without its caller" })
-	timed, stop := context.WithTimeout(t.Context(), 50*time.Millisecond)
-	defer stop()
-	// The peer may notice the time first, and its answer still come through.
+	harness.Eventually(t, func() (bool, string) { return echo.ended.Load() == 1, "the call runs on after its caller cancelled it" })
+	timed, cancelTimed := context.WithTimeout(t.Context(), 50*time.Millisecond)
+	defer cancelTimed()
+	// The deadline may pass at the peer first, whose answer may then arrive in time.
 	_, _ = prepare(timed, client, memberAt(server), blockingKey)
-	harness.Eventually(t, func() (bool, string) { return echo.ended.Load() == 2, "the call goes on past its time" })
+	harness.Eventually(t, func() (bool, string) { return echo.ended.Load() == 2, "the call runs on past its deadline" })
 	calls.Wait()
 }
 
-// TestConnectionLossFailsCalls, and the next call opens another.
+// TestConnectionLossFailsCalls guards against calls that hang after their connection is
+// lost. The next call opens a new connection.
 func TestConnectionLossFailsCalls(t *testing.T) {
 	echo := &echoingReplica{}
 	server := servePeer(t, echo, &countingHost{})
@@ -168,38 +171,39 @@
 				assert.Check(t, err != nil)
 			})
 		}
-		harness.Eventually(t, func() (bool, string) { return echo.blocked.Load() == 10, "the calls aren't served" })
+		harness.Eventually(t, func() (bool, string) { return echo.blocked.Load() == 10, "the calls have not reached the peer" })
 		server.CloseClientConnections()
 		calls.Wait()
 		harness.Eventually(t, func() (bool, string) {
 			value, err := prepare(t.Context(), client, memberAt(server), "again")
-			return err == nil && value == "again", fmt.Sprint("no call gets through: ", err)
+			return err == nil && value == "again", fmt.Sprint("no call succeeds: ", err)
 		})
-		harness.Eventually(t, func() (bool, string) { return echo.blocked.Load() == 0, "calls of a lost link go on" })
+		harness.Eventually(t, func() (bool, string) { return echo.blocked.Load() == 0, "calls of a closed link still run" })
 	}
 }
 
-// TestUnresponsiveConnectionIsReplaced: a connection that carries nothing any more, without a
-// reset, is found out by its ping, and calls go through a new one.
+// TestUnresponsiveConnectionIsReplaced guards against calls that stay on a connection
+// which drops all data without a reset: its pings time out and a new one is opened.
 func TestUnresponsiveConnectionIsReplaced(t *testing.T) {
 	server := servePeer(t, &echoingReplica{}, &countingHost{})
-	path := harness.StartForwarder(t, server.Listener.Addr().String())
-	member := register.Member{Node: "n", Address: path.Address()}
+	forwarder := harness.StartForwarder(t, server.Listener.Addr().String())
+	member := register.Member{Node: "n", Address: forwarder.Address()}
 	client := newPeerClient(t)
 	_, err := prepare(t.Context(), client, member, "before")
 	assert.NilError(t, err)
-	path.SilenceOpen()
-	silent := path.Opened()
+	forwarder.SilenceOpen()
+	openedBefore := forwarder.Opened()
 	harness.Eventually(t, func() (bool, string) {
 		ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
 		defer cancel()
 		value, err := prepare(ctx, client, member, "after")
-		return err == nil && value == "after", fmt.Sprint("no call gets through: ", err)
+		return err == nil && value == "after", fmt.Sprint("no call succeeds: ", err)
 	})
-	assert.Assert(t, path.Opened() > silent, "a call was answered on a silent connection")
+	assert.Assert(t, forwarder.Opened() > openedBefore, "a call was answered on an unresponsive connection")
 }
 
-// TestCallToUnreachablePeerFailsImmediately.
+// TestCallToUnreachablePeerFailsImmediately guards against calls that wait for their
+// timeout where the connection is refused.
 func TestCallToUnreachablePeerFailsImmediately(t *testing.T) {
 	server := servePeer(t, &echoingReplica{}, &countingHost{})
 	member := memberAt(server)
@@ -208,16 +212,17 @@
 	assert.ErrorContains(t, err, "connection to the peer was lost")
 }
 
-// TestUnresponsivePeerLimitsCallsInFlight: beyond a bound they fail at once.
+// TestUnresponsivePeerLimitsCallsInFlight guards against calls that pile up at an
+// unresponsive peer: calls beyond the limit fail immediately.
 func TestUnresponsivePeerLimitsCallsInFlight(t *testing.T) {
-	const asked, bound = 300, 128
+	const requests, limit = 300, 128
 	echo := &echoingReplica{}
 	server := servePeer(t, echo, &countingHost{})
 	client := newPeerClient(t)
 	ctx, cancel := context.WithCancel(t.Context())
 	var refused atomic.Int64
 	var calls sync.WaitGroup
-	for range asked {
+	for range requests {
 		calls.Go(func() {
 			_, err := prepare(ctx, client, memberAt(server), blockingKey)
 			if ctx.Err() == nil {
@@ -227,13 +232,14 @@
 		})
 	}
 	harness.Eventually(t, func() (bool, string) {
-		return refused.Load() == asked-bound && echo.blocked.Load() == bound, fmt.Sprint(refused.Load(), " refused")
+		return refused.Load() == requests-limit && echo.blocked.Load() == limit, fmt.Sprint(refused.Load(), " refused")
 	})
 	cancel()
 	calls.Wait()
 }
 
-// TestStubsOfIdlePeersAreEvicted, and a call that is under way meanwhile isn't.
+// TestStubsOfIdlePeersAreEvicted guards against eviction that ends a call in flight at
+// another address.
 func TestStubsOfIdlePeersAreEvicted(t *testing.T) {
 	echo := &echoingReplica{}
 	server := servePeer(t, echo, &countingHost{})
@@ -244,11 +250,11 @@
 		_, err := prepare(ctx, client, memberAt(server), blockingKey)
 		assert.Check(t, ctx.Err() != nil, "the call ended early: %v", err)
 	})
-	harness.Eventually(t, func() (bool, string) { return echo.blocked.Load() == 1, "the call isn't served" })
-	ended, end := context.WithCancel(t.Context())
-	end()
+	harness.Eventually(t, func() (bool, string) { return echo.blocked.Load() == 1, "the call has not reached the peer" })
+	cancelled, cancelNow := context.WithCancel(t.Context())
+	cancelNow()
 	for i := range 3000 {
-		_, err := prepare(ended, client, register.Member{Address: fmt.Sprintf("127.0.0.1:%d", 1+i)}, "key")
+		_, err := prepare(cancelled, client, register.Member{Address: fmt.Sprintf("127.0.0.1:%d", 1+i)}, "key")
 		assert.Assert(t, err != nil)
 	}
 	value, err := prepare(t.Context(), client, memberAt(server), "again")
@@ -259,7 +265,8 @@
 	calls.Wait()
 }
 
-// TestCloseEndsCalls, at the peer as well.
+// TestCloseEndsCalls guards against calls that outlive their client, here or at the
+// peer.
 func TestCloseEndsCalls(t *testing.T) {
 	echo := &echoingReplica{}
 	server := servePeer(t, echo, &countingHost{})
@@ -269,8 +276,8 @@
 		_, err := prepare(t.Context(), client, memberAt(server), blockingKey)
 		assert.Check(t, err != nil)
 	})
-	harness.Eventually(t, func() (bool, string) { return echo.blocked.Load() == 1, "the call isn't served" })
+	harness.Eventually(t, func() (bool, string) { return echo.blocked.Load() == 1, "the call has not reached the peer" })
 	client.Close()
 	calls.Wait()
-	harness.Eventually(t, func() (bool, string) { return echo.ended.Load() == 1, "the call goes on" })
+	harness.Eventually(t, func() (bool, string) { return echo.ended.Load() == 1, "the call still runs at the peer" })
 }
--- a/transport/peer/pull_test.go
+++ b/transport/peer/pull_test.go
@@ -17,7 +17,7 @@
 	"github.com/marblering/marblering/transport/peer"
 )
 
-// generatedReplica holds many registers and some turns.
+// generatedReplica sends generated registers and turns, as many as the counts say.
 type generatedReplica struct {
 	peer.Replica
 	registers, turns int
@@ -39,10 +39,11 @@
 	return archive.Reply{}, nil
 }
 
-// TestPullBatchesItems: all items come, in few messages, none of which is large.
+// TestPullBatchesItems guards against a pull that loses items, sends a message per item
+// or sends all of them in one message.
 func TestPullBatchesItems(t *testing.T) {
-	held := &generatedReplica{registers: 5000, turns: 40}
-	server := servePeer(t, held, &countingHost{})
+	source := &generatedReplica{registers: 5000, turns: 40}
+	server := servePeer(t, source, &countingHost{})
 	var registers, turns int
 	_, err := newPeerClient(t).Pull(t.Context(), memberAt(server), shard.PullRequest{}, func(item shard.PullItem) error {
 		if item.Register != nil {
@@ -56,8 +57,8 @@
 		return nil
 	})
 	assert.NilError(t, err)
-	assert.Equal(t, registers, held.registers)
-	assert.Equal(t, turns, held.turns)
+	assert.Equal(t, registers, source.registers)
+	assert.Equal(t, turns, source.turns)
 
 	service := peerv1connect.NewReplicaServiceClient(peer.NewHTTPClient(), server.URL)
 	stream, err := service.Pull(t.Context(), connect.NewRequest(&peerv1.PullRequest{Fence: &peerv1.Fence{}}))
