--- a/transport/peer/local.go
+++ b/transport/peer/local.go
@@ -6,20 +6,21 @@
 	"github.com/marblering/marblering/coordination/register"
 )
 
-// LocalReplica answers for this node's replica.
+// LocalReplica is this node's replica, called directly.
 type LocalReplica interface {
 	Prepare(ctx context.Context, request register.PrepareRequest) register.PrepareReply
 	Accept(ctx context.Context, request register.AcceptRequest) register.AcceptReply
 }
 
-// LocalTransport reaches this node's replica without the network.
+// LocalTransport implements register.Transport. It calls this node's replica directly
+// and sends requests to other members over the remote transport.
 type LocalTransport struct {
 	incarnation string
 	replica     LocalReplica
 	remote      register.Transport
 }
 
-// NewLocalTransport makes a transport for the node of the incarnation.
+// NewLocalTransport returns a transport for the node with the given incarnation.
 func NewLocalTransport(incarnation string, replica LocalReplica, remote register.Transport) *LocalTransport {
 	return &LocalTransport{incarnation: incarnation, replica: replica, remote: remote}
 }
--- a/transport/peer/metrics.go
+++ b/transport/peer/metrics.go
@@ -13,8 +13,9 @@
 	"github.com/marblering/marblering/api/peer/v1/peerv1connect"
 )
 
-// Metrics counts what one node sends to and receives from its peers. Bytes are
-// those of the messages, without HTTP headers.
+// Metrics counts the requests that this node exchanges with its peers, and their
+// bytes. Bytes are those of the encoded messages, without HTTP headers. It is a
+// connect.Interceptor.
 type Metrics struct {
 	requests *prometheus.CounterVec
 	sent     *prometheus.CounterVec
@@ -24,7 +25,8 @@
 	procedures sync.Map
 }
 
-// NewMetrics registers the metrics of the internal protocol.
+// NewMetrics returns metrics of the internal protocol that are registered with the
+// registerer.
 func NewMetrics(registerer prometheus.Registerer) *Metrics {
 	labels := []string{"side", "procedure"}
 	m := &Metrics{
@@ -54,14 +56,14 @@
 // WrapUnary implements connect.Interceptor.
 func (m *Metrics) WrapUnary(next connect.UnaryFunc) connect.UnaryFunc {
 	return func(ctx context.Context, request connect.AnyRequest) (connect.AnyResponse, error) {
-		began := time.Now()
+		start := time.Now()
 		response, err := next(ctx, request)
 		side, procedure := sideServer, request.Spec().Procedure
 		if request.Spec().IsClient {
 			side = sideClient
 		}
 		m.requests.WithLabelValues(side, procedure).Inc()
-		m.seconds.WithLabelValues(side, procedure).Observe(time.Since(began).Seconds())
+		m.seconds.WithLabelValues(side, procedure).Observe(time.Since(start).Seconds())
 		outgoing, incoming := messageSize(request.Any()), 0
 		if err == nil {
 			incoming = messageSize(response.Any())
@@ -75,20 +77,20 @@
 	}
 }
 
-// observeCall counts one call of a stream.
-func (m *Metrics) observeCall(side string, call *peerv1.Call, answer *peerv1.Answer, took time.Duration) {
-	counted := m.forKind(side, callKind(call))
-	counted.requests.Inc()
-	counted.seconds.Observe(took.Seconds())
+// observeCall records a call that a stream carried.
+func (m *Metrics) observeCall(side string, call *peerv1.Call, answer *peerv1.Answer, duration time.Duration) {
+	metrics := m.forKind(side, callKind(call))
+	metrics.requests.Inc()
+	metrics.seconds.Observe(duration.Seconds())
 	outgoing, incoming := proto.Size(call), proto.Size(answer)
 	if side == sideServer {
 		outgoing, incoming = incoming, outgoing
 	}
-	counted.sent.Add(float64(outgoing))
-	counted.received.Add(float64(incoming))
+	metrics.sent.Add(float64(outgoing))
+	metrics.received.Add(float64(incoming))
 }
 
-// callKind names the kind of call.
+// callKind returns the name of a call's kind, as in the procedure label.
 func callKind(call *peerv1.Call) string {
 	switch call.GetRequest().(type) {
 	case *peerv1.Call_Prepare:
@@ -109,14 +111,14 @@
 	return "unknown"
 }
 
-// procedureMetrics are those of one kind of call; finding them by their labels
-// each time would cost as much as the call.
+// procedureMetrics holds the metrics of one kind of call. They are cached because a
+// lookup by labels costs about as much as the call.
 type procedureMetrics struct {
 	requests, sent, received prometheus.Counter
 	seconds                  prometheus.Observer
 }
 
-// procedureKey names the metrics of one kind of call at one side.
+// procedureKey identifies the procedureMetrics of one kind of call on one side.
 type procedureKey struct{ side, kind string }
 
 func (m *Metrics) forKind(side, kind string) *procedureMetrics {
@@ -125,12 +127,12 @@
 		return known.(*procedureMetrics)
 	}
 	procedure := "/" + peerv1connect.CallServiceName + "/" + kind
-	made := &procedureMetrics{
+	created := &procedureMetrics{
 		requests: m.requests.WithLabelValues(side, procedure), seconds: m.seconds.WithLabelValues(side, procedure),
 		sent: m.sent.WithLabelValues(side, procedure), received: m.received.WithLabelValues(side, procedure),
 	}
-	m.procedures.Store(key, made)
-	return made
+	m.procedures.Store(key, created)
+	return created
 }
 
 // WrapStreamingClient implements connect.Interceptor.
--- a/transport/peer/mirror.go
+++ b/transport/peer/mirror.go
@@ -13,7 +13,7 @@
 	"github.com/marblering/marblering/coordination/mirror"
 )
 
-// Mirror gives copies of what the store had. mirror.Holder is one.
+// Mirror serves this node's copies of the store's objects. mirror.Holder implements it.
 type Mirror interface {
 	Copies() []mirror.Copy
 	Watch(ctx context.Context, kind string, revision int64, wait time.Duration) mirror.Answer
@@ -24,7 +24,8 @@
 	_ mirror.Watcher = (*Client)(nil)
 )
 
-// maxWatchWait bounds how long a call is held for a caller that asks for more.
+// maxWatchWait is the longest time that WatchMirror waits for a change, however long
+// the caller asks for.
 const maxWatchWait = 10 * time.Second
 
 // FetchMirror implements mirror.Fetcher.
@@ -62,7 +63,7 @@
 	return &peerv1.MirroredObject{Name: object.Name, Revision: object.Revision, Spec: object.Spec, Status: object.Status}
 }
 
-// WatchMirror implements mirror.Watcher.
+// WatchMirror implements mirror.Watcher. Only the caller's context bounds it.
 func (c *Client) WatchMirror(ctx context.Context, address netip.AddrPort, kind string, revision int64, wait time.Duration) (mirror.Answer, error) {
 	asked := time.Now()
 	response, err := c.stubs(address.String()).mirror.WatchMirror(ctx, connect.NewRequest(&peerv1.WatchMirrorRequest{
@@ -81,8 +82,9 @@
 	return mirror.Missed{}, nil
 }
 
-// changesFromWire counts what the peer knows of the store from when the peer was asked:
-// the call arrived there later.
+// changesFromWire converts the changes of a response. The staleness that the peer
+// reports is subtracted from the time at which the request was sent: the peer received it
+// later, so that Proved is never too late.
 func changesFromWire(message *peerv1.WatchMirrorResponse, asked time.Time) follow.Changes {
 	changes := follow.Changes{At: message.GetAt(), IsWhole: message.GetWhole(), Age: time.Duration(message.GetAgeMs()) * time.Millisecond}
 	if message.GetProved() {
@@ -92,8 +94,8 @@
 		changes.Events = append(changes.Events, follow.Event{Object: objectFromWire(object)})
 	}
 	for _, removed := range message.GetRemoved() {
-		gone := follow.Object{Name: removed.GetName(), Revision: removed.GetRevision()}
-		changes.Events = append(changes.Events, follow.Event{Object: gone, Gone: true})
+		object := follow.Object{Name: removed.GetName(), Revision: removed.GetRevision()}
+		changes.Events = append(changes.Events, follow.Event{Object: object, Gone: true})
 	}
 	return changes
 }
@@ -104,7 +106,7 @@
 		Whole: changes.IsWhole,
 	}
 	if !changes.Proved.IsZero() {
-		// Rounded up: a microsecond too much is on the safe side.
+		// Rounded up, so that the caller never takes the changes for fresher than they are.
 		message.Proved, message.StalenessUs = true, arrived.Sub(changes.Proved).Microseconds()+1
 	}
 	for _, event := range changes.Events {
@@ -122,7 +124,7 @@
 	mirror Mirror
 }
 
-// FetchMirror answers with all copies.
+// FetchMirror returns all copies.
 func (s *mirrorServer) FetchMirror(context.Context, *connect.Request[peerv1.FetchMirrorRequest]) (*connect.Response[peerv1.FetchMirrorResponse], error) {
 	response := &peerv1.FetchMirrorResponse{}
 	for _, kept := range s.mirror.Copies() {
@@ -131,7 +133,7 @@
 	return connect.NewResponse(response), nil
 }
 
-// WatchMirror answers with what changed, as soon as anything does.
+// WatchMirror waits for a change after the given revision and returns what changed.
 func (s *mirrorServer) WatchMirror(ctx context.Context, request *connect.Request[peerv1.WatchMirrorRequest]) (*connect.Response[peerv1.WatchMirrorResponse], error) {
 	arrived := time.Now()
 	wait := min(time.Duration(request.Msg.GetWaitMs())*time.Millisecond, maxWatchWait)
--- a/transport/peer/protocol.go
+++ b/transport/peer/protocol.go
@@ -9,23 +9,24 @@
 )
 
 const (
-	// pingTimeout is how long a connection between nodes may be silent before a
-	// ping, and how long the ping may take.
+	// pingTimeout is how long a connection between nodes may be idle before it is
+	// pinged, and how long the response to the ping may take.
 	pingTimeout = 2 * time.Second
-	// dialTimeout and unacknowledgedTimeout bound connections of NewHTTPClient.
+	// dialTimeout and unacknowledgedTimeout limit how long the connections of
+	// NewHTTPClient may take to open and may leave sent data unacknowledged.
 	dialTimeout           = 700 * time.Millisecond
 	unacknowledgedTimeout = 1500 * time.Millisecond
 )
 
-// NewHTTPClient returns an HTTP client for NewClient that gives up connections
-// to machines that went dark.
+// NewHTTPClient returns an HTTP client for NewClient. It closes connections to
+// machines that stopped responding and limits the requests in flight to each peer.
 func NewHTTPClient() *http.Client {
 	transport := &http.Transport{DialContext: socket.Dialer(dialTimeout, unacknowledgedTimeout).DialContext}
 	UseProtocols(transport)
 	return &http.Client{Transport: newLimitedTransport(transport)}
 }
 
-// NewHTTPServer returns a server that speaks HTTP/1.1 and HTTP/2 without TLS.
+// NewHTTPServer returns a server for HTTP/1.1 and HTTP/2 without TLS.
 func NewHTTPServer(handler http.Handler) *http.Server {
 	protocols := &http.Protocols{}
 	protocols.SetHTTP1(true)
@@ -33,10 +34,10 @@
 	return &http.Server{Handler: handler, ReadHeaderTimeout: listener.HeaderTimeout, Protocols: protocols}
 }
 
-// UseProtocols makes requests between nodes go over HTTP/2 without TLS
-// (RFC 9113, prior knowledge): its header compression matters, since control
-// messages are shorter than their headers. A silent connection is pinged, so
-// that a half-open one is given up.
+// UseProtocols configures the transport for requests between nodes: HTTP/2 without TLS
+// and with prior knowledge (RFC 9113), whose header compression matters because control
+// messages are shorter than their headers. Idle connections are pinged, so that
+// half-open ones are closed.
 func UseProtocols(transport *http.Transport) {
 	transport.Protocols = &http.Protocols{}
 	transport.Protocols.SetUnencryptedHTTP2(true)
--- a/transport/peer/quota.go
+++ b/transport/peer/quota.go
@@ -11,7 +11,7 @@
 	"github.com/marblering/marblering/coordination/quota"
 )
 
-// QuotaHolder grants permits. quota.Holder is one.
+// QuotaHolder grants permits from the quotas of tenants. quota.Holder implements it.
 type QuotaHolder interface {
 	Take(ask quota.Ask) quota.Grant
 }
@@ -28,27 +28,27 @@
 		return nil, err
 	}
 	message := answer.GetTakePermits()
-	pause := time.Duration(message.GetRetryAfterMs()) * time.Millisecond
+	retryAfter := time.Duration(message.GetRetryAfterMs()) * time.Millisecond
 	switch message.GetVerdict() {
 	case peerv1.PermitVerdict_PERMIT_VERDICT_GRANTED:
 		return quota.Granted{Permits: int(message.GetPermits())}, nil
 	case peerv1.PermitVerdict_PERMIT_VERDICT_EXHAUSTED:
-		return quota.Exhausted{RetryAfter: pause, Left: message.GetLeft()}, nil
+		return quota.Exhausted{RetryAfter: retryAfter, Left: message.GetLeft()}, nil
 	case peerv1.PermitVerdict_PERMIT_VERDICT_PROGRAM_REFUSED:
-		return quota.Crowded{RetryAfter: pause, Left: message.GetLeft()}, nil
+		return quota.Crowded{RetryAfter: retryAfter, Left: message.GetLeft()}, nil
 	case peerv1.PermitVerdict_PERMIT_VERDICT_NOT_HOLDER:
 		return quota.NotHolder{}, nil
 	}
-	return nil, merry.Errorf("unknown verdict %s about permits", message.GetVerdict())
+	return nil, merry.Errorf("unknown verdict %s on permits for tenant %q", message.GetVerdict(), ask.Tenant)
 }
 
 func takePermits(holder QuotaHolder, message *peerv1.TakePermitsRequest) *peerv1.TakePermitsResponse {
-	said := holder.Take(quota.Ask{
+	decision := holder.Take(quota.Ask{
 		Tenant: message.GetTenant(), Version: message.GetVersion(),
 		Part:    quota.Part{Slot: message.GetSlot(), Rate: limit.Rate{TokensPerSecond: message.GetRate(), Burst: message.GetBurst()}},
 		Program: message.GetProgram(), Kind: message.GetProgramKind(), Ahead: int(message.GetAhead()),
 	})
-	switch grant := said.(type) {
+	switch grant := decision.(type) {
 	case quota.Granted:
 		return &peerv1.TakePermitsResponse{Verdict: peerv1.PermitVerdict_PERMIT_VERDICT_GRANTED, Permits: uint32(grant.Permits)}
 	case quota.Exhausted:
