--- a/transport/peer/reconfigure.go
+++ b/transport/peer/reconfigure.go
@@ -35,8 +35,8 @@
 	return replyFromWire(response.Msg.GetRefusal(), response.Msg.GetView()), nil
 }
 
-// Install implements shard.Members. Copying a shard takes long, so only the
-// caller's context bounds it.
+// Install implements shard.Members. Copying a shard may take longer than the client's
+// timeout, so only the caller's context bounds it.
 func (c *Client) Install(ctx context.Context, member register.Member, request shard.InstallRequest) (archive.Reply, error) {
 	response, err := c.replica(member.Address).Install(ctx, connect.NewRequest(&peerv1.InstallRequest{
 		Previous:  ViewToWire(&request.Previous),
@@ -65,17 +65,17 @@
 
 // Pull implements shard.Source. Only the caller's context bounds it.
 func (c *Client) Pull(ctx context.Context, member register.Member, request shard.PullRequest, visit func(shard.PullItem) error) (archive.Reply, error) {
-	wire := &peerv1.PullRequest{
+	message := &peerv1.PullRequest{
 		Fence:       fenceToWire(request.Fence),
 		TurnsOnly:   request.TurnsOnly,
 		OmitObjects: request.OmitObjects,
 	}
 	for _, wanted := range request.Wanted {
-		wire.Wanted = append(wire.Wanted, &peerv1.TurnReference{
+		message.Wanted = append(message.Wanted, &peerv1.TurnReference{
 			Program: wanted.Program, Sequence: wanted.Sequence, Digest: wanted.Digest[:],
 		})
 	}
-	stream, err := c.replica(member.Address).Pull(ctx, connect.NewRequest(wire))
+	stream, err := c.replica(member.Address).Pull(ctx, connect.NewRequest(message))
 	if err != nil {
 		return archive.Reply{}, err
 	}
@@ -92,7 +92,7 @@
 	return archive.Reply{}, stream.Err()
 }
 
-// visitItems visits what one message of a pull has.
+// visitItems visits the registers and turns of one message of a pull.
 func visitItems(message *peerv1.PullResponse, visit func(shard.PullItem) error) error {
 	for _, stored := range message.GetRegisters() {
 		item := shard.PullItem{Register: &shard.RegisterState{
@@ -120,14 +120,14 @@
 }
 
 const (
-	// pullBatchItems and pulledBytes bound the items of one message of a pull: enough
-	// that a message costs little for each, and few enough that neither side holds
-	// much of a shard in memory.
+	// pullBatchItems and pullBatchBytes are the number of items and the bytes of their
+	// values at which a message of a pull is sent: large enough to spread the cost of a
+	// message over many items, and small enough to keep little of a shard in memory.
 	pullBatchItems = 512
 	pullBatchBytes = 64 << 10
 )
 
-// pullWriter sends the items of a pull in messages of some of them.
+// pullWriter sends the items of a pull in batches.
 type pullWriter struct {
 	stream  *connect.ServerStream[peerv1.PullResponse]
 	pending *peerv1.PullResponse
@@ -135,7 +135,8 @@
 	bytes   int
 }
 
-// add sends a message once enough items have gathered.
+// add adds an item to the pending message and sends the message once it is large
+// enough.
 func (w *pullWriter) add(item shard.PullItem) error {
 	if w.pending == nil {
 		w.pending = &peerv1.PullResponse{}
@@ -159,7 +160,7 @@
 	return w.flush()
 }
 
-// flush sends what has gathered.
+// flush sends the pending message, if there is one.
 func (w *pullWriter) flush() error {
 	if w.pending == nil {
 		return nil
@@ -169,7 +170,7 @@
 	return w.stream.Send(message)
 }
 
-// Seal ends an epoch at this replica.
+// Seal has this replica seal an epoch in favor of a successor view.
 func (s *replicaServer) Seal(ctx context.Context, request *connect.Request[peerv1.SealRequest]) (*connect.Response[peerv1.SealResponse], error) {
 	successor := ViewFromWire(request.Msg.GetSuccessor())
 	if successor == nil {
@@ -185,7 +186,7 @@
 	}), nil
 }
 
-// Install has this replica copy a shard, which may take as long as the caller waits.
+// Install has this replica copy a shard. Only the caller's context bounds it.
 func (s *replicaServer) Install(ctx context.Context, request *connect.Request[peerv1.InstallRequest]) (*connect.Response[peerv1.InstallResponse], error) {
 	previous := ViewFromWire(request.Msg.GetPrevious())
 	successor := ViewFromWire(request.Msg.GetSuccessor())
@@ -204,7 +205,7 @@
 	}), nil
 }
 
-// Open lets this replica serve a view.
+// Open has this replica begin to serve a view.
 func (s *replicaServer) Open(ctx context.Context, request *connect.Request[peerv1.OpenRequest]) (*connect.Response[peerv1.OpenResponse], error) {
 	view := ViewFromWire(request.Msg.GetView())
 	if view == nil {
@@ -217,7 +218,7 @@
 	}), nil
 }
 
-// Pull streams what a shard has here, some items a message.
+// Pull streams the registers and turns that this replica holds of a shard, in batches.
 func (s *replicaServer) Pull(ctx context.Context, request *connect.Request[peerv1.PullRequest], stream *connect.ServerStream[peerv1.PullResponse]) error {
 	pull := shard.PullRequest{
 		Fence:       fenceFromWire(request.Msg.GetFence()),
--- a/transport/peer/server.go
+++ b/transport/peer/server.go
@@ -14,10 +14,11 @@
 	"github.com/marblering/marblering/state/replica"
 )
 
-// maxMessageBytes bounds one message: the largest turn and some room.
+// maxMessageBytes is the largest message that a node accepts. It leaves room for the
+// largest turn and the fields around it.
 const maxMessageBytes = 20 << 20
 
-// Replica is this node's share of the shards.
+// Replica is this node's replica of the shards that it is a member of.
 type Replica interface {
 	Prepare(ctx context.Context, request register.PrepareRequest) register.PrepareReply
 	Accept(ctx context.Context, request register.AcceptRequest) register.AcceptReply
@@ -29,12 +30,13 @@
 	Pull(ctx context.Context, request shard.PullRequest, visit func(shard.PullItem) error) (archive.Reply, error)
 }
 
-// Installer copies shards to this node's replica.
+// Installer copies shards from other members to this node's replica.
 type Installer interface {
 	Install(ctx context.Context, request shard.InstallRequest) archive.Reply
 }
 
-// HandlerOptions bounds the messages that a node takes, and counts its answers.
+// HandlerOptions returns the options of a node's handlers: the limit on the size of
+// messages, and the metrics.
 func HandlerOptions(metrics *Metrics) []connect.HandlerOption {
 	return []connect.HandlerOption{
 		connect.WithReadMaxBytes(maxMessageBytes),
@@ -60,38 +62,39 @@
 	return response, nil
 }
 
-// Exchanger answers exchanges of membership.
+// Exchanger answers rounds of membership gossip.
 type Exchanger interface {
 	Exchange(ctx context.Context, request *peerv1.ExchangeRequest) (*peerv1.ExchangeResponse, error)
 }
 
-// NewStorageHandler serves what a node that only keeps replicas has to: requests
-// to its replica, the exchanges of membership, the budgets of programs, the quotas of
-// tenants, and what it has mirrored of the store.
-func NewStorageHandler(replica Replica, installer Installer, membership Exchanger, budgets BudgetHost, quotas QuotaHolder, mirrored Mirror, metrics *Metrics) http.Handler {
+// NewStorageHandler returns the handler of a storage node. It serves requests to the
+// replica, membership gossip, the budgets of programs, the quotas of tenants and the
+// node's copies of the store's objects.
+func NewStorageHandler(replica Replica, installer Installer, membership Exchanger, budgets BudgetHost, quotas QuotaHolder, mirror Mirror, metrics *Metrics) http.Handler {
 	mux := http.NewServeMux()
 	calls := &callServer{budgets: &budgetServer{host: budgets}, quotas: quotas, metrics: metrics}
 	mountReplica(mux, replica, installer, calls)
 	options := HandlerOptions(metrics)
 	mux.Handle(peerv1connect.NewNodeServiceHandler(&exchangeServer{membership: membership}, options...))
-	mux.Handle(peerv1connect.NewMirrorServiceHandler(&mirrorServer{mirror: mirrored}, options...))
+	mux.Handle(peerv1connect.NewMirrorServiceHandler(&mirrorServer{mirror: mirror}, options...))
 	return mux
 }
 
-// MountReplica serves requests to the replica of a node that hosts no budgets and
-// holds no quotas.
+// MountReplica registers the handlers for the replica of a node that has neither
+// budgets nor quotas.
 func MountReplica(mux *http.ServeMux, replica Replica, installer Installer, metrics *Metrics) {
 	mountReplica(mux, replica, installer, &callServer{metrics: metrics})
 }
 
-// mountReplica serves requests to the replica, alone and in streams of calls.
+// mountReplica registers the handlers for requests to the replica: single requests and
+// streams of calls.
 func mountReplica(mux *http.ServeMux, replica Replica, installer Installer, calls *callServer) {
 	calls.replica = &replicaServer{replica: replica, installer: installer}
 	mux.Handle(peerv1connect.NewReplicaServiceHandler(calls.replica, HandlerOptions(calls.metrics)...))
 	mux.Handle(peerv1connect.NewCallServiceHandler(calls, connect.WithReadMaxBytes(maxMessageBytes)))
 }
 
-// exchangeServer answers nothing but exchanges.
+// exchangeServer serves membership gossip and no other request of the node service.
 type exchangeServer struct {
 	peerv1connect.UnimplementedNodeServiceHandler
 	membership Exchanger
@@ -102,8 +105,8 @@
 	return AnswerExchange(ctx, s.membership, request)
 }
 
-// AnswerExchange has the membership answer an exchange; one that it can't take
-// fails with connect.CodeFailedPrecondition.
+// AnswerExchange passes a round of gossip on to the membership. An exchange that the
+// membership rejects fails with connect.CodeFailedPrecondition.
 func AnswerExchange(ctx context.Context, membership Exchanger, request *connect.Request[peerv1.ExchangeRequest]) (*connect.Response[peerv1.ExchangeResponse], error) {
 	response, err := membership.Exchange(ctx, request.Msg)
 	if err != nil {
