--- a/transport/peer/session.go
+++ b/transport/peer/session.go
@@ -15,12 +15,13 @@
 	"github.com/marblering/marblering/api/peer/v1/peerv1connect"
 )
 
-// maxConcurrentCalls bounds the calls of one stream that are served at once. Callers keep
-// below it; further calls aren't read before others have ended.
+// maxConcurrentCalls is the highest number of calls of one stream that are served at
+// once. Callers stay below it (see maxInFlight). Beyond it, calls aren't started until
+// others have been answered.
 const maxConcurrentCalls = 2 * maxInFlight
 
-// errUnsupportedCall is the failure of a call that this node doesn't serve.
-var errUnsupportedCall = merry.Sentinel("this node doesn't serve the call")
+// errUnsupportedCall is the failure of a call of a kind that this node doesn't serve.
+var errUnsupportedCall = merry.Sentinel("this node doesn't serve calls of this kind")
 
 // callServer serves streams of calls.
 type callServer struct {
@@ -32,38 +33,39 @@
 
 var _ peerv1connect.CallServiceHandler = (*callServer)(nil)
 
-// Stream serves the calls of one peer until it closes the stream.
+// Stream serves the calls of a peer until the peer closes the stream.
 func (s *callServer) Stream(ctx context.Context, stream *connect.BidiStream[peerv1.Calls, peerv1.Answers]) error {
 	ctx, cancel := context.WithCancel(ctx)
 	session := &session{
 		server: s, stream: stream, answers: make(chan *peerv1.Answer, maxConcurrentCalls),
 		slots: make(chan struct{}, maxConcurrentCalls), cancels: make(map[uint64]context.CancelFunc),
 	}
-	answering := make(chan struct{})
+	senderDone := make(chan struct{})
 	go func() {
-		defer close(answering)
+		defer close(senderDone)
 		session.sendAnswers(ctx)
 	}()
 	err := session.receive(ctx)
 	cancel()
 	session.running.Wait()
-	<-answering
+	<-senderDone
 	if errors.Is(err, io.EOF) {
 		return nil
 	}
 	return err
 }
 
-// session is one stream of calls.
+// session is the server's side of one stream of calls.
 type session struct {
 	server  *callServer
 	stream  *connect.BidiStream[peerv1.Calls, peerv1.Answers]
 	answers chan *peerv1.Answer
+	// slots limits the calls that run or whose answers are queued.
 	slots   chan struct{}
 	running sync.WaitGroup
 
 	mutex sync.Mutex
-	// cancels ends the calls that are served.
+	// cancels holds the functions that cancel the running calls, by number.
 	cancels map[uint64]context.CancelFunc
 }
 
@@ -96,12 +98,13 @@
 		answer := s.server.serve(ctx, call)
 		answer.Number = call.GetNumber()
 		s.cancelCall(call.GetNumber())
-		// Each call that is served has a place of its own in the channel.
+		// This doesn't block: each call occupies a slot, and the channel has as many
+		// places as there are slots.
 		s.answers <- answer
 	})
 }
 
-// cancelCall ends the call where it is still under way.
+// cancelCall cancels the call if it is still running.
 func (s *session) cancelCall(number uint64) {
 	s.mutex.Lock()
 	cancel, found := s.cancels[number]
@@ -112,13 +115,14 @@
 	}
 }
 
-// sendAnswers writes answers, those that wait in one message, until the context ends.
+// sendAnswers writes answers until the context ends. Answers that are ready at the same
+// time share a message.
 func (s *session) sendAnswers(ctx context.Context) {
 	for {
 		select {
 		case first := <-s.answers:
 			if s.stream.Send(&peerv1.Answers{Answers: s.collectBatch(first)}) != nil {
-				// The peer is gone, which the receiving side is told as well.
+				// The stream is broken. receive fails as well and ends the context.
 				<-ctx.Done()
 				return
 			}
@@ -129,29 +133,29 @@
 }
 
 func (s *session) collectBatch(first *peerv1.Answer) []*peerv1.Answer {
-	gathered := []*peerv1.Answer{first}
+	batch := []*peerv1.Answer{first}
 	<-s.slots
 	for size := proto.Size(first); size < batchBytes; {
 		select {
 		case next := <-s.answers:
-			gathered = append(gathered, next)
+			batch = append(batch, next)
 			size += proto.Size(next)
 			<-s.slots
 		default:
-			return gathered
+			return batch
 		}
 	}
-	return gathered
+	return batch
 }
 
-// serve makes one call.
+// serve executes a call and records it. An error becomes a failure in the answer.
 func (s *callServer) serve(ctx context.Context, call *peerv1.Call) *peerv1.Answer {
-	began := time.Now()
+	start := time.Now()
 	answer, err := s.dispatch(ctx, call)
 	if err != nil {
 		answer = &peerv1.Answer{Response: &peerv1.Answer_Failure{Failure: err.Error()}}
 	}
-	s.metrics.observeCall(sideServer, call, answer, time.Since(began))
+	s.metrics.observeCall(sideServer, call, answer, time.Since(start))
 	return answer
 }
 
@@ -180,5 +184,5 @@
 			return &peerv1.Answer{Response: &peerv1.Answer_TakePermits{TakePermits: takePermits(s.quotas, request.TakePermits)}}, nil
 		}
 	}
-	return nil, errUnsupportedCall
+	return nil, merry.Wrap(errUnsupportedCall, merry.AppendMessage(callKind(call)))
 }
--- a/transport/peer/stub.go
+++ b/transport/peer/stub.go
@@ -9,8 +9,8 @@
 	"github.com/marblering/marblering/api/peer/v1/peerv1connect"
 )
 
-// stubs are the generated clients for one address. Making them costs as much as
-// a request.
+// stubs holds the generated clients for one address and the link to it. They are
+// cached because creating the clients costs about as much as a request.
 type stubs struct {
 	replica peerv1connect.ReplicaServiceClient
 	node    peerv1connect.NodeServiceClient
@@ -18,14 +18,14 @@
 	calls   peerv1connect.CallServiceClient
 
 	mutex sync.Mutex
-	// current is the link in use; nil before the first call.
+	// current is the latest link. It is nil before the first call.
 	current *link
-	// evicted is set once the client doesn't know these stubs any more.
+	// evicted is set when the stubs are removed from the client's cache.
 	evicted bool
 }
 
-// link returns the link to the peer, a new one where the last was lost; nil where
-// these stubs are forgotten.
+// link returns the link to the peer. It opens a new one if there is none or if the latest
+// is closed, and returns nil if these stubs are evicted.
 func (s *stubs) link() *link {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -38,13 +38,13 @@
 	return s.current
 }
 
-// evict ends the link, where calls are under way only if they are to be given up
-// too. It says whether it did.
-func (s *stubs) evict(evenInUse bool) bool {
+// evict closes the link and marks the stubs as evicted. Unless includeInUse is set, it
+// does nothing while calls are in flight. It reports whether the stubs are evicted.
+func (s *stubs) evict(includeInUse bool) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.current != nil {
-		if !evenInUse && s.current.isInUse() {
+		if !includeInUse && s.current.isInUse() {
 			return false
 		}
 		s.current.closeWithError(errClientClosed)
@@ -53,19 +53,19 @@
 	return true
 }
 
-// errClientClosed means that this node has stopped making calls.
+// errClientClosed is why links are closed that the client no longer uses.
 var errClientClosed = merry.Sentinel("the client is closed")
 
-// maxCachedStubs is how many addresses are remembered before those without calls under
-// way are forgotten.
+// maxCachedStubs is the number of cached stubs at which those without calls in flight
+// are evicted.
 const maxCachedStubs = 1024
 
 func (c *Client) stubs(address string) *stubs {
-	if known, found := c.cachedStubs.Load(address); found {
-		return known.(*stubs)
+	if cached, found := c.cachedStubs.Load(address); found {
+		return cached.(*stubs)
 	}
 	base := "http://" + address
-	made := &stubs{
+	created := &stubs{
 		replica: peerv1connect.NewReplicaServiceClient(c.http, base, c.options...),
 		node:    peerv1connect.NewNodeServiceClient(c.http, base, c.options...),
 		mirror:  peerv1connect.NewMirrorServiceClient(c.http, base, c.options...),
@@ -74,20 +74,20 @@
 	if c.cachedCount.Load() >= maxCachedStubs {
 		c.evictStubs(false)
 	}
-	kept, found := c.cachedStubs.LoadOrStore(address, made)
+	cached, found := c.cachedStubs.LoadOrStore(address, created)
 	if !found {
 		c.cachedCount.Add(1)
 	}
-	return kept.(*stubs)
+	return cached.(*stubs)
 }
 
-// Close ends the links to all peers; calls under way fail. The next call opens
-// another.
+// Close closes the links to all peers. Calls in flight fail. The client remains usable:
+// the next call opens a new link.
 func (c *Client) Close() { c.evictStubs(true) }
 
-func (c *Client) evictStubs(evenInUse bool) {
-	c.cachedStubs.Range(func(address, known any) bool {
-		if known.(*stubs).evict(evenInUse) {
+func (c *Client) evictStubs(includeInUse bool) {
+	c.cachedStubs.Range(func(address, cached any) bool {
+		if cached.(*stubs).evict(includeInUse) {
 			c.cachedStubs.Delete(address)
 			c.cachedCount.Add(-1)
 		}
@@ -95,7 +95,7 @@
 	})
 }
 
-// link returns the link to the address.
+// link returns an open link to the address.
 func (c *Client) link(address string) *link {
 	for {
 		if current := c.stubs(address).link(); current != nil {
--- a/transport/peer/viewgossip.go
+++ b/transport/peer/viewgossip.go
@@ -8,14 +8,17 @@
 	"github.com/marblering/marblering/coordination/shard"
 )
 
-// ViewGossip passes the views of shards on with the exchanges of membership.
+// ViewGossip spreads the views of shards with membership gossip. It implements
+// membership.ShardViews.
 type ViewGossip struct {
 	views *shard.Map
 	mutex sync.Mutex
-	next  int
+	// next counts the views sent where not all fit. The next view to send follows from
+	// it.
+	next int
 }
 
-// NewViewGossip makes the gossip of the views of one node.
+// NewViewGossip returns the gossip of the views that this node knows.
 func NewViewGossip(views *shard.Map) *ViewGossip { return &ViewGossip{views: views} }
 
 var _ membership.ShardViews = (*ViewGossip)(nil)
@@ -23,26 +26,27 @@
 // Digest implements membership.ShardViews.
 func (g *ViewGossip) Digest() uint64 { return g.views.Digest() }
 
-// Outgoing implements membership.ShardViews. Views of the first epoch are known
-// from the configuration; the others take turns where they don't all fit.
+// Outgoing implements membership.ShardViews. It omits views of the first epoch, which
+// nodes know from the configuration. If the others exceed the limit, successive calls
+// return them in rotation.
 func (g *ViewGossip) Outgoing(limit int) []*peerv1.ShardView {
-	var moved []*peerv1.ShardView
+	var changed []*peerv1.ShardView
 	for _, view := range g.views.Views() {
 		if view.Epoch > shard.FirstEpoch {
-			moved = append(moved, ViewToWire(&view))
+			changed = append(changed, ViewToWire(&view))
 		}
 	}
-	if len(moved) <= limit {
-		return moved
+	if len(changed) <= limit {
+		return changed
 	}
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	chosen := make([]*peerv1.ShardView, 0, limit)
+	selected := make([]*peerv1.ShardView, 0, limit)
 	for range limit {
-		chosen = append(chosen, moved[g.next%len(moved)])
+		selected = append(selected, changed[g.next%len(changed)])
 		g.next++
 	}
-	return chosen
+	return selected
 }
 
 // Merge implements membership.ShardViews.
