--- a/transport/peer/budget.go
+++ b/transport/peer/budget.go
@@ -15,7 +15,7 @@
 // BudgetHost grants reservations of tokens and releases them when turns end.
 // tokenbudget.Host implements it.
 type BudgetHost interface {
-	Reserve(ctx context.Context, wanted tokenbudget.Reservation) error
+	Reserve(ctx context.Context, reservation tokenbudget.Reservation) error
 	End(ended []tokenbudget.Ended)
 }
 
@@ -67,10 +67,10 @@
 var _ tokenbudget.Hosts = BudgetClient{}
 
 // Reserve implements tokenbudget.Hosts.
-func (b BudgetClient) Reserve(ctx context.Context, address string, wanted tokenbudget.Reservation, ended []tokenbudget.Ended) error {
+func (b BudgetClient) Reserve(ctx context.Context, address string, reservation tokenbudget.Reservation, ended []tokenbudget.Ended) error {
 	answer, err := b.client.call(ctx, address, &peerv1.Call{Request: &peerv1.Call_ReserveTokens{ReserveTokens: &peerv1.ReserveTokensRequest{
-		Program: wanted.Program, Turn: wanted.Name, Limit: wanted.Limit, Most: wanted.Most,
-		LifetimeMs: wanted.Lifetime.Milliseconds(), Ended: endedToWire(ended), Running: wanted.Running,
+		Program: reservation.Program, Turn: reservation.Name, Limit: reservation.Limit, Most: reservation.Most,
+		LifetimeMs: reservation.Lifetime.Milliseconds(), Ended: endedToWire(ended), Running: reservation.Running,
 	}}})
 	if err != nil {
 		return err
@@ -86,7 +86,7 @@
 	case peerv1.ReserveVerdict_RESERVE_VERDICT_OVERLOADED:
 		return merry.Wrap(tokenbudget.ErrOverloaded, merry.AppendMessage(response.GetReason()))
 	}
-	return merry.Errorf("the budget's host can't access the record of program %q: %s", wanted.Program, response.GetReason())
+	return merry.Errorf("the budget's host can't access the record of program %q: %s", reservation.Program, response.GetReason())
 }
 
 // End implements tokenbudget.Hosts.
@@ -99,17 +99,17 @@
 
 func endedToWire(ended []tokenbudget.Ended) []*peerv1.EndedTurn {
 	converted := make([]*peerv1.EndedTurn, 0, len(ended))
-	for _, one := range ended {
-		converted = append(converted, &peerv1.EndedTurn{Program: one.Program, Turn: one.Reservation, HandedOut: one.HandedOut, Unique: !one.MayRecur})
+	for _, turn := range ended {
+		converted = append(converted, &peerv1.EndedTurn{Program: turn.Program, Turn: turn.Reservation, HandedOut: turn.HandedOut, Unique: !turn.MayRecur})
 	}
 	return converted
 }
 
 func endedFromWire(ended []*peerv1.EndedTurn) []tokenbudget.Ended {
 	converted := make([]tokenbudget.Ended, 0, len(ended))
-	for _, one := range ended {
+	for _, turn := range ended {
 		converted = append(converted, tokenbudget.Ended{
-			Program: one.GetProgram(), Reservation: one.GetTurn(), HandedOut: one.GetHandedOut(), MayRecur: !one.GetUnique(),
+			Program: turn.GetProgram(), Reservation: turn.GetTurn(), HandedOut: turn.GetHandedOut(), MayRecur: !turn.GetUnique(),
 		})
 	}
 	return converted
--- a/transport/peer/budget_test.go
+++ b/transport/peer/budget_test.go
@@ -19,9 +19,9 @@
 	uniqueField      = "2001"
 )
 
-// TestEndedTurnsOfEarlierVersionsMayRecur guards the compatibility with earlier
-// versions in both directions: without the field, the name may recur, and the field
-// only follows what an earlier host decodes.
+// TestEndedTurnsOfEarlierVersionsMayRecur guards compatibility with earlier versions in
+// both directions: a turn without the field may recur, and current gateways send the
+// fields of earlier versions unchanged.
 func TestEndedTurnsOfEarlierVersionsMayRecur(t *testing.T) {
 	encoded, err := hex.DecodeString(earlierEndedTurn)
 	assert.NilError(t, err)
--- a/transport/peer/link.go
+++ b/transport/peer/link.go
@@ -34,10 +34,12 @@
 	// lastNumber is the number of the latest call.
 	lastNumber uint64
 	queued     []*peerv1.Call
-	abandoned  []uint64
+	// abandoned holds the numbers of sent calls that the peer is to cancel.
+	abandoned []uint64
 	// pending holds the channels of calls without an answer, by number. It is nil once
 	// the link is closed.
-	pending  map[uint64]chan *peerv1.Answer
+	pending map[uint64]chan *peerv1.Answer
+	// closeErr is set before done is closed.
 	closeErr error
 }
 
--- a/transport/peer/metrics.go
+++ b/transport/peer/metrics.go
@@ -21,7 +21,7 @@
 	sent     *prometheus.CounterVec
 	received *prometheus.CounterVec
 	seconds  *prometheus.HistogramVec
-	// procedures holds *procedureMetrics by kindKey.
+	// procedures maps each procedureKey to its *procedureMetrics.
 	procedures sync.Map
 }
 
@@ -123,8 +123,8 @@
 
 func (m *Metrics) forKind(side, kind string) *procedureMetrics {
 	key := procedureKey{side, kind}
-	if known, found := m.procedures.Load(key); found {
-		return known.(*procedureMetrics)
+	if cached, found := m.procedures.Load(key); found {
+		return cached.(*procedureMetrics)
 	}
 	procedure := "/" + peerv1connect.CallServiceName + "/" + kind
 	created := &procedureMetrics{
--- a/transport/peer/mirror.go
+++ b/transport/peer/mirror.go
@@ -65,7 +65,7 @@
 
 // WatchMirror implements mirror.Watcher. Only the caller's context bounds it.
 func (c *Client) WatchMirror(ctx context.Context, address netip.AddrPort, kind string, revision int64, wait time.Duration) (mirror.Answer, error) {
-	asked := time.Now()
+	sent := time.Now()
 	response, err := c.stubs(address.String()).mirror.WatchMirror(ctx, connect.NewRequest(&peerv1.WatchMirrorRequest{
 		Kind: kind, Since: revision, WaitMs: wait.Milliseconds(),
 	}))
@@ -75,7 +75,7 @@
 	message := response.Msg
 	switch message.GetVerdict() {
 	case peerv1.WatchMirrorResponse_VERDICT_CURRENT:
-		return mirror.Current{Changes: changesFromWire(message, asked)}, nil
+		return mirror.Current{Changes: changesFromWire(message, sent)}, nil
 	case peerv1.WatchMirrorResponse_VERDICT_LOST:
 		return mirror.Lost{}, nil
 	}
@@ -85,10 +85,10 @@
 // changesFromWire converts the changes of a response. The staleness that the peer
 // reports is subtracted from the time at which the request was sent: the peer received it
 // later, so that Proved is never too late.
-func changesFromWire(message *peerv1.WatchMirrorResponse, asked time.Time) follow.Changes {
+func changesFromWire(message *peerv1.WatchMirrorResponse, sent time.Time) follow.Changes {
 	changes := follow.Changes{At: message.GetAt(), IsWhole: message.GetWhole(), Age: time.Duration(message.GetAgeMs()) * time.Millisecond}
 	if message.GetProved() {
-		changes.Proved = asked.Add(-time.Duration(message.GetStalenessUs()) * time.Microsecond)
+		changes.Proved = sent.Add(-time.Duration(message.GetStalenessUs()) * time.Microsecond)
 	}
 	for _, object := range message.GetChanged() {
 		changes.Events = append(changes.Events, follow.Event{Object: objectFromWire(object)})
@@ -100,14 +100,14 @@
 	return changes
 }
 
-func changesToWire(changes follow.Changes, arrived time.Time) *peerv1.WatchMirrorResponse {
+func changesToWire(changes follow.Changes, received time.Time) *peerv1.WatchMirrorResponse {
 	message := &peerv1.WatchMirrorResponse{
 		Verdict: peerv1.WatchMirrorResponse_VERDICT_CURRENT, At: changes.At, AgeMs: changes.Age.Milliseconds(),
 		Whole: changes.IsWhole,
 	}
 	if !changes.Proved.IsZero() {
 		// Rounded up, so that the caller never takes the changes for fresher than they are.
-		message.Proved, message.StalenessUs = true, arrived.Sub(changes.Proved).Microseconds()+1
+		message.Proved, message.StalenessUs = true, received.Sub(changes.Proved).Microseconds()+1
 	}
 	for _, event := range changes.Events {
 		if event.Gone {
@@ -127,32 +127,32 @@
 // FetchMirror returns all copies.
 func (s *mirrorServer) FetchMirror(context.Context, *connect.Request[peerv1.FetchMirrorRequest]) (*connect.Response[peerv1.FetchMirrorResponse], error) {
 	response := &peerv1.FetchMirrorResponse{}
-	for _, kept := range s.mirror.Copies() {
-		response.Snapshots = append(response.Snapshots, copyToWire(kept, time.Now()))
+	for _, entry := range s.mirror.Copies() {
+		response.Snapshots = append(response.Snapshots, copyToWire(entry, time.Now()))
 	}
 	return connect.NewResponse(response), nil
 }
 
 // WatchMirror waits for a change after the given revision and returns what changed.
 func (s *mirrorServer) WatchMirror(ctx context.Context, request *connect.Request[peerv1.WatchMirrorRequest]) (*connect.Response[peerv1.WatchMirrorResponse], error) {
-	arrived := time.Now()
+	received := time.Now()
 	wait := min(time.Duration(request.Msg.GetWaitMs())*time.Millisecond, maxWatchWait)
 	response := &peerv1.WatchMirrorResponse{Verdict: peerv1.WatchMirrorResponse_VERDICT_MISSED}
 	switch answer := s.mirror.Watch(ctx, request.Msg.GetKind(), request.Msg.GetSince(), wait).(type) {
 	case mirror.Current:
-		response = changesToWire(answer.Changes, arrived)
+		response = changesToWire(answer.Changes, received)
 	case mirror.Lost:
 		response.Verdict = peerv1.WatchMirrorResponse_VERDICT_LOST
 	}
 	return connect.NewResponse(response), nil
 }
 
-func copyToWire(kept mirror.Copy, now time.Time) *peerv1.MirroredSnapshot {
-	snapshot := &peerv1.MirroredSnapshot{Kind: kept.Kind, At: kept.Snapshot.At, AgeKnown: !kept.Heard.IsZero()}
+func copyToWire(entry mirror.Copy, now time.Time) *peerv1.MirroredSnapshot {
+	snapshot := &peerv1.MirroredSnapshot{Kind: entry.Kind, At: entry.Snapshot.At, AgeKnown: !entry.Heard.IsZero()}
 	if snapshot.AgeKnown {
-		snapshot.AgeMs = now.Sub(kept.Heard).Milliseconds()
+		snapshot.AgeMs = now.Sub(entry.Heard).Milliseconds()
 	}
-	for _, object := range kept.Snapshot.Objects {
+	for _, object := range entry.Snapshot.Objects {
 		snapshot.Objects = append(snapshot.Objects, objectToWire(object))
 	}
 	return snapshot
--- a/transport/peer/reconfigure.go
+++ b/transport/peer/reconfigure.go
@@ -176,13 +176,13 @@
 	if successor == nil {
 		return nil, connect.NewError(connect.CodeInvalidArgument, errMissingView)
 	}
-	answer := s.replica.Seal(ctx, shard.SealRequest{
+	reply := s.replica.Seal(ctx, shard.SealRequest{
 		Fence:     fenceFromWire(request.Msg.GetFence()),
 		Successor: *successor,
 	})
 	return connect.NewResponse(&peerv1.SealResponse{
-		Refusal: peerv1.Refusal(answer.Refusal),
-		View:    ViewToWire(answer.View),
+		Refusal: peerv1.Refusal(reply.Refusal),
+		View:    ViewToWire(reply.View),
 	}), nil
 }
 
@@ -193,15 +193,15 @@
 	if previous == nil || successor == nil {
 		return nil, connect.NewError(connect.CodeInvalidArgument, errMissingView)
 	}
-	answer := s.installer.Install(ctx, shard.InstallRequest{
+	reply := s.installer.Install(ctx, shard.InstallRequest{
 		Previous:  *previous,
 		Successor: *successor,
 		TurnsOnly: request.Msg.GetTurnsOnly(),
 		Fill:      request.Msg.GetFill(),
 	})
 	return connect.NewResponse(&peerv1.InstallResponse{
-		Refusal: peerv1.Refusal(answer.Refusal),
-		View:    ViewToWire(answer.View),
+		Refusal: peerv1.Refusal(reply.Refusal),
+		View:    ViewToWire(reply.View),
 	}), nil
 }
 
@@ -211,10 +211,10 @@
 	if view == nil {
 		return nil, connect.NewError(connect.CodeInvalidArgument, errMissingView)
 	}
-	answer := s.replica.Open(ctx, shard.OpenRequest{View: *view})
+	reply := s.replica.Open(ctx, shard.OpenRequest{View: *view})
 	return connect.NewResponse(&peerv1.OpenResponse{
-		Refusal: peerv1.Refusal(answer.Refusal),
-		View:    ViewToWire(answer.View),
+		Refusal: peerv1.Refusal(reply.Refusal),
+		View:    ViewToWire(reply.View),
 	}), nil
 }
 
@@ -235,15 +235,15 @@
 		})
 	}
 	writer := &pullWriter{stream: stream}
-	answer, err := s.replica.Pull(ctx, pull, writer.add)
+	reply, err := s.replica.Pull(ctx, pull, writer.add)
 	if err != nil {
 		return err
 	}
-	if answer.Refusal == register.RefusalNone {
+	if reply.Refusal == register.RefusalNone {
 		return writer.flush()
 	}
 	return stream.Send(&peerv1.PullResponse{
-		Refusal: peerv1.Refusal(answer.Refusal),
-		View:    ViewToWire(answer.View),
+		Refusal: peerv1.Refusal(reply.Refusal),
+		View:    ViewToWire(reply.View),
 	})
 }
--- a/transport/peer/server.go
+++ b/transport/peer/server.go
@@ -14,8 +14,8 @@
 	"github.com/marblering/marblering/state/replica"
 )
 
-// maxMessageBytes is the largest message that a node accepts. It leaves room for the
-// largest turn and the fields around it.
+// maxMessageBytes is the size of the largest message that a node accepts. It leaves room
+// beyond the largest turn.
 const maxMessageBytes = 20 << 20
 
 // Replica is this node's replica of the shards that it is a member of.
@@ -153,7 +153,7 @@
 	}
 }
 
-// Peek returns this replica's copy of a register, which may be old.
+// Peek returns this replica's copy of a register, which may be out of date.
 func (s *replicaServer) Peek(_ context.Context, request *connect.Request[peerv1.PeekRequest]) (*connect.Response[peerv1.PeekResponse], error) {
 	value, refusal := s.replica.Peek(fenceFromWire(request.Msg.GetFence()), request.Msg.GetKey())
 	return connect.NewResponse(&peerv1.PeekResponse{Refusal: peerv1.Refusal(refusal), Value: value}), nil
--- a/transport/peer/session.go
+++ b/transport/peer/session.go
@@ -122,7 +122,7 @@
 		select {
 		case first := <-s.answers:
 			if s.stream.Send(&peerv1.Answers{Answers: s.collectBatch(first)}) != nil {
-				// The stream is broken. receive fails as well and ends the context.
+				// The stream is broken: receive fails too, and Stream cancels the context.
 				<-ctx.Done()
 				return
 			}
