--- a/transport/peer/budget.go
+++ b/transport/peer/budget.go
@@ -12,9 +12,10 @@
 	"github.com/marblering/marblering/state/budget"
 )
 
-// BudgetHost serves budgets. tokenbudget.Host is one.
+// BudgetHost grants reservations of tokens and releases them when turns end.
+// tokenbudget.Host implements it.
 type BudgetHost interface {
-	Reserve(ctx context.Context, wanted tokenbudget.Reservation) error
+	Reserve(ctx context.Context, reservation tokenbudget.Reservation) error
 	End(ended []tokenbudget.Ended)
 }
 
@@ -28,7 +29,7 @@
 		Program: message.GetProgram(), Name: message.GetTurn(), Limit: message.GetLimit(), Most: message.GetMost(),
 		Lifetime: time.Duration(message.GetLifetimeMs()) * time.Millisecond, Running: message.GetRunning(),
 	})
-	response := &peerv1.ReserveTokensResponse{Verdict: verdictOf(err)}
+	response := &peerv1.ReserveTokensResponse{Verdict: verdictFromError(err)}
 	if err != nil {
 		response.Reason = err.Error()
 	}
@@ -40,7 +41,7 @@
 	return &peerv1.EndTurnsResponse{}
 }
 
-func verdictOf(err error) peerv1.ReserveVerdict {
+func verdictFromError(err error) peerv1.ReserveVerdict {
 	switch {
 	case err == nil:
 		return peerv1.ReserveVerdict_RESERVE_VERDICT_GRANTED
@@ -54,21 +55,22 @@
 	return peerv1.ReserveVerdict_RESERVE_VERDICT_UNAVAILABLE
 }
 
-// BudgetClient implements tokenbudget.Hosts.
+// BudgetClient sends reservations to the nodes that host budgets. It implements
+// tokenbudget.Hosts.
 type BudgetClient struct {
 	client *Client
 }
 
-// Budgets returns the client of the budget service.
+// Budgets returns a client for the budgets that other nodes host.
 func (c *Client) Budgets() BudgetClient { return BudgetClient{client: c} }
 
 var _ tokenbudget.Hosts = BudgetClient{}
 
 // Reserve implements tokenbudget.Hosts.
-func (b BudgetClient) Reserve(ctx context.Context, address string, wanted tokenbudget.Reservation, ended []tokenbudget.Ended) error {
+func (b BudgetClient) Reserve(ctx context.Context, address string, reservation tokenbudget.Reservation, ended []tokenbudget.Ended) error {
 	answer, err := b.client.call(ctx, address, &peerv1.Call{Request: &peerv1.Call_ReserveTokens{ReserveTokens: &peerv1.ReserveTokensRequest{
-		Program: wanted.Program, Turn: wanted.Name, Limit: wanted.Limit, Most: wanted.Most,
-		LifetimeMs: wanted.Lifetime.Milliseconds(), Ended: endedToWire(ended), Running: wanted.Running,
+		Program: reservation.Program, Turn: reservation.Name, Limit: reservation.Limit, Most: reservation.Most,
+		LifetimeMs: reservation.Lifetime.Milliseconds(), Ended: endedToWire(ended), Running: reservation.Running,
 	}}})
 	if err != nil {
 		return err
@@ -84,7 +86,7 @@
 	case peerv1.ReserveVerdict_RESERVE_VERDICT_OVERLOADED:
 		return merry.Wrap(tokenbudget.ErrOverloaded, merry.AppendMessage(response.GetReason()))
 	}
-	return merry.Errorf("the host can't reach the record: %s", response.GetReason())
+	return merry.Errorf("the budget's host can't access the record of program %q: %s", reservation.Program, response.GetReason())
 }
 
 // End implements tokenbudget.Hosts.
@@ -97,17 +99,17 @@
 
 func endedToWire(ended []tokenbudget.Ended) []*peerv1.EndedTurn {
 	converted := make([]*peerv1.EndedTurn, 0, len(ended))
-	for _, one := range ended {
-		converted = append(converted, &peerv1.EndedTurn{Program: one.Program, Turn: one.Reservation, HandedOut: one.HandedOut, Unique: !one.MayRecur})
+	for _, turn := range ended {
+		converted = append(converted, &peerv1.EndedTurn{Program: turn.Program, Turn: turn.Reservation, HandedOut: turn.HandedOut, Unique: !turn.MayRecur})
 	}
 	return converted
 }
 
 func endedFromWire(ended []*peerv1.EndedTurn) []tokenbudget.Ended {
 	converted := make([]tokenbudget.Ended, 0, len(ended))
-	for _, one := range ended {
+	for _, turn := range ended {
 		converted = append(converted, tokenbudget.Ended{
-			Program: one.GetProgram(), Reservation: one.GetTurn(), HandedOut: one.GetHandedOut(), MayRecur: !one.GetUnique(),
+			Program: turn.GetProgram(), Reservation: turn.GetTurn(), HandedOut: turn.GetHandedOut(), MayRecur: !turn.GetUnique(),
 		})
 	}
 	return converted
--- a/transport/peer/inflight.go
+++ b/transport/peer/inflight.go
@@ -7,50 +7,53 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// maxInFlight bounds the requests to one peer that wait for an answer's head. A
-// peer that went dark would otherwise gather all that is asked of it.
+// maxInFlight is the highest number of requests to one peer that wait for response
+// headers, and of calls on one link that wait for answers. Without a limit, requests to
+// an unresponsive peer would pile up.
 const maxInFlight = 128
 
-// errTooMany means that nothing was sent.
-var errTooMany = merry.Sentinel("too many requests wait for this peer")
+// errTooManyRequests is returned for a request that exceeds maxInFlight. The request
+// wasn't sent.
+var errTooManyRequests = merry.Sentinel("too many requests to this peer are in flight")
 
-// boundedTransport is an http.RoundTripper that refuses what is beyond the bound
-// at once.
-type boundedTransport struct {
+// limitedTransport is an http.RoundTripper that limits the requests in flight to each
+// host. It rejects further requests immediately.
+type limitedTransport struct {
 	next http.RoundTripper
 
-	mutex   sync.Mutex
-	waiting map[string]int
+	mutex sync.Mutex
+	// inFlight counts the requests by host.
+	inFlight map[string]int
 }
 
-func newBoundedTransport(next http.RoundTripper) *boundedTransport {
-	return &boundedTransport{next: next, waiting: make(map[string]int)}
+func newLimitedTransport(next http.RoundTripper) *limitedTransport {
+	return &limitedTransport{next: next, inFlight: make(map[string]int)}
 }
 
 // RoundTrip implements http.RoundTripper.
-func (t *boundedTransport) RoundTrip(request *http.Request) (*http.Response, error) {
-	if !t.enter(request.URL.Host) {
-		return nil, errTooMany
+func (t *limitedTransport) RoundTrip(request *http.Request) (*http.Response, error) {
+	if !t.acquire(request.URL.Host) {
+		return nil, errTooManyRequests
 	}
-	defer t.leave(request.URL.Host)
+	defer t.release(request.URL.Host)
 	return t.next.RoundTrip(request)
 }
 
-func (t *boundedTransport) enter(host string) bool {
+func (t *limitedTransport) acquire(host string) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	if t.waiting[host] >= maxInFlight {
+	if t.inFlight[host] >= maxInFlight {
 		return false
 	}
-	t.waiting[host]++
+	t.inFlight[host]++
 	return true
 }
 
-func (t *boundedTransport) leave(host string) {
+func (t *limitedTransport) release(host string) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.waiting[host]--
-	if t.waiting[host] == 0 {
-		delete(t.waiting, host)
+	t.inFlight[host]--
+	if t.inFlight[host] == 0 {
+		delete(t.inFlight, host)
 	}
 }
--- a/transport/peer/link_test.go
+++ b/transport/peer/link_test.go
@@ -20,33 +20,33 @@
 	"github.com/marblering/marblering/transport/peer"
 )
 
-// echoReplica answers a prepare with its key as value. Requests for the held key
-// wait until their context ends.
-type echoReplica struct {
+// echoingReplica answers a prepare with its key as value. Requests for blockingKey
+// block until their context ends. The counters are of such requests.
+type echoingReplica struct {
 	peer.Replica
-	holding atomic.Int64
+	blocked atomic.Int64
 	ended   atomic.Int64
 }
 
-const heldKey = "held"
+const blockingKey = "held"
 
-func (r *echoReplica) Prepare(ctx context.Context, request register.PrepareRequest) register.PrepareReply {
-	if request.Key == heldKey {
-		r.holding.Add(1)
+func (r *echoingReplica) Prepare(ctx context.Context, request register.PrepareRequest) register.PrepareReply {
+	if request.Key == blockingKey {
+		r.blocked.Add(1)
 		<-ctx.Done()
-		r.holding.Add(-1)
+		r.blocked.Add(-1)
 		r.ended.Add(1)
 	}
 	return register.PrepareReply{Value: []byte(request.Key)}
 }
 
-// countingHost grants every reservation.
+// countingHost grants every reservation and counts the turns that ended.
 type countingHost struct{ ended atomic.Int64 }
 
 func (*countingHost) Reserve(context.Context, tokenbudget.Reservation) error { return nil }
 func (h *countingHost) End(ended []tokenbudget.Ended)                        { h.ended.Add(int64(len(ended))) }
 
-// servePeer serves the replica and the host to peers.
+// servePeer starts a server for the replica and the budget host.
 func servePeer(t *testing.T, served peer.Replica, host peer.BudgetHost) *httptest.Server {
 	t.Helper()
 	server := httptest.NewUnstartedServer(nil)
@@ -75,15 +75,16 @@
 	return string(reply.Value), err
 }
 
-// TestCallsShareALink: each caller gets its own answer, also while others wait.
-func TestCallsShareALink(t *testing.T) {
-	echo, host := &echoReplica{}, &countingHost{}
+// TestConcurrentCallsShareALink guards against answers that reach the wrong caller and
+// against a pending call that blocks others.
+func TestConcurrentCallsShareALink(t *testing.T) {
+	echo, host := &echoingReplica{}, &countingHost{}
 	server := servePeer(t, echo, host)
 	client := newPeerClient(t)
 	ctx, cancel := context.WithCancel(t.Context())
-	var held sync.WaitGroup
-	held.Go(func() {
-		_, err := prepare(ctx, client, memberAt(server), heldKey)
+	var blocked sync.WaitGroup
+	blocked.Go(func() {
+		_, err := prepare(ctx, client, memberAt(server), blockingKey)
 		assert.Check(t, err != nil)
 	})
 	var calls sync.WaitGroup
@@ -100,26 +101,26 @@
 	assert.NilError(t, client.Budgets().End(t.Context(), memberAt(server).Address, []tokenbudget.Ended{{Program: "p"}, {Program: "q"}}))
 	assert.Equal(t, host.ended.Load(), int64(2))
 	cancel()
-	held.Wait()
+	blocked.Wait()
 }
 
-// turnReplica keeps the sizes of turns.
-type turnReplica struct {
+// sizeRecordingReplica sums up the sizes of the turns put to it.
+type sizeRecordingReplica struct {
 	peer.Replica
 	bytes atomic.Int64
 }
 
-func (r *turnReplica) PutTurn(_ context.Context, _ register.Fence, turn replica.Turn) archive.Reply {
+func (r *sizeRecordingReplica) PutTurn(_ context.Context, _ register.Fence, turn replica.Turn) archive.Reply {
 	r.bytes.Add(int64(len(turn.Object)))
 	return archive.Reply{}
 }
 
-// TestLargeCallsShareALink: what waits isn't gathered beyond what a message may
-// have.
-func TestLargeCallsShareALink(t *testing.T) {
+// TestLargeCallsStayWithinMessageLimit guards against batches of calls that exceed the
+// largest message size.
+func TestLargeCallsStayWithinMessageLimit(t *testing.T) {
 	const turns, size = 60, 1 << 20
-	kept := &turnReplica{}
-	server := servePeer(t, kept, &countingHost{})
+	recorder := &sizeRecordingReplica{}
+	server := servePeer(t, recorder, &countingHost{})
 	client := newPeerClient(t)
 	var calls sync.WaitGroup
 	for i := range turns {
@@ -130,96 +131,100 @@
 		})
 	}
 	calls.Wait()
-	assert.Equal(t, kept.bytes.Load(), int64(turns*size))
+	assert.Equal(t, recorder.bytes.Load(), int64(turns*size))
 }
 
-// TestAbandonedCallEndsAtThePeer, by its caller's word or by its time.
-func TestAbandonedCallEndsAtThePeer(t *testing.T) {
-	echo := &echoReplica{}
+// TestAbandonedCallEndsAtPeer guards against calls that keep running at the peer after
+// their caller has cancelled them or their deadline has passed.
+func TestAbandonedCallEndsAtPeer(t *testing.T) {
+	echo := &echoingReplica{}
 	server := servePeer(t, echo, &countingHost{})
 	client := newPeerClient(t)
 	ctx, cancel := context.WithCancel(t.Context())
 	var calls sync.WaitGroup
 	calls.Go(func() {
-		_, err := prepare(ctx, client, memberAt(server), heldKey)
+		_, err := prepare(ctx, client, memberAt(server), blockingKey)
 		assert.Check(t, err != nil)
 	})
-	harness.Eventually(t, func() (bool, string) { return echo.holding.Load() == 1, "the call isn't served" })
+	harness.Eventually(t, func() (bool, string) { return echo.blocked.Load() == 1, "the call has not reached the peer" })
 	cancel()
-	harness.Eventually(t, func() (bool, string) { return echo.ended.Load() == 1, "the call goes on without its caller" })
-	timed, stop := context.WithTimeout(t.Context(), 50*time.Millisecond)
-	defer stop()
-	// The peer may notice the time first, and its answer still come through.
-	_, _ = prepare(timed, client, memberAt(server), heldKey)
-	harness.Eventually(t, func() (bool, string) { return echo.ended.Load() == 2, "the call goes on past its time" })
+	harness.Eventually(t, func() (bool, string) { return echo.ended.Load() == 1, "the call runs on after its caller cancelled it" })
+	timed, cancelTimed := context.WithTimeout(t.Context(), 50*time.Millisecond)
+	defer cancelTimed()
+	// The deadline may pass at the peer first, whose answer may then arrive in time.
+	_, _ = prepare(timed, client, memberAt(server), blockingKey)
+	harness.Eventually(t, func() (bool, string) { return echo.ended.Load() == 2, "the call runs on past its deadline" })
 	calls.Wait()
 }
 
-// TestLostLinkFailsItsCalls, and the next call opens another.
-func TestLostLinkFailsItsCalls(t *testing.T) {
-	echo := &echoReplica{}
+// TestConnectionLossFailsCalls guards against calls that hang after their connection is
+// lost. The next call opens a new connection.
+func TestConnectionLossFailsCalls(t *testing.T) {
+	echo := &echoingReplica{}
 	server := servePeer(t, echo, &countingHost{})
 	client := newPeerClient(t)
 	for range 3 {
 		var calls sync.WaitGroup
 		for range 10 {
 			calls.Go(func() {
-				_, err := prepare(t.Context(), client, memberAt(server), heldKey)
+				_, err := prepare(t.Context(), client, memberAt(server), blockingKey)
 				assert.Check(t, err != nil)
 			})
 		}
-		harness.Eventually(t, func() (bool, string) { return echo.holding.Load() == 10, "the calls aren't served" })
+		harness.Eventually(t, func() (bool, string) { return echo.blocked.Load() == 10, "the calls have not reached the peer" })
 		server.CloseClientConnections()
 		calls.Wait()
 		harness.Eventually(t, func() (bool, string) {
 			value, err := prepare(t.Context(), client, memberAt(server), "again")
-			return err == nil && value == "again", fmt.Sprint("no call gets through: ", err)
+			return err == nil && value == "again", fmt.Sprint("no call succeeds: ", err)
 		})
-		harness.Eventually(t, func() (bool, string) { return echo.holding.Load() == 0, "calls of a lost link go on" })
+		harness.Eventually(t, func() (bool, string) { return echo.blocked.Load() == 0, "calls of a closed link still run" })
 	}
 }
 
-// TestSilentLinkIsReplaced: a connection that carries nothing any more, without a
-// reset, is found out by its ping, and calls go through a new one.
-func TestSilentLinkIsReplaced(t *testing.T) {
-	server := servePeer(t, &echoReplica{}, &countingHost{})
-	path := harness.StartForwarder(t, server.Listener.Addr().String())
-	member := register.Member{Node: "n", Address: path.Address()}
+// TestUnresponsiveConnectionIsReplaced guards against calls that stay on a connection
+// which drops all data without a reset: its pings time out and a new one is opened.
+func TestUnresponsiveConnectionIsReplaced(t *testing.T) {
+	server := servePeer(t, &echoingReplica{}, &countingHost{})
+	forwarder := harness.StartForwarder(t, server.Listener.Addr().String())
+	member := register.Member{Node: "n", Address: forwarder.Address()}
 	client := newPeerClient(t)
 	_, err := prepare(t.Context(), client, member, "before")
 	assert.NilError(t, err)
-	path.SilenceOpen()
-	silent := path.Opened()
+	forwarder.SilenceOpen()
+	openedBefore := forwarder.Opened()
 	harness.Eventually(t, func() (bool, string) {
 		ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
 		defer cancel()
 		value, err := prepare(ctx, client, member, "after")
-		return err == nil && value == "after", fmt.Sprint("no call gets through: ", err)
+		return err == nil && value == "after", fmt.Sprint("no call succeeds: ", err)
 	})
-	assert.Assert(t, path.Opened() > silent, "a call was answered on a silent connection")
+	assert.Assert(t, forwarder.Opened() > openedBefore, "a call was answered on an unresponsive connection")
 }
 
-// TestUnreachablePeerFailsAtOnce.
-func TestUnreachablePeerFailsAtOnce(t *testing.T) {
-	server := servePeer(t, &echoReplica{}, &countingHost{})
+// TestCallToUnreachablePeerFailsImmediately guards against calls that wait for their
+// timeout where the connection is refused.
+func TestCallToUnreachablePeerFailsImmediately(t *testing.T) {
+	server := servePeer(t, &echoingReplica{}, &countingHost{})
 	member := memberAt(server)
 	server.Close()
 	_, err := prepare(t.Context(), newPeerClient(t), member, "key")
 	assert.ErrorContains(t, err, "connection to the peer was lost")
 }
 
-// TestSilentPeerGathersNoCalls: beyond a bound they fail at once.
-func TestSilentPeerGathersNoCalls(t *testing.T) {
-	const asked, bound = 300, 128
-	echo := &echoReplica{}
+// TestUnresponsivePeerLimitsCallsInFlight guards against calls that pile up at an
+// unresponsive peer: calls beyond the limit fail immediately.
+func TestUnresponsivePeerLimitsCallsInFlight(t *testing.T) {
+	const requests, limit = 300, 128
+	echo := &echoingReplica{}
 	server := servePeer(t, echo, &countingHost{})
 	client := newPeerClient(t)
 	ctx, cancel := context.WithCancel(t.Context())
 	var refused atomic.Int64
 	var calls sync.WaitGroup
-	for range asked {
+	for range requests {
 		calls.Go(func() {
-			_, err := prepare(ctx, client, memberAt(server), heldKey)
+			_, err := prepare(ctx, client, memberAt(server), blockingKey)
 			if ctx.Err() == nil {
 				assert.Check(t, err != nil)
 				refused.Add(1)
@@ -227,50 +232,52 @@
 		})
 	}
 	harness.Eventually(t, func() (bool, string) {
-		return refused.Load() == asked-bound && echo.holding.Load() == bound, fmt.Sprint(refused.Load(), " refused")
+		return refused.Load() == requests-limit && echo.blocked.Load() == limit, fmt.Sprint(refused.Load(), " refused")
 	})
 	cancel()
 	calls.Wait()
 }
 
-// TestManyAddressesAreForgotten, and a call that is under way meanwhile isn't.
-func TestManyAddressesAreForgotten(t *testing.T) {
-	echo := &echoReplica{}
+// TestStubsOfIdlePeersAreEvicted guards against eviction that ends a call in flight at
+// another address.
+func TestStubsOfIdlePeersAreEvicted(t *testing.T) {
+	echo := &echoingReplica{}
 	server := servePeer(t, echo, &countingHost{})
 	client := newPeerClient(t)
 	ctx, cancel := context.WithCancel(t.Context())
 	var calls sync.WaitGroup
 	calls.Go(func() {
-		_, err := prepare(ctx, client, memberAt(server), heldKey)
+		_, err := prepare(ctx, client, memberAt(server), blockingKey)
 		assert.Check(t, ctx.Err() != nil, "the call ended early: %v", err)
 	})
-	harness.Eventually(t, func() (bool, string) { return echo.holding.Load() == 1, "the call isn't served" })
-	ended, end := context.WithCancel(t.Context())
-	end()
+	harness.Eventually(t, func() (bool, string) { return echo.blocked.Load() == 1, "the call has not reached the peer" })
+	cancelled, cancelNow := context.WithCancel(t.Context())
+	cancelNow()
 	for i := range 3000 {
-		_, err := prepare(ended, client, register.Member{Address: fmt.Sprintf("127.0.0.1:%d", 1+i)}, "key")
+		_, err := prepare(cancelled, client, register.Member{Address: fmt.Sprintf("127.0.0.1:%d", 1+i)}, "key")
 		assert.Assert(t, err != nil)
 	}
 	value, err := prepare(t.Context(), client, memberAt(server), "again")
 	assert.NilError(t, err)
 	assert.Equal(t, value, "again")
-	assert.Equal(t, echo.holding.Load(), int64(1))
+	assert.Equal(t, echo.blocked.Load(), int64(1))
 	cancel()
 	calls.Wait()
 }
 
-// TestClosedClientEndsItsCalls, at the peer as well.
-func TestClosedClientEndsItsCalls(t *testing.T) {
-	echo := &echoReplica{}
+// TestCloseEndsCalls guards against calls that outlive their client, here or at the
+// peer.
+func TestCloseEndsCalls(t *testing.T) {
+	echo := &echoingReplica{}
 	server := servePeer(t, echo, &countingHost{})
 	client := newPeerClient(t)
 	var calls sync.WaitGroup
 	calls.Go(func() {
-		_, err := prepare(t.Context(), client, memberAt(server), heldKey)
+		_, err := prepare(t.Context(), client, memberAt(server), blockingKey)
 		assert.Check(t, err != nil)
 	})
-	harness.Eventually(t, func() (bool, string) { return echo.holding.Load() == 1, "the call isn't served" })
+	harness.Eventually(t, func() (bool, string) { return echo.blocked.Load() == 1, "the call has not reached the peer" })
 	client.Close()
 	calls.Wait()
-	harness.Eventually(t, func() (bool, string) { return echo.ended.Load() == 1, "the call goes on" })
+	harness.Eventually(t, func() (bool, string) { return echo.ended.Load() == 1, "the call still runs at the peer" })
 }
--- a/transport/peer/metrics.go
+++ b/transport/peer/metrics.go
@@ -13,18 +13,20 @@
 	"github.com/marblering/marblering/api/peer/v1/peerv1connect"
 )
 
-// Metrics counts what one node sends to and receives from its peers. Bytes are
-// those of the messages, without HTTP headers.
+// Metrics counts the requests that this node exchanges with its peers, and their
+// bytes. Bytes are those of the encoded messages, without HTTP headers. It is a
+// connect.Interceptor.
 type Metrics struct {
 	requests *prometheus.CounterVec
 	sent     *prometheus.CounterVec
 	received *prometheus.CounterVec
 	seconds  *prometheus.HistogramVec
-	// kinds holds *procedureMetrics by kindKey.
-	kinds sync.Map
+	// procedures maps each procedureKey to its *procedureMetrics.
+	procedures sync.Map
 }
 
-// NewMetrics registers the metrics of the internal protocol.
+// NewMetrics returns metrics of the internal protocol that are registered with the
+// registerer.
 func NewMetrics(registerer prometheus.Registerer) *Metrics {
 	labels := []string{"side", "procedure"}
 	m := &Metrics{
@@ -54,17 +56,17 @@
 // WrapUnary implements connect.Interceptor.
 func (m *Metrics) WrapUnary(next connect.UnaryFunc) connect.UnaryFunc {
 	return func(ctx context.Context, request connect.AnyRequest) (connect.AnyResponse, error) {
-		began := time.Now()
+		start := time.Now()
 		response, err := next(ctx, request)
 		side, procedure := sideServer, request.Spec().Procedure
 		if request.Spec().IsClient {
 			side = sideClient
 		}
 		m.requests.WithLabelValues(side, procedure).Inc()
-		m.seconds.WithLabelValues(side, procedure).Observe(time.Since(began).Seconds())
-		outgoing, incoming := size(request.Any()), 0
+		m.seconds.WithLabelValues(side, procedure).Observe(time.Since(start).Seconds())
+		outgoing, incoming := messageSize(request.Any()), 0
 		if err == nil {
-			incoming = size(response.Any())
+			incoming = messageSize(response.Any())
 		}
 		if side == sideServer {
 			outgoing, incoming = incoming, outgoing
@@ -75,21 +77,21 @@
 	}
 }
 
-// called counts one call of a stream.
-func (m *Metrics) called(side string, call *peerv1.Call, answer *peerv1.Answer, took time.Duration) {
-	counted := m.ofKind(side, kindOf(call))
-	counted.requests.Inc()
-	counted.seconds.Observe(took.Seconds())
+// observeCall records a call that a stream carried.
+func (m *Metrics) observeCall(side string, call *peerv1.Call, answer *peerv1.Answer, duration time.Duration) {
+	metrics := m.forKind(side, callKind(call))
+	metrics.requests.Inc()
+	metrics.seconds.Observe(duration.Seconds())
 	outgoing, incoming := proto.Size(call), proto.Size(answer)
 	if side == sideServer {
 		outgoing, incoming = incoming, outgoing
 	}
-	counted.sent.Add(float64(outgoing))
-	counted.received.Add(float64(incoming))
+	metrics.sent.Add(float64(outgoing))
+	metrics.received.Add(float64(incoming))
 }
 
-// kindOf names the kind of call.
-func kindOf(call *peerv1.Call) string {
+// callKind returns the name of a call's kind, as in the procedure label.
+func callKind(call *peerv1.Call) string {
 	switch call.GetRequest().(type) {
 	case *peerv1.Call_Prepare:
 		return "Prepare"
@@ -109,35 +111,35 @@
 	return "unknown"
 }
 
-// procedureMetrics are those of one kind of call; finding them by their labels
-// each time would cost as much as the call.
+// procedureMetrics holds the metrics of one kind of call. They are cached because a
+// lookup by labels costs about as much as the call.
 type procedureMetrics struct {
 	requests, sent, received prometheus.Counter
 	seconds                  prometheus.Observer
 }
 
-// kindKey names the metrics of one kind of call at one side.
-type kindKey struct{ side, kind string }
+// procedureKey identifies the procedureMetrics of one kind of call on one side.
+type procedureKey struct{ side, kind string }
 
-func (m *Metrics) ofKind(side, kind string) *procedureMetrics {
-	key := kindKey{side, kind}
-	if known, found := m.kinds.Load(key); found {
-		return known.(*procedureMetrics)
+func (m *Metrics) forKind(side, kind string) *procedureMetrics {
+	key := procedureKey{side, kind}
+	if cached, found := m.procedures.Load(key); found {
+		return cached.(*procedureMetrics)
 	}
 	procedure := "/" + peerv1connect.CallServiceName + "/" + kind
-	made := &procedureMetrics{
+	created := &procedureMetrics{
 		requests: m.requests.WithLabelValues(side, procedure), seconds: m.seconds.WithLabelValues(side, procedure),
 		sent: m.sent.WithLabelValues(side, procedure), received: m.received.WithLabelValues(side, procedure),
 	}
-	m.kinds.Store(key, made)
-	return made
+	m.procedures.Store(key, created)
+	return created
 }
 
 // WrapStreamingClient implements connect.Interceptor.
 func (m *Metrics) WrapStreamingClient(next connect.StreamingClientFunc) connect.StreamingClientFunc {
 	return func(ctx context.Context, spec connect.Spec) connect.StreamingClientConn {
 		m.requests.WithLabelValues(sideClient, spec.Procedure).Inc()
-		return &countedClient{StreamingClientConn: next(ctx, spec), metrics: m}
+		return &countingClientConn{StreamingClientConn: next(ctx, spec), metrics: m}
 	}
 }
 
@@ -145,51 +147,51 @@
 func (m *Metrics) WrapStreamingHandler(next connect.StreamingHandlerFunc) connect.StreamingHandlerFunc {
 	return func(ctx context.Context, stream connect.StreamingHandlerConn) error {
 		m.requests.WithLabelValues(sideServer, stream.Spec().Procedure).Inc()
-		return next(ctx, &countedHandler{StreamingHandlerConn: stream, metrics: m})
+		return next(ctx, &countingHandlerConn{StreamingHandlerConn: stream, metrics: m})
 	}
 }
 
-type countedClient struct {
+type countingClientConn struct {
 	connect.StreamingClientConn
 	metrics *Metrics
 }
 
 // Send implements connect.StreamingClientConn.
-func (c *countedClient) Send(message any) error {
-	c.metrics.sent.WithLabelValues(sideClient, c.Spec().Procedure).Add(float64(size(message)))
+func (c *countingClientConn) Send(message any) error {
+	c.metrics.sent.WithLabelValues(sideClient, c.Spec().Procedure).Add(float64(messageSize(message)))
 	return c.StreamingClientConn.Send(message)
 }
 
 // Receive implements connect.StreamingClientConn.
-func (c *countedClient) Receive(message any) error {
+func (c *countingClientConn) Receive(message any) error {
 	err := c.StreamingClientConn.Receive(message)
 	if err == nil {
-		c.metrics.received.WithLabelValues(sideClient, c.Spec().Procedure).Add(float64(size(message)))
+		c.metrics.received.WithLabelValues(sideClient, c.Spec().Procedure).Add(float64(messageSize(message)))
 	}
 	return err
 }
 
-type countedHandler struct {
+type countingHandlerConn struct {
 	connect.StreamingHandlerConn
 	metrics *Metrics
 }
 
 // Send implements connect.StreamingHandlerConn.
-func (c *countedHandler) Send(message any) error {
-	c.metrics.sent.WithLabelValues(sideServer, c.Spec().Procedure).Add(float64(size(message)))
+func (c *countingHandlerConn) Send(message any) error {
+	c.metrics.sent.WithLabelValues(sideServer, c.Spec().Procedure).Add(float64(messageSize(message)))
 	return c.StreamingHandlerConn.Send(message)
 }
 
 // Receive implements connect.StreamingHandlerConn.
-func (c *countedHandler) Receive(message any) error {
+func (c *countingHandlerConn) Receive(message any) error {
 	err := c.StreamingHandlerConn.Receive(message)
 	if err == nil {
-		c.metrics.received.WithLabelValues(sideServer, c.Spec().Procedure).Add(float64(size(message)))
+		c.metrics.received.WithLabelValues(sideServer, c.Spec().Procedure).Add(float64(messageSize(message)))
 	}
 	return err
 }
 
-func size(message any) int {
+func messageSize(message any) int {
 	encoded, ok := message.(proto.Message)
 	if !ok {
 		return 0
--- a/transport/peer/mirror.go
+++ b/transport/peer/mirror.go
@@ -13,7 +13,7 @@
 	"github.com/marblering/marblering/coordination/mirror"
 )
 
-// Mirror gives copies of what the store had. mirror.Holder is one.
+// Mirror serves this node's copies of the store's objects. mirror.Holder implements it.
 type Mirror interface {
 	Copies() []mirror.Copy
 	Watch(ctx context.Context, kind string, revision int64, wait time.Duration) mirror.WatchAnswer
@@ -24,8 +24,9 @@
 	_ mirror.Watcher = (*Client)(nil)
 )
 
-// maxMirrorWait bounds how long a call is held for a caller that asks for more.
-const maxMirrorWait = 10 * time.Second
+// maxWatchWait is the longest time that WatchMirror waits for a change, however long
+// the caller asks for.
+const maxWatchWait = 10 * time.Second
 
 // FetchMirror implements mirror.Fetcher.
 func (c *Client) FetchMirror(ctx context.Context, address netip.AddrPort) ([]mirror.Copy, error) {
@@ -46,7 +47,7 @@
 func copyFromWire(snapshot *peerv1.MirroredSnapshot, now time.Time) mirror.Copy {
 	received := mirror.Copy{Kind: snapshot.GetKind(), Snapshot: follow.Snapshot{At: snapshot.GetAt()}}
 	if snapshot.GetAgeKnown() {
-		received.ReceivedAt = now.Add(-time.Duration(snapshot.GetAgeMs()) * time.Millisecond)
+		received.Heard = now.Add(-time.Duration(snapshot.GetAgeMs()) * time.Millisecond)
 	}
 	for _, object := range snapshot.GetObjects() {
 		received.Snapshot.Objects = append(received.Snapshot.Objects, objectFromWire(object))
@@ -62,9 +63,9 @@
 	return &peerv1.MirroredObject{Name: object.Name, Revision: object.Revision, Spec: object.Spec, Status: object.Status}
 }
 
-// WatchMirror implements mirror.Watcher.
+// WatchMirror implements mirror.Watcher. Only the caller's context bounds it.
 func (c *Client) WatchMirror(ctx context.Context, address netip.AddrPort, kind string, revision int64, wait time.Duration) (mirror.WatchAnswer, error) {
-	asked := time.Now()
+	sent := time.Now()
 	response, err := c.stubs(address.String()).mirror.WatchMirror(ctx, connect.NewRequest(&peerv1.WatchMirrorRequest{
 		Kind: kind, Since: revision, WaitMs: wait.Milliseconds(),
 	}))
@@ -74,38 +75,39 @@
 	message := response.Msg
 	switch message.GetVerdict() {
 	case peerv1.WatchMirrorResponse_VERDICT_CURRENT:
-		return mirror.Changed{Changes: changesFromWire(message, asked)}, nil
+		return mirror.Changed{Changes: changesFromWire(message, sent)}, nil
 	case peerv1.WatchMirrorResponse_VERDICT_LOST:
 		return mirror.StoreLost{}, nil
 	}
 	return mirror.NotFollowed{}, nil
 }
 
-// changesFromWire counts what the peer knows of the store from when the peer was asked:
-// the call arrived there later.
-func changesFromWire(message *peerv1.WatchMirrorResponse, asked time.Time) follow.Changes {
+// changesFromWire converts the changes of a response. The staleness that the peer
+// reports is subtracted from the time at which the request was sent: the peer received it
+// later, so that FreshAt is never too late.
+func changesFromWire(message *peerv1.WatchMirrorResponse, sent time.Time) follow.Changes {
 	changes := follow.Changes{At: message.GetAt(), IsFull: message.GetWhole(), Age: time.Duration(message.GetAgeMs()) * time.Millisecond}
 	if message.GetProved() {
-		changes.FreshAt = asked.Add(-time.Duration(message.GetStalenessUs()) * time.Microsecond)
+		changes.FreshAt = sent.Add(-time.Duration(message.GetStalenessUs()) * time.Microsecond)
 	}
 	for _, object := range message.GetChanged() {
 		changes.Events = append(changes.Events, follow.Event{Object: objectFromWire(object)})
 	}
 	for _, removed := range message.GetRemoved() {
-		gone := follow.Object{Name: removed.GetName(), Revision: removed.GetRevision()}
-		changes.Events = append(changes.Events, follow.Event{Object: gone, Deleted: true})
+		object := follow.Object{Name: removed.GetName(), Revision: removed.GetRevision()}
+		changes.Events = append(changes.Events, follow.Event{Object: object, Deleted: true})
 	}
 	return changes
 }
 
-func changesToWire(changes follow.Changes, arrived time.Time) *peerv1.WatchMirrorResponse {
+func changesToWire(changes follow.Changes, received time.Time) *peerv1.WatchMirrorResponse {
 	message := &peerv1.WatchMirrorResponse{
 		Verdict: peerv1.WatchMirrorResponse_VERDICT_CURRENT, At: changes.At, AgeMs: changes.Age.Milliseconds(),
 		Whole: changes.IsFull,
 	}
-	if !changes.FreshAt.IsZero() {
-		// Rounded up: a microsecond too much is on the safe side.
-		message.Proved, message.StalenessUs = true, arrived.Sub(changes.FreshAt).Microseconds()+1
+	if !changes.Proved.IsZero() {
+		// Rounded up, so that the caller never takes the changes for fresher than they are.
+		message.Proved, message.StalenessUs = true, received.Sub(changes.Proved).Microseconds()+1
 	}
 	for _, event := range changes.Events {
 		if event.Deleted {
@@ -122,35 +124,35 @@
 	mirror Mirror
 }
 
-// FetchMirror answers with all copies.
+// FetchMirror returns all copies.
 func (s *mirrorServer) FetchMirror(context.Context, *connect.Request[peerv1.FetchMirrorRequest]) (*connect.Response[peerv1.FetchMirrorResponse], error) {
 	response := &peerv1.FetchMirrorResponse{}
-	for _, kept := range s.mirror.Copies() {
-		response.Snapshots = append(response.Snapshots, copyToWire(kept, time.Now()))
+	for _, entry := range s.mirror.Copies() {
+		response.Snapshots = append(response.Snapshots, copyToWire(entry, time.Now()))
 	}
 	return connect.NewResponse(response), nil
 }
 
-// WatchMirror answers with what changed, as soon as anything does.
+// WatchMirror waits for a change after the given revision and returns what changed.
 func (s *mirrorServer) WatchMirror(ctx context.Context, request *connect.Request[peerv1.WatchMirrorRequest]) (*connect.Response[peerv1.WatchMirrorResponse], error) {
-	arrived := time.Now()
-	wait := min(time.Duration(request.Msg.GetWaitMs())*time.Millisecond, maxMirrorWait)
+	received := time.Now()
+	wait := min(time.Duration(request.Msg.GetWaitMs())*time.Millisecond, maxWatchWait)
 	response := &peerv1.WatchMirrorResponse{Verdict: peerv1.WatchMirrorResponse_VERDICT_MISSED}
 	switch answer := s.mirror.Watch(ctx, request.Msg.GetKind(), request.Msg.GetSince(), wait).(type) {
 	case mirror.Changed:
-		response = changesToWire(answer.Changes, arrived)
-	case mirror.StoreLost:
+		response = changesToWire(answer.Changes, received)
+	case mirror.Lost:
 		response.Verdict = peerv1.WatchMirrorResponse_VERDICT_LOST
 	}
 	return connect.NewResponse(response), nil
 }
 
-func copyToWire(kept mirror.Copy, now time.Time) *peerv1.MirroredSnapshot {
-	snapshot := &peerv1.MirroredSnapshot{Kind: kept.Kind, At: kept.Snapshot.At, AgeKnown: !kept.ReceivedAt.IsZero()}
+func copyToWire(entry mirror.Copy, now time.Time) *peerv1.MirroredSnapshot {
+	snapshot := &peerv1.MirroredSnapshot{Kind: entry.Kind, At: entry.Snapshot.At, AgeKnown: !entry.Heard.IsZero()}
 	if snapshot.AgeKnown {
-		snapshot.AgeMs = now.Sub(kept.ReceivedAt).Milliseconds()
+		snapshot.AgeMs = now.Sub(entry.Heard).Milliseconds()
 	}
-	for _, object := range kept.Snapshot.Objects {
+	for _, object := range entry.Snapshot.Objects {
 		snapshot.Objects = append(snapshot.Objects, objectToWire(object))
 	}
 	return snapshot
--- a/transport/peer/pull_test.go
+++ b/transport/peer/pull_test.go
@@ -17,13 +17,13 @@
 	"github.com/marblering/marblering/transport/peer"
 )
 
-// fullReplica holds many registers and some turns.
-type fullReplica struct {
+// generatedReplica sends generated registers and turns, as many as the counts say.
+type generatedReplica struct {
 	peer.Replica
 	registers, turns int
 }
 
-func (r *fullReplica) Pull(_ context.Context, _ shard.PullRequest, visit func(shard.PullItem) error) (archive.Reply, error) {
+func (r *generatedReplica) Pull(_ context.Context, _ shard.PullRequest, visit func(shard.PullItem) error) (archive.Reply, error) {
 	for i := range r.registers {
 		state := replica.Register{Accepted: replica.Ballot{Counter: uint64(i + 1), Proposer: "p"}, Value: []byte(fmt.Sprint("value", i))}
 		if err := visit(shard.PullItem{Register: &shard.RegisterState{Key: fmt.Sprint("key", i), State: state}}); err != nil {
@@ -39,10 +39,11 @@
 	return archive.Reply{}, nil
 }
 
-// TestPullGathersItems: all items come, in few messages, none of which is large.
-func TestPullGathersItems(t *testing.T) {
-	held := &fullReplica{registers: 5000, turns: 40}
-	server := servePeer(t, held, &countingHost{})
+// TestPullBatchesItems guards against a pull that loses items, sends a message per item
+// or sends all of them in one message.
+func TestPullBatchesItems(t *testing.T) {
+	source := &generatedReplica{registers: 5000, turns: 40}
+	server := servePeer(t, source, &countingHost{})
 	var registers, turns int
 	_, err := newPeerClient(t).Pull(t.Context(), memberAt(server), shard.PullRequest{}, func(item shard.PullItem) error {
 		if item.Register != nil {
@@ -56,8 +57,8 @@
 		return nil
 	})
 	assert.NilError(t, err)
-	assert.Equal(t, registers, held.registers)
-	assert.Equal(t, turns, held.turns)
+	assert.Equal(t, registers, source.registers)
+	assert.Equal(t, turns, source.turns)
 
 	service := peerv1connect.NewReplicaServiceClient(peer.NewHTTPClient(), server.URL)
 	stream, err := service.Pull(t.Context(), connect.NewRequest(&peerv1.PullRequest{Fence: &peerv1.Fence{}}))
