--- a/coordination/follow/follower.go
+++ b/coordination/follow/follower.go
@@ -114,9 +114,9 @@
 	return true
 }
 
-// Offer replaces the view with a snapshot that another node got from the store if it is
+// ApplyIfNewer replaces the view with a snapshot that another node got from the store if it is
 // newer, and reports whether it did. This proves nothing about how current the view is.
-func (f *Follower) Offer(snapshot Snapshot) bool {
+func (f *Follower) ApplyIfNewer(snapshot Snapshot) bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	if f.view.initialized && snapshot.At <= f.view.revision {
--- a/transport/peer/mirror.go
+++ b/transport/peer/mirror.go
@@ -47,7 +47,7 @@
 func copyFromWire(snapshot *peerv1.MirroredSnapshot, now time.Time) mirror.Copy {
 	received := mirror.Copy{Kind: snapshot.GetKind(), Snapshot: follow.Snapshot{At: snapshot.GetAt()}}
 	if snapshot.GetAgeKnown() {
-		received.Heard = now.Add(-time.Duration(snapshot.GetAgeMs()) * time.Millisecond)
+		received.ReceivedAt = now.Add(-time.Duration(snapshot.GetAgeMs()) * time.Millisecond)
 	}
 	for _, object := range snapshot.GetObjects() {
 		received.Snapshot.Objects = append(received.Snapshot.Objects, objectFromWire(object))
@@ -105,9 +105,9 @@
 		Verdict: peerv1.WatchMirrorResponse_VERDICT_CURRENT, At: changes.At, AgeMs: changes.Age.Milliseconds(),
 		Whole: changes.IsFull,
 	}
-	if !changes.Proved.IsZero() {
+	if !changes.FreshAt.IsZero() {
 		// Rounded up, so that the caller never takes the changes for fresher than they are.
-		message.Proved, message.StalenessUs = true, received.Sub(changes.Proved).Microseconds()+1
+		message.Proved, message.StalenessUs = true, received.Sub(changes.FreshAt).Microseconds()+1
 	}
 	for _, event := range changes.Events {
 		if event.Deleted {
@@ -141,16 +141,16 @@
 	switch answer := s.mirror.Watch(ctx, request.Msg.GetKind(), request.Msg.GetSince(), wait).(type) {
 	case mirror.Changed:
 		response = changesToWire(answer.Changes, received)
-	case mirror.Lost:
+	case mirror.StoreLost:
 		response.Verdict = peerv1.WatchMirrorResponse_VERDICT_LOST
 	}
 	return connect.NewResponse(response), nil
 }
 
 func copyToWire(entry mirror.Copy, now time.Time) *peerv1.MirroredSnapshot {
-	snapshot := &peerv1.MirroredSnapshot{Kind: entry.Kind, At: entry.Snapshot.At, AgeKnown: !entry.Heard.IsZero()}
+	snapshot := &peerv1.MirroredSnapshot{Kind: entry.Kind, At: entry.Snapshot.At, AgeKnown: !entry.ReceivedAt.IsZero()}
 	if snapshot.AgeKnown {
-		snapshot.AgeMs = now.Sub(entry.Heard).Milliseconds()
+		snapshot.AgeMs = now.Sub(entry.ReceivedAt).Milliseconds()
 	}
 	for _, object := range entry.Snapshot.Objects {
 		snapshot.Objects = append(snapshot.Objects, objectToWire(object))
