--- a/coordination/conversation/budget_simulation_test.go
+++ b/coordination/conversation/budget_simulation_test.go
@@ -58,7 +58,7 @@
 	var view register.View
 	for index := range 3 {
 		name := fmt.Sprint("host", index)
-		ledger := tokenbudget.New(name+"/life", s, s.Locate, tokenbudget.DefaultSettings(), time.Now, zap.NewNop())
+		ledger := tokenbudget.NewLedger(name+"/life", s, s.Locate, tokenbudget.DefaultSettings(), time.Now, zap.NewNop())
 		host := tokenbudget.NewHost(ledger, time.Now)
 		go func() { _ = host.Serve(ctx) }()
 		s.hosts[name], s.ledgers = host, append(s.ledgers, ledger)
--- a/coordination/conversation/reservation_test.go
+++ b/coordination/conversation/reservation_test.go
@@ -60,7 +60,7 @@
 		IdleTime: time.Hour, ReleaseTimeout: time.Second, ReleasePause: time.Millisecond, ReleaseTries: 1,
 		Draws: limit.DefaultAdaptivePolicy(), Crowd: limit.DefaultAdaptivePolicy(),
 	}
-	ledger := tokenbudget.New("host", record, func(string) uint32 { return 0 }, settings, time.Now, zap.NewNop())
+	ledger := tokenbudget.NewLedger("host", record, func(string) uint32 { return 0 }, settings, time.Now, zap.NewNop())
 	budgets := &delayedEnds{host: tokenbudget.NewHost(ledger, time.Now)}
 	number := uint64(0)
 	nextNumber := func() uint64 { number++; return number }
--- a/coordination/register/stored_test.go
+++ b/coordination/register/stored_test.go
@@ -151,7 +151,7 @@
 
 func writeTokenBudget(t *testing.T, n *storageNode) {
 	t.Helper()
-	ledger := tokenbudget.New(storedIncarnation, n.client, n.views.Locate, tokenbudget.DefaultSettings(), time.Now, zap.NewNop())
+	ledger := tokenbudget.NewLedger(storedIncarnation, n.client, n.views.Locate, tokenbudget.DefaultSettings(), time.Now, zap.NewNop())
 	assert.NilError(t, ledger.Reserve(t.Context(), tokenbudget.Reservation{Program: "conversation", Limit: 5000, Most: 100}))
 }
 
--- a/coordination/tokenbudget/host_test.go
+++ b/coordination/tokenbudget/host_test.go
@@ -228,7 +228,7 @@
 	settings.Draws = limit.AdaptivePolicy{Start: 2, Min: 2, Max: 2}
 	fixed := time.Now()
 	clock := func() time.Time { return fixed }
-	host := tokenbudget.NewHost(tokenbudget.New("host", hanging, staticViews{}.Locate, settings, clock, zap.NewNop()), time.Now)
+	host := tokenbudget.NewHost(tokenbudget.NewLedger("host", hanging, staticViews{}.Locate, settings, clock, zap.NewNop()), time.Now)
 	client := newClient(transport, views)
 	assert.NilError(t, client.Reserve(context.Background(), newReservation("before")))
 	for address := range transport.hosts {
@@ -265,7 +265,7 @@
 	settings := tokenbudget.DefaultSettings()
 	settings.IdleTime = time.Hour
 	settings.Crowd = limit.AdaptivePolicy{Start: 2, Min: 2, Max: 2}
-	host := tokenbudget.NewHost(tokenbudget.New("host", hanging, staticViews{}.Locate, settings, time.Now, zap.NewNop()), time.Now)
+	host := tokenbudget.NewHost(tokenbudget.NewLedger("host", hanging, staticViews{}.Locate, settings, time.Now, zap.NewNop()), time.Now)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	reserve := func(program, turn string, isRunning bool) error {
@@ -296,7 +296,7 @@
 	settings := tokenbudget.DefaultSettings()
 	settings.Draws = limit.AdaptivePolicy{Start: 1, Min: 1, Max: 1}
 	hanging := &hangingRegister{}
-	transport.hosts[first] = tokenbudget.NewHost(tokenbudget.New("isolated", hanging, staticViews{}.Locate, settings, time.Now, zap.NewNop()), time.Now)
+	transport.hosts[first] = tokenbudget.NewHost(tokenbudget.NewLedger("isolated", hanging, staticViews{}.Locate, settings, time.Now, zap.NewNop()), time.Now)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go func() { _ = transport.hosts[first].Reserve(ctx, newReservation("waits")) }()
--- a/coordination/tokenbudget/ledger.go
+++ b/coordination/tokenbudget/ledger.go
@@ -78,10 +78,10 @@
 	unreleased int
 }
 
-// New returns a ledger. Records keep its reserves under the holder's name, "node/incarnation",
+// NewLedger returns a ledger. Records keep its reserves under the holder's name, "node/incarnation",
 // which must be unique over all hosts and their restarts. A node must not run twice at the
 // same time.
-func New(holder string, registers Register, locate func(program string) uint32, settings Settings, now func() time.Time, logger *zap.Logger) *Ledger {
+func NewLedger(holder string, registers Register, locate func(program string) uint32, settings Settings, now func() time.Time, logger *zap.Logger) *Ledger {
 	return &Ledger{
 		holder: holder, registers: registers, locate: locate, settings: settings, logger: logger,
 		accounts: make(map[string]*account), releaseSlots: make(chan struct{}, maxConcurrentReleases),
--- a/coordination/tokenbudget/ledger_test.go
+++ b/coordination/tokenbudget/ledger_test.go
@@ -73,7 +73,7 @@
 // newLedgerOver returns a ledger that releases reserves only when it is flushed.
 func newLedgerOver(holder string, registers tokenbudget.Register) *tokenbudget.Ledger {
 	settings := tokenbudget.Settings{IdleTime: time.Hour, ReleaseTimeout: time.Second, ReleasePause: time.Millisecond, ReleaseTries: 50, Draws: limit.DefaultAdaptivePolicy(), Crowd: limit.DefaultAdaptivePolicy()}
-	return tokenbudget.New(holder, registers, func(string) uint32 { return 0 }, settings, time.Now, zap.NewNop())
+	return tokenbudget.NewLedger(holder, registers, func(string) uint32 { return 0 }, settings, time.Now, zap.NewNop())
 }
 
 func Example() {
@@ -135,7 +135,7 @@
 func TestIdleReserveIsReleased(t *testing.T) {
 	shared := newSharedRegister()
 	settings := tokenbudget.Settings{IdleTime: time.Millisecond, ReleaseTimeout: time.Second, ReleasePause: time.Millisecond, ReleaseTries: 50, Draws: limit.DefaultAdaptivePolicy(), Crowd: limit.DefaultAdaptivePolicy()}
-	ledger := tokenbudget.New("host", shared, func(string) uint32 { return 0 }, settings, time.Now, zap.NewNop())
+	ledger := tokenbudget.NewLedger("host", shared, func(string) uint32 { return 0 }, settings, time.Now, zap.NewNop())
 	assert.NilError(t, ledger.Reserve(context.Background(), tokenbudget.Reservation{Program: "p", Limit: 10_000, Most: 100}))
 	assert.Equal(t, shared.committed(t, "p"), uint64(400), "one turn and three turns ahead")
 	shared.mutex.Lock()
@@ -207,7 +207,7 @@
 	settings := tokenbudget.Settings{IdleTime: time.Millisecond, ReleaseTimeout: time.Second, ReleasePause: time.Millisecond, ReleaseTries: 3}
 	settings.Draws = limit.AdaptivePolicy{Start: 1000, Min: 1000, Max: 1000}
 	settings.Crowd = settings.Draws
-	ledger := tokenbudget.New("host", failing, func(string) uint32 { return 0 }, settings, time.Now, zap.NewNop())
+	ledger := tokenbudget.NewLedger("host", failing, func(string) uint32 { return 0 }, settings, time.Now, zap.NewNop())
 	const programs = 200
 	for index := range programs {
 		_ = ledger.Reserve(context.Background(), tokenbudget.Reservation{Program: fmt.Sprint(index), Limit: 100, Most: 10})
--- a/coordination/tokenbudget/overload_test.go
+++ b/coordination/tokenbudget/overload_test.go
@@ -109,7 +109,7 @@
 		var views staticViews
 		for i := range 5 {
 			name := fmt.Sprint("host", i)
-			ledger := tokenbudget.New(name, shared, func(string) uint32 { return 0 }, tokenbudget.DefaultSettings(), time.Now, zap.NewNop())
+			ledger := tokenbudget.NewLedger(name, shared, func(string) uint32 { return 0 }, tokenbudget.DefaultSettings(), time.Now, zap.NewNop())
 			transport.hosts[name] = tokenbudget.NewHost(ledger, time.Now)
 			views.members = append(views.members, register.Member{Node: name, Address: name})
 		}
--- a/node/storage/budgets.go
+++ b/node/storage/budgets.go
@@ -34,7 +34,7 @@
 	}
 	transport := peer.NewLocalTransport(n.self.Incarnation, n.replica, n.peers)
 	registers := register.NewClient(holderID, transport, n.lookup, register.SystemClock{}, newRandom(), registerSettings)
-	n.ledger = tokenbudget.New(holderID, registers, n.views.Locate, tokenbudget.DefaultSettings(), time.Now, n.logger)
+	n.ledger = tokenbudget.NewLedger(holderID, registers, n.views.Locate, tokenbudget.DefaultSettings(), time.Now, n.logger)
 	n.budgets = tokenbudget.NewHost(n.ledger, time.Now)
 	n.quotas = quota.NewHolder(holderID, n.self.Node, registers, time.Now, n.limitedLogger)
 }
