--- a/coordination/conversation/reservation_test.go
+++ b/coordination/conversation/reservation_test.go
@@ -56,7 +56,7 @@
 // retry under the same id, whose tokens would then be uncounted.
 func TestLateEndKeepsNextAttempt(t *testing.T) {
 	record := &memoryRegister{}
-	settings := tokenbudget.Settings{
+	settings := tokenbudget.LedgerSettings{
 		IdleTime: time.Hour, ReleaseTimeout: time.Second, ReleasePause: time.Millisecond, ReleaseTries: 1,
 		Draws: limit.DefaultAdaptivePolicy(), Crowd: limit.DefaultAdaptivePolicy(),
 	}
--- a/coordination/tokenbudget/ledger.go
+++ b/coordination/tokenbudget/ledger.go
@@ -20,8 +20,8 @@
 	Apply(ctx context.Context, shard uint32, key string, change register.Change) ([]byte, error)
 }
 
-// Settings are the bounds of a Ledger.
-type Settings struct {
+// LedgerSettings are the bounds of a Ledger.
+type LedgerSettings struct {
 	// IdleTime is how long a program may be without turns before its account is closed and
 	// its reserve released.
 	IdleTime time.Duration
@@ -37,8 +37,8 @@
 }
 
 // DefaultSettings releases a reserve about a second after the program's last turn.
-func DefaultSettings() Settings {
-	return Settings{
+func DefaultSettings() LedgerSettings {
+	return LedgerSettings{
 		IdleTime: 700 * time.Millisecond, ReleaseTimeout: 2 * time.Second,
 		ReleasePause: 300 * time.Millisecond, ReleaseTries: 10,
 		Draws: limit.DefaultAdaptivePolicy(), Crowd: limit.DefaultAdaptivePolicy(),
@@ -60,7 +60,7 @@
 	holder    string
 	registers Register
 	locate    func(program string) uint32
-	settings  Settings
+	settings  LedgerSettings
 	logger    *zap.Logger
 
 	// releaseSlots has a place for each release in progress.
@@ -81,7 +81,7 @@
 // NewLedger returns a ledger. Records keep its reserves under the holder's name, "node/incarnation",
 // which must be unique over all hosts and their restarts. A node must not run twice at the
 // same time.
-func NewLedger(holder string, registers Register, locate func(program string) uint32, settings Settings, now func() time.Time, logger *zap.Logger) *Ledger {
+func NewLedger(holder string, registers Register, locate func(program string) uint32, settings LedgerSettings, now func() time.Time, logger *zap.Logger) *Ledger {
 	return &Ledger{
 		holder: holder, registers: registers, locate: locate, settings: settings, logger: logger,
 		accounts: make(map[string]*account), releaseSlots: make(chan struct{}, maxConcurrentReleases),
