--- a/coordination/tokenbudget/host_test.go
+++ b/coordination/tokenbudget/host_test.go
@@ -225,7 +225,7 @@
 	transport, views := newNetwork(newSharedRegister(), 5)
 	hanging := &hangingRegister{sharedRegister: newSharedRegister(), served: "served"}
 	settings := tokenbudget.DefaultSettings()
-	settings.Draws = limit.AdaptivePolicy{Start: 2, Min: 2, Max: 2}
+	settings.AllChanges = limit.AdaptivePolicy{Start: 2, Min: 2, Max: 2}
 	fixed := time.Now()
 	clock := func() time.Time { return fixed }
 	host := tokenbudget.NewHost(tokenbudget.NewLedger("host", hanging, staticViews{}.Locate, settings, clock, zap.NewNop()), time.Now)
@@ -294,7 +294,7 @@
 	assert.NilError(t, client.Reserve(context.Background(), newReservation("t")))
 	first := transport.asked[0]
 	settings := tokenbudget.DefaultSettings()
-	settings.Draws = limit.AdaptivePolicy{Start: 1, Min: 1, Max: 1}
+	settings.AllChanges = limit.AdaptivePolicy{Start: 1, Min: 1, Max: 1}
 	hanging := &hangingRegister{}
 	transport.hosts[first] = tokenbudget.NewHost(tokenbudget.NewLedger("isolated", hanging, staticViews{}.Locate, settings, time.Now, zap.NewNop()), time.Now)
 	ctx, cancel := context.WithCancel(context.Background())
