--- a/coordination/conversation/reservation_test.go
+++ b/coordination/conversation/reservation_test.go
@@ -58,7 +58,7 @@
 	record := &memoryRegister{}
 	settings := tokenbudget.LedgerSettings{
 		IdleTime: time.Hour, ReleaseTimeout: time.Second, ReleasePause: time.Millisecond, ReleaseTries: 1,
-		AllChanges: limit.DefaultAdaptivePolicy(), Crowd: limit.DefaultAdaptivePolicy(),
+		AllChanges: limit.DefaultAdaptivePolicy(), LowPriorityChanges: limit.DefaultAdaptivePolicy(),
 	}
 	ledger := tokenbudget.NewLedger("host", record, func(string) uint32 { return 0 }, settings, time.Now, zap.NewNop())
 	budgets := &delayedEnds{host: tokenbudget.NewHost(ledger, time.Now)}
--- a/coordination/tokenbudget/ledger.go
+++ b/coordination/tokenbudget/ledger.go
@@ -32,8 +32,8 @@
 	ReleasePause   time.Duration
 	ReleaseTries   int
 	// AllChanges bounds all changes of records in progress, Crowd those of low priority.
-	AllChanges limit.AdaptivePolicy
-	Crowd      limit.AdaptivePolicy
+	AllChanges         limit.AdaptivePolicy
+	LowPriorityChanges limit.AdaptivePolicy
 }
 
 // DefaultSettings releases a reserve about a second after the program's last turn.
@@ -41,7 +41,7 @@
 	return LedgerSettings{
 		IdleTime: 700 * time.Millisecond, ReleaseTimeout: 2 * time.Second,
 		ReleasePause: 300 * time.Millisecond, ReleaseTries: 10,
-		AllChanges: limit.DefaultAdaptivePolicy(), Crowd: limit.DefaultAdaptivePolicy(),
+		AllChanges: limit.DefaultAdaptivePolicy(), LowPriorityChanges: limit.DefaultAdaptivePolicy(),
 	}
 }
 
@@ -85,7 +85,7 @@
 	return &Ledger{
 		holder: holder, registers: registers, locate: locate, settings: settings, logger: logger,
 		accounts: make(map[string]*account), releaseSlots: make(chan struct{}, maxConcurrentReleases),
-		admission: newAdmission(settings.AllChanges, settings.Crowd, now), now: now,
+		admission: newAdmission(settings.AllChanges, settings.LowPriorityChanges, now), now: now,
 	}
 }
 
