--- a/coordination/tokenbudget/ledger.go
+++ b/coordination/tokenbudget/ledger.go
@@ -28,9 +28,9 @@
 	// ReleaseTimeout bounds one attempt to release a reserve. ReleasePause follows the first
 	// failed attempt and doubles with each. ReleaseTries is the number of attempts. A
 	// reserve that can't be released stays charged to its program.
-	ReleaseTimeout time.Duration
-	ReleasePause   time.Duration
-	ReleaseTries   int
+	ReleaseTimeout     time.Duration
+	ReleasePause       time.Duration
+	MaxReleaseAttempts int
 	// AllChanges bounds all changes of records in progress, Crowd those of low priority.
 	AllChanges         limit.AdaptivePolicy
 	LowPriorityChanges limit.AdaptivePolicy
@@ -40,7 +40,7 @@
 func DefaultSettings() LedgerSettings {
 	return LedgerSettings{
 		IdleTime: 700 * time.Millisecond, ReleaseTimeout: 2 * time.Second,
-		ReleasePause: 300 * time.Millisecond, ReleaseTries: 10,
+		ReleasePause: 300 * time.Millisecond, MaxReleaseAttempts: 10,
 		AllChanges: limit.DefaultAdaptivePolicy(), LowPriorityChanges: limit.DefaultAdaptivePolicy(),
 	}
 }
@@ -248,7 +248,7 @@
 // release releases the account's reserve and removes the account, unless another turn uses it.
 func (l *Ledger) release(program string, current *account) {
 	pause := l.settings.ReleasePause
-	for range l.settings.ReleaseTries {
+	for range l.settings.MaxReleaseAttempts {
 		if !l.retire(program, current) {
 			return
 		}
