--- a/coordination/conversation/reservation_test.go
+++ b/coordination/conversation/reservation_test.go
@@ -57,7 +57,7 @@
 func TestLateEndKeepsNextAttempt(t *testing.T) {
 	record := &memoryRegister{}
 	settings := tokenbudget.LedgerSettings{
-		IdleTime: time.Hour, ReleaseTimeout: time.Second, ReleasePause: time.Millisecond, MaxReleaseAttempts: 1,
+		IdleTimeout: time.Hour, ReleaseTimeout: time.Second, ReleasePause: time.Millisecond, MaxReleaseAttempts: 1,
 		AllChanges: limit.DefaultAdaptivePolicy(), LowPriorityChanges: limit.DefaultAdaptivePolicy(),
 	}
 	ledger := tokenbudget.NewLedger("host", record, func(string) uint32 { return 0 }, settings, time.Now, zap.NewNop())
--- a/coordination/tokenbudget/host_test.go
+++ b/coordination/tokenbudget/host_test.go
@@ -263,7 +263,7 @@
 func TestRunningProgramsHavePriority(t *testing.T) {
 	hanging := &hangingRegister{sharedRegister: newSharedRegister(), served: "known"}
 	settings := tokenbudget.DefaultSettings()
-	settings.IdleTime = time.Hour
+	settings.IdleTimeout = time.Hour
 	settings.LowPriorityChanges = limit.AdaptivePolicy{Start: 2, Min: 2, Max: 2}
 	host := tokenbudget.NewHost(tokenbudget.NewLedger("host", hanging, staticViews{}.Locate, settings, time.Now, zap.NewNop()), time.Now)
 	ctx, cancel := context.WithCancel(context.Background())
--- a/coordination/tokenbudget/ledger.go
+++ b/coordination/tokenbudget/ledger.go
@@ -22,9 +22,9 @@
 
 // LedgerSettings are the bounds of a Ledger.
 type LedgerSettings struct {
-	// IdleTime is how long a program may be without turns before its account is closed and
+	// IdleTimeout is how long a program may be without turns before its account is closed and
 	// its reserve released.
-	IdleTime time.Duration
+	IdleTimeout time.Duration
 	// ReleaseTimeout bounds one attempt to release a reserve. ReleasePause follows the first
 	// failed attempt and doubles with each. ReleaseTries is the number of attempts. A
 	// reserve that can't be released stays charged to its program.
@@ -39,7 +39,7 @@
 // DefaultSettings releases a reserve about a second after the program's last turn.
 func DefaultSettings() LedgerSettings {
 	return LedgerSettings{
-		IdleTime: 700 * time.Millisecond, ReleaseTimeout: 2 * time.Second,
+		IdleTimeout: 700 * time.Millisecond, ReleaseTimeout: 2 * time.Second,
 		ReleasePause: 300 * time.Millisecond, MaxReleaseAttempts: 10,
 		AllChanges: limit.DefaultAdaptivePolicy(), LowPriorityChanges: limit.DefaultAdaptivePolicy(),
 	}
@@ -170,7 +170,7 @@
 	if current.users > 0 {
 		return
 	}
-	idle := l.settings.IdleTime
+	idle := l.settings.IdleTimeout
 	if l.flushing {
 		idle = 0
 	}
--- a/coordination/tokenbudget/ledger_test.go
+++ b/coordination/tokenbudget/ledger_test.go
@@ -72,7 +72,7 @@
 
 // newLedgerOver returns a ledger that releases reserves only when it is flushed.
 func newLedgerOver(holder string, registers tokenbudget.Register) *tokenbudget.Ledger {
-	settings := tokenbudget.LedgerSettings{IdleTime: time.Hour, ReleaseTimeout: time.Second, ReleasePause: time.Millisecond, MaxReleaseAttempts: 50, AllChanges: limit.DefaultAdaptivePolicy(), LowPriorityChanges: limit.DefaultAdaptivePolicy()}
+	settings := tokenbudget.LedgerSettings{IdleTimeout: time.Hour, ReleaseTimeout: time.Second, ReleasePause: time.Millisecond, MaxReleaseAttempts: 50, AllChanges: limit.DefaultAdaptivePolicy(), LowPriorityChanges: limit.DefaultAdaptivePolicy()}
 	return tokenbudget.NewLedger(holder, registers, func(string) uint32 { return 0 }, settings, time.Now, zap.NewNop())
 }
 
@@ -134,7 +134,7 @@
 // the record can't be reached at first.
 func TestIdleReserveIsReleased(t *testing.T) {
 	shared := newSharedRegister()
-	settings := tokenbudget.LedgerSettings{IdleTime: time.Millisecond, ReleaseTimeout: time.Second, ReleasePause: time.Millisecond, MaxReleaseAttempts: 50, AllChanges: limit.DefaultAdaptivePolicy(), LowPriorityChanges: limit.DefaultAdaptivePolicy()}
+	settings := tokenbudget.LedgerSettings{IdleTimeout: time.Millisecond, ReleaseTimeout: time.Second, ReleasePause: time.Millisecond, MaxReleaseAttempts: 50, AllChanges: limit.DefaultAdaptivePolicy(), LowPriorityChanges: limit.DefaultAdaptivePolicy()}
 	ledger := tokenbudget.NewLedger("host", shared, func(string) uint32 { return 0 }, settings, time.Now, zap.NewNop())
 	assert.NilError(t, ledger.Reserve(context.Background(), tokenbudget.Reservation{Program: "p", Limit: 10_000, Most: 100}))
 	assert.Equal(t, shared.committed(t, "p"), uint64(400), "one turn and three turns ahead")
@@ -204,7 +204,7 @@
 // progress at the same time.
 func TestConcurrentReleasesAreBounded(t *testing.T) {
 	failing := &failingRegister{}
-	settings := tokenbudget.LedgerSettings{IdleTime: time.Millisecond, ReleaseTimeout: time.Second, ReleasePause: time.Millisecond, MaxReleaseAttempts: 3}
+	settings := tokenbudget.LedgerSettings{IdleTimeout: time.Millisecond, ReleaseTimeout: time.Second, ReleasePause: time.Millisecond, MaxReleaseAttempts: 3}
 	settings.AllChanges = limit.AdaptivePolicy{Start: 1000, Min: 1000, Max: 1000}
 	settings.LowPriorityChanges = settings.AllChanges
 	ledger := tokenbudget.NewLedger("host", failing, func(string) uint32 { return 0 }, settings, time.Now, zap.NewNop())
