--- a/coordination/tokenbudget/host.go
+++ b/coordination/tokenbudget/host.go
@@ -29,8 +29,8 @@
 	Name string
 	// Limit is the budget of the whole program, in tokens.
 	Limit uint64
-	// Most is the most that the turn may generate, in tokens.
-	Most uint64
+	// MaxTokens is the most that the turn may generate, in tokens.
+	MaxTokens uint64
 	// Lifetime bounds the duration of the turn.
 	Lifetime time.Duration
 	// Running is set if the gateway knows that the program had earlier turns. The host may
@@ -123,7 +123,7 @@
 		return nil, false, errEndedBeforeGrant
 	}
 	pending = &hostReservation{
-		program: reservation.Program, most: reservation.Most, expires: h.now().Add(reservation.Lifetime), done: make(chan struct{}),
+		program: reservation.Program, most: reservation.MaxTokens, expires: h.now().Add(reservation.Lifetime), done: make(chan struct{}),
 	}
 	h.reservations[reservation.Name] = pending
 	return pending, false, nil
--- a/coordination/tokenbudget/ledger.go
+++ b/coordination/tokenbudget/ledger.go
@@ -185,7 +185,7 @@
 		return ctx.Err()
 	}
 	defer func() { <-current.drawLock }()
-	if l.takeReserved(current, reservation.Most) {
+	if l.takeReserved(current, reservation.MaxTokens) {
 		return nil
 	}
 	return l.draw(ctx, current, reservation)
@@ -205,7 +205,7 @@
 // meanwhile, but none begins.
 func (l *Ledger) draw(ctx context.Context, current *account, reservation Reservation) error {
 	l.mutex.Lock()
-	request := budget.Draw{Holder: current.holder, Spent: current.spent, UnderWay: current.underWay, Turn: reservation.Most}
+	request := budget.Draw{Holder: current.holder, Spent: current.spent, UnderWay: current.underWay, Turn: reservation.MaxTokens}
 	l.mutex.Unlock()
 	record, err := l.apply(ctx, reservation.Program, l.admission.priorityOf(reservation), func(record *statev1.TokenBudget) {
 		budget.SettleEnded(record, l.isEarlierIncarnation)
@@ -225,11 +225,11 @@
 	current.reserved = granted - min(granted, current.spent-request.Spent)
 	if refusal != nil {
 		l.logger.Info("budget refused", zap.String("program", reservation.Program), zap.String("reservation", reservation.Name),
-			zap.Uint64("most", reservation.Most), zap.Uint64("under_way", current.underWay),
+			zap.Uint64("most", reservation.MaxTokens), zap.Uint64("under_way", current.underWay),
 			zap.String("record", budget.Standing(record)), zap.Error(refusal))
 		return refusal
 	}
-	current.underWay += reservation.Most
+	current.underWay += reservation.MaxTokens
 	return nil
 }
 
