--- a/coordination/register/stored_test.go
+++ b/coordination/register/stored_test.go
@@ -152,7 +152,7 @@
 func writeTokenBudget(t *testing.T, n *storageNode) {
 	t.Helper()
 	ledger := tokenbudget.NewLedger(storedIncarnation, n.client, n.views.Locate, tokenbudget.DefaultSettings(), time.Now, zap.NewNop())
-	assert.NilError(t, ledger.Reserve(t.Context(), tokenbudget.Reservation{Program: "conversation", Limit: 5000, MaxTokens: 100}))
+	assert.NilError(t, ledger.Reserve(t.Context(), tokenbudget.Reservation{Program: "conversation", ProgramLimit: 5000, MaxTokens: 100}))
 }
 
 func writeQuotaHolder(t *testing.T, n *storageNode) {
--- a/coordination/tokenbudget/flush_test.go
+++ b/coordination/tokenbudget/flush_test.go
@@ -24,7 +24,7 @@
 	bubble.Test(t, func(t *testing.T) {
 		shared := newSharedRegister()
 		ledger := newLedger("a", shared)
-		reservation := tokenbudget.Reservation{Program: "p", Limit: 1000, MaxTokens: 100}
+		reservation := tokenbudget.Reservation{Program: "p", ProgramLimit: 1000, MaxTokens: 100}
 		assert.NilError(t, ledger.Reserve(t.Context(), reservation))
 		assert.Equal(t, shared.committed(t, "p"), uint64(300))
 		time.AfterFunc(100*time.Millisecond, func() { ledger.End("p", 100, 40) })
@@ -41,7 +41,7 @@
 	bubble.Test(t, func(t *testing.T) {
 		shared := newSharedRegister()
 		ledger := newLedger("a", shared)
-		reservation := tokenbudget.Reservation{Program: "p", Limit: 1000, MaxTokens: 100}
+		reservation := tokenbudget.Reservation{Program: "p", ProgramLimit: 1000, MaxTokens: 100}
 		assert.NilError(t, ledger.Reserve(t.Context(), reservation))
 		flushWithin(t, ledger)
 		assert.Equal(t, shared.committed(t, "p"), uint64(100))
@@ -53,6 +53,6 @@
 	shared := newSharedRegister()
 	ledger := newLedger("a", shared)
 	ledger.Flush(t.Context())
-	assert.Assert(t, ledger.Reserve(t.Context(), tokenbudget.Reservation{Program: "p", Limit: 1000, MaxTokens: 100}) != nil)
+	assert.Assert(t, ledger.Reserve(t.Context(), tokenbudget.Reservation{Program: "p", ProgramLimit: 1000, MaxTokens: 100}) != nil)
 	assert.Equal(t, shared.committed(t, "p"), uint64(0))
 }
--- a/coordination/tokenbudget/host.go
+++ b/coordination/tokenbudget/host.go
@@ -27,8 +27,8 @@
 	// Name identifies the reservation. It is unique over all turns and all attempts at them,
 	// so that the end of one attempt isn't taken for the end of another.
 	Name string
-	// Limit is the budget of the whole program, in tokens.
-	Limit uint64
+	// ProgramLimit is the budget of the whole program, in tokens.
+	ProgramLimit uint64
 	// MaxTokens is the most that the turn may generate, in tokens.
 	MaxTokens uint64
 	// Lifetime bounds the duration of the turn.
--- a/coordination/tokenbudget/host_test.go
+++ b/coordination/tokenbudget/host_test.go
@@ -99,7 +99,7 @@
 }
 
 func newReservation(id string) tokenbudget.Reservation {
-	return tokenbudget.Reservation{Program: "p", Name: id, Limit: 1000, MaxTokens: 100, Lifetime: time.Minute}
+	return tokenbudget.Reservation{Program: "p", Name: id, ProgramLimit: 1000, MaxTokens: 100, Lifetime: time.Minute}
 }
 
 // TestClientsAskTheSameHost: clients ask the same host for a program while it answers.
@@ -236,7 +236,7 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	assert.NilError(t, host.Reserve(ctx, tokenbudget.Reservation{Program: "served", Name: "s", Limit: 10, MaxTokens: 1}))
+	assert.NilError(t, host.Reserve(ctx, tokenbudget.Reservation{Program: "served", Name: "s", ProgramLimit: 10, MaxTokens: 1}))
 	for i := range 2 {
 		reservation := newReservation(fmt.Sprint("t", i))
 		reservation.Program = fmt.Sprint("p", i)
@@ -270,7 +270,7 @@
 	defer cancel()
 	reserve := func(program, turn string, isRunning bool) error {
 		return host.Reserve(ctx, tokenbudget.Reservation{
-			Program: program, Name: turn, Limit: 40, MaxTokens: 10, Lifetime: time.Minute, Running: isRunning,
+			Program: program, Name: turn, ProgramLimit: 40, MaxTokens: 10, Lifetime: time.Minute, Running: isRunning,
 		})
 	}
 	assert.NilError(t, reserve("known", "k0", false))
@@ -310,7 +310,7 @@
 	transport, views := newNetwork(newSharedRegister(), 3)
 	client := newClient(transport, views)
 	reservation := newReservation("t")
-	reservation.Limit, reservation.MaxTokens = 50, 50
+	reservation.ProgramLimit, reservation.MaxTokens = 50, 50
 	assert.NilError(t, client.Reserve(context.Background(), reservation))
 	client.End(tokenbudget.Ended{Program: "p", Reservation: "t", HandedOut: 50})
 	client.Flush(context.Background())
@@ -327,7 +327,7 @@
 	transport, views := newNetwork(shared, 1)
 	client := newClient(transport, views)
 	reservation := newReservation("t")
-	reservation.Limit = 100
+	reservation.ProgramLimit = 100
 	assert.NilError(t, client.Reserve(context.Background(), reservation))
 	client.End(tokenbudget.Ended{Program: "p", Reservation: "t", HandedOut: 10})
 	reservation.Name = "u"
@@ -353,7 +353,7 @@
 	defer cancel()
 	go func() { _ = host.Serve(ctx) }()
 	reservation := newReservation("t")
-	reservation.Limit = 100
+	reservation.ProgramLimit = 100
 	assert.NilError(t, host.Reserve(ctx, reservation))
 	assert.NilError(t, host.Reserve(ctx, reservation), "a repeated reservation is the same turn")
 	mutex.Lock()
--- a/coordination/tokenbudget/ledger.go
+++ b/coordination/tokenbudget/ledger.go
@@ -210,7 +210,7 @@
 	record, err := l.apply(ctx, reservation.Program, l.admission.priorityOf(reservation), func(record *statev1.TokenBudget) {
 		budget.SettleEnded(record, l.isEarlierIncarnation)
 		// The decision is read from the record that the register chose.
-		_ = budget.Reserve(record, reservation.Limit, request)
+		_ = budget.Reserve(record, reservation.ProgramLimit, request)
 	})
 	if errors.Is(err, register.ErrUnknownOutcome) {
 		l.keepGuaranteed(current, request)
--- a/coordination/tokenbudget/ledger_test.go
+++ b/coordination/tokenbudget/ledger_test.go
@@ -79,11 +79,11 @@
 func Example() {
 	ledger := newLedger("host", newSharedRegister())
 	ctx := context.Background()
-	fmt.Println(ledger.Reserve(ctx, tokenbudget.Reservation{Program: "program", Limit: 100, MaxTokens: 60}))
+	fmt.Println(ledger.Reserve(ctx, tokenbudget.Reservation{Program: "program", ProgramLimit: 100, MaxTokens: 60}))
 	ledger.End("program", 60, 60)
-	fmt.Println(ledger.Reserve(ctx, tokenbudget.Reservation{Program: "program", Limit: 100, MaxTokens: 60}))
+	fmt.Println(ledger.Reserve(ctx, tokenbudget.Reservation{Program: "program", ProgramLimit: 100, MaxTokens: 60}))
 	ledger.End("program", 60, 60)
-	fmt.Println(ledger.Reserve(ctx, tokenbudget.Reservation{Program: "program", Limit: 100, MaxTokens: 60}))
+	fmt.Println(ledger.Reserve(ctx, tokenbudget.Reservation{Program: "program", ProgramLimit: 100, MaxTokens: 60}))
 	// Output:
 	// <nil>
 	// <nil>
@@ -104,7 +104,7 @@
 			index := rapid.IntRange(0, len(hosts)-1).Draw(t, "host")
 			switch rapid.IntRange(0, 5).Draw(t, "action") {
 			case 0, 1:
-				if hosts[index].Reserve(context.Background(), tokenbudget.Reservation{Program: "p", Limit: limit, MaxTokens: most}) == nil {
+				if hosts[index].Reserve(context.Background(), tokenbudget.Reservation{Program: "p", ProgramLimit: limit, MaxTokens: most}) == nil {
 					underWay[index]++
 				}
 			case 2, 3:
@@ -136,7 +136,7 @@
 	shared := newSharedRegister()
 	settings := tokenbudget.LedgerSettings{IdleTimeout: time.Millisecond, ReleaseTimeout: time.Second, ReleasePause: time.Millisecond, MaxReleaseAttempts: 50, AllChanges: limit.DefaultAdaptivePolicy(), LowPriorityChanges: limit.DefaultAdaptivePolicy()}
 	ledger := tokenbudget.NewLedger("host", shared, func(string) uint32 { return 0 }, settings, time.Now, zap.NewNop())
-	assert.NilError(t, ledger.Reserve(context.Background(), tokenbudget.Reservation{Program: "p", Limit: 10_000, MaxTokens: 100}))
+	assert.NilError(t, ledger.Reserve(context.Background(), tokenbudget.Reservation{Program: "p", ProgramLimit: 10_000, MaxTokens: 100}))
 	assert.Equal(t, shared.committed(t, "p"), uint64(400), "one turn and three turns ahead")
 	shared.mutex.Lock()
 	shared.fail = 3
@@ -152,7 +152,7 @@
 func TestFlush(t *testing.T) {
 	shared := newSharedRegister()
 	ledger := newLedger("host", shared)
-	assert.NilError(t, ledger.Reserve(context.Background(), tokenbudget.Reservation{Program: "p", Limit: 10_000, MaxTokens: 100}))
+	assert.NilError(t, ledger.Reserve(context.Background(), tokenbudget.Reservation{Program: "p", ProgramLimit: 10_000, MaxTokens: 100}))
 	ledger.End("p", 100, 100)
 	ledger.Flush(context.Background())
 	assert.Equal(t, shared.committed(t, "p"), uint64(100))
@@ -163,7 +163,7 @@
 	shared := newSharedRegister()
 	ledger := newLedger("host", shared)
 	for range 12 {
-		assert.NilError(t, ledger.Reserve(context.Background(), tokenbudget.Reservation{Program: "p", Limit: 100_000, MaxTokens: 500}))
+		assert.NilError(t, ledger.Reserve(context.Background(), tokenbudget.Reservation{Program: "p", ProgramLimit: 100_000, MaxTokens: 500}))
 		ledger.End("p", 500, 250)
 	}
 	assert.Assert(t, shared.changes <= 3, "%d changes for 12 turns", shared.changes)
@@ -173,11 +173,11 @@
 func TestReservedElsewhere(t *testing.T) {
 	shared := newSharedRegister()
 	first, second := newLedger("a", shared), newLedger("b", shared)
-	assert.NilError(t, first.Reserve(context.Background(), tokenbudget.Reservation{Program: "p", Limit: 100, MaxTokens: 100}))
-	assert.ErrorIs(t, second.Reserve(context.Background(), tokenbudget.Reservation{Program: "p", Limit: 100, MaxTokens: 100}), budget.ErrReserved)
+	assert.NilError(t, first.Reserve(context.Background(), tokenbudget.Reservation{Program: "p", ProgramLimit: 100, MaxTokens: 100}))
+	assert.ErrorIs(t, second.Reserve(context.Background(), tokenbudget.Reservation{Program: "p", ProgramLimit: 100, MaxTokens: 100}), budget.ErrReserved)
 	first.End("p", 100, 100)
 	first.Flush(context.Background())
-	assert.ErrorIs(t, second.Reserve(context.Background(), tokenbudget.Reservation{Program: "p", Limit: 100, MaxTokens: 100}), budget.ErrSpent)
+	assert.ErrorIs(t, second.Reserve(context.Background(), tokenbudget.Reservation{Program: "p", ProgramLimit: 100, MaxTokens: 100}), budget.ErrSpent)
 }
 
 // failingRegister fails each change after a pause.
@@ -210,7 +210,7 @@
 	ledger := tokenbudget.NewLedger("host", failing, func(string) uint32 { return 0 }, settings, time.Now, zap.NewNop())
 	const programs = 200
 	for index := range programs {
-		_ = ledger.Reserve(context.Background(), tokenbudget.Reservation{Program: fmt.Sprint(index), Limit: 100, MaxTokens: 10})
+		_ = ledger.Reserve(context.Background(), tokenbudget.Reservation{Program: fmt.Sprint(index), ProgramLimit: 100, MaxTokens: 10})
 	}
 	harness.Eventually(t, func() (bool, string) {
 		failing.mutex.Lock()
--- a/coordination/tokenbudget/overload_test.go
+++ b/coordination/tokenbudget/overload_test.go
@@ -84,7 +84,7 @@
 	for attempt := range maxTurnAttempts {
 		client := l.gateways[random.IntN(len(l.gateways))]
 		reservation := tokenbudget.Reservation{
-			Program: program, Name: fmt.Sprint(id, "/", attempt), Limit: 1200, MaxTokens: 100, Lifetime: 10 * time.Second,
+			Program: program, Name: fmt.Sprint(id, "/", attempt), ProgramLimit: 1200, MaxTokens: 100, Lifetime: 10 * time.Second,
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		err := client.Reserve(ctx, reservation)
--- a/coordination/tokenbudget/reserved_elsewhere_test.go
+++ b/coordination/tokenbudget/reserved_elsewhere_test.go
@@ -22,7 +22,7 @@
 	ledger := newLedger("a", shared)
 	first, second := tokenbudget.NewHost(ledger, clock), tokenbudget.NewHost(newLedger("b", shared), clock)
 	reservation := newReservation("t1")
-	reservation.Limit = 100
+	reservation.ProgramLimit = 100
 	assert.NilError(t, first.Reserve(t.Context(), reservation))
 	reservation.Name = "t2"
 	for _, passed := range []time.Duration{0, 1600 * time.Millisecond, time.Minute} {
@@ -64,7 +64,7 @@
 	transport, views := newNetwork(newSharedRegister(), 3)
 	client := newClient(transport, views)
 	reservation := newReservation("t1")
-	reservation.Limit = 100
+	reservation.ProgramLimit = 100
 	assert.NilError(t, client.Reserve(t.Context(), reservation))
 	transport.down[transport.asked[0]] = true
 	reservation.Name = "t2"
@@ -78,7 +78,7 @@
 func TestReserveOfEarlierIncarnationIsSpent(t *testing.T) {
 	shared := newSharedRegister()
 	reservation := newReservation("t1")
-	reservation.Limit = 100
+	reservation.ProgramLimit = 100
 	assert.NilError(t, newLedger("rack/a/1", shared).Reserve(t.Context(), reservation))
 	for _, other := range []string{"a/2", "rack/b/1", "rack/a/1/x", "1"} {
 		assert.ErrorIs(t, newLedger(other, shared).Reserve(t.Context(), reservation), budget.ErrReserved, other)
@@ -93,7 +93,7 @@
 	shared := newSharedRegister()
 	transport, views := newNetwork(shared, 3)
 	reservation := newReservation("t1")
-	reservation.Limit = 100
+	reservation.ProgramLimit = 100
 	tracker := reach.New(time.Now)
 	client := tokenbudget.NewClient(transport, views, tracker, time.Now, zap.NewNop())
 	name := func(address string, incarnation int) string { return fmt.Sprint(address, "/", incarnation) }
--- a/coordination/tokenbudget/uncertain_outcome_test.go
+++ b/coordination/tokenbudget/uncertain_outcome_test.go
@@ -38,7 +38,7 @@
 		assert.NilError(t, err)
 		return encoded
 	}
-	reservation := tokenbudget.Reservation{Program: "p", Limit: 100, MaxTokens: 100}
+	reservation := tokenbudget.Reservation{Program: "p", ProgramLimit: 100, MaxTokens: 100}
 
 	refused := newLedgerOver("a", &retryingRegister{first: encode(100), second: encode(0)})
 	assert.ErrorIs(t, refused.Reserve(t.Context(), reservation), budget.ErrSpent)
@@ -67,10 +67,10 @@
 	shared := newSharedRegister()
 	lossy := &lossyRegister{sharedRegister: shared}
 	first, second := newLedgerOver("a", lossy), newLedger("b", shared)
-	reservation := tokenbudget.Reservation{Program: "p", Limit: 1000, MaxTokens: 100}
+	reservation := tokenbudget.Reservation{Program: "p", ProgramLimit: 1000, MaxTokens: 100}
 	assert.NilError(t, first.Reserve(t.Context(), reservation))
 	first.End("p", 100, 40)
-	other := tokenbudget.Reservation{Program: "p", Limit: 1000, MaxTokens: 960}
+	other := tokenbudget.Reservation{Program: "p", ProgramLimit: 1000, MaxTokens: 960}
 	assert.NilError(t, second.Reserve(t.Context(), other))
 	assert.Equal(t, shared.committed(t, "p"), uint64(1260))
 
--- a/transport/peer/budget.go
+++ b/transport/peer/budget.go
@@ -26,7 +26,7 @@
 func (s *budgetServer) reserve(ctx context.Context, message *peerv1.ReserveTokensRequest) *peerv1.ReserveTokensResponse {
 	s.host.End(endedFromWire(message.GetEnded()))
 	err := s.host.Reserve(ctx, tokenbudget.Reservation{
-		Program: message.GetProgram(), Name: message.GetTurn(), Limit: message.GetLimit(), MaxTokens: message.GetMost(),
+		Program: message.GetProgram(), Name: message.GetTurn(), ProgramLimit: message.GetLimit(), MaxTokens: message.GetMost(),
 		Lifetime: time.Duration(message.GetLifetimeMs()) * time.Millisecond, Running: message.GetRunning(),
 	})
 	response := &peerv1.ReserveTokensResponse{Verdict: verdictFromError(err)}
@@ -69,7 +69,7 @@
 // Reserve implements tokenbudget.Hosts.
 func (b BudgetClient) Reserve(ctx context.Context, address string, reservation tokenbudget.Reservation, ended []tokenbudget.Ended) error {
 	answer, err := b.client.call(ctx, address, &peerv1.Call{Request: &peerv1.Call_ReserveTokens{ReserveTokens: &peerv1.ReserveTokensRequest{
-		Program: reservation.Program, Turn: reservation.Name, Limit: reservation.Limit, Most: reservation.MaxTokens,
+		Program: reservation.Program, Turn: reservation.Name, Limit: reservation.ProgramLimit, Most: reservation.MaxTokens,
 		LifetimeMs: reservation.Lifetime.Milliseconds(), Ended: endedToWire(ended), Running: reservation.Running,
 	}}})
 	if err != nil {
