--- a/coordination/conversation/conversation.go
+++ b/coordination/conversation/conversation.go
@@ -166,7 +166,7 @@
 	name := t.service.reservationName(t.request.ID)
 	err := t.service.budgets.Reserve(ctx, tokenbudget.Reservation{
 		Program: t.request.Program, Name: name, ProgramLimit: t.request.Budget,
-		MaxTokens: t.request.Most, Lifetime: t.request.Timeout, Running: t.request.Previous != "",
+		MaxTokens: t.request.Most, Lifetime: t.request.Timeout, ProgramRunning: t.request.Previous != "",
 	})
 	switch {
 	case errors.Is(err, budget.ErrSpent):
--- a/coordination/tokenbudget/admission.go
+++ b/coordination/tokenbudget/admission.go
@@ -72,7 +72,7 @@
 func (a *admission) priorityOf(reservation Reservation) priority {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	if reservation.Running || a.runningPrograms.Has(reservation.Program) {
+	if reservation.ProgramRunning || a.runningPrograms.Has(reservation.Program) {
 		return highPriority
 	}
 	return lowPriority
--- a/coordination/tokenbudget/host.go
+++ b/coordination/tokenbudget/host.go
@@ -33,9 +33,9 @@
 	MaxTokens uint64
 	// Lifetime bounds the duration of the turn.
 	Lifetime time.Duration
-	// Running is set if the gateway knows that the program had earlier turns. The host may
+	// ProgramRunning is set if the gateway knows that the program had earlier turns. The host may
 	// know of others.
-	Running bool
+	ProgramRunning bool
 }
 
 // Ended reports that the turn of a reservation generates no more tokens.
--- a/coordination/tokenbudget/host_test.go
+++ b/coordination/tokenbudget/host_test.go
@@ -270,7 +270,7 @@
 	defer cancel()
 	reserve := func(program, turn string, isRunning bool) error {
 		return host.Reserve(ctx, tokenbudget.Reservation{
-			Program: program, Name: turn, ProgramLimit: 40, MaxTokens: 10, Lifetime: time.Minute, Running: isRunning,
+			Program: program, Name: turn, ProgramLimit: 40, MaxTokens: 10, Lifetime: time.Minute, ProgramRunning: isRunning,
 		})
 	}
 	assert.NilError(t, reserve("known", "k0", false))
--- a/transport/peer/budget.go
+++ b/transport/peer/budget.go
@@ -27,7 +27,7 @@
 	s.host.End(endedFromWire(message.GetEnded()))
 	err := s.host.Reserve(ctx, tokenbudget.Reservation{
 		Program: message.GetProgram(), Name: message.GetTurn(), ProgramLimit: message.GetLimit(), MaxTokens: message.GetMost(),
-		Lifetime: time.Duration(message.GetLifetimeMs()) * time.Millisecond, Running: message.GetRunning(),
+		Lifetime: time.Duration(message.GetLifetimeMs()) * time.Millisecond, ProgramRunning: message.GetRunning(),
 	})
 	response := &peerv1.ReserveTokensResponse{Verdict: verdictFromError(err)}
 	if err != nil {
@@ -70,7 +70,7 @@
 func (b BudgetClient) Reserve(ctx context.Context, address string, reservation tokenbudget.Reservation, ended []tokenbudget.Ended) error {
 	answer, err := b.client.call(ctx, address, &peerv1.Call{Request: &peerv1.Call_ReserveTokens{ReserveTokens: &peerv1.ReserveTokensRequest{
 		Program: reservation.Program, Turn: reservation.Name, Limit: reservation.ProgramLimit, Most: reservation.MaxTokens,
-		LifetimeMs: reservation.Lifetime.Milliseconds(), Ended: endedToWire(ended), Running: reservation.Running,
+		LifetimeMs: reservation.Lifetime.Milliseconds(), Ended: endedToWire(ended), Running: reservation.ProgramRunning,
 	}}})
 	if err != nil {
 		return err
