--- a/coordination/conversation/budget_simulation_test.go
+++ b/coordination/conversation/budget_simulation_test.go
@@ -146,7 +146,7 @@
 
 // Reserve implements tokenbudget.Hosts. The host continues with an abandoned request until
 // it learns of that, which takes as long as any message.
-func (s *simulation) Reserve(ctx context.Context, address string, wanted tokenbudget.Reservation, ended []tokenbudget.Ended) error {
+func (s *simulation) Reserve(ctx context.Context, address string, wanted tokenbudget.Reservation, ended []tokenbudget.EndedTurn) error {
 	answer := make(chan error, 1)
 	serving, stop := context.WithCancel(context.Background())
 	requestDelay, answerDelay, cancelDelay := s.delay(), s.delay(), s.delay()
@@ -168,7 +168,7 @@
 }
 
 // End implements tokenbudget.Hosts.
-func (s *simulation) End(ctx context.Context, address string, ended []tokenbudget.Ended) error {
+func (s *simulation) End(ctx context.Context, address string, ended []tokenbudget.EndedTurn) error {
 	answer := make(chan struct{})
 	requestDelay := s.delay()
 	go func() {
--- a/coordination/conversation/conversation.go
+++ b/coordination/conversation/conversation.go
@@ -30,7 +30,7 @@
 // Budgets counts tokens. tokenbudget.Client implements it.
 type Budgets interface {
 	Reserve(ctx context.Context, wanted tokenbudget.Reservation) error
-	End(ended tokenbudget.Ended)
+	End(ended tokenbudget.EndedTurn)
 }
 
 const (
@@ -236,7 +236,7 @@
 	if t.reservation == "" {
 		return
 	}
-	t.service.budgets.End(tokenbudget.Ended{
+	t.service.budgets.End(tokenbudget.EndedTurn{
 		Program: t.request.Program, Reservation: t.reservation, HandedOut: t.events * t.request.TokensPerEvent,
 	})
 	t.reservation = ""
--- a/coordination/conversation/reservation_test.go
+++ b/coordination/conversation/reservation_test.go
@@ -31,7 +31,7 @@
 type delayedEnds struct {
 	host      *tokenbudget.Host
 	grantLost bool
-	pending   []tokenbudget.Ended
+	pending   []tokenbudget.EndedTurn
 }
 
 func (d *delayedEnds) Reserve(ctx context.Context, wanted tokenbudget.Reservation) error {
@@ -39,13 +39,13 @@
 	if !d.grantLost {
 		d.grantLost = true
 		// The gateway gives up on the host, which is told later that the attempt has ended.
-		d.pending = append(d.pending, tokenbudget.Ended{Program: wanted.Program, Reservation: wanted.Name})
+		d.pending = append(d.pending, tokenbudget.EndedTurn{Program: wanted.Program, Reservation: wanted.Name})
 		return tokenbudget.ErrUnavailable
 	}
 	return err
 }
 
-func (d *delayedEnds) End(ended tokenbudget.Ended) { d.pending = append(d.pending, ended) }
+func (d *delayedEnds) End(ended tokenbudget.EndedTurn) { d.pending = append(d.pending, ended) }
 
 func (d *delayedEnds) deliver() {
 	d.host.End(d.pending)
--- a/coordination/tokenbudget/client.go
+++ b/coordination/tokenbudget/client.go
@@ -26,8 +26,8 @@
 // host's decision, or an error after which it is unknown whether the host reserved
 // anything.
 type Hosts interface {
-	Reserve(ctx context.Context, address string, reservation Reservation, ended []Ended) error
-	End(ctx context.Context, address string, ended []Ended) error
+	Reserve(ctx context.Context, address string, reservation Reservation, ended []EndedTurn) error
+	End(ctx context.Context, address string, ended []EndedTurn) error
 }
 
 // Views provides the replica sets of shards and the shard of each program.
@@ -63,7 +63,7 @@
 	// grantedBy maps the reservations in progress to the addresses of their hosts.
 	grantedBy map[string]string
 	// pendingEnds holds, by address, the ended turns that their hosts don't know of yet.
-	pendingEnds map[string][]Ended
+	pendingEnds map[string][]EndedTurn
 	// breakers holds the circuit breakers by shard.
 	breakers map[uint32]*circuitBreaker
 }
@@ -73,7 +73,7 @@
 func NewClient(hosts Hosts, views Views, tracker *reach.Tracker, now func() time.Time, logger *zap.Logger) *Client {
 	return &Client{
 		hosts: hosts, views: views, tracker: tracker, now: now, logger: logger,
-		grantedBy: make(map[string]string), pendingEnds: make(map[string][]Ended),
+		grantedBy: make(map[string]string), pendingEnds: make(map[string][]EndedTurn),
 		breakers: make(map[uint32]*circuitBreaker),
 	}
 }
@@ -181,7 +181,7 @@
 		zap.String("reservation", reservation.Name), zap.Error(err))
 	// The host may have reserved the tokens without having recorded the ended turns, so
 	// both are reported again.
-	c.queueEnds(address, append(reported, Ended{Program: reservation.Program, Reservation: reservation.Name}))
+	c.queueEnds(address, append(reported, EndedTurn{Program: reservation.Program, Reservation: reservation.Name}))
 	return err
 }
 
@@ -202,19 +202,19 @@
 
 // End reports to the turn's host how many tokens the turn handed out. It doesn't wait for
 // the host.
-func (c *Client) End(ended Ended) {
+func (c *Client) End(ended EndedTurn) {
 	c.mutex.Lock()
 	address, found := c.grantedBy[ended.Reservation]
 	delete(c.grantedBy, ended.Reservation)
 	c.mutex.Unlock()
 	if found {
-		c.queueEnds(address, []Ended{ended})
+		c.queueEnds(address, []EndedTurn{ended})
 	}
 }
 
 // queueEnds keeps ended turns for the next reservation at their host, or sends them in a
 // request of their own after endReportDelay.
-func (c *Client) queueEnds(address string, ended []Ended) {
+func (c *Client) queueEnds(address string, ended []EndedTurn) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	waiting := len(c.pendingEnds[address]) > 0
@@ -225,7 +225,7 @@
 }
 
 // takePendingEnds returns and forgets the pending ended turns of a host.
-func (c *Client) takePendingEnds(address string) []Ended {
+func (c *Client) takePendingEnds(address string) []EndedTurn {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	ended := c.pendingEnds[address]
@@ -255,7 +255,7 @@
 func (c *Client) Flush(ctx context.Context) {
 	c.mutex.Lock()
 	pending := c.pendingEnds
-	c.pendingEnds = make(map[string][]Ended)
+	c.pendingEnds = make(map[string][]EndedTurn)
 	c.mutex.Unlock()
 	for address, ended := range pending {
 		if err := c.hosts.End(ctx, address, ended); err != nil {
--- a/coordination/tokenbudget/early_end_test.go
+++ b/coordination/tokenbudget/early_end_test.go
@@ -43,7 +43,7 @@
 	go func() { answered <- host.Reserve(ctx, newReservation("t")) }()
 	<-blocking.started
 	cancel()
-	host.End([]tokenbudget.Ended{{Program: "p", Reservation: "t"}})
+	host.End([]tokenbudget.EndedTurn{{Program: "p", Reservation: "t"}})
 	repeated := make(chan error)
 	go func() { repeated <- host.Reserve(t.Context(), newReservation("t")) }()
 	blocking.resume <- struct{}{}
@@ -66,7 +66,7 @@
 func TestReservationAfterItsEndIsRefused(t *testing.T) {
 	shared := newSharedRegister()
 	host, _ := newHost(shared)
-	host.End([]tokenbudget.Ended{{Program: "p", Reservation: "new"}, {Program: "p", Reservation: "old", MayRecur: true}})
+	host.End([]tokenbudget.EndedTurn{{Program: "p", Reservation: "new"}, {Program: "p", Reservation: "old", MayRecur: true}})
 	assert.Assert(t, host.Reserve(t.Context(), newReservation("new")) != nil)
 	assert.Equal(t, shared.committed(t, "p"), uint64(0))
 	assert.NilError(t, host.Reserve(t.Context(), newReservation("old")))
--- a/coordination/tokenbudget/host.go
+++ b/coordination/tokenbudget/host.go
@@ -38,8 +38,8 @@
 	ProgramRunning bool
 }
 
-// Ended reports that the turn of a reservation generates no more tokens.
-type Ended struct {
+// EndedTurn reports that the turn of a reservation generates no more tokens.
+type EndedTurn struct {
 	Program string
 	// Reservation is the name of the reservation.
 	Reservation string
@@ -161,7 +161,7 @@
 
 // End counts the tokens that turns have handed out. A pending reservation won't be granted
 // any more. An unknown one was refused, has ended before, or hasn't arrived yet.
-func (h *Host) End(ended []Ended) {
+func (h *Host) End(ended []EndedTurn) {
 	for _, end := range ended {
 		if granted := h.removeGranted(end); granted != nil {
 			h.ledger.End(granted.program, granted.most, end.HandedOut)
@@ -171,7 +171,7 @@
 
 // removeGranted removes the reservation and returns it if it was granted. Otherwise it
 // records the early end and returns nil.
-func (h *Host) removeGranted(ended Ended) (granted *hostReservation) {
+func (h *Host) removeGranted(ended EndedTurn) (granted *hostReservation) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	known, found := h.reservations[ended.Reservation]
@@ -209,7 +209,7 @@
 
 // expired returns the granted reservations whose lifetime is over, and forgets early ends
 // after earlyEndRetention.
-func (h *Host) expired() []Ended {
+func (h *Host) expired() []EndedTurn {
 	now := h.now()
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -218,10 +218,10 @@
 			delete(h.endedEarly, name)
 		}
 	}
-	var expired []Ended
+	var expired []EndedTurn
 	for name, known := range h.reservations {
 		if known.isDone() && now.After(known.expires) {
-			expired = append(expired, Ended{Program: known.program, Reservation: name, HandedOut: known.most})
+			expired = append(expired, EndedTurn{Program: known.program, Reservation: name, HandedOut: known.most})
 		}
 	}
 	return expired
--- a/coordination/tokenbudget/reserved_elsewhere_test.go
+++ b/coordination/tokenbudget/reserved_elsewhere_test.go
@@ -29,7 +29,7 @@
 		now = now.Add(passed)
 		assert.ErrorIs(t, second.Reserve(t.Context(), reservation), budget.ErrReserved)
 	}
-	first.End([]tokenbudget.Ended{{Program: "p", Reservation: "t1"}})
+	first.End([]tokenbudget.EndedTurn{{Program: "p", Reservation: "t1"}})
 	ledger.Flush(t.Context())
 	assert.NilError(t, second.Reserve(t.Context(), reservation))
 }
@@ -43,7 +43,7 @@
 	turns := 0
 	runTurn := func() {
 		assert.NilError(t, client.Reserve(t.Context(), newReservation(fmt.Sprint("t", turns))), "turn %d", turns)
-		client.End(tokenbudget.Ended{Program: "p", Reservation: fmt.Sprint("t", turns), HandedOut: 100})
+		client.End(tokenbudget.EndedTurn{Program: "p", Reservation: fmt.Sprint("t", turns), HandedOut: 100})
 		client.Flush(t.Context())
 		turns++
 	}
--- a/transport/peer/budget.go
+++ b/transport/peer/budget.go
@@ -16,7 +16,7 @@
 // tokenbudget.Host implements it.
 type BudgetHost interface {
 	Reserve(ctx context.Context, reservation tokenbudget.Reservation) error
-	End(ended []tokenbudget.Ended)
+	End(ended []tokenbudget.EndedTurn)
 }
 
 type budgetServer struct {
@@ -67,7 +67,7 @@
 var _ tokenbudget.Hosts = BudgetClient{}
 
 // Reserve implements tokenbudget.Hosts.
-func (b BudgetClient) Reserve(ctx context.Context, address string, reservation tokenbudget.Reservation, ended []tokenbudget.Ended) error {
+func (b BudgetClient) Reserve(ctx context.Context, address string, reservation tokenbudget.Reservation, ended []tokenbudget.EndedTurn) error {
 	answer, err := b.client.call(ctx, address, &peerv1.Call{Request: &peerv1.Call_ReserveTokens{ReserveTokens: &peerv1.ReserveTokensRequest{
 		Program: reservation.Program, Turn: reservation.Name, Limit: reservation.ProgramLimit, Most: reservation.MaxTokens,
 		LifetimeMs: reservation.Lifetime.Milliseconds(), Ended: endedToWire(ended), Running: reservation.ProgramRunning,
@@ -90,14 +90,14 @@
 }
 
 // End implements tokenbudget.Hosts.
-func (b BudgetClient) End(ctx context.Context, address string, ended []tokenbudget.Ended) error {
+func (b BudgetClient) End(ctx context.Context, address string, ended []tokenbudget.EndedTurn) error {
 	_, err := b.client.call(ctx, address, &peerv1.Call{Request: &peerv1.Call_EndTurns{
 		EndTurns: &peerv1.EndTurnsRequest{Ended: endedToWire(ended)},
 	}})
 	return err
 }
 
-func endedToWire(ended []tokenbudget.Ended) []*peerv1.EndedTurn {
+func endedToWire(ended []tokenbudget.EndedTurn) []*peerv1.EndedTurn {
 	converted := make([]*peerv1.EndedTurn, 0, len(ended))
 	for _, turn := range ended {
 		converted = append(converted, &peerv1.EndedTurn{Program: turn.Program, Turn: turn.Reservation, HandedOut: turn.HandedOut, Unique: !turn.MayRecur})
@@ -105,10 +105,10 @@
 	return converted
 }
 
-func endedFromWire(ended []*peerv1.EndedTurn) []tokenbudget.Ended {
-	converted := make([]tokenbudget.Ended, 0, len(ended))
+func endedFromWire(ended []*peerv1.EndedTurn) []tokenbudget.EndedTurn {
+	converted := make([]tokenbudget.EndedTurn, 0, len(ended))
 	for _, turn := range ended {
-		converted = append(converted, tokenbudget.Ended{
+		converted = append(converted, tokenbudget.EndedTurn{
 			Program: turn.GetProgram(), Reservation: turn.GetTurn(), HandedOut: turn.GetHandedOut(), MayRecur: !turn.GetUnique(),
 		})
 	}
--- a/transport/peer/link_test.go
+++ b/transport/peer/link_test.go
@@ -44,7 +44,7 @@
 type countingHost struct{ ended atomic.Int64 }
 
 func (*countingHost) Reserve(context.Context, tokenbudget.Reservation) error { return nil }
-func (h *countingHost) End(ended []tokenbudget.Ended)                        { h.ended.Add(int64(len(ended))) }
+func (h *countingHost) End(ended []tokenbudget.EndedTurn)                    { h.ended.Add(int64(len(ended))) }
 
 // servePeer starts a server for the replica and the budget host.
 func servePeer(t *testing.T, served peer.Replica, host peer.BudgetHost) *httptest.Server {
@@ -98,7 +98,7 @@
 	}
 	calls.Wait()
 	assert.NilError(t, client.Budgets().Reserve(t.Context(), memberAt(server).Address, tokenbudget.Reservation{Program: "p"}, nil))
-	assert.NilError(t, client.Budgets().End(t.Context(), memberAt(server).Address, []tokenbudget.Ended{{Program: "p"}, {Program: "q"}}))
+	assert.NilError(t, client.Budgets().End(t.Context(), memberAt(server).Address, []tokenbudget.EndedTurn{{Program: "p"}, {Program: "q"}}))
 	assert.Equal(t, host.ended.Load(), int64(2))
 	cancel()
 	blocked.Wait()
