--- a/coordination/conversation/conversation.go
+++ b/coordination/conversation/conversation.go
@@ -237,7 +237,7 @@
 		return
 	}
 	t.service.budgets.End(tokenbudget.EndedTurn{
-		Program: t.request.Program, Reservation: t.reservation, HandedOut: t.events * t.request.TokensPerEvent,
+		Program: t.request.Program, Reservation: t.reservation, TokensUsed: t.events * t.request.TokensPerEvent,
 	})
 	t.reservation = ""
 }
--- a/coordination/tokenbudget/host.go
+++ b/coordination/tokenbudget/host.go
@@ -43,8 +43,8 @@
 	Program string
 	// Reservation is the name of the reservation.
 	Reservation string
-	// HandedOut is the number of tokens that the turn's caller received.
-	HandedOut uint64
+	// TokensUsed is the number of tokens that the turn's caller received.
+	TokensUsed uint64
 	// MayRecur is set if another reservation may have the same name: gateways of earlier
 	// versions give all attempts at a turn the same name.
 	MayRecur bool
@@ -164,7 +164,7 @@
 func (h *Host) End(ended []EndedTurn) {
 	for _, end := range ended {
 		if granted := h.removeGranted(end); granted != nil {
-			h.ledger.End(granted.program, granted.most, end.HandedOut)
+			h.ledger.End(granted.program, granted.most, end.TokensUsed)
 		}
 	}
 }
@@ -182,7 +182,7 @@
 	switch {
 	case !found:
 		h.ledger.logger.Info("ended turn unknown", zap.String("program", ended.Program),
-			zap.String("reservation", ended.Reservation), zap.Uint64("handed_out", ended.HandedOut))
+			zap.String("reservation", ended.Reservation), zap.Uint64("handed_out", ended.TokensUsed))
 		return nil
 	case !isGranted:
 		known.isEnded = true
@@ -221,7 +221,7 @@
 	var expired []EndedTurn
 	for name, known := range h.reservations {
 		if known.isDone() && now.After(known.expires) {
-			expired = append(expired, EndedTurn{Program: known.program, Reservation: name, HandedOut: known.most})
+			expired = append(expired, EndedTurn{Program: known.program, Reservation: name, TokensUsed: known.most})
 		}
 	}
 	return expired
--- a/coordination/tokenbudget/host_test.go
+++ b/coordination/tokenbudget/host_test.go
@@ -123,7 +123,7 @@
 		client := newClient(transport, views)
 		assert.NilError(t, client.Reserve(context.Background(), newReservation("first")))
 		primary := transport.asked[0]
-		client.End(tokenbudget.EndedTurn{Program: "p", Reservation: "first", HandedOut: 100})
+		client.End(tokenbudget.EndedTurn{Program: "p", Reservation: "first", TokensUsed: 100})
 		client.Flush(context.Background())
 		transport.down[primary], transport.lossy[primary] = !lossy, lossy
 		assert.NilError(t, client.Reserve(context.Background(), newReservation("second")))
@@ -312,7 +312,7 @@
 	reservation := newReservation("t")
 	reservation.ProgramLimit, reservation.MaxTokens = 50, 50
 	assert.NilError(t, client.Reserve(context.Background(), reservation))
-	client.End(tokenbudget.EndedTurn{Program: "p", Reservation: "t", HandedOut: 50})
+	client.End(tokenbudget.EndedTurn{Program: "p", Reservation: "t", TokensUsed: 50})
 	client.Flush(context.Background())
 	reservation.Name = "u"
 	before := len(transport.asked)
@@ -329,7 +329,7 @@
 	reservation := newReservation("t")
 	reservation.ProgramLimit = 100
 	assert.NilError(t, client.Reserve(context.Background(), reservation))
-	client.End(tokenbudget.EndedTurn{Program: "p", Reservation: "t", HandedOut: 10})
+	client.End(tokenbudget.EndedTurn{Program: "p", Reservation: "t", TokensUsed: 10})
 	reservation.Name = "u"
 	harness.Eventually(t, func() (bool, string) {
 		// The end has arrived once the host grants the 90 tokens that are left.
--- a/coordination/tokenbudget/overload_test.go
+++ b/coordination/tokenbudget/overload_test.go
@@ -91,7 +91,7 @@
 		cancel()
 		if err == nil {
 			time.Sleep(turnTime)
-			client.End(tokenbudget.EndedTurn{Program: program, Reservation: reservation.Name, HandedOut: 80})
+			client.End(tokenbudget.EndedTurn{Program: program, Reservation: reservation.Name, TokensUsed: 80})
 			return true
 		}
 		time.Sleep(refusalPause)
--- a/coordination/tokenbudget/reserved_elsewhere_test.go
+++ b/coordination/tokenbudget/reserved_elsewhere_test.go
@@ -43,7 +43,7 @@
 	turns := 0
 	runTurn := func() {
 		assert.NilError(t, client.Reserve(t.Context(), newReservation(fmt.Sprint("t", turns))), "turn %d", turns)
-		client.End(tokenbudget.EndedTurn{Program: "p", Reservation: fmt.Sprint("t", turns), HandedOut: 100})
+		client.End(tokenbudget.EndedTurn{Program: "p", Reservation: fmt.Sprint("t", turns), TokensUsed: 100})
 		client.Flush(t.Context())
 		turns++
 	}
