--- a/coordination/tokenbudget/early_end_test.go
+++ b/coordination/tokenbudget/early_end_test.go
@@ -66,7 +66,7 @@
 func TestReservationAfterItsEndIsRefused(t *testing.T) {
 	shared := newSharedRegister()
 	host, _ := newHost(shared)
-	host.End([]tokenbudget.EndedTurn{{Program: "p", Reservation: "new"}, {Program: "p", Reservation: "old", MayRecur: true}})
+	host.End([]tokenbudget.EndedTurn{{Program: "p", Reservation: "new"}, {Program: "p", Reservation: "old", NameMayRecur: true}})
 	assert.Assert(t, host.Reserve(t.Context(), newReservation("new")) != nil)
 	assert.Equal(t, shared.committed(t, "p"), uint64(0))
 	assert.NilError(t, host.Reserve(t.Context(), newReservation("old")))
--- a/coordination/tokenbudget/host.go
+++ b/coordination/tokenbudget/host.go
@@ -45,9 +45,9 @@
 	Reservation string
 	// TokensUsed is the number of tokens that the turn's caller received.
 	TokensUsed uint64
-	// MayRecur is set if another reservation may have the same name: gateways of earlier
+	// NameMayRecur is set if another reservation may have the same name: gateways of earlier
 	// versions give all attempts at a turn the same name.
-	MayRecur bool
+	NameMayRecur bool
 }
 
 // Host serves a ledger to gateways. All gateways ask the same host for a program as long as
@@ -176,7 +176,7 @@
 	defer h.mutex.Unlock()
 	known, found := h.reservations[ended.Reservation]
 	isGranted := found && known.isDone()
-	if !isGranted && !ended.MayRecur {
+	if !isGranted && !ended.NameMayRecur {
 		h.endedEarly[ended.Reservation] = h.now()
 	}
 	switch {
--- a/transport/peer/budget.go
+++ b/transport/peer/budget.go
@@ -100,7 +100,7 @@
 func endedToWire(ended []tokenbudget.EndedTurn) []*peerv1.EndedTurn {
 	converted := make([]*peerv1.EndedTurn, 0, len(ended))
 	for _, turn := range ended {
-		converted = append(converted, &peerv1.EndedTurn{Program: turn.Program, Turn: turn.Reservation, HandedOut: turn.TokensUsed, Unique: !turn.MayRecur})
+		converted = append(converted, &peerv1.EndedTurn{Program: turn.Program, Turn: turn.Reservation, HandedOut: turn.TokensUsed, Unique: !turn.NameMayRecur})
 	}
 	return converted
 }
@@ -109,7 +109,7 @@
 	converted := make([]tokenbudget.EndedTurn, 0, len(ended))
 	for _, turn := range ended {
 		converted = append(converted, tokenbudget.EndedTurn{
-			Program: turn.GetProgram(), Reservation: turn.GetTurn(), TokensUsed: turn.GetHandedOut(), MayRecur: !turn.GetUnique(),
+			Program: turn.GetProgram(), Reservation: turn.GetTurn(), TokensUsed: turn.GetHandedOut(), NameMayRecur: !turn.GetUnique(),
 		})
 	}
 	return converted
--- a/transport/peer/budget_test.go
+++ b/transport/peer/budget_test.go
@@ -28,10 +28,10 @@
 	earlier := &peerv1.EndedTurn{}
 	assert.NilError(t, proto.Unmarshal(encoded, earlier))
 	ended := endedFromWire([]*peerv1.EndedTurn{earlier})
-	assert.DeepEqual(t, ended, []tokenbudget.EndedTurn{{Program: "p", Reservation: "t", TokensUsed: 100, MayRecur: true}})
+	assert.DeepEqual(t, ended, []tokenbudget.EndedTurn{{Program: "p", Reservation: "t", TokensUsed: 100, NameMayRecur: true}})
 
 	now, err := proto.Marshal(endedToWire([]tokenbudget.EndedTurn{{Program: "p", Reservation: "t", TokensUsed: 100}})[0])
 	assert.NilError(t, err)
 	assert.Equal(t, hex.EncodeToString(now), earlierEndedTurn+uniqueField)
-	assert.Assert(t, !endedFromWire(endedToWire([]tokenbudget.EndedTurn{{}}))[0].MayRecur)
+	assert.Assert(t, !endedFromWire(endedToWire([]tokenbudget.EndedTurn{{}}))[0].NameMayRecur)
 }
