--- a/coordination/tokenbudget/client.go
+++ b/coordination/tokenbudget/client.go
@@ -22,10 +22,10 @@
 // reserved nothing.
 var ErrOverloaded = errors.New("the budget host is overloaded")
 
-// Hosts sends requests to hosts; peer.BudgetClient implements it. Reserve returns the
+// HostClient sends requests to hosts; peer.BudgetClient implements it. Reserve returns the
 // host's decision, or an error after which it is unknown whether the host reserved
 // anything.
-type Hosts interface {
+type HostClient interface {
 	Reserve(ctx context.Context, address string, reservation Reservation, ended []EndedTurn) error
 	End(ctx context.Context, address string, ended []EndedTurn) error
 }
@@ -53,7 +53,7 @@
 // Client reserves tokens for a gateway's turns at the hosts of their programs. It is safe
 // for concurrent use.
 type Client struct {
-	hosts   Hosts
+	hosts   HostClient
 	views   Views
 	tracker *reach.Tracker
 	now     func() time.Time
@@ -70,7 +70,7 @@
 
 // NewClient returns a client without reservations. It records in the tracker which hosts
 // answer.
-func NewClient(hosts Hosts, views Views, tracker *reach.Tracker, now func() time.Time, logger *zap.Logger) *Client {
+func NewClient(hosts HostClient, views Views, tracker *reach.Tracker, now func() time.Time, logger *zap.Logger) *Client {
 	return &Client{
 		hosts: hosts, views: views, tracker: tracker, now: now, logger: logger,
 		grantedBy: make(map[string]string), pendingEnds: make(map[string][]EndedTurn),
--- a/transport/peer/budget.go
+++ b/transport/peer/budget.go
@@ -64,7 +64,7 @@
 // Budgets returns a client for the budgets that other nodes host.
 func (c *Client) Budgets() BudgetClient { return BudgetClient{client: c} }
 
-var _ tokenbudget.Hosts = BudgetClient{}
+var _ tokenbudget.HostClient = BudgetClient{}
 
 // Reserve implements tokenbudget.Hosts.
 func (b BudgetClient) Reserve(ctx context.Context, address string, reservation tokenbudget.Reservation, ended []tokenbudget.EndedTurn) error {
