--- a/coordination/quota/account.go
+++ b/coordination/quota/account.go
@@ -6,8 +6,8 @@
 	"github.com/marblering/marblering/coordination/limit"
 )
 
-// Ask is a gateway's request for permits.
-type Ask struct {
+// PermitRequest is a gateway's request for permits.
+type PermitRequest struct {
 	Tenant string
 	// Version is the configuration version that Part was computed from.
 	Version int64
@@ -83,7 +83,7 @@
 //     program that is cut off midway has wasted its permits.
 //   - Any request is refused (Exhausted) if the bucket has no permit.
 //   - Permits are prefetched only from what exceeds half of the burst.
-func (a *account) take(ask Ask, now time.Time) Grant {
+func (a *account) take(ask PermitRequest, now time.Time) Grant {
 	if ask.Version > a.version {
 		a.version, a.rate = ask.Version, ask.Part.Rate
 		a.bucket.SetRate(a.rate.TokensPerSecond, a.rate.Burst, now)
--- a/coordination/quota/client.go
+++ b/coordination/quota/client.go
@@ -18,7 +18,7 @@
 
 // Holders requests permits from storage nodes. peer.Client implements it.
 type Holders interface {
-	TakePermits(ctx context.Context, address string, ask Ask) (Grant, error)
+	TakePermits(ctx context.Context, address string, ask PermitRequest) (Grant, error)
 }
 
 // Views returns the members of each slot's shard.
@@ -129,7 +129,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, takeTimeout)
 	defer cancel()
-	ask := Ask{Tenant: request.Tenant, Version: request.Version, Program: request.Program, Kind: request.Kind, Ahead: ahead}
+	ask := PermitRequest{Tenant: request.Tenant, Version: request.Version, Program: request.Program, Kind: request.Kind, Ahead: ahead}
 	permit, failure := c.requestPermit(ctx, ask, c.bounds.Plan(request.Tenant, request.Rate, c.views.Shards()))
 	c.metrics.observeAsked(failure, c.now().Sub(began))
 	return permit, failure
@@ -139,7 +139,7 @@
 // then the reserve slot if a main slot has no holder. It waits for the next permit if that
 // is due within maxPermitWait, and retries until the context ends while no slot has a
 // holder.
-func (c *Client) requestPermit(ctx context.Context, ask Ask, plan Plan) (Permit, *result.Error) {
+func (c *Client) requestPermit(ctx context.Context, ask PermitRequest, plan Plan) (Permit, *result.Error) {
 	for waits := 0; ; {
 		answer, permit := c.askMainSlots(ctx, ask, plan)
 		if answer == nil && plan.HasReserve {
@@ -183,7 +183,7 @@
 
 // askMainSlots asks main slots until one grants a permit. It returns nil if one of them has
 // no holder, so that the caller asks the reserve slot.
-func (c *Client) askMainSlots(ctx context.Context, ask Ask, plan Plan) (Grant, Permit) {
+func (c *Client) askMainSlots(ctx context.Context, ask PermitRequest, plan Plan) (Grant, Permit) {
 	var refusal Grant
 	isVacant := len(plan.Main) == 0
 	for index, part := range plan.Order(ask.Program) {
@@ -208,7 +208,7 @@
 
 // askSlot asks the members of the slot's shard for a permit, the last known holder first.
 // It returns nil if no member holds the slot.
-func (c *Client) askSlot(ctx context.Context, ask Ask, part Part) (Grant, Permit) {
+func (c *Client) askSlot(ctx context.Context, ask PermitRequest, part Part) (Grant, Permit) {
 	view, known := c.views.View(part.Slot)
 	if !known || c.isVacant(part.Slot) {
 		return nil, Permit{}
@@ -238,7 +238,7 @@
 // storePrefetched puts the prefetched permits in stock and returns the request's own permit. The
 // lifetime counts from when the permits were asked for, since the holder may have granted
 // them at any time after that.
-func (c *Client) storePrefetched(ask Ask, answer Grant, sent time.Time) Permit {
+func (c *Client) storePrefetched(ask PermitRequest, answer Grant, sent time.Time) Permit {
 	granted, isGranted := answer.(Granted)
 	if !isGranted {
 		return Permit{}
@@ -253,7 +253,7 @@
 }
 
 // askNode asks one storage node. It returns nil if the request failed.
-func (c *Client) askNode(ctx context.Context, address string, ask Ask) Grant {
+func (c *Client) askNode(ctx context.Context, address string, ask PermitRequest) Grant {
 	bounded, cancel := context.WithTimeout(ctx, nodeTimeout)
 	defer cancel()
 	answer, err := c.holders.TakePermits(bounded, address, ask)
--- a/coordination/quota/holder_test.go
+++ b/coordination/quota/holder_test.go
@@ -41,7 +41,7 @@
 		t.Run(name, func(t *testing.T) {
 			registers := &retriedRegisters{first: claim{Holder: "a/1", Node: "a", Term: 3}, second: second}
 			holder := NewHolder("a/1", "a", registers, time.Now, zap.NewNop())
-			holder.Take(Ask{})
+			holder.Take(PermitRequest{})
 			held := holder.slots[0]
 			holder.changeLease(t.Context(), 0, held)
 			assert.Assert(t, held.lease.holds(time.Now()))
--- a/coordination/quota/plan_test.go
+++ b/coordination/quota/plan_test.go
@@ -83,7 +83,7 @@
 				remaining = append(remaining, current)
 				continue
 			}
-			ask := Ask{Tenant: "t", Program: current.name, Kind: "plan"}
+			ask := PermitRequest{Tenant: "t", Program: current.name, Kind: "plan"}
 			if !track {
 				// Without a program, requests are refused at random.
 				ask.Program = ""
--- a/coordination/register/stored_test.go
+++ b/coordination/register/stored_test.go
@@ -165,7 +165,7 @@
 		_ = holder.Serve(ctx)
 	}()
 	for isHolder := false; !isHolder; time.Sleep(time.Millisecond) {
-		_, isHolder = holder.Take(quota.Ask{}).(quota.Granted)
+		_, isHolder = holder.Take(quota.PermitRequest{}).(quota.Granted)
 	}
 	cancel()
 	<-done
--- a/transport/peer/quota.go
+++ b/transport/peer/quota.go
@@ -13,13 +13,13 @@
 
 // QuotaHolder grants permits from the quotas of tenants. quota.Holder implements it.
 type QuotaHolder interface {
-	Take(ask quota.Ask) quota.Grant
+	Take(ask quota.PermitRequest) quota.Grant
 }
 
 var _ quota.Holders = (*Client)(nil)
 
 // TakePermits implements quota.Holders.
-func (c *Client) TakePermits(ctx context.Context, address string, ask quota.Ask) (quota.Grant, error) {
+func (c *Client) TakePermits(ctx context.Context, address string, ask quota.PermitRequest) (quota.Grant, error) {
 	answer, err := c.call(ctx, address, &peerv1.Call{Request: &peerv1.Call_TakePermits{TakePermits: &peerv1.TakePermitsRequest{
 		Slot: ask.Part.Slot, Tenant: ask.Tenant, Version: ask.Version, Rate: ask.Part.Rate.TokensPerSecond, Burst: ask.Part.Rate.Burst,
 		Program: ask.Program, ProgramKind: ask.Kind, Ahead: uint32(max(ask.Ahead, 0)),
@@ -43,7 +43,7 @@
 }
 
 func takePermits(holder QuotaHolder, message *peerv1.TakePermitsRequest) *peerv1.TakePermitsResponse {
-	decision := holder.Take(quota.Ask{
+	decision := holder.Take(quota.PermitRequest{
 		Tenant: message.GetTenant(), Version: message.GetVersion(),
 		Part:    quota.Part{Slot: message.GetSlot(), Rate: limit.Rate{TokensPerSecond: message.GetRate(), Burst: message.GetBurst()}},
 		Program: message.GetProgram(), Kind: message.GetProgramKind(), Ahead: int(message.GetAhead()),
