--- a/coordination/quota/account.go
+++ b/coordination/quota/account.go
@@ -16,8 +16,8 @@
 	// programs with similar demand.
 	Program string
 	Kind    string
-	// Ahead is the number of additional permits wanted for future requests.
-	Ahead int
+	// Prefetch is the number of additional permits wanted for future requests.
+	Prefetch int
 }
 
 // Grant is the answer to an Ask: one of the types below.
@@ -102,7 +102,7 @@
 	if ask.Program != "" {
 		a.programs.recordAdmitted(ask.Program, ask.Kind, now)
 	}
-	ahead := int(min(float64(ask.Ahead), level-1-headroom))
+	ahead := int(min(float64(ask.Prefetch), level-1-headroom))
 	if ahead < 1 {
 		return Granted{Permits: 1}
 	}
--- a/coordination/quota/client.go
+++ b/coordination/quota/client.go
@@ -129,7 +129,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, takeTimeout)
 	defer cancel()
-	ask := PermitRequest{Tenant: request.Tenant, Version: request.Version, Program: request.Program, Kind: request.Kind, Ahead: ahead}
+	ask := PermitRequest{Tenant: request.Tenant, Version: request.Version, Program: request.Program, Kind: request.Kind, Prefetch: ahead}
 	permit, failure := c.requestPermit(ctx, ask, c.bounds.Plan(request.Tenant, request.Rate, c.views.Shards()))
 	c.metrics.observeAsked(failure, c.now().Sub(began))
 	return permit, failure
--- a/transport/peer/quota.go
+++ b/transport/peer/quota.go
@@ -22,7 +22,7 @@
 func (c *Client) TakePermits(ctx context.Context, address string, ask quota.PermitRequest) (quota.Grant, error) {
 	answer, err := c.call(ctx, address, &peerv1.Call{Request: &peerv1.Call_TakePermits{TakePermits: &peerv1.TakePermitsRequest{
 		Slot: ask.Part.Slot, Tenant: ask.Tenant, Version: ask.Version, Rate: ask.Part.Rate.TokensPerSecond, Burst: ask.Part.Rate.Burst,
-		Program: ask.Program, ProgramKind: ask.Kind, Ahead: uint32(max(ask.Ahead, 0)),
+		Program: ask.Program, ProgramKind: ask.Kind, Ahead: uint32(max(ask.Prefetch, 0)),
 	}}})
 	if err != nil {
 		return nil, err
@@ -46,7 +46,7 @@
 	decision := holder.Take(quota.PermitRequest{
 		Tenant: message.GetTenant(), Version: message.GetVersion(),
 		Part:    quota.Part{Slot: message.GetSlot(), Rate: limit.Rate{TokensPerSecond: message.GetRate(), Burst: message.GetBurst()}},
-		Program: message.GetProgram(), Kind: message.GetProgramKind(), Ahead: int(message.GetAhead()),
+		Program: message.GetProgram(), Kind: message.GetProgramKind(), Prefetch: int(message.GetAhead()),
 	})
 	switch grant := decision.(type) {
 	case quota.Granted:
