--- a/coordination/quota/account.go
+++ b/coordination/quota/account.go
@@ -20,8 +20,8 @@
 	Prefetch int
 }
 
-// Grant is the answer to an Ask: one of the types below.
-type Grant interface{ isGrant() }
+// PermitAnswer is the answer to an Ask: one of the types below.
+type PermitAnswer interface{ isGrant() }
 
 // Granted carries permits, one of them for the request itself.
 type Granted struct {
@@ -83,7 +83,7 @@
 //     program that is cut off midway has wasted its permits.
 //   - Any request is refused (Exhausted) if the bucket has no permit.
 //   - Permits are prefetched only from what exceeds half of the burst.
-func (a *account) take(ask PermitRequest, now time.Time) Grant {
+func (a *account) take(ask PermitRequest, now time.Time) PermitAnswer {
 	if ask.Version > a.version {
 		a.version, a.rate = ask.Version, ask.Part.Rate
 		a.bucket.SetRate(a.rate.TokensPerSecond, a.rate.Burst, now)
--- a/coordination/quota/client.go
+++ b/coordination/quota/client.go
@@ -18,7 +18,7 @@
 
 // Holders requests permits from storage nodes. peer.Client implements it.
 type Holders interface {
-	TakePermits(ctx context.Context, address string, ask PermitRequest) (Grant, error)
+	TakePermits(ctx context.Context, address string, ask PermitRequest) (PermitAnswer, error)
 }
 
 // Views returns the members of each slot's shard.
@@ -163,14 +163,14 @@
 
 // waitForPermit waits until the next permit is due if that is soon, and reports whether it
 // has waited.
-func waitForPermit(ctx context.Context, answer Grant) bool {
+func waitForPermit(ctx context.Context, answer PermitAnswer) bool {
 	exhausted, isExhausted := answer.(Exhausted)
 	return isExhausted && exhausted.RetryAfter <= maxPermitWait && sleep.For(ctx, sleep.Jitter(exhausted.RetryAfter)) == nil
 }
 
 // refusalError returns the error for a caller whose request got no permit. The answer is
 // nil if no holder decided.
-func refusalError(tenant string, answer Grant) *result.Error {
+func refusalError(tenant string, answer PermitAnswer) *result.Error {
 	switch grant := answer.(type) {
 	case Exhausted:
 		return result.Errorf(result.TenantLimit, "tenant %s is over its quota, %.1f permits are left", tenant, grant.Left).After(grant.RetryAfter)
@@ -183,8 +183,8 @@
 
 // askMainSlots asks main slots until one grants a permit. It returns nil if one of them has
 // no holder, so that the caller asks the reserve slot.
-func (c *Client) askMainSlots(ctx context.Context, ask PermitRequest, plan Plan) (Grant, Permit) {
-	var refusal Grant
+func (c *Client) askMainSlots(ctx context.Context, ask PermitRequest, plan Plan) (PermitAnswer, Permit) {
+	var refusal PermitAnswer
 	isVacant := len(plan.Main) == 0
 	for index, part := range plan.Order(ask.Program) {
 		if index >= maxSlotsTried {
@@ -208,7 +208,7 @@
 
 // askSlot asks the members of the slot's shard for a permit, the last known holder first.
 // It returns nil if no member holds the slot.
-func (c *Client) askSlot(ctx context.Context, ask PermitRequest, part Part) (Grant, Permit) {
+func (c *Client) askSlot(ctx context.Context, ask PermitRequest, part Part) (PermitAnswer, Permit) {
 	view, known := c.views.View(part.Slot)
 	if !known || c.isVacant(part.Slot) {
 		return nil, Permit{}
@@ -238,7 +238,7 @@
 // storePrefetched puts the prefetched permits in stock and returns the request's own permit. The
 // lifetime counts from when the permits were asked for, since the holder may have granted
 // them at any time after that.
-func (c *Client) storePrefetched(ask PermitRequest, answer Grant, sent time.Time) Permit {
+func (c *Client) storePrefetched(ask PermitRequest, answer PermitAnswer, sent time.Time) Permit {
 	granted, isGranted := answer.(Granted)
 	if !isGranted {
 		return Permit{}
@@ -253,7 +253,7 @@
 }
 
 // askNode asks one storage node. It returns nil if the request failed.
-func (c *Client) askNode(ctx context.Context, address string, ask PermitRequest) Grant {
+func (c *Client) askNode(ctx context.Context, address string, ask PermitRequest) PermitAnswer {
 	bounded, cancel := context.WithTimeout(ctx, nodeTimeout)
 	defer cancel()
 	answer, err := c.holders.TakePermits(bounded, address, ask)
--- a/coordination/quota/holder.go
+++ b/coordination/quota/holder.go
@@ -76,7 +76,7 @@
 
 // Take grants permits if this node holds the slot; otherwise it makes Serve try to take
 // the slot. An Ask without a tenant only shows that the slot is needed.
-func (h *Holder) Take(ask PermitRequest) Grant {
+func (h *Holder) Take(ask PermitRequest) PermitAnswer {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	now := h.now()
@@ -96,7 +96,7 @@
 	return s.take(ask, now)
 }
 
-func (s *slot) take(ask PermitRequest, now time.Time) Grant {
+func (s *slot) take(ask PermitRequest, now time.Time) PermitAnswer {
 	if s.accounts == nil || s.term != s.lease.own.Term {
 		s.accounts, s.term = make(map[string]*account), s.lease.own.Term
 	}
--- a/coordination/quota/simulation_test.go
+++ b/coordination/quota/simulation_test.go
@@ -143,7 +143,7 @@
 	gateway    string
 }
 
-func (m simulatedHolders) TakePermits(ctx context.Context, address string, ask PermitRequest) (Grant, error) {
+func (m simulatedHolders) TakePermits(ctx context.Context, address string, ask PermitRequest) (PermitAnswer, error) {
 	s := m.simulation
 	if s.isCut(m.gateway + address) {
 		<-ctx.Done()
--- a/transport/peer/quota.go
+++ b/transport/peer/quota.go
@@ -13,13 +13,13 @@
 
 // QuotaHolder grants permits from the quotas of tenants. quota.Holder implements it.
 type QuotaHolder interface {
-	Take(ask quota.PermitRequest) quota.Grant
+	Take(ask quota.PermitRequest) quota.PermitAnswer
 }
 
 var _ quota.Holders = (*Client)(nil)
 
 // TakePermits implements quota.Holders.
-func (c *Client) TakePermits(ctx context.Context, address string, ask quota.PermitRequest) (quota.Grant, error) {
+func (c *Client) TakePermits(ctx context.Context, address string, ask quota.PermitRequest) (quota.PermitAnswer, error) {
 	answer, err := c.call(ctx, address, &peerv1.Call{Request: &peerv1.Call_TakePermits{TakePermits: &peerv1.TakePermitsRequest{
 		Slot: ask.Part.Slot, Tenant: ask.Tenant, Version: ask.Version, Rate: ask.Part.Rate.TokensPerSecond, Burst: ask.Part.Rate.Burst,
 		Program: ask.Program, ProgramKind: ask.Kind, Ahead: uint32(max(ask.Prefetch, 0)),
