--- a/coordination/quota/account.go
+++ b/coordination/quota/account.go
@@ -33,7 +33,7 @@
 	// RetryAfter is the time until the next permit is available, Left the number of
 	// permits in the bucket, less than one.
 	RetryAfter time.Duration
-	Left       float64
+	Remaining  float64
 }
 
 // Crowded means that the remaining permits are reserved for programs already running.
@@ -97,7 +97,7 @@
 	}
 	if !a.bucket.Take(1, now) {
 		a.programs.recordRefused(ask.Program)
-		return Exhausted{RetryAfter: max(a.bucket.Wait(1, now), minRetryAfter), Left: level}
+		return Exhausted{RetryAfter: max(a.bucket.Wait(1, now), minRetryAfter), Remaining: level}
 	}
 	if ask.Program != "" {
 		a.programs.recordAdmitted(ask.Program, ask.Kind, now)
--- a/coordination/quota/client.go
+++ b/coordination/quota/client.go
@@ -173,7 +173,7 @@
 func refusalError(tenant string, answer PermitAnswer) *result.Error {
 	switch grant := answer.(type) {
 	case Exhausted:
-		return result.Errorf(result.TenantLimit, "tenant %s is over its quota, %.1f permits are left", tenant, grant.Left).After(grant.RetryAfter)
+		return result.Errorf(result.TenantLimit, "tenant %s is over its quota, %.1f permits are left", tenant, grant.Remaining).After(grant.RetryAfter)
 	case Crowded:
 		return result.Errorf(result.TenantLimit,
 			"tenant %s is near its quota: the remaining %.1f permits are reserved for running programs", tenant, grant.Left).After(grant.RetryAfter)
--- a/transport/peer/quota.go
+++ b/transport/peer/quota.go
@@ -33,7 +33,7 @@
 	case peerv1.PermitVerdict_PERMIT_VERDICT_GRANTED:
 		return quota.Granted{Permits: int(message.GetPermits())}, nil
 	case peerv1.PermitVerdict_PERMIT_VERDICT_EXHAUSTED:
-		return quota.Exhausted{RetryAfter: retryAfter, Left: message.GetLeft()}, nil
+		return quota.Exhausted{RetryAfter: retryAfter, Remaining: message.GetLeft()}, nil
 	case peerv1.PermitVerdict_PERMIT_VERDICT_PROGRAM_REFUSED:
 		return quota.Crowded{RetryAfter: retryAfter, Left: message.GetLeft()}, nil
 	case peerv1.PermitVerdict_PERMIT_VERDICT_NOT_HOLDER:
@@ -53,7 +53,7 @@
 		return &peerv1.TakePermitsResponse{Verdict: peerv1.PermitVerdict_PERMIT_VERDICT_GRANTED, Permits: uint32(grant.Permits)}
 	case quota.Exhausted:
 		return &peerv1.TakePermitsResponse{
-			Verdict: peerv1.PermitVerdict_PERMIT_VERDICT_EXHAUSTED, RetryAfterMs: grant.RetryAfter.Milliseconds(), Left: grant.Left,
+			Verdict: peerv1.PermitVerdict_PERMIT_VERDICT_EXHAUSTED, RetryAfterMs: grant.RetryAfter.Milliseconds(), Left: grant.Remaining,
 		}
 	case quota.Crowded:
 		return &peerv1.TakePermitsResponse{
