--- a/coordination/quota/account.go
+++ b/coordination/quota/account.go
@@ -36,8 +36,8 @@
 	Remaining  float64
 }
 
-// Crowded means that the remaining permits are reserved for programs already running.
-type Crowded struct {
+// Reserved means that the remaining permits are reserved for programs already running.
+type Reserved struct {
 	RetryAfter time.Duration
 	Left       float64
 }
@@ -47,7 +47,7 @@
 
 func (Granted) isGrant()   {}
 func (Exhausted) isGrant() {}
-func (Crowded) isGrant()   {}
+func (Reserved) isGrant()  {}
 func (NotHolder) isGrant() {}
 
 const (
@@ -93,7 +93,7 @@
 	headroom := headroomFraction * a.rate.Burst
 	isNew := ask.Program != "" && !a.programs.has(ask.Program)
 	if isNew && level < headroom && !a.programs.canAdmit(ask.Kind, a.rate, level, now) {
-		return Crowded{RetryAfter: newProgramRetryAfter, Left: level}
+		return Reserved{RetryAfter: newProgramRetryAfter, Left: level}
 	}
 	if !a.bucket.Take(1, now) {
 		a.programs.recordRefused(ask.Program)
--- a/coordination/quota/client.go
+++ b/coordination/quota/client.go
@@ -174,7 +174,7 @@
 	switch grant := answer.(type) {
 	case Exhausted:
 		return result.Errorf(result.TenantLimit, "tenant %s is over its quota, %.1f permits are left", tenant, grant.Remaining).After(grant.RetryAfter)
-	case Crowded:
+	case Reserved:
 		return result.Errorf(result.TenantLimit,
 			"tenant %s is near its quota: the remaining %.1f permits are reserved for running programs", tenant, grant.Left).After(grant.RetryAfter)
 	}
@@ -192,7 +192,7 @@
 		}
 		answer, permit := c.askSlot(ctx, ask, part)
 		switch answer.(type) {
-		case Granted, Crowded:
+		case Granted, Reserved:
 			return answer, permit
 		case Exhausted:
 			refusal = answer
