--- a/coordination/quota/account.go
+++ b/coordination/quota/account.go
@@ -39,7 +39,7 @@
 // Reserved means that the remaining permits are reserved for programs already running.
 type Reserved struct {
 	RetryAfter time.Duration
-	Left       float64
+	Remaining  float64
 }
 
 // NotHolder means that the node doesn't hold the slot.
@@ -93,7 +93,7 @@
 	headroom := headroomFraction * a.rate.Burst
 	isNew := ask.Program != "" && !a.programs.has(ask.Program)
 	if isNew && level < headroom && !a.programs.canAdmit(ask.Kind, a.rate, level, now) {
-		return Reserved{RetryAfter: newProgramRetryAfter, Left: level}
+		return Reserved{RetryAfter: newProgramRetryAfter, Remaining: level}
 	}
 	if !a.bucket.Take(1, now) {
 		a.programs.recordRefused(ask.Program)
--- a/coordination/quota/client.go
+++ b/coordination/quota/client.go
@@ -176,7 +176,7 @@
 		return result.Errorf(result.TenantLimit, "tenant %s is over its quota, %.1f permits are left", tenant, grant.Remaining).After(grant.RetryAfter)
 	case Reserved:
 		return result.Errorf(result.TenantLimit,
-			"tenant %s is near its quota: the remaining %.1f permits are reserved for running programs", tenant, grant.Left).After(grant.RetryAfter)
+			"tenant %s is near its quota: the remaining %.1f permits are reserved for running programs", tenant, grant.Remaining).After(grant.RetryAfter)
 	}
 	return result.Errorf(result.QuotaUnavailable, "no storage node grants requests of tenant %s", tenant).After(unavailableRetryAfter)
 }
--- a/transport/peer/quota.go
+++ b/transport/peer/quota.go
@@ -35,7 +35,7 @@
 	case peerv1.PermitVerdict_PERMIT_VERDICT_EXHAUSTED:
 		return quota.Exhausted{RetryAfter: retryAfter, Remaining: message.GetLeft()}, nil
 	case peerv1.PermitVerdict_PERMIT_VERDICT_PROGRAM_REFUSED:
-		return quota.Reserved{RetryAfter: retryAfter, Left: message.GetLeft()}, nil
+		return quota.Reserved{RetryAfter: retryAfter, Remaining: message.GetLeft()}, nil
 	case peerv1.PermitVerdict_PERMIT_VERDICT_NOT_HOLDER:
 		return quota.NotHolder{}, nil
 	}
@@ -57,7 +57,7 @@
 		}
 	case quota.Reserved:
 		return &peerv1.TakePermitsResponse{
-			Verdict: peerv1.PermitVerdict_PERMIT_VERDICT_PROGRAM_REFUSED, RetryAfterMs: grant.RetryAfter.Milliseconds(), Left: grant.Left,
+			Verdict: peerv1.PermitVerdict_PERMIT_VERDICT_PROGRAM_REFUSED, RetryAfterMs: grant.RetryAfter.Milliseconds(), Left: grant.Remaining,
 		}
 	}
 	return &peerv1.TakePermitsResponse{Verdict: peerv1.PermitVerdict_PERMIT_VERDICT_NOT_HOLDER}
