--- a/coordination/quota/account.go
+++ b/coordination/quota/account.go
@@ -11,7 +11,7 @@
 	Tenant string
 	// Version is the configuration version that Part was computed from.
 	Version int64
-	Part    Part
+	Part    Share
 	// Program is the program that the request belongs to, empty for none. Kind groups
 	// programs with similar demand.
 	Program string
--- a/coordination/quota/client.go
+++ b/coordination/quota/client.go
@@ -208,7 +208,7 @@
 
 // askSlot asks the members of the slot's shard for a permit, the last known holder first.
 // It returns nil if no member holds the slot.
-func (c *Client) askSlot(ctx context.Context, ask PermitRequest, part Part) (PermitAnswer, Permit) {
+func (c *Client) askSlot(ctx context.Context, ask PermitRequest, part Share) (PermitAnswer, Permit) {
 	view, known := c.views.View(part.Slot)
 	if !known || c.isVacant(part.Slot) {
 		return nil, Permit{}
--- a/coordination/quota/plan.go
+++ b/coordination/quota/plan.go
@@ -45,8 +45,8 @@
 	return min(time.Duration(b.Over*float64(b.Window)), maxPermitLifetime)
 }
 
-// Part is the share of a tenant's quota that one slot may grant.
-type Part struct {
+// Share is the share of a tenant's quota that one slot may grant.
+type Share struct {
 	Slot uint32
 	Rate limit.Rate
 }
@@ -54,10 +54,10 @@
 // Plan is the division of a tenant's quota among slots.
 type Plan struct {
 	// Main are the slots among which the quota is divided.
-	Main []Part
+	Main []Share
 	// Reserve is asked while a main slot has no holder. HasReserve is false if no slot is
 	// left for it.
-	Reserve    Part
+	Reserve    Share
 	HasReserve bool
 }
 
@@ -73,12 +73,12 @@
 	whole := b.mainBucket(rate)
 	plan := Plan{HasReserve: slots > count}
 	for index := range count {
-		plan.Main = append(plan.Main, Part{
+		plan.Main = append(plan.Main, Share{
 			Slot: (first + index) % slots,
 			Rate: limit.Rate{TokensPerSecond: whole.TokensPerSecond / float64(count), Burst: whole.Burst / float64(count)},
 		})
 	}
-	plan.Reserve = Part{Slot: (first + count) % slots, Rate: limit.Rate{
+	plan.Reserve = Share{Slot: (first + count) % slots, Rate: limit.Rate{
 		TokensPerSecond: reserveRateFraction * float64(b.Slack) / b.Window.Seconds(), Burst: reserveBurstFraction * float64(b.Slack),
 	}}
 	return plan
@@ -108,12 +108,12 @@
 
 // Order returns the main parts in the order in which requests of the program ask them.
 // All requests of a program ask the same slot first, so that its holder tracks the program.
-func (p Plan) Order(program string) []Part {
+func (p Plan) Order(program string) []Share {
 	if len(p.Main) < 2 {
 		return p.Main
 	}
 	first := int(hashOf(program) % uint32(len(p.Main)))
-	return append(append([]Part(nil), p.Main[first:]...), p.Main[:first]...)
+	return append(append([]Share(nil), p.Main[first:]...), p.Main[:first]...)
 }
 
 func hashOf(text string) uint32 {
--- a/transport/peer/quota.go
+++ b/transport/peer/quota.go
@@ -45,7 +45,7 @@
 func takePermits(holder QuotaHolder, message *peerv1.TakePermitsRequest) *peerv1.TakePermitsResponse {
 	decision := holder.Take(quota.PermitRequest{
 		Tenant: message.GetTenant(), Version: message.GetVersion(),
-		Part:    quota.Part{Slot: message.GetSlot(), Rate: limit.Rate{TokensPerSecond: message.GetRate(), Burst: message.GetBurst()}},
+		Part:    quota.Share{Slot: message.GetSlot(), Rate: limit.Rate{TokensPerSecond: message.GetRate(), Burst: message.GetBurst()}},
 		Program: message.GetProgram(), Kind: message.GetProgramKind(), Prefetch: int(message.GetAhead()),
 	})
 	switch grant := decision.(type) {
