--- a/coordination/quota/account.go
+++ b/coordination/quota/account.go
@@ -11,7 +11,7 @@
 	Tenant string
 	// Version is the configuration version that Part was computed from.
 	Version int64
-	Part    Share
+	Share   Share
 	// Program is the program that the request belongs to, empty for none. Kind groups
 	// programs with similar demand.
 	Program string
@@ -85,7 +85,7 @@
 //   - Permits are prefetched only from what exceeds half of the burst.
 func (a *account) take(ask PermitRequest, now time.Time) PermitAnswer {
 	if ask.Version > a.version {
-		a.version, a.rate = ask.Version, ask.Part.Rate
+		a.version, a.rate = ask.Version, ask.Share.Rate
 		a.bucket.SetRate(a.rate.TokensPerSecond, a.rate.Burst, now)
 	}
 	a.programs.sweep(now)
--- a/coordination/quota/announce.go
+++ b/coordination/quota/announce.go
@@ -58,7 +58,7 @@
 			return
 		}
 		for _, address := range c.orderMembers(view) {
-			if c.askNode(ctx, address, PermitRequest{Part: Share{Slot: slot}}) != nil {
+			if c.askNode(ctx, address, PermitRequest{Share: Share{Slot: slot}}) != nil {
 				break
 			}
 		}
--- a/coordination/quota/client.go
+++ b/coordination/quota/client.go
@@ -213,7 +213,7 @@
 	if !known || c.isVacant(part.Slot) {
 		return nil, Permit{}
 	}
-	ask.Part = part
+	ask.Share = part
 	for _, address := range c.orderMembers(view) {
 		if ctx.Err() != nil {
 			return nil, Permit{}
@@ -264,7 +264,7 @@
 	if ctx.Err() == nil {
 		c.reach.RecordFailure(address)
 	}
-	c.logger.Info("quota holder did not answer", zap.String("address", address), zap.Uint32("slot", ask.Part.Slot),
+	c.logger.Info("quota holder did not answer", zap.String("address", address), zap.Uint32("slot", ask.Share.Slot),
 		zap.String("tenant", ask.Tenant), zap.Error(err))
 	return nil
 }
--- a/coordination/quota/holder.go
+++ b/coordination/quota/holder.go
@@ -80,10 +80,10 @@
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	now := h.now()
-	s := h.slots[ask.Part.Slot]
+	s := h.slots[ask.Share.Slot]
 	if s == nil {
 		s = &slot{lease: newLease(h.processID, h.node)}
-		h.slots[ask.Part.Slot] = s
+		h.slots[ask.Share.Slot] = s
 	}
 	s.lastAsked = now
 	if h.released.Load() || !s.lease.holds(now) {
@@ -102,7 +102,7 @@
 	}
 	tenantAccount := s.accounts[ask.Tenant]
 	if tenantAccount == nil {
-		tenantAccount = newAccount(ask.Part.Rate, s.lease.takenAt)
+		tenantAccount = newAccount(ask.Share.Rate, s.lease.takenAt)
 		s.accounts[ask.Tenant] = tenantAccount
 	}
 	return tenantAccount.take(ask, now)
--- a/transport/peer/quota.go
+++ b/transport/peer/quota.go
@@ -21,7 +21,7 @@
 // TakePermits implements quota.Holders.
 func (c *Client) TakePermits(ctx context.Context, address string, ask quota.PermitRequest) (quota.PermitAnswer, error) {
 	answer, err := c.call(ctx, address, &peerv1.Call{Request: &peerv1.Call_TakePermits{TakePermits: &peerv1.TakePermitsRequest{
-		Slot: ask.Part.Slot, Tenant: ask.Tenant, Version: ask.Version, Rate: ask.Part.Rate.TokensPerSecond, Burst: ask.Part.Rate.Burst,
+		Slot: ask.Share.Slot, Tenant: ask.Tenant, Version: ask.Version, Rate: ask.Share.Rate.TokensPerSecond, Burst: ask.Share.Rate.Burst,
 		Program: ask.Program, ProgramKind: ask.Kind, Ahead: uint32(max(ask.Prefetch, 0)),
 	}}})
 	if err != nil {
@@ -45,7 +45,7 @@
 func takePermits(holder QuotaHolder, message *peerv1.TakePermitsRequest) *peerv1.TakePermitsResponse {
 	decision := holder.Take(quota.PermitRequest{
 		Tenant: message.GetTenant(), Version: message.GetVersion(),
-		Part:    quota.Share{Slot: message.GetSlot(), Rate: limit.Rate{TokensPerSecond: message.GetRate(), Burst: message.GetBurst()}},
+		Share:   quota.Share{Slot: message.GetSlot(), Rate: limit.Rate{TokensPerSecond: message.GetRate(), Burst: message.GetBurst()}},
 		Program: message.GetProgram(), Kind: message.GetProgramKind(), Prefetch: int(message.GetAhead()),
 	})
 	switch grant := decision.(type) {
