--- a/coordination/quota/client.go
+++ b/coordination/quota/client.go
@@ -16,8 +16,8 @@
 	"github.com/marblering/marblering/state/result"
 )
 
-// Holders requests permits from storage nodes. peer.Client implements it.
-type Holders interface {
+// HolderClient requests permits from storage nodes. peer.Client implements it.
+type HolderClient interface {
 	TakePermits(ctx context.Context, address string, ask PermitRequest) (PermitAnswer, error)
 }
 
@@ -59,7 +59,7 @@
 
 // Client gets permits for a gateway's requests. It is safe for concurrent use.
 type Client struct {
-	holders Holders
+	holders HolderClient
 	views   Views
 	reach   *reach.Tracker
 	bounds  Bounds
@@ -79,7 +79,7 @@
 
 // NewClient returns a client without permits. It reports to the tracker which storage
 // nodes answer.
-func NewClient(holders Holders, views Views, tracker *reach.Tracker, bounds Bounds, metrics *Metrics, now func() time.Time, logger *zap.Logger) *Client {
+func NewClient(holders HolderClient, views Views, tracker *reach.Tracker, bounds Bounds, metrics *Metrics, now func() time.Time, logger *zap.Logger) *Client {
 	return &Client{
 		holders: holders, views: views, reach: tracker, bounds: bounds, now: now, logger: logger, metrics: metrics,
 		stocks: make(map[string]*stock), lastHolder: make(map[uint32]string), vacantUntil: make(map[uint32]time.Time),
--- a/transport/peer/quota.go
+++ b/transport/peer/quota.go
@@ -16,7 +16,7 @@
 	Take(ask quota.PermitRequest) quota.PermitAnswer
 }
 
-var _ quota.Holders = (*Client)(nil)
+var _ quota.HolderClient = (*Client)(nil)
 
 // TakePermits implements quota.Holders.
 func (c *Client) TakePermits(ctx context.Context, address string, ask quota.PermitRequest) (quota.PermitAnswer, error) {
