--- a/coordination/quota/announce.go
+++ b/coordination/quota/announce.go
@@ -15,24 +15,24 @@
 	announceIdleTime = 5 * time.Second
 )
 
-// Announcer keeps every slot held while no request needs it. Without it the first
+// KeepAlive keeps every slot held while no request needs it. Without it the first
 // requests after a pause would be refused, since a new holder starts with an empty
 // bucket. It is a suture service.
-type Announcer struct {
+type KeepAlive struct {
 	client     *Client
 	hasTenants func() bool
 }
 
 // NewAnnouncer returns an announcer that is active while hasTenants returns true.
-func NewAnnouncer(client *Client, hasTenants func() bool) *Announcer {
-	return &Announcer{client: client, hasTenants: hasTenants}
+func NewAnnouncer(client *Client, hasTenants func() bool) *KeepAlive {
+	return &KeepAlive{client: client, hasTenants: hasTenants}
 }
 
 // String returns the service's name in supervisor events.
-func (a *Announcer) String() string { return "quota announcer" }
+func (a *KeepAlive) String() string { return "quota announcer" }
 
 // Serve announces slots until the context ends.
-func (a *Announcer) Serve(ctx context.Context) error {
+func (a *KeepAlive) Serve(ctx context.Context) error {
 	for sleep.For(ctx, sleep.Jitter(announceInterval)) == nil {
 		if a.hasTenants() && a.client.isIdle() {
 			a.client.announceSlots(ctx)
