--- a/coordination/quota/announce.go
+++ b/coordination/quota/announce.go
@@ -23,8 +23,8 @@
 	hasTenants func() bool
 }
 
-// NewAnnouncer returns an announcer that is active while hasTenants returns true.
-func NewAnnouncer(client *Client, hasTenants func() bool) *KeepAlive {
+// NewKeepAlive returns an announcer that is active while hasTenants returns true.
+func NewKeepAlive(client *Client, hasTenants func() bool) *KeepAlive {
 	return &KeepAlive{client: client, hasTenants: hasTenants}
 }
 
--- a/node/gateway/storage.go
+++ b/node/gateway/storage.go
@@ -39,7 +39,7 @@
 // quotaAnnouncer returns the service that makes storage nodes hold quota slots once the
 // configuration has tenants.
 func (g *Gateway) quotaAnnouncer() *quota.KeepAlive {
-	return quota.NewAnnouncer(g.storage.quotas, func() bool {
+	return quota.NewKeepAlive(g.storage.quotas, func() bool {
 		table := g.activeTable.Table()
 		return table != nil && table.KeysRequired()
 	})
