--- a/coordination/quota/client.go
+++ b/coordination/quota/client.go
@@ -62,7 +62,7 @@
 	holders HolderClient
 	views   Views
 	reach   *reach.Tracker
-	bounds  Bounds
+	bounds  Tolerance
 	now     func() time.Time
 	logger  *zap.Logger
 	metrics *Metrics
@@ -79,7 +79,7 @@
 
 // NewClient returns a client without permits. It reports to the tracker which storage
 // nodes answer.
-func NewClient(holders HolderClient, views Views, tracker *reach.Tracker, bounds Bounds, metrics *Metrics, now func() time.Time, logger *zap.Logger) *Client {
+func NewClient(holders HolderClient, views Views, tracker *reach.Tracker, bounds Tolerance, metrics *Metrics, now func() time.Time, logger *zap.Logger) *Client {
 	return &Client{
 		holders: holders, views: views, reach: tracker, bounds: bounds, now: now, logger: logger, metrics: metrics,
 		stocks: make(map[string]*stock), lastHolder: make(map[uint32]string), vacantUntil: make(map[uint32]time.Time),
--- a/coordination/quota/plan.go
+++ b/coordination/quota/plan.go
@@ -7,8 +7,8 @@
 	"github.com/marblering/marblering/coordination/limit"
 )
 
-// Bounds limit by how much a tenant may exceed its quota.
-type Bounds struct {
+// Tolerance limit by how much a tenant may exceed its quota.
+type Tolerance struct {
 	// Window is the time span over which requests are counted.
 	Window time.Duration
 	// Over is the fraction of its quota by which a tenant may exceed it in a window, Slack
@@ -41,7 +41,7 @@
 )
 
 // PermitLifetime is how long a permit may be used, counted from when it was requested.
-func (b Bounds) PermitLifetime() time.Duration {
+func (b Tolerance) PermitLifetime() time.Duration {
 	return min(time.Duration(b.Over*float64(b.Window)), maxPermitLifetime)
 }
 
@@ -63,7 +63,7 @@
 
 // Plan divides the tenant's rate among the slots. All nodes that know the same rate and
 // number of slots compute the same plan.
-func (b Bounds) Plan(tenant string, rate limit.Rate, slots uint32) Plan {
+func (b Tolerance) Plan(tenant string, rate limit.Rate, slots uint32) Plan {
 	if slots == 0 {
 		return Plan{}
 	}
@@ -88,7 +88,7 @@
 // together. Within a window a tenant may use as much as with its own rate and burst, but
 // a tenant that is always over its rate may use this much in every window, instead of its
 // rate alone.
-func (b Bounds) mainBucket(rate limit.Rate) limit.Rate {
+func (b Tolerance) mainBucket(rate limit.Rate) limit.Rate {
 	window := b.Window.Seconds()
 	if rate.Burst <= 0 {
 		return limit.Rate{TokensPerSecond: rate.TokensPerSecond, Burst: b.unreservedSlack()}
@@ -102,7 +102,7 @@
 }
 
 // unreservedSlack is the part of Slack that the reserve slot doesn't grant, in requests.
-func (b Bounds) unreservedSlack() float64 {
+func (b Tolerance) unreservedSlack() float64 {
 	return float64(b.Slack) * (1 - reserveBurstFraction - reserveRateFraction*(1+b.Over))
 }
 
--- a/coordination/quota/plan_test.go
+++ b/coordination/quota/plan_test.go
@@ -14,7 +14,7 @@
 // TestPlanStaysWithinBound adds up what all slots of a plan may grant in one window.
 func TestPlanStaysWithinBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		bounds := Bounds{
+		bounds := Tolerance{
 			Window: time.Duration(rapid.IntRange(1, 60).Draw(t, "window")) * time.Second,
 			Over:   rapid.Float64Range(0, 1).Draw(t, "over"), Slack: rapid.IntRange(0, 100).Draw(t, "slack"),
 		}
@@ -43,7 +43,7 @@
 // TestOrderIsStablePerProgram checks that all requests of a program ask the same slot first,
 // and that programs spread over the slots.
 func TestOrderIsStablePerProgram(t *testing.T) {
-	plan := Bounds{Window: 5 * time.Second, Over: 0.1, Slack: 20}.Plan("t", limit.Rate{TokensPerSecond: 320, Burst: 320}, 15)
+	plan := Tolerance{Window: 5 * time.Second, Over: 0.1, Slack: 20}.Plan("t", limit.Rate{TokensPerSecond: 320, Burst: 320}, 15)
 	assert.Equal(t, len(plan.Main), 4)
 	first := make(map[uint32]int)
 	for _, program := range []string{"a", "b", "c", "d", "e", "f", "g", "h", "i", "j"} {
--- a/coordination/quota/simulation_test.go
+++ b/coordination/quota/simulation_test.go
@@ -41,7 +41,7 @@
 	maxClockDrift = 0.01
 )
 
-var simulatedBounds = Bounds{Window: 5 * time.Second, Over: 0.1, Slack: 20}
+var simulatedBounds = Tolerance{Window: 5 * time.Second, Over: 0.1, Slack: 20}
 
 // simulation is the state of one simulated sequence.
 type simulation struct {
