--- a/coordination/quota/plan.go
+++ b/coordination/quota/plan.go
@@ -11,10 +11,10 @@
 type Tolerance struct {
 	// Window is the time span over which requests are counted.
 	Window time.Duration
-	// Over is the fraction of its quota by which a tenant may exceed it in a window, Slack
+	// Fraction is the fraction of its quota by which a tenant may exceed it in a window, Slack
 	// an additional number of requests.
-	Over  float64
-	Slack int
+	Fraction float64
+	Slack    int
 }
 
 const (
@@ -42,7 +42,7 @@
 
 // PermitLifetime is how long a permit may be used, counted from when it was requested.
 func (b Tolerance) PermitLifetime() time.Duration {
-	return min(time.Duration(b.Over*float64(b.Window)), maxPermitLifetime)
+	return min(time.Duration(b.Fraction*float64(b.Window)), maxPermitLifetime)
 }
 
 // Share is the share of a tenant's quota that one slot may grant.
@@ -94,16 +94,16 @@
 		return limit.Rate{TokensPerSecond: rate.TokensPerSecond, Burst: b.unreservedSlack()}
 	}
 	spread := maxSpreadFraction * min(1, rate.TokensPerSecond*window/(4*rate.Burst))
-	spread = max(min(spread, 1-(minBurst-b.unreservedSlack())/(rate.Burst*(1+b.Over))), 0)
+	spread = max(min(spread, 1-(minBurst-b.unreservedSlack())/(rate.Burst*(1+b.Fraction))), 0)
 	return limit.Rate{
 		TokensPerSecond: rate.TokensPerSecond + spread*rate.Burst/window,
-		Burst:           rate.Burst*(1+b.Over)*(1-spread) + b.unreservedSlack(),
+		Burst:           rate.Burst*(1+b.Fraction)*(1-spread) + b.unreservedSlack(),
 	}
 }
 
 // unreservedSlack is the part of Slack that the reserve slot doesn't grant, in requests.
 func (b Tolerance) unreservedSlack() float64 {
-	return float64(b.Slack) * (1 - reserveBurstFraction - reserveRateFraction*(1+b.Over))
+	return float64(b.Slack) * (1 - reserveBurstFraction - reserveRateFraction*(1+b.Fraction))
 }
 
 // Order returns the main parts in the order in which requests of the program ask them.
--- a/coordination/quota/plan_test.go
+++ b/coordination/quota/plan_test.go
@@ -15,8 +15,8 @@
 func TestPlanStaysWithinBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		bounds := Tolerance{
-			Window: time.Duration(rapid.IntRange(1, 60).Draw(t, "window")) * time.Second,
-			Over:   rapid.Float64Range(0, 1).Draw(t, "over"), Slack: rapid.IntRange(0, 100).Draw(t, "slack"),
+			Window:   time.Duration(rapid.IntRange(1, 60).Draw(t, "window")) * time.Second,
+			Fraction: rapid.Float64Range(0, 1).Draw(t, "over"), Slack: rapid.IntRange(0, 100).Draw(t, "slack"),
 		}
 		rate := limit.Rate{
 			TokensPerSecond: rapid.Float64Range(0.1, 5000).Draw(t, "rate"), Burst: rapid.Float64Range(0, 5000).Draw(t, "burst"),
@@ -35,7 +35,7 @@
 			seen[part.Slot] = true
 			granted += part.Rate.TokensPerSecond*span + part.Rate.Burst
 		}
-		allowed := (rate.TokensPerSecond*bounds.Window.Seconds()+rate.Burst)*(1+bounds.Over) + float64(bounds.Slack)
+		allowed := (rate.TokensPerSecond*bounds.Window.Seconds()+rate.Burst)*(1+bounds.Fraction) + float64(bounds.Slack)
 		assert.Assert(t, granted <= allowed*(1+1e-9), "%.3f requests granted, %.3f allowed", granted, allowed)
 	})
 }
@@ -43,7 +43,7 @@
 // TestOrderIsStablePerProgram checks that all requests of a program ask the same slot first,
 // and that programs spread over the slots.
 func TestOrderIsStablePerProgram(t *testing.T) {
-	plan := Tolerance{Window: 5 * time.Second, Over: 0.1, Slack: 20}.Plan("t", limit.Rate{TokensPerSecond: 320, Burst: 320}, 15)
+	plan := Tolerance{Window: 5 * time.Second, Fraction: 0.1, Slack: 20}.Plan("t", limit.Rate{TokensPerSecond: 320, Burst: 320}, 15)
 	assert.Equal(t, len(plan.Main), 4)
 	first := make(map[uint32]int)
 	for _, program := range []string{"a", "b", "c", "d", "e", "f", "g", "h", "i", "j"} {
--- a/coordination/quota/simulation_test.go
+++ b/coordination/quota/simulation_test.go
@@ -41,7 +41,7 @@
 	maxClockDrift = 0.01
 )
 
-var simulatedBounds = Tolerance{Window: 5 * time.Second, Over: 0.1, Slack: 20}
+var simulatedBounds = Tolerance{Window: 5 * time.Second, Fraction: 0.1, Slack: 20}
 
 // simulation is the state of one simulated sequence.
 type simulation struct {
@@ -328,7 +328,7 @@
 
 // worstExcess returns by how many requests the worst window exceeds the bound.
 func worstExcess(used []time.Time, rate limit.Rate) float64 {
-	allowed := (rate.TokensPerSecond*simulatedBounds.Window.Seconds()+rate.Burst)*(1+simulatedBounds.Over) + float64(simulatedBounds.Slack)
+	allowed := (rate.TokensPerSecond*simulatedBounds.Window.Seconds()+rate.Burst)*(1+simulatedBounds.Fraction) + float64(simulatedBounds.Slack)
 	slices.SortFunc(used, time.Time.Compare)
 	worst := -allowed
 	for first, end := 0, 0; first < len(used); first++ {
