--- a/coordination/conversation/budget_simulation_test.go
+++ b/coordination/conversation/budget_simulation_test.go
@@ -195,7 +195,7 @@
 	}
 	number := s.beginAttempt()
 	turn, refusal := s.gateways[s.draw(len(s.gateways))].Begin(ctx, conversation.Request{
-		ID: id, Program: "p", Budget: programBudget, Most: maxTurnTokens, TokensPerEvent: tokensPerEvent, Timeout: 10 * time.Second,
+		ID: id, Program: "p", Budget: programBudget, MaxTokens: maxTurnTokens, TokensPerEvent: tokensPerEvent, Timeout: 10 * time.Second,
 	})
 	if refusal != nil {
 		s.endAttempt(number)
--- a/coordination/conversation/conversation.go
+++ b/coordination/conversation/conversation.go
@@ -76,8 +76,8 @@
 	// Budget is the number of tokens that all turns of the program may generate together,
 	// zero for no limit.
 	Budget uint64
-	// Most is the maximum number of tokens that this turn may generate.
-	Most uint64
+	// MaxTokens is the maximum number of tokens that this turn may generate.
+	MaxTokens uint64
 	// TokensPerEvent is the number of tokens in one event of the answer.
 	TokensPerEvent uint64
 	// Retained is set if the turn is stored for Retention and the earlier turns are
@@ -166,7 +166,7 @@
 	name := t.service.reservationName(t.request.ID)
 	err := t.service.budgets.Reserve(ctx, tokenbudget.Reservation{
 		Program: t.request.Program, Name: name, ProgramLimit: t.request.Budget,
-		MaxTokens: t.request.Most, Lifetime: t.request.Timeout, ProgramRunning: t.request.Previous != "",
+		MaxTokens: t.request.MaxTokens, Lifetime: t.request.Timeout, ProgramRunning: t.request.Previous != "",
 	})
 	switch {
 	case errors.Is(err, budget.ErrSpent):
--- a/coordination/conversation/reservation_test.go
+++ b/coordination/conversation/reservation_test.go
@@ -65,7 +65,7 @@
 	number := uint64(0)
 	nextNumber := func() uint64 { number++; return number }
 	service := conversation.New(nil, budgets, func() bool { return false }, time.Now, nextNumber, zap.NewNop())
-	request := conversation.Request{ID: "t", Program: "p", Budget: 1000, Most: 100, TokensPerEvent: 25, Timeout: time.Minute}
+	request := conversation.Request{ID: "t", Program: "p", Budget: 1000, MaxTokens: 100, TokensPerEvent: 25, Timeout: time.Minute}
 
 	_, refusal := service.Begin(t.Context(), request)
 	assert.Assert(t, refusal != nil, "the first attempt was granted")
--- a/transport/relay/turn.go
+++ b/transport/relay/turn.go
@@ -23,7 +23,7 @@
 	service := table.Service(c.routing.route.Pick(backend.KeyFraction(c.input.facts.AffinityKey)))
 	turn, failure := c.handler.options.Turns.Begin(ctx, conversation.Request{
 		ID: c.input.facts.ID, Program: c.input.facts.Program, Tenant: c.tenantName(), Previous: c.input.facts.PreviousTurn,
-		Budget: c.input.facts.TokenBudget, Most: c.input.facts.MaxTokens, TokensPerEvent: service.TokensPerEvent,
+		Budget: c.input.facts.TokenBudget, MaxTokens: c.input.facts.MaxTokens, TokensPerEvent: service.TokensPerEvent,
 		Retained: c.routing.route.Retained, Retention: c.routing.route.Retention, Timeout: c.timing.timeout(), Input: c.input.body,
 	})
 	if failure != nil {
