--- a/coordination/conversation/conversation.go
+++ b/coordination/conversation/conversation.go
@@ -24,7 +24,7 @@
 // Turns stores whole turns. turnstore.Store implements it.
 type Turns interface {
 	Put(ctx context.Context, program string, whole *statev1.RetainedTurn) error
-	Line(ctx context.Context, program, id string) ([]*statev1.RetainedTurn, error)
+	History(ctx context.Context, program, id string) ([]*statev1.RetainedTurn, error)
 }
 
 // Budgets counts tokens. tokenbudget.Client implements it.
@@ -134,7 +134,7 @@
 
 // readHistory reads the earlier turns. It refuses a turn of another tenant.
 func (t *Turn) readHistory(ctx context.Context) *result.Error {
-	history, err := t.service.turns.Line(ctx, t.request.Program, t.request.Previous)
+	history, err := t.service.turns.History(ctx, t.request.Program, t.request.Previous)
 	if errors.Is(err, turnstore.ErrUnknown) {
 		t.service.logger.Info("turn unknown", zap.String("request", t.request.ID),
 			zap.String("program", t.request.Program), zap.String("previous", t.request.Previous), zap.Error(err))
--- a/coordination/conversation/state_time_test.go
+++ b/coordination/conversation/state_time_test.go
@@ -20,7 +20,7 @@
 
 func (slowTurnStore) Put(context.Context, string, *statev1.RetainedTurn) error { return nil }
 
-func (s slowTurnStore) Line(ctx context.Context, _, _ string) ([]*statev1.RetainedTurn, error) {
+func (s slowTurnStore) History(ctx context.Context, _, _ string) ([]*statev1.RetainedTurn, error) {
 	select {
 	case <-time.After(s.delay):
 		return nil, turnstore.ErrUnknown
