--- a/node/storage/run.go
+++ b/node/storage/run.go
@@ -35,7 +35,7 @@
 // Run runs a storage node until the context ends. After a failed write to the disk it
 // reopens and verifies the data, as after a restart, until writes succeed. It returns any
 // other error.
-func Run(ctx context.Context, loaded settings.Storage, parts Parts, logger *zap.Logger) error {
+func Run(ctx context.Context, loaded settings.Storage, parts Dependencies, logger *zap.Logger) error {
 	debug.SetMemoryLimit(int64(softMemoryLimitFraction * float64(loaded.MemoryLimit)))
 	for {
 		err := runOnce(ctx, loaded, parts, logger)
@@ -50,7 +50,7 @@
 }
 
 // runOnce runs the node until the context ends or a write to the disk fails.
-func runOnce(ctx context.Context, loaded settings.Storage, parts Parts, logger *zap.Logger) error {
+func runOnce(ctx context.Context, loaded settings.Storage, parts Dependencies, logger *zap.Logger) error {
 	began := time.Now()
 	disk, err := replica.OpenDisk(loaded.DataFolder)
 	if err != nil {
--- a/node/storage/storage.go
+++ b/node/storage/storage.go
@@ -28,8 +28,8 @@
 	"github.com/marblering/marblering/transport/peer"
 )
 
-// Parts connect a storage node to the store of a deployment.
-type Parts struct {
+// Dependencies connect a storage node to the store of a deployment.
+type Dependencies struct {
 	// Objects, Nodes and Sets give access to the objects of the directory.
 	Objects directory.Objects
 	Nodes   follow.Source
@@ -54,7 +54,7 @@
 // Node is a running storage node.
 type Node struct {
 	settings settings.Storage
-	parts    Parts
+	parts    Dependencies
 	logger   *zap.Logger
 
 	// self describes this node as a member of replica sets.
