--- a/node/storage/sets.go
+++ b/node/storage/sets.go
@@ -55,7 +55,7 @@
 		Shards: uint32(n.settings.Shards), Factor: n.settings.ReplicationFactor(), StableFor: foundingDelay, DegradedAfter: incompleteFoundingDelay,
 	}
 	views := func() *shard.Map { return n.views }
-	n.keeper = directory.NewWriter(n.self, n.parts.Objects, views, founding, time.Now, n.logger)
+	n.keeper = directory.NewWriter(n.self, n.parts.DirectoryObjects, views, founding, time.Now, n.logger)
 	n.lookup = directory.NewLookup(n.views, n.logger)
 	n.lookup.OnShardCount(n.saveShardCount)
 	n.retirement = retirement.New(retirement.Options{
--- a/node/storage/storage.go
+++ b/node/storage/storage.go
@@ -30,10 +30,10 @@
 
 // Dependencies connect a storage node to the store of a deployment.
 type Dependencies struct {
-	// Objects, Nodes and Sets give access to the objects of the directory.
-	Objects directory.Objects
-	Nodes   follow.Source
-	Sets    follow.Source
+	// DirectoryObjects, Nodes and Sets give access to the objects of the directory.
+	DirectoryObjects directory.Objects
+	Nodes            follow.Source
+	Sets             follow.Source
 	// Configuration and Instances are the sources of the objects that are mirrored for
 	// gateways.
 	Configuration follow.Source
