--- a/node/storage/storage.go
+++ b/node/storage/storage.go
@@ -33,7 +33,7 @@
 	// DirectoryObjects, Nodes and Sets give access to the objects of the directory.
 	DirectoryObjects directory.Objects
 	Nodes            follow.Source
-	Sets             follow.Source
+	ReplicaSets      follow.Source
 	// Configuration and Instances are the sources of the objects that are mirrored for
 	// gateways.
 	Configuration follow.Source
@@ -166,7 +166,7 @@
 
 // followers returns the services that follow the objects of the store.
 func (n *Node) followers() []suture.Service {
-	sets := n.newRelaxedFollower(mirror.KindReplicaSets, n.parts.Sets, n.applySets)
+	sets := n.newRelaxedFollower(mirror.KindReplicaSets, n.parts.ReplicaSets, n.applySets)
 	return []suture.Service{
 		n.newRelaxedFollower(mirror.KindNodes, n.parts.Nodes, n.applyNodes),
 		sets, n.newSetsReader(sets),
