--- a/coordination/conversation/conversation.go
+++ b/coordination/conversation/conversation.go
@@ -135,7 +135,7 @@
 // readHistory reads the earlier turns. It refuses a turn of another tenant.
 func (t *Turn) readHistory(ctx context.Context) *result.Error {
 	history, err := t.service.turns.History(ctx, t.request.Program, t.request.Previous)
-	if errors.Is(err, turnstore.ErrUnknown) {
+	if errors.Is(err, turnstore.ErrTurnNotFound) {
 		t.service.logger.Info("turn unknown", zap.String("request", t.request.ID),
 			zap.String("program", t.request.Program), zap.String("previous", t.request.Previous), zap.Error(err))
 		return unknownTurn(t.request.Previous)
--- a/coordination/conversation/state_time_test.go
+++ b/coordination/conversation/state_time_test.go
@@ -23,7 +23,7 @@
 func (s slowTurnStore) History(ctx context.Context, _, _ string) ([]*statev1.RetainedTurn, error) {
 	select {
 	case <-time.After(s.delay):
-		return nil, turnstore.ErrUnknown
+		return nil, turnstore.ErrTurnNotFound
 	case <-ctx.Done():
 		return nil, turnstore.ErrUnavailable
 	}
--- a/coordination/turnstore/find.go
+++ b/coordination/turnstore/find.go
@@ -41,7 +41,7 @@
 		}
 	}
 	if missing = s.fillFromCache(ids, turns); len(missing) > 0 {
-		return nil, merry.Prependf(ErrUnknown, "turn %q", missing[0])
+		return nil, merry.Prependf(ErrTurnNotFound, "turn %q", missing[0])
 	}
 	return turns, nil
 }
--- a/coordination/turnstore/store.go
+++ b/coordination/turnstore/store.go
@@ -28,8 +28,8 @@
 )
 
 var (
-	// ErrUnknown means that a quorum answered and no member of it has the turn.
-	ErrUnknown = errors.New("no such turn")
+	// ErrTurnNotFound means that a quorum answered and no member of it has the turn.
+	ErrTurnNotFound = errors.New("no such turn")
 	// ErrUnavailable means that no quorum of the replicas answered.
 	ErrUnavailable = errors.New("too few replicas answered")
 )
--- a/coordination/turnstore/store_test.go
+++ b/coordination/turnstore/store_test.go
@@ -181,10 +181,10 @@
 	m, v := newMembers(2)
 	store := newStore(t, "z0", m, v)
 	_, err := store.Line(context.Background(), "p", "none")
-	assert.ErrorIs(t, err, turnstore.ErrUnknown)
+	assert.ErrorIs(t, err, turnstore.ErrTurnNotFound)
 	m.down["m1"] = true
 	_, err = store.Line(context.Background(), "p", "none")
-	assert.ErrorIs(t, err, turnstore.ErrUnknown, "two of three members are a quorum")
+	assert.ErrorIs(t, err, turnstore.ErrTurnNotFound, "two of three members are a quorum")
 	m.down["m0"] = true
 	ctx, cancel := shortContext()
 	defer cancel()
@@ -352,7 +352,7 @@
 		m.answerDelay = 70 * time.Millisecond
 		began := time.Now()
 		_, err := newStore(t, "z0", m, v).Line(t.Context(), "p", "none")
-		assert.ErrorIs(t, err, turnstore.ErrUnknown)
+		assert.ErrorIs(t, err, turnstore.ErrTurnNotFound)
 		assert.Equal(t, time.Since(began), 3*m.answerDelay, "two members of the home shard one after the other, then all other shards concurrently")
 		assert.Equal(t, len(m.reads), 2*8, "two reads for each shard")
 	})
