--- a/coordination/conversation/state_time_test.go
+++ b/coordination/conversation/state_time_test.go
@@ -25,7 +25,7 @@
 	case <-time.After(s.delay):
 		return nil, turnstore.ErrTurnNotFound
 	case <-ctx.Done():
-		return nil, turnstore.ErrUnavailable
+		return nil, turnstore.ErrNoQuorum
 	}
 }
 
--- a/coordination/turnstore/quorum.go
+++ b/coordination/turnstore/quorum.go
@@ -34,7 +34,7 @@
 // suffices. If the context ends first, it returns ErrUnavailable with the error of the
 // last round.
 func (s *Store) retryUntilQuorum(ctx context.Context, shard uint32, act action, first fanOut) error {
-	lastErr := error(ErrUnavailable)
+	lastErr := error(ErrNoQuorum)
 	for pause := minRoundPause; ; pause = min(2*pause, maxRoundPause) {
 		view, known := s.views.View(shard)
 		if known {
@@ -43,7 +43,7 @@
 			}
 		}
 		if sleep.For(ctx, pause) != nil {
-			return merry.Wrap(ErrUnavailable, merry.WithCause(lastErr), merry.AppendMessagef("%v", lastErr))
+			return merry.Wrap(ErrNoQuorum, merry.WithCause(lastErr), merry.AppendMessagef("%v", lastErr))
 		}
 	}
 }
--- a/coordination/turnstore/store.go
+++ b/coordination/turnstore/store.go
@@ -30,8 +30,8 @@
 var (
 	// ErrTurnNotFound means that a quorum answered and no member of it has the turn.
 	ErrTurnNotFound = errors.New("no such turn")
-	// ErrUnavailable means that no quorum of the replicas answered.
-	ErrUnavailable = errors.New("too few replicas answered")
+	// ErrNoQuorum means that no quorum of the replicas answered.
+	ErrNoQuorum = errors.New("too few replicas answered")
 )
 
 // turnSequence is the sequence number of every stored turn. Replicas store turns by name
@@ -136,7 +136,7 @@
 func (s *Store) awaitReplicaSets(ctx context.Context) error {
 	for s.views.Shards() == 0 {
 		if sleep.For(ctx, minRoundPause) != nil {
-			return merry.Prepend(ErrUnavailable, "no replica set is known")
+			return merry.Prepend(ErrNoQuorum, "no replica set is known")
 		}
 	}
 	return nil
--- a/coordination/turnstore/store_test.go
+++ b/coordination/turnstore/store_test.go
@@ -189,7 +189,7 @@
 	ctx, cancel := shortContext()
 	defer cancel()
 	_, err = store.Line(ctx, "p", "none")
-	assert.ErrorIs(t, err, turnstore.ErrUnavailable)
+	assert.ErrorIs(t, err, turnstore.ErrNoQuorum)
 }
 
 // TestPutNeedsAQuorum checks that Put uses other members if the preferred ones fail, and
@@ -202,7 +202,7 @@
 	m.down["m1"] = true
 	ctx, cancel := shortContext()
 	defer cancel()
-	assert.ErrorIs(t, store.Put(ctx, "p", &statev1.RetainedTurn{Id: "b"}), turnstore.ErrUnavailable)
+	assert.ErrorIs(t, store.Put(ctx, "p", &statev1.RetainedTurn{Id: "b"}), turnstore.ErrNoQuorum)
 }
 
 // TestNearestIsAskedFirst checks that only the nearest member is read if it has the turn.
@@ -335,7 +335,7 @@
 		store := newStore(t, "z0", m, v)
 		ctx, cancel := context.WithTimeout(t.Context(), 4*time.Second)
 		defer cancel()
-		assert.ErrorIs(t, store.Put(ctx, "p", &statev1.RetainedTurn{Id: "a"}), turnstore.ErrUnavailable)
+		assert.ErrorIs(t, store.Put(ctx, "p", &statev1.RetainedTurn{Id: "a"}), turnstore.ErrNoQuorum)
 		synctest.Wait()
 		assert.Assert(t, m.refused <= 3*25, "%d requests in 4 s", m.refused)
 		clear(m.down)
@@ -382,7 +382,7 @@
 		ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 		defer cancel()
 		_, err := newStore(t, "z2", m, v).Line(ctx, "p", "none")
-		assert.ErrorIs(t, err, turnstore.ErrUnavailable)
+		assert.ErrorIs(t, err, turnstore.ErrNoQuorum)
 		assert.Equal(t, time.Since(began), 800*time.Millisecond)
 	})
 }
@@ -396,7 +396,7 @@
 		ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 		defer cancel()
 		_, err := newStore(t, "z0", m, views{shard.NewMap(0)}).Line(ctx, "p", "none")
-		assert.ErrorIs(t, err, turnstore.ErrUnavailable)
+		assert.ErrorIs(t, err, turnstore.ErrNoQuorum)
 		assert.Equal(t, time.Since(began), 800*time.Millisecond)
 	})
 }
