--- a/coordination/conversation/conversation.go
+++ b/coordination/conversation/conversation.go
@@ -169,7 +169,7 @@
 		MaxTokens: t.request.MaxTokens, Lifetime: t.request.Timeout, ProgramRunning: t.request.Previous != "",
 	})
 	switch {
-	case errors.Is(err, budget.ErrSpent):
+	case errors.Is(err, budget.ErrExhausted):
 		return result.Errorf(result.BudgetExhausted, "%v", err)
 	case errors.Is(err, budget.ErrReserved):
 		return result.Errorf(result.BudgetReserved, "%v", err).After(reservedRetryAfter)
--- a/coordination/tokenbudget/attempt_test.go
+++ b/coordination/tokenbudget/attempt_test.go
@@ -20,7 +20,7 @@
 		want step
 	}{
 		{"granted", attempt{}, 0, finish{}},
-		{"budget spent", attempt{err: budget.ErrSpent}, 0, finish{budget.ErrSpent}},
+		{"budget spent", attempt{err: budget.ErrExhausted}, 0, finish{budget.ErrExhausted}},
 		{"reserved elsewhere", attempt{err: budget.ErrReserved}, 1, tryReserveHolder{budget.ErrReserved}},
 		{"reserved elsewhere after two slow hosts", attempt{err: budget.ErrReserved}, maxSlowAttempts, finish{budget.ErrReserved}},
 		{"reserved elsewhere, the caller left", attempt{err: budget.ErrReserved, callerGone: true}, 0, finish{budget.ErrReserved}},
--- a/coordination/tokenbudget/host_test.go
+++ b/coordination/tokenbudget/host_test.go
@@ -316,7 +316,7 @@
 	client.Flush(context.Background())
 	reservation.Name = "u"
 	before := len(transport.asked)
-	assert.ErrorIs(t, client.Reserve(context.Background(), reservation), budget.ErrSpent)
+	assert.ErrorIs(t, client.Reserve(context.Background(), reservation), budget.ErrExhausted)
 	assert.Equal(t, len(transport.asked), before+1)
 }
 
@@ -362,6 +362,6 @@
 	reservation.Name = "u"
 	harness.Eventually(t, func() (bool, string) {
 		err := host.Reserve(ctx, reservation)
-		return err == budget.ErrSpent, fmt.Sprint(err)
+		return err == budget.ErrExhausted, fmt.Sprint(err)
 	})
 }
--- a/coordination/tokenbudget/ledger.go
+++ b/coordination/tokenbudget/ledger.go
@@ -328,5 +328,5 @@
 // IsRefusal reports whether the error is a decision of the budget rather than a failure to
 // reach it.
 func IsRefusal(err error) bool {
-	return errors.Is(err, budget.ErrSpent) || errors.Is(err, budget.ErrReserved)
+	return errors.Is(err, budget.ErrExhausted) || errors.Is(err, budget.ErrReserved)
 }
--- a/coordination/tokenbudget/ledger_test.go
+++ b/coordination/tokenbudget/ledger_test.go
@@ -177,7 +177,7 @@
 	assert.ErrorIs(t, second.Reserve(context.Background(), tokenbudget.Reservation{Program: "p", ProgramLimit: 100, MaxTokens: 100}), budget.ErrReserved)
 	first.End("p", 100, 100)
 	first.Flush(context.Background())
-	assert.ErrorIs(t, second.Reserve(context.Background(), tokenbudget.Reservation{Program: "p", ProgramLimit: 100, MaxTokens: 100}), budget.ErrSpent)
+	assert.ErrorIs(t, second.Reserve(context.Background(), tokenbudget.Reservation{Program: "p", ProgramLimit: 100, MaxTokens: 100}), budget.ErrExhausted)
 }
 
 // failingRegister fails each change after a pause.
--- a/coordination/tokenbudget/reserved_elsewhere_test.go
+++ b/coordination/tokenbudget/reserved_elsewhere_test.go
@@ -55,7 +55,7 @@
 	for turns < 10 {
 		runTurn()
 	}
-	assert.ErrorIs(t, client.Reserve(t.Context(), newReservation("excess")), budget.ErrSpent)
+	assert.ErrorIs(t, client.Reserve(t.Context(), newReservation("excess")), budget.ErrExhausted)
 }
 
 // TestReserveOfFailedHostIsNotSpent: the reserve of a host that doesn't answer may be released
@@ -83,7 +83,7 @@
 	for _, other := range []string{"a/2", "rack/b/1", "rack/a/1/x", "1"} {
 		assert.ErrorIs(t, newLedger(other, shared).Reserve(t.Context(), reservation), budget.ErrReserved, other)
 	}
-	assert.ErrorIs(t, newLedger("rack/a/2", shared).Reserve(t.Context(), reservation), budget.ErrSpent)
+	assert.ErrorIs(t, newLedger("rack/a/2", shared).Reserve(t.Context(), reservation), budget.ErrExhausted)
 	assert.Equal(t, shared.committed(t, "p"), uint64(100))
 }
 
@@ -105,6 +105,6 @@
 	transport.hosts[primary] = tokenbudget.NewHost(newLedger(name(primary, 2), shared), time.Now)
 	tracker.RecordFailure(primary)
 	reservation.Name = "t2"
-	assert.ErrorIs(t, client.Reserve(t.Context(), reservation), budget.ErrSpent)
+	assert.ErrorIs(t, client.Reserve(t.Context(), reservation), budget.ErrExhausted)
 	assert.Equal(t, transport.asked[len(transport.asked)-1], primary)
 }
--- a/coordination/tokenbudget/uncertain_outcome_test.go
+++ b/coordination/tokenbudget/uncertain_outcome_test.go
@@ -41,7 +41,7 @@
 	reservation := tokenbudget.Reservation{Program: "p", ProgramLimit: 100, MaxTokens: 100}
 
 	refused := newLedgerOver("a", &retryingRegister{first: encode(100), second: encode(0)})
-	assert.ErrorIs(t, refused.Reserve(t.Context(), reservation), budget.ErrSpent)
+	assert.ErrorIs(t, refused.Reserve(t.Context(), reservation), budget.ErrExhausted)
 
 	granted := newLedgerOver("a", &retryingRegister{first: encode(0), second: encode(100)})
 	assert.NilError(t, granted.Reserve(t.Context(), reservation))
--- a/state/budget/budget.go
+++ b/state/budget/budget.go
@@ -18,8 +18,8 @@
 )
 
 var (
-	// ErrSpent means that the program's budget is exhausted.
-	ErrSpent = errors.New("the program's budget is spent")
+	// ErrExhausted means that the program's budget is exhausted.
+	ErrExhausted = errors.New("the program's budget is spent")
 	// ErrReserved means that the rest of the budget is reserved by other holders, which
 	// may still release a part of it.
 	ErrReserved = errors.New("the rest of the program's budget is reserved elsewhere")
@@ -89,7 +89,7 @@
 	if Committed(record)-reservedByOthers(record, holder) < record.GetLimit() {
 		return ErrReserved
 	}
-	return ErrSpent
+	return ErrExhausted
 }
 
 // futureReserve returns the number of tokens to reserve for future turns, a multiple of
--- a/state/budget/budget_test.go
+++ b/state/budget/budget_test.go
@@ -111,7 +111,7 @@
 	for _, c := range []struct {
 		spent   uint64
 		refusal error
-	}{{99, nil}, {100, budget.ErrSpent}} {
+	}{{99, nil}, {100, budget.ErrExhausted}} {
 		draw := budget.Draw{Holder: "a", Spent: c.spent}
 		assert.Equal(t, budget.Reserve(record, 100, draw), c.refusal)
 		_, decided := budget.Decided(record, draw)
@@ -170,5 +170,5 @@
 	before := budget.Committed(record)
 	budget.SettleEnded(record, func(holder string) bool { return holder != "a/2" })
 	assert.Equal(t, budget.Committed(record), before)
-	assert.ErrorIs(t, budget.Reserve(record, 100, budget.Draw{Holder: "a/2", Turn: 50}), budget.ErrSpent)
+	assert.ErrorIs(t, budget.Reserve(record, 100, budget.Draw{Holder: "a/2", Turn: 50}), budget.ErrExhausted)
 }
--- a/transport/peer/budget.go
+++ b/transport/peer/budget.go
@@ -45,7 +45,7 @@
 	switch {
 	case err == nil:
 		return peerv1.ReserveVerdict_RESERVE_VERDICT_GRANTED
-	case errors.Is(err, budget.ErrSpent):
+	case errors.Is(err, budget.ErrExhausted):
 		return peerv1.ReserveVerdict_RESERVE_VERDICT_SPENT
 	case errors.Is(err, budget.ErrReserved):
 		return peerv1.ReserveVerdict_RESERVE_VERDICT_RESERVED
@@ -80,7 +80,7 @@
 	case peerv1.ReserveVerdict_RESERVE_VERDICT_GRANTED:
 		return nil
 	case peerv1.ReserveVerdict_RESERVE_VERDICT_SPENT:
-		return budget.ErrSpent
+		return budget.ErrExhausted
 	case peerv1.ReserveVerdict_RESERVE_VERDICT_RESERVED:
 		return budget.ErrReserved
 	case peerv1.ReserveVerdict_RESERVE_VERDICT_OVERLOADED:
