--- a/coordination/tokenbudget/ledger.go
+++ b/coordination/tokenbudget/ledger.go
@@ -205,7 +205,7 @@
 // meanwhile, but none begins.
 func (l *Ledger) draw(ctx context.Context, current *account, reservation Reservation) error {
 	l.mutex.Lock()
-	request := budget.Draw{Holder: current.holder, Spent: current.spent, UnderWay: current.underWay, Turn: reservation.MaxTokens}
+	request := budget.ReserveRequest{Holder: current.holder, Spent: current.spent, UnderWay: current.underWay, Turn: reservation.MaxTokens}
 	l.mutex.Unlock()
 	record, err := l.apply(ctx, reservation.Program, l.admission.priorityOf(reservation), func(record *statev1.TokenBudget) {
 		budget.SettleEnded(record, l.isEarlierIncarnation)
@@ -236,7 +236,7 @@
 // keepGuaranteed reduces the reserve to what the record grants whether or not a draw took
 // effect: what turns in progress need. A refused draw releases the rest, which must not be
 // used for other turns.
-func (l *Ledger) keepGuaranteed(current *account, request budget.Draw) {
+func (l *Ledger) keepGuaranteed(current *account, request budget.ReserveRequest) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	// Turns that ended meanwhile have used a part of the reserve.
--- a/state/budget/budget.go
+++ b/state/budget/budget.go
@@ -35,8 +35,8 @@
 	futureReserveDivisor = 4
 )
 
-// Draw is a holder's request to begin one turn. All amounts are in tokens.
-type Draw struct {
+// ReserveRequest is a holder's request to begin one turn. All amounts are in tokens.
+type ReserveRequest struct {
 	// Holder identifies one process of the holder.
 	Holder string
 	// Spent is the total that the holder's ended turns have generated, UnderWay the
@@ -53,7 +53,7 @@
 // of one turn. It returns ErrSpent or ErrReserved if the turn must not begin, and records
 // the spending in that case too. Reserve is idempotent. The limit is in tokens; the record
 // keeps the lowest limit that it was given.
-func Reserve(record *statev1.TokenBudget, limit uint64, draw Draw) error {
+func Reserve(record *statev1.TokenBudget, limit uint64, draw ReserveRequest) error {
 	record.Limit = lowerLimit(record.GetLimit(), limit)
 	holder := findOrAddHolder(record, draw.Holder)
 	holder.Spent = draw.Spent
@@ -69,7 +69,7 @@
 
 // Decided reads the result of a draw from the record that Reserve has left: the tokens
 // reserved for the holder, and the error that Reserve returned.
-func Decided(record *statev1.TokenBudget, draw Draw) (reserved uint64, refusal error) {
+func Decided(record *statev1.TokenBudget, draw ReserveRequest) (reserved uint64, refusal error) {
 	holder := findOrAddHolder(record, draw.Holder)
 	isGranted := holder.GetReserved() >= draw.UnderWay+draw.Turn
 	if draw.Turn == 0 {
