--- a/coordination/tokenbudget/ledger.go
+++ b/coordination/tokenbudget/ledger.go
@@ -205,7 +205,7 @@
 // meanwhile, but none begins.
 func (l *Ledger) draw(ctx context.Context, current *account, reservation Reservation) error {
 	l.mutex.Lock()
-	request := budget.ReserveRequest{Holder: current.holder, Spent: current.spent, UnderWay: current.underWay, Turn: reservation.MaxTokens}
+	request := budget.ReserveRequest{Holder: current.holder, Spent: current.spent, Running: current.underWay, Turn: reservation.MaxTokens}
 	l.mutex.Unlock()
 	record, err := l.apply(ctx, reservation.Program, l.admission.priorityOf(reservation), func(record *statev1.TokenBudget) {
 		budget.SettleEnded(record, l.isEarlierIncarnation)
@@ -241,7 +241,7 @@
 	defer l.mutex.Unlock()
 	// Turns that ended meanwhile have used a part of the reserve.
 	used := current.spent - request.Spent
-	guaranteed := request.UnderWay - min(request.UnderWay, used)
+	guaranteed := request.Running - min(request.Running, used)
 	current.reserved = min(current.reserved, guaranteed)
 }
 
--- a/state/budget/budget.go
+++ b/state/budget/budget.go
@@ -41,8 +41,8 @@
 	Holder string
 	// Spent is the total that the holder's ended turns have generated, UnderWay the
 	// maximum that its running turns may generate.
-	Spent    uint64
-	UnderWay uint64
+	Spent   uint64
+	Running uint64
 	// Turn is the maximum that the new turn may generate.
 	Turn uint64
 }
@@ -57,7 +57,7 @@
 	record.Limit = lowerLimit(record.GetLimit(), limit)
 	holder := findOrAddHolder(record, draw.Holder)
 	holder.Spent = draw.Spent
-	holder.Reserved = draw.UnderWay
+	holder.Reserved = draw.Running
 	committed := Committed(record)
 	if committed >= record.Limit {
 		return refusalReason(record, holder)
@@ -71,7 +71,7 @@
 // reserved for the holder, and the error that Reserve returned.
 func Decided(record *statev1.TokenBudget, draw ReserveRequest) (reserved uint64, refusal error) {
 	holder := findOrAddHolder(record, draw.Holder)
-	isGranted := holder.GetReserved() >= draw.UnderWay+draw.Turn
+	isGranted := holder.GetReserved() >= draw.Running+draw.Turn
 	if draw.Turn == 0 {
 		// A turn without tokens needs no reserve, so the holder's entry doesn't tell
 		// whether it was granted.
--- a/state/budget/budget_test.go
+++ b/state/budget/budget_test.go
@@ -89,7 +89,7 @@
 // Decided agrees with Reserve and that Reserve is idempotent.
 func begin(t *rapid.T, record *statev1.TokenBudget, h *holderModel, limit, turnMax uint64) {
 	if h.reserved < h.underWay+turnMax {
-		draw := budget.ReserveRequest{Holder: h.name, Spent: h.spent, UnderWay: h.underWay, Turn: turnMax}
+		draw := budget.ReserveRequest{Holder: h.name, Spent: h.spent, Running: h.underWay, Turn: turnMax}
 		refusal := budget.Reserve(record, limit, draw)
 		reserved, decided := budget.Decided(record, draw)
 		assert.Equal(t, decided, refusal)
