--- a/coordination/tokenbudget/ledger.go
+++ b/coordination/tokenbudget/ledger.go
@@ -205,7 +205,7 @@
 // meanwhile, but none begins.
 func (l *Ledger) draw(ctx context.Context, current *account, reservation Reservation) error {
 	l.mutex.Lock()
-	request := budget.ReserveRequest{Holder: current.holder, Spent: current.spent, Running: current.underWay, Turn: reservation.MaxTokens}
+	request := budget.ReserveRequest{Holder: current.holder, Spent: current.spent, Running: current.underWay, TurnTokens: reservation.MaxTokens}
 	l.mutex.Unlock()
 	record, err := l.apply(ctx, reservation.Program, l.admission.priorityOf(reservation), func(record *statev1.TokenBudget) {
 		budget.SettleEnded(record, l.isEarlierIncarnation)
--- a/state/budget/budget.go
+++ b/state/budget/budget.go
@@ -43,8 +43,8 @@
 	// maximum that its running turns may generate.
 	Spent   uint64
 	Running uint64
-	// Turn is the maximum that the new turn may generate.
-	Turn uint64
+	// TurnTokens is the maximum that the new turn may generate.
+	TurnTokens uint64
 }
 
 // Reserve records the holder's spending and sets its reserve to cover its running turns
@@ -62,8 +62,8 @@
 	if committed >= record.Limit {
 		return refusalReason(record, holder)
 	}
-	holder.Reserved += draw.Turn
-	holder.Reserved += futureReserve(record.Limit-committed, draw.Turn)
+	holder.Reserved += draw.TurnTokens
+	holder.Reserved += futureReserve(record.Limit-committed, draw.TurnTokens)
 	return nil
 }
 
@@ -71,8 +71,8 @@
 // reserved for the holder, and the error that Reserve returned.
 func Decided(record *statev1.TokenBudget, draw ReserveRequest) (reserved uint64, refusal error) {
 	holder := findOrAddHolder(record, draw.Holder)
-	isGranted := holder.GetReserved() >= draw.Running+draw.Turn
-	if draw.Turn == 0 {
+	isGranted := holder.GetReserved() >= draw.Running+draw.TurnTokens
+	if draw.TurnTokens == 0 {
 		// A turn without tokens needs no reserve, so the holder's entry doesn't tell
 		// whether it was granted.
 		isGranted = Committed(record) < record.GetLimit()
--- a/state/budget/budget_test.go
+++ b/state/budget/budget_test.go
@@ -14,12 +14,12 @@
 
 func Example() {
 	record, _ := budget.Decode("program", nil)
-	fmt.Println(budget.Reserve(record, 100, budget.ReserveRequest{Holder: "a", Turn: 60}))
-	fmt.Println(budget.Reserve(record, 100, budget.ReserveRequest{Holder: "b", Turn: 60}))
-	fmt.Println(budget.Reserve(record, 100, budget.ReserveRequest{Holder: "c", Turn: 60}))
+	fmt.Println(budget.Reserve(record, 100, budget.ReserveRequest{Holder: "a", TurnTokens: 60}))
+	fmt.Println(budget.Reserve(record, 100, budget.ReserveRequest{Holder: "b", TurnTokens: 60}))
+	fmt.Println(budget.Reserve(record, 100, budget.ReserveRequest{Holder: "c", TurnTokens: 60}))
 	budget.Release(record, "a", 50)
 	budget.Release(record, "b", 50)
-	fmt.Println(budget.Reserve(record, 100, budget.ReserveRequest{Holder: "c", Turn: 60}))
+	fmt.Println(budget.Reserve(record, 100, budget.ReserveRequest{Holder: "c", TurnTokens: 60}))
 	// Output:
 	// <nil>
 	// <nil>
@@ -89,7 +89,7 @@
 // Decided agrees with Reserve and that Reserve is idempotent.
 func begin(t *rapid.T, record *statev1.TokenBudget, h *holderModel, limit, turnMax uint64) {
 	if h.reserved < h.underWay+turnMax {
-		draw := budget.ReserveRequest{Holder: h.name, Spent: h.spent, Running: h.underWay, Turn: turnMax}
+		draw := budget.ReserveRequest{Holder: h.name, Spent: h.spent, Running: h.underWay, TurnTokens: turnMax}
 		refusal := budget.Reserve(record, limit, draw)
 		reserved, decided := budget.Decided(record, draw)
 		assert.Equal(t, decided, refusal)
@@ -131,7 +131,7 @@
 			if needed >= limit {
 				return
 			}
-			err := budget.Reserve(record, limit, budget.ReserveRequest{Holder: fmt.Sprint(holder), Turn: turnMax})
+			err := budget.Reserve(record, limit, budget.ReserveRequest{Holder: fmt.Sprint(holder), TurnTokens: turnMax})
 			if needed+turnMax <= limit/4 {
 				assert.NilError(t, err)
 			}
@@ -152,7 +152,7 @@
 // TestStandingListsHolders checks that each holder is listed, up to the maximum.
 func TestStandingListsHolders(t *testing.T) {
 	record := &statev1.TokenBudget{Program: "p", Settled: 5}
-	assert.NilError(t, budget.Reserve(record, 100, budget.ReserveRequest{Holder: "a/1#1", Spent: 20, Turn: 60}))
+	assert.NilError(t, budget.Reserve(record, 100, budget.ReserveRequest{Holder: "a/1#1", Spent: 20, TurnTokens: 60}))
 	assert.Equal(t, budget.Standing(record), "limit 100 settled 5, a/1#1 spent 20 reserved 60")
 	for process := range 10 {
 		record.Holders = append(record.Holders, &statev1.TokenHolder{Holder: fmt.Sprint("b/", process)})
@@ -164,11 +164,11 @@
 // spent and that the committed tokens stay the same.
 func TestReservesOfEndedHoldersAreSpent(t *testing.T) {
 	record := &statev1.TokenBudget{Program: "p"}
-	assert.NilError(t, budget.Reserve(record, 100, budget.ReserveRequest{Holder: "a/1", Spent: 10, Turn: 50}))
-	assert.NilError(t, budget.Reserve(record, 100, budget.ReserveRequest{Holder: "b/1", Turn: 50}))
-	assert.ErrorIs(t, budget.Reserve(record, 100, budget.ReserveRequest{Holder: "a/2", Turn: 50}), budget.ErrReserved)
+	assert.NilError(t, budget.Reserve(record, 100, budget.ReserveRequest{Holder: "a/1", Spent: 10, TurnTokens: 50}))
+	assert.NilError(t, budget.Reserve(record, 100, budget.ReserveRequest{Holder: "b/1", TurnTokens: 50}))
+	assert.ErrorIs(t, budget.Reserve(record, 100, budget.ReserveRequest{Holder: "a/2", TurnTokens: 50}), budget.ErrReserved)
 	before := budget.Committed(record)
 	budget.SettleEnded(record, func(holder string) bool { return holder != "a/2" })
 	assert.Equal(t, budget.Committed(record), before)
-	assert.ErrorIs(t, budget.Reserve(record, 100, budget.ReserveRequest{Holder: "a/2", Turn: 50}), budget.ErrExhausted)
+	assert.ErrorIs(t, budget.Reserve(record, 100, budget.ReserveRequest{Holder: "a/2", TurnTokens: 50}), budget.ErrExhausted)
 }
--- a/state/replica/stored_test.go
+++ b/state/replica/stored_test.go
@@ -111,8 +111,8 @@
 func sampleBudget(t *testing.T) []byte {
 	t.Helper()
 	record := &statev1.TokenBudget{Program: "conversation"}
-	assert.NilError(t, budget.Reserve(record, 5000, budget.ReserveRequest{Holder: "s-1/a", Spent: 40, Running: 200, Turn: 100}))
-	assert.NilError(t, budget.Reserve(record, 5000, budget.ReserveRequest{Holder: "s-2/a", Spent: 7, Turn: 100}))
+	assert.NilError(t, budget.Reserve(record, 5000, budget.ReserveRequest{Holder: "s-1/a", Spent: 40, Running: 200, TurnTokens: 100}))
+	assert.NilError(t, budget.Reserve(record, 5000, budget.ReserveRequest{Holder: "s-2/a", Spent: 7, TurnTokens: 100}))
 	budget.Release(record, "s-2/a", 9)
 	value, err := budget.Encode(record)
 	assert.NilError(t, err)
