--- a/coordination/tokenbudget/ledger.go
+++ b/coordination/tokenbudget/ledger.go
@@ -218,7 +218,7 @@
 	if err != nil {
 		return err
 	}
-	granted, refusal := budget.Decided(record, request)
+	granted, refusal := budget.ReserveResult(record, request)
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	// Turns that ended meanwhile have used a part of the reserve.
--- a/state/budget/budget.go
+++ b/state/budget/budget.go
@@ -67,9 +67,9 @@
 	return nil
 }
 
-// Decided reads the result of a draw from the record that Reserve has left: the tokens
+// ReserveResult reads the result of a draw from the record that Reserve has left: the tokens
 // reserved for the holder, and the error that Reserve returned.
-func Decided(record *statev1.TokenBudget, draw ReserveRequest) (reserved uint64, refusal error) {
+func ReserveResult(record *statev1.TokenBudget, draw ReserveRequest) (reserved uint64, refusal error) {
 	holder := findOrAddHolder(record, draw.Holder)
 	isGranted := holder.GetReserved() >= draw.Running+draw.TurnTokens
 	if draw.TurnTokens == 0 {
--- a/state/budget/budget_test.go
+++ b/state/budget/budget_test.go
@@ -91,7 +91,7 @@
 	if h.reserved < h.underWay+turnMax {
 		draw := budget.ReserveRequest{Holder: h.name, Spent: h.spent, Running: h.underWay, TurnTokens: turnMax}
 		refusal := budget.Reserve(record, limit, draw)
-		reserved, decided := budget.Decided(record, draw)
+		reserved, decided := budget.ReserveResult(record, draw)
 		assert.Equal(t, decided, refusal)
 		if refusal != nil {
 			h.reserved = h.underWay
@@ -114,7 +114,7 @@
 	}{{99, nil}, {100, budget.ErrExhausted}} {
 		draw := budget.ReserveRequest{Holder: "a", Spent: c.spent}
 		assert.Equal(t, budget.Reserve(record, 100, draw), c.refusal)
-		_, decided := budget.Decided(record, draw)
+		_, decided := budget.ReserveResult(record, draw)
 		assert.Equal(t, decided, c.refusal)
 	}
 }
