--- a/coordination/tokenbudget/flush.go
+++ b/coordination/tokenbudget/flush.go
@@ -70,7 +70,7 @@
 	current.reserved = min(current.reserved, underWay)
 	l.mutex.Unlock()
 	_, err := l.apply(ctx, program, lowPriority, func(record *statev1.TokenBudget) {
-		budget.Trim(record, current.holder, spent, underWay)
+		budget.ReleaseUnused(record, current.holder, spent, underWay)
 	})
 	if err != nil {
 		// The reserve is released when the last turn ends, if that is before the stop.
--- a/state/budget/budget.go
+++ b/state/budget/budget.go
@@ -114,9 +114,9 @@
 	})
 }
 
-// Trim reduces the holder's reserve to what its running turns may generate. It does
+// ReleaseUnused reduces the holder's reserve to what its running turns may generate. It does
 // nothing if the record doesn't list the holder.
-func Trim(record *statev1.TokenBudget, name string, spent, underWay uint64) {
+func ReleaseUnused(record *statev1.TokenBudget, name string, spent, underWay uint64) {
 	for _, holder := range record.GetHolders() {
 		if holder.GetHolder() == name {
 			holder.Spent, holder.Reserved = spent, underWay
