--- a/coordination/tokenbudget/ledger.go
+++ b/coordination/tokenbudget/ledger.go
@@ -226,7 +226,7 @@
 	if refusal != nil {
 		l.logger.Info("budget refused", zap.String("program", reservation.Program), zap.String("reservation", reservation.Name),
 			zap.Uint64("most", reservation.MaxTokens), zap.Uint64("under_way", current.underWay),
-			zap.String("record", budget.Standing(record)), zap.Error(refusal))
+			zap.String("record", budget.Describe(record)), zap.Error(refusal))
 		return refusal
 	}
 	current.underWay += reservation.MaxTokens
--- a/state/budget/budget_test.go
+++ b/state/budget/budget_test.go
@@ -153,11 +153,11 @@
 func TestStandingListsHolders(t *testing.T) {
 	record := &statev1.TokenBudget{Program: "p", Settled: 5}
 	assert.NilError(t, budget.Reserve(record, 100, budget.ReserveRequest{Holder: "a/1#1", Spent: 20, TurnTokens: 60}))
-	assert.Equal(t, budget.Standing(record), "limit 100 settled 5, a/1#1 spent 20 reserved 60")
+	assert.Equal(t, budget.Describe(record), "limit 100 settled 5, a/1#1 spent 20 reserved 60")
 	for process := range 10 {
 		record.Holders = append(record.Holders, &statev1.TokenHolder{Holder: fmt.Sprint("b/", process)})
 	}
-	assert.Assert(t, strings.HasSuffix(budget.Standing(record), ", 3 more"), budget.Standing(record))
+	assert.Assert(t, strings.HasSuffix(budget.Describe(record), ", 3 more"), budget.Describe(record))
 }
 
 // TestReservesOfEndedHoldersAreSpent checks that the reserves of ended holders count as
--- a/state/budget/standing.go
+++ b/state/budget/standing.go
@@ -11,9 +11,9 @@
 // at most five members; further holders are earlier processes of theirs.
 const maxListedHolders = 8
 
-// Standing formats a record for a log line: the limit, the settled tokens, and the spent
+// Describe formats a record for a log line: the limit, the settled tokens, and the spent
 // and reserved tokens of each holder.
-func Standing(record *statev1.TokenBudget) string {
+func Describe(record *statev1.TokenBudget) string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "limit %d settled %d", record.GetLimit(), record.GetSettled())
 	for index, holder := range record.GetHolders() {
