--- a/node/connections.go
+++ b/node/connections.go
@@ -69,7 +69,7 @@
 		IdleConnTimeout:     idleConnectionTimeout,
 	}
 	if end == endPeer {
-		peer.UseProtocols(transport)
+		peer.ConfigureHTTP2(transport)
 	}
 	return &http.Client{Transport: transport}
 }
--- a/transport/peer/protocol.go
+++ b/transport/peer/protocol.go
@@ -22,7 +22,7 @@
 // machines that stopped responding and limits the requests in flight to each peer.
 func NewHTTPClient() *http.Client {
 	transport := &http.Transport{DialContext: socket.Dialer(dialTimeout, unacknowledgedTimeout).DialContext}
-	UseProtocols(transport)
+	ConfigureHTTP2(transport)
 	return &http.Client{Transport: newLimitedTransport(transport)}
 }
 
@@ -34,11 +34,11 @@
 	return &http.Server{Handler: handler, ReadHeaderTimeout: listener.HeaderTimeout, Protocols: protocols}
 }
 
-// UseProtocols configures the transport for requests between nodes: HTTP/2 without TLS
+// ConfigureHTTP2 configures the transport for requests between nodes: HTTP/2 without TLS
 // and with prior knowledge (RFC 9113), whose header compression matters because control
 // messages are shorter than their headers. Idle connections are pinged, so that
 // half-open ones are closed.
-func UseProtocols(transport *http.Transport) {
+func ConfigureHTTP2(transport *http.Transport) {
 	transport.Protocols = &http.Protocols{}
 	transport.Protocols.SetUnencryptedHTTP2(true)
 	transport.HTTP2 = &http.HTTP2Config{
