--- a/transport/nodepeer/server.go
+++ b/transport/nodepeer/server.go
@@ -39,7 +39,7 @@
 
 // Exchange serves one round of gossip.
 func (s *server) Exchange(ctx context.Context, request *connect.Request[peerv1.ExchangeRequest]) (*connect.Response[peerv1.ExchangeResponse], error) {
-	return peer.AnswerExchange(ctx, s.node, request)
+	return peer.HandleExchange(ctx, s.node, request)
 }
 
 // AttemptStatus tells whether an attempt runs here.
--- a/transport/peer/server.go
+++ b/transport/peer/server.go
@@ -102,12 +102,12 @@
 
 // Exchange serves one round of gossip.
 func (s *exchangeServer) Exchange(ctx context.Context, request *connect.Request[peerv1.ExchangeRequest]) (*connect.Response[peerv1.ExchangeResponse], error) {
-	return AnswerExchange(ctx, s.membership, request)
+	return HandleExchange(ctx, s.membership, request)
 }
 
-// AnswerExchange passes a round of gossip on to the membership. An exchange that the
+// HandleExchange passes a round of gossip on to the membership. An exchange that the
 // membership rejects fails with connect.CodeFailedPrecondition.
-func AnswerExchange(ctx context.Context, membership Exchanger, request *connect.Request[peerv1.ExchangeRequest]) (*connect.Response[peerv1.ExchangeResponse], error) {
+func HandleExchange(ctx context.Context, membership Exchanger, request *connect.Request[peerv1.ExchangeRequest]) (*connect.Response[peerv1.ExchangeResponse], error) {
 	response, err := membership.Exchange(ctx, request.Msg)
 	if err != nil {
 		return nil, connect.NewError(connect.CodeFailedPrecondition, err)
