--- a/coordination/turnstore/store_test.go
+++ b/coordination/turnstore/store_test.go
@@ -123,7 +123,7 @@
 	ctx := context.Background()
 	_ = writer.Put(ctx, "p", &statev1.RetainedTurn{Id: "a", Input: []byte("question")})
 	_ = writer.Put(ctx, "p", &statev1.RetainedTurn{Id: "b", Ancestors: []string{"a"}})
-	line, err := reader.Line(ctx, "p", "b")
+	line, err := reader.History(ctx, "p", "b")
 	fmt.Println(len(line), line[0].GetId(), line[1].GetId(), err)
 	// Output: 2 a b <nil>
 }
@@ -146,7 +146,7 @@
 			}
 			// A replica that lost its data has a new incarnation and refuses requests.
 			m.down[lost] = true
-			line, lineErr = reader.Line(context.Background(), "p", fmt.Sprint("turn", len(programs)-1))
+			line, lineErr = reader.History(context.Background(), "p", fmt.Sprint("turn", len(programs)-1))
 		})
 		assert.NilError(rt, putErr)
 		assert.Equal(rt, m.writes, 2*len(programs), "each turn is written to two of three members")
@@ -180,15 +180,15 @@
 func TestUnknownNeedsAQuorum(t *testing.T) {
 	m, v := newMembers(2)
 	store := newStore(t, "z0", m, v)
-	_, err := store.Line(context.Background(), "p", "none")
+	_, err := store.History(context.Background(), "p", "none")
 	assert.ErrorIs(t, err, turnstore.ErrTurnNotFound)
 	m.down["m1"] = true
-	_, err = store.Line(context.Background(), "p", "none")
+	_, err = store.History(context.Background(), "p", "none")
 	assert.ErrorIs(t, err, turnstore.ErrTurnNotFound, "two of three members are a quorum")
 	m.down["m0"] = true
 	ctx, cancel := shortContext()
 	defer cancel()
-	_, err = store.Line(ctx, "p", "none")
+	_, err = store.History(ctx, "p", "none")
 	assert.ErrorIs(t, err, turnstore.ErrNoQuorum)
 }
 
@@ -209,7 +209,7 @@
 func TestNearestIsAskedFirst(t *testing.T) {
 	m, v := newMembers(1)
 	assert.NilError(t, newStore(t, "z2", m, v).Put(context.Background(), "p", &statev1.RetainedTurn{Id: "a"}))
-	_, err := newStore(t, "z2", m, v).Line(context.Background(), "p", "a")
+	_, err := newStore(t, "z2", m, v).History(context.Background(), "p", "a")
 	assert.NilError(t, err)
 	assert.DeepEqual(t, m.reads, []string{"m2"})
 }
@@ -222,7 +222,7 @@
 	damaged := m.turns["m0"]["0/a"]
 	damaged.Object = append([]byte{1}, damaged.Object...)
 	m.turns["m0"]["0/a"] = damaged
-	line, err := newStore(t, "z0", m, v).Line(context.Background(), "p", "a")
+	line, err := newStore(t, "z0", m, v).History(context.Background(), "p", "a")
 	assert.NilError(t, err)
 	assert.Equal(t, string(line[0].GetInput()), "right")
 }
@@ -266,7 +266,7 @@
 		reader, err := turnstore.New("z0", m, late, reach.New(time.Now), 1<<20)
 		assert.NilError(t, err)
 		time.AfterFunc(20*time.Millisecond, func() { late.known.Store(true) })
-		line, err := reader.Line(context.Background(), program, "a")
+		line, err := reader.History(context.Background(), program, "a")
 		assert.NilError(t, err, program)
 		assert.Equal(t, len(line), 1)
 	}
@@ -285,7 +285,7 @@
 		})
 		assert.Assert(t, m.writes <= 2*turns*11/10, "%d copies of %d turns were written, two each are needed", m.writes, turns)
 		allAtOnce(turns, func(i int) {
-			_, err := reader.Line(context.Background(), "p", fmt.Sprint("t", i))
+			_, err := reader.History(context.Background(), "p", fmt.Sprint("t", i))
 			assert.Check(t, err)
 		})
 		assert.Assert(t, len(m.reads) <= turns*12/10, "%d reads of %d turns", len(m.reads), turns)
@@ -351,7 +351,7 @@
 		m, v := newMembers(8)
 		m.answerDelay = 70 * time.Millisecond
 		began := time.Now()
-		_, err := newStore(t, "z0", m, v).Line(t.Context(), "p", "none")
+		_, err := newStore(t, "z0", m, v).History(t.Context(), "p", "none")
 		assert.ErrorIs(t, err, turnstore.ErrTurnNotFound)
 		assert.Equal(t, time.Since(began), 3*m.answerDelay, "two members of the home shard one after the other, then all other shards concurrently")
 		assert.Equal(t, len(m.reads), 2*8, "two reads for each shard")
@@ -367,7 +367,7 @@
 		other += "q"
 	}
 	assert.NilError(t, newStore(t, "z0", m, v).Put(t.Context(), other, &statev1.RetainedTurn{Id: "a"}))
-	line, err := newStore(t, "z1", m, v).Line(t.Context(), "p", "a")
+	line, err := newStore(t, "z1", m, v).History(t.Context(), "p", "a")
 	assert.NilError(t, err)
 	assert.Equal(t, line[0].GetId(), "a")
 }
@@ -381,7 +381,7 @@
 		began := time.Now()
 		ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 		defer cancel()
-		_, err := newStore(t, "z2", m, v).Line(ctx, "p", "none")
+		_, err := newStore(t, "z2", m, v).History(ctx, "p", "none")
 		assert.ErrorIs(t, err, turnstore.ErrNoQuorum)
 		assert.Equal(t, time.Since(began), 800*time.Millisecond)
 	})
@@ -395,7 +395,7 @@
 		began := time.Now()
 		ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 		defer cancel()
-		_, err := newStore(t, "z0", m, views{shard.NewMap(0)}).Line(ctx, "p", "none")
+		_, err := newStore(t, "z0", m, views{shard.NewMap(0)}).History(ctx, "p", "none")
 		assert.ErrorIs(t, err, turnstore.ErrNoQuorum)
 		assert.Equal(t, time.Since(began), 800*time.Millisecond)
 	})
--- a/coordination/turnstore/trace_test.go
+++ b/coordination/turnstore/trace_test.go
@@ -136,6 +136,6 @@
 		m.record("end %d: %v", action, store.Put(ctx, "p", &statev1.RetainedTurn{Id: fmt.Sprint("t", action)}))
 		return
 	}
-	_, err := store.Line(ctx, "p", "none")
+	_, err := store.History(ctx, "p", "none")
 	m.record("end %d: %v", action, err)
 }
