--- a/node/drain.go
+++ b/node/drain.go
@@ -20,7 +20,7 @@
 	defer cancel()
 	err := errors.Join(n.callers.Wait(ctx), n.executor.Drain(ctx))
 	n.repair.AwaitHandover(ctx, n.replica.Incarnation())
-	err = errors.Join(err, n.callerListener.Finish(ctx))
+	err = errors.Join(err, n.callerListener.Shutdown(ctx))
 	n.logger.Info("drained", zap.Error(err))
 	return errors.Join(err, n.Close())
 }
--- a/transport/listener/listener.go
+++ b/transport/listener/listener.go
@@ -50,10 +50,10 @@
 	return err
 }
 
-// Finish stops accepting connections and waits until the responses in flight have
+// Shutdown stops accepting connections and waits until the responses in flight have
 // been written. Waiting for the handlers alone isn't enough: they return before their
 // responses have left the server.
-func (l *Listener) Finish(ctx context.Context) error {
+func (l *Listener) Shutdown(ctx context.Context) error {
 	return merry.Prependf(l.server.Shutdown(ctx), "shutting down the listener for %s", l.name)
 }
 
--- a/transport/listener/listener_test.go
+++ b/transport/listener/listener_test.go
@@ -70,7 +70,7 @@
 		answers <- string(body)
 	}()
 	<-returned
-	assert.NilError(t, server.Finish(t.Context()))
+	assert.NilError(t, server.Shutdown(t.Context()))
 	assert.Assert(t, delaying.written.Load())
 	assert.NilError(t, served.Close())
 	assert.Equal(t, <-answers, "whole")
