--- a/transport/nodepeer/client.go
+++ b/transport/nodepeer/client.go
@@ -27,7 +27,7 @@
 
 // AttemptStatus implements execution.Peers.
 func (c *Client) AttemptStatus(ctx context.Context, address, executor, program string, sequence uint64, attempt uint32) execution.AttemptState {
-	ctx, cancel := c.Bound(ctx)
+	ctx, cancel := c.WithTimeout(ctx)
 	defer cancel()
 	response, err := c.Node(address).AttemptStatus(ctx, connect.NewRequest(&peerv1.AttemptStatusRequest{
 		Program:  program,
@@ -47,7 +47,7 @@
 // FetchConfiguration asks the node at the address for what is newer than the
 // known version.
 func (c *Client) FetchConfiguration(ctx context.Context, address string, request *peerv1.FetchConfigurationRequest) (*peerv1.FetchConfigurationResponse, error) {
-	ctx, cancel := c.Bound(ctx)
+	ctx, cancel := c.WithTimeout(ctx)
 	defer cancel()
 	response, err := c.Node(address).FetchConfiguration(ctx, connect.NewRequest(request))
 	if err != nil {
@@ -58,7 +58,7 @@
 
 // InstallConfiguration gives the node at the address configuration objects.
 func (c *Client) InstallConfiguration(ctx context.Context, address string, request *peerv1.InstallConfigurationRequest) (*peerv1.InstallConfigurationResponse, error) {
-	ctx, cancel := c.Bound(ctx)
+	ctx, cancel := c.WithTimeout(ctx)
 	defer cancel()
 	response, err := c.Node(address).InstallConfiguration(ctx, connect.NewRequest(request))
 	if err != nil {
@@ -69,7 +69,7 @@
 
 // Reserve asks the admission point at the address for room.
 func (c *Client) Reserve(ctx context.Context, address string, request *peerv1.ReserveRequest) (*peerv1.ReserveResponse, error) {
-	ctx, cancel := c.Bound(ctx)
+	ctx, cancel := c.WithTimeout(ctx)
 	defer cancel()
 	response, err := c.Node(address).Reserve(ctx, connect.NewRequest(request))
 	if err != nil {
@@ -80,7 +80,7 @@
 
 // Release gives room back to the admission point at the address.
 func (c *Client) Release(ctx context.Context, address string, request *peerv1.ReleaseRequest) error {
-	ctx, cancel := c.Bound(ctx)
+	ctx, cancel := c.WithTimeout(ctx)
 	defer cancel()
 	_, err := c.Node(address).Release(ctx, connect.NewRequest(request))
 	return err
@@ -88,7 +88,7 @@
 
 // Grant asks the node at the address for a slice of a tenant's rate.
 func (c *Client) Grant(ctx context.Context, address string, request *peerv1.GrantRequest) (*peerv1.GrantResponse, error) {
-	ctx, cancel := c.Bound(ctx)
+	ctx, cancel := c.WithTimeout(ctx)
 	defer cancel()
 	response, err := c.Node(address).Grant(ctx, connect.NewRequest(request))
 	if err != nil {
--- a/transport/peer/call.go
+++ b/transport/peer/call.go
@@ -19,7 +19,7 @@
 // call sends a call over the link to the address and waits for its answer, for the
 // client's timeout at most.
 func (c *Client) call(ctx context.Context, address string, call *peerv1.Call) (*peerv1.Answer, error) {
-	ctx, cancel := c.Bound(ctx)
+	ctx, cancel := c.WithTimeout(ctx)
 	defer cancel()
 	start := time.Now()
 	if deadline, bounded := ctx.Deadline(); bounded {
--- a/transport/peer/client.go
+++ b/transport/peer/client.go
@@ -60,14 +60,14 @@
 // every kind of node serves. Callers have to apply the timeout with Bound.
 func (c *Client) Node(address string) peerv1connect.NodeServiceClient { return c.stubs(address).node }
 
-// Bound returns a context that ends after the client's timeout at the latest.
-func (c *Client) Bound(ctx context.Context) (context.Context, context.CancelFunc) {
+// WithTimeout returns a context that ends after the client's timeout at the latest.
+func (c *Client) WithTimeout(ctx context.Context) (context.Context, context.CancelFunc) {
 	return context.WithTimeout(ctx, c.timeout)
 }
 
 // ReadTurns implements archive.Replicas.
 func (c *Client) ReadTurns(ctx context.Context, member register.Member, fence register.Fence, program string, from uint64) ([]replica.Turn, archive.Reply, error) {
-	ctx, cancel := c.Bound(ctx)
+	ctx, cancel := c.WithTimeout(ctx)
 	defer cancel()
 	stream, err := c.replica(member.Address).ReadTurns(ctx, connect.NewRequest(&peerv1.ReadTurnsRequest{
 		Fence:        fenceToWire(fence),
@@ -99,7 +99,7 @@
 // Exchange runs one round of gossip with the node at the address. It implements
 // membership.Exchanger.
 func (c *Client) Exchange(ctx context.Context, address string, request *peerv1.ExchangeRequest) (*peerv1.ExchangeResponse, error) {
-	ctx, cancel := c.Bound(ctx)
+	ctx, cancel := c.WithTimeout(ctx)
 	defer cancel()
 	response, err := c.Node(address).Exchange(ctx, connect.NewRequest(request))
 	if err != nil {
@@ -110,7 +110,7 @@
 
 // Peek returns one replica's copy of a register, which may be out of date.
 func (c *Client) Peek(ctx context.Context, member register.Member, fence register.Fence, key string) ([]byte, register.Refusal, error) {
-	ctx, cancel := c.Bound(ctx)
+	ctx, cancel := c.WithTimeout(ctx)
 	defer cancel()
 	response, err := c.replica(member.Address).Peek(ctx, connect.NewRequest(&peerv1.PeekRequest{
 		Fence: fenceToWire(fence),
--- a/transport/peer/mirror.go
+++ b/transport/peer/mirror.go
@@ -30,7 +30,7 @@
 
 // FetchMirror implements mirror.Fetcher.
 func (c *Client) FetchMirror(ctx context.Context, address netip.AddrPort) ([]mirror.Copy, error) {
-	ctx, cancel := c.Bound(ctx)
+	ctx, cancel := c.WithTimeout(ctx)
 	defer cancel()
 	response, err := c.stubs(address.String()).mirror.FetchMirror(ctx, connect.NewRequest(&peerv1.FetchMirrorRequest{}))
 	if err != nil {
--- a/transport/peer/reconfigure.go
+++ b/transport/peer/reconfigure.go
@@ -23,7 +23,7 @@
 
 // Seal implements shard.Members.
 func (c *Client) Seal(ctx context.Context, member register.Member, request shard.SealRequest) (archive.Reply, error) {
-	ctx, cancel := c.Bound(ctx)
+	ctx, cancel := c.WithTimeout(ctx)
 	defer cancel()
 	response, err := c.replica(member.Address).Seal(ctx, connect.NewRequest(&peerv1.SealRequest{
 		Fence:     fenceToWire(request.Fence),
@@ -52,7 +52,7 @@
 
 // Open implements shard.Members.
 func (c *Client) Open(ctx context.Context, member register.Member, request shard.OpenRequest) (archive.Reply, error) {
-	ctx, cancel := c.Bound(ctx)
+	ctx, cancel := c.WithTimeout(ctx)
 	defer cancel()
 	response, err := c.replica(member.Address).Open(ctx, connect.NewRequest(&peerv1.OpenRequest{
 		View: ViewToWire(&request.View),
