--- a/coordination/membership/benchmark_test.go
+++ b/coordination/membership/benchmark_test.go
@@ -86,7 +86,7 @@
 
 	fresh := newSimulation(uint64(size), size, min(size, 13))
 	fresh.loss = loss
-	start, _ := fresh.runUntil(5*time.Minute, fresh.complete)
+	start, _ := fresh.runUntil(5*time.Minute, fresh.viewsComplete)
 	mean, highest := fresh.traffic(start)
 	b.ReportMetric(milliseconds(leaving), "leaving-ms")
 	b.ReportMetric(milliseconds(death), "death-ms")
@@ -113,7 +113,7 @@
 			}
 			deaths := 0
 			for _, node := range s.nodes {
-				deaths += node.gone
+				deaths += node.leftEvents
 			}
 			hours := float64(minutes*len(s.nodes)) / 60
 			b.ReportMetric(float64(s.suspects)/hours, "suspicions/node-hour")
--- a/coordination/membership/event.go
+++ b/coordination/membership/event.go
@@ -48,7 +48,7 @@
 	EngineLeaving bool
 }
 
-func (g *Gossip) record(event Event) {
+func (g *Gossip) recordEvent(event Event) {
 	g.events = append(g.events, event)
 }
 
--- a/coordination/membership/evidence.go
+++ b/coordination/membership/evidence.go
@@ -33,8 +33,8 @@
 }
 
 type evidence struct {
-	fact  *peerv1.EngineEvidence
-	heard time.Time
+	fact       *peerv1.EngineEvidence
+	receivedAt time.Time
 }
 
 // Machine is one line of the platform's machine list.
@@ -59,33 +59,33 @@
 	for _, machine := range machines {
 		g.observeMachine(now, machine)
 	}
-	g.finish()
+	g.publishIfStale()
 }
 
 func (g *Gossip) observeMachine(now time.Time, machine Machine) {
 	key := evidenceKey{engine: machine.Name, observer: ObserverMachineList}
-	sawLeaving := g.sawLeaving[machine.Name]
-	g.noteMachine(machine)
+	sawLeaving := g.listedLeaving[machine.Name]
+	g.recordListing(machine)
 	known := g.evidence[key].fact
 	if machine.Leaving == known.GetLeaving() {
 		return
 	}
 	if machine.Leaving && !sawLeaving {
-		g.state(now, key, true, false)
+		g.writeEvidence(now, key, true, false)
 		return
 	}
-	outdated := now.Sub(g.evidence[key].heard) > g.settings.MachineListLag
+	outdated := now.Sub(g.evidence[key].receivedAt) > g.settings.MachineListLag
 	if !machine.Leaving && (sawLeaving || outdated) {
-		g.state(now, key, false, false)
+		g.writeEvidence(now, key, false, false)
 	}
 }
 
-func (g *Gossip) noteMachine(machine Machine) {
+func (g *Gossip) recordListing(machine Machine) {
 	if machine.Leaving {
-		g.sawLeaving[machine.Name] = true
+		g.listedLeaving[machine.Name] = true
 		return
 	}
-	delete(g.sawLeaving, machine.Name)
+	delete(g.listedLeaving, machine.Name)
 }
 
 // ObserveEngine takes in what this node saw of an engine.
@@ -95,11 +95,11 @@
 	if report.Leaving == known.fact.GetLeaving() {
 		return
 	}
-	if !report.Leaving && !report.Asked.After(known.heard) {
+	if !report.Leaving && !report.Asked.After(known.receivedAt) {
 		return
 	}
-	g.state(now, key, report.Leaving, false)
-	g.finish()
+	g.writeEvidence(now, key, report.Leaving, false)
+	g.publishIfStale()
 }
 
 // ObserveEjection says whether this node sends the engine no work.
@@ -108,12 +108,12 @@
 	if g.evidence[key].fact.GetEjected() == ejected {
 		return
 	}
-	g.state(now, key, false, ejected)
-	g.finish()
+	g.writeEvidence(now, key, false, ejected)
+	g.publishIfStale()
 }
 
-// state writes the next version of an entry.
-func (g *Gossip) state(now time.Time, key evidenceKey, leaving, ejected bool) {
+// writeEvidence writes the next version of an entry.
+func (g *Gossip) writeEvidence(now time.Time, key evidenceKey, leaving, ejected bool) {
 	g.mergeEvidence(now, &peerv1.EngineEvidence{
 		Engine:   key.engine,
 		Observer: key.observer,
@@ -135,13 +135,13 @@
 	if !found && !g.hasRoomForEvidence(fact) {
 		return
 	}
-	g.evidence[key] = evidence{fact: fact, heard: now}
-	g.stale = true
+	g.evidence[key] = evidence{fact: fact, receivedAt: now}
+	g.snapshotStale = true
 	g.digest = 0
 	if fact.GetLeaving() != known.fact.GetLeaving() {
-		g.record(Event{Kind: EngineChanged, Engine: key.engine, EngineLeaving: fact.GetLeaving()})
+		g.recordEvent(Event{Kind: EngineChanged, Engine: key.engine, EngineLeaving: fact.GetLeaving()})
 	}
-	g.spreadEvidence(key, fact)
+	g.disseminateEvidence(key, fact)
 }
 
 // hasRoomForEvidence keeps a part of the room for leaving engines: a cut makes
@@ -153,16 +153,16 @@
 	return len(g.evidence) < maximumEvidence/4
 }
 
-func (g *Gossip) spreadEvidence(key evidenceKey, fact *peerv1.EngineEvidence) {
+func (g *Gossip) disseminateEvidence(key evidenceKey, fact *peerv1.EngineEvidence) {
 	level := priorityEjected
 	if key.shared() {
 		level = priorityLeaving
 	}
 	if fact.GetLeaving() {
-		g.hurry()
+		g.queueUrgent()
 	}
 	about := subject{engine: key.engine, observer: key.observer}
-	g.queue.add(about, level, sendsFor(len(g.records)+1))
+	g.queue.add(about, level, transmissionLimit(len(g.records)+1))
 }
 
 func evidenceSupersedes(candidate, known *peerv1.EngineEvidence) bool {
@@ -183,7 +183,7 @@
 		view := views[key.engine]
 		view.leaving = view.leaving || entry.fact.GetLeaving()
 		if entry.fact.GetEjected() {
-			view.ejectedFor++
+			view.ejections++
 		}
 		views[key.engine] = view
 	}
@@ -208,9 +208,9 @@
 func (g *Gossip) pruneEvidence(oldest time.Time) {
 	for key, entry := range g.evidence {
 		over := !entry.fact.GetLeaving() && !entry.fact.GetEjected()
-		if over && entry.heard.Before(oldest) {
+		if over && entry.receivedAt.Before(oldest) {
 			delete(g.evidence, key)
-			g.stale = true
+			g.snapshotStale = true
 		}
 	}
 }
--- a/coordination/membership/fleet_test.go
+++ b/coordination/membership/fleet_test.go
@@ -27,15 +27,15 @@
 			node.gossip.merge(s.now, other.gossip.self.status(), fromCopy)
 		}
 		node.gossip.settled = true
-		node.gossip.finish()
+		node.gossip.publishIfStale()
 	}
 	s.run(2 * time.Second)
 	return s
 }
 
-func TestStartOfAllAtOnce(t *testing.T) {
+func TestSimultaneousStart(t *testing.T) {
 	s := newSimulation(1, 60, 13)
-	took, ok := s.runUntil(joinLimit, s.complete)
+	took, ok := s.runUntil(joinLimit, s.viewsComplete)
 	assert.Assert(t, ok)
 	t.Logf("all know all after %v", took)
 	assert.Equal(t, s.suspects, 0)
@@ -43,7 +43,7 @@
 
 func (s *simulation) leavingEverywhere(name string) func() bool {
 	return func() bool {
-		return s.everyone(func(m *Members) bool {
+		return s.allRunning(func(m *Members) bool {
 			member, found := m.Node(name)
 			return found && member.Leaving
 		})
@@ -52,17 +52,17 @@
 
 func (s *simulation) engineLeavingEverywhere(engine string) func() bool {
 	return func() bool {
-		return s.everyone(func(m *Members) bool { return m.EngineLeaving(engine) })
+		return s.allRunning(func(m *Members) bool { return m.EngineLeaving(engine) })
 	}
 }
 
 func (s *simulation) goneEverywhere(incarnation string) func() bool {
 	return func() bool {
-		return s.everyone(func(m *Members) bool { return m.Gone(incarnation) })
+		return s.allRunning(func(m *Members) bool { return m.Gone(incarnation) })
 	}
 }
 
-func TestFleet(t *testing.T) {
+func TestPropagationTimeAndTraffic(t *testing.T) {
 	for _, size := range []int{3, 12, 350} {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
 			s := newFleet(size)
@@ -72,7 +72,7 @@
 				checkLeaving(t, s)
 			}
 			s.loss = 0
-			checkDeath(t, s)
+			checkFailureDetection(t, s)
 		})
 	}
 }
@@ -115,7 +115,7 @@
 	s.run(10 * time.Second)
 }
 
-func checkDeath(t *testing.T, s *simulation) {
+func checkFailureDetection(t *testing.T, s *simulation) {
 	dead := s.nodes[1]
 	dead.running = false
 	s.resetTraffic()
@@ -124,26 +124,26 @@
 	t.Logf("a death is known everywhere after %v", took)
 	others := 0
 	for _, node := range s.nodes {
-		others += node.gone
+		others += node.leftEvents
 	}
 	assert.Equal(t, others, len(s.nodes)-1, "nobody else was declared gone")
 }
 
-func TestLossKillsNobody(t *testing.T) {
+func TestMessageLossCausesNoFalseDeath(t *testing.T) {
 	s := newFleet(20)
 	s.loss = 0.1
 	s.run(5 * time.Minute)
 	t.Logf("%d suspicions in %d node minutes", s.suspects, 5*len(s.nodes))
 	assert.Assert(t, s.suspects > 0)
 	for _, node := range s.nodes {
-		assert.Equal(t, node.gone, 0)
+		assert.Equal(t, node.leftEvents, 0)
 	}
 }
 
-func TestCutHeals(t *testing.T) {
+func TestPartitionHeals(t *testing.T) {
 	s := newFleet(50)
 	cut := map[string]bool{"zone-00": true, "zone-01": true, "zone-02": true}
-	s.cut = cut
+	s.isolatedZones = cut
 	s.run(20 * time.Second)
 	for _, node := range s.nodes {
 		for _, member := range node.gossip.Members().Live() {
@@ -158,22 +158,22 @@
 		member, _ := node.gossip.Members().Node(inside.identity.Node)
 		assert.Equal(t, member.Leaving, cut[node.identity.Zone])
 	}
-	s.cut = nil
+	s.isolatedZones = nil
 	took, ok := s.runUntil(healLimit, func() bool {
-		return s.complete() && s.leavingEverywhere(inside.identity.Node)()
+		return s.viewsComplete() && s.leavingEverywhere(inside.identity.Node)()
 	})
 	assert.Assert(t, ok)
 	t.Logf("all views are complete %v after the cut healed", took)
 }
 
-func TestRestartSupersedesAtOnce(t *testing.T) {
+func TestRestartSupersedesImmediately(t *testing.T) {
 	s := newFleet(12)
 	node := s.nodes[4]
 	first := node.identity.Incarnation
 	s.start(node)
 	assert.Assert(t, node.identity.Incarnation != first)
 	_, ok := s.runUntil(leavingLimit, func() bool {
-		return s.everyone(func(m *Members) bool {
+		return s.allRunning(func(m *Members) bool {
 			member, _ := m.Node(node.identity.Node)
 			return member.Incarnation == node.identity.Incarnation && !m.Alive(first)
 		})
@@ -194,24 +194,24 @@
 	assert.Assert(t, s.goneEverywhere(incarnation)())
 	s.restart(node, incarnation)
 	_, ok := s.runUntil(leavingLimit, func() bool {
-		return s.everyone(func(m *Members) bool { return m.Alive(incarnation) && !m.Gone(incarnation) })
+		return s.allRunning(func(m *Members) bool { return m.Alive(incarnation) && !m.Gone(incarnation) })
 	})
 	assert.Assert(t, ok)
 }
 
-func TestNodeRefutesItsDeath(t *testing.T) {
+func TestNodeRefutesGoneMark(t *testing.T) {
 	s := newFleet(12)
 	accused, accuser := s.nodes[4], s.nodes[5]
 	s.act(accuser, func(g *Gossip) {
 		g.declareGone(s.now, g.records[accused.identity.Node])
-		g.finish()
+		g.publishIfStale()
 	})
 	assert.Assert(t, accuser.gossip.Members().Gone(accused.identity.Incarnation))
 	s.run(deathLimit)
-	assert.Assert(t, s.everyone(func(m *Members) bool { return m.Alive(accused.identity.Incarnation) }))
+	assert.Assert(t, s.allRunning(func(m *Members) bool { return m.Alive(accused.identity.Incarnation) }))
 }
 
-func TestDepartureIsKnownAtOnce(t *testing.T) {
+func TestDepartureSpreadsImmediately(t *testing.T) {
 	s := newFleet(12)
 	node := s.nodes[4]
 	for _, exchange := range node.gossip.Depart(s.now) {
@@ -224,7 +224,7 @@
 
 // A process that stood still finds its exchanges timed out and its suspicions
 // overdue. It must not take that for the death of the others.
-func TestPausedNodeAccusesNobody(t *testing.T) {
+func TestPausedNodeDeclaresNobodyGone(t *testing.T) {
 	s := newFleet(12)
 	paused := s.nodes[4]
 	gossip := paused.gossip
@@ -235,13 +235,13 @@
 	s.tick(paused, gossip)
 	s.run(20 * time.Second)
 	for _, node := range s.nodes {
-		accused := node != paused && node.gone != 1 || node == paused && node.gone != 0
-		assert.Assert(t, !accused, "%s saw %d deaths", node.identity.Node, node.gone)
+		accused := node != paused && node.leftEvents != 1 || node == paused && node.leftEvents != 0
+		assert.Assert(t, !accused, "%s saw %d deaths", node.identity.Node, node.leftEvents)
 	}
-	assert.Assert(t, s.complete())
+	assert.Assert(t, s.viewsComplete())
 }
 
-func TestStalledMachineListCannotWithdrawOthersEvidence(t *testing.T) {
+func TestOutdatedMachineListKeepsLeavingMark(t *testing.T) {
 	s := newFleet(12)
 	first, lagging := s.nodes[0], s.nodes[1]
 	name := s.nodes[2].identity.Node
@@ -253,13 +253,13 @@
 	s.run(2 * time.Minute)
 	s.act(lagging, func(g *Gossip) { g.ObserveMachines(s.now, []Machine{{Name: name}}) })
 	s.run(leavingLimit)
-	assert.Assert(t, s.everyone(func(m *Members) bool {
+	assert.Assert(t, s.allRunning(func(m *Members) bool {
 		member, _ := m.Node(name)
 		return !member.Leaving
 	}), "past the lag, the list's word counts again")
 }
 
-func TestOldStateCannotWithdrawAnEnginesRefusal(t *testing.T) {
+func TestOutdatedReportKeepsEngineLeavingMark(t *testing.T) {
 	s := newFleet(3)
 	node := s.nodes[0]
 	asked := s.now
@@ -276,5 +276,5 @@
 	report(false, s.now)
 	assert.Assert(t, !node.gossip.Members().EngineLeaving("engine-1"))
 	s.run(leavingLimit)
-	assert.Assert(t, s.everyone(func(m *Members) bool { return !m.EngineLeaving("engine-1") }))
+	assert.Assert(t, s.allRunning(func(m *Members) bool { return !m.EngineLeaving("engine-1") }))
 }
--- a/coordination/membership/gossip.go
+++ b/coordination/membership/gossip.go
@@ -30,47 +30,47 @@
 // safe for concurrent use, except for Members.
 type Gossip struct {
 	settings  Settings
-	self      *self
+	self      *localStatus
 	positions positions
 	random    *rand.Rand
 	seeds     []string
 
-	records  map[string]*record
-	buried   map[string]time.Time
-	evidence map[evidenceKey]evidence
-	// sawLeaving holds the machines that this node's own last reading of the
+	records           map[string]*nodeRecord
+	endedIncarnations map[string]time.Time
+	evidence          map[evidenceKey]evidence
+	// listedLeaving holds the machines that this node's own last reading of the
 	// machine list gave as leaving.
-	sawLeaving map[string]bool
+	listedLeaving map[string]bool
 	// refuted holds foreign incarnations under this node's name.
 	refuted map[string]struct{}
 
 	queue    updateQueue
-	suspects map[string]*record
+	suspects map[string]*nodeRecord
 	helpers  []string
 	peers    []string
 	inFlight map[string]time.Time
 
-	peerCursor    int
-	contactCursor int
-	urgent        []string
-	wantedProbes  []string
-	nextRegular   time.Time
-	nextAsk       time.Time
-	nextContact   time.Time
-	nextPrune     time.Time
-	lastStep      time.Time
-	firstContact  time.Time
-	settled       bool
+	peerCursor        int
+	rejoinCursor      int
+	urgent            []string
+	requestedProbes   []string
+	nextPeriodicProbe time.Time
+	nextIndirectProbe time.Time
+	nextRejoin        time.Time
+	nextPrune         time.Time
+	lastStep          time.Time
+	firstExchange     time.Time
+	settled           bool
 
 	extraExchanges *rate.Limiter
 	updateBytes    *rate.Limiter
 	syncBytes      *rate.Limiter
 
-	stale      bool
-	peersStale bool
-	digest     uint64
-	events     []Event
-	members    atomic.Pointer[Members]
+	snapshotStale bool
+	peersStale    bool
+	digest        uint64
+	events        []Event
+	members       atomic.Pointer[Members]
 }
 
 // New begins the protocol for a node that knows nobody yet. Seeds are addresses
@@ -79,32 +79,32 @@
 	settings = settings.withDefaults()
 	g := &Gossip{
 		settings: settings,
-		self: &self{
-			identity:      identity,
-			startedUnixMs: identity.Started.UnixMilli(),
-			firstBeat:     now,
+		self: &localStatus{
+			identity:       identity,
+			startedUnixMs:  identity.Started.UnixMilli(),
+			heartbeatEpoch: now,
 		},
-		positions:      ringPositions(identity.Node),
-		random:         random,
-		records:        map[string]*record{},
-		buried:         map[string]time.Time{},
-		evidence:       map[evidenceKey]evidence{},
-		sawLeaving:     map[string]bool{},
-		refuted:        map[string]struct{}{},
-		suspects:       map[string]*record{},
-		inFlight:       map[string]time.Time{},
-		nextPrune:      now.Add(pruneInterval),
-		extraExchanges: rate.NewLimiter(rate.Limit(settings.ExtraExchangesPerSecond), extraExchangeBurst),
-		updateBytes:    rate.NewLimiter(rate.Limit(settings.UpdateBytesPerSecond), updateByteBurst),
-		syncBytes:      rate.NewLimiter(rate.Limit(settings.SyncBytesPerSecond), syncByteBurst),
-		peersStale:     true,
+		positions:         ringPositions(identity.Node),
+		random:            random,
+		records:           map[string]*nodeRecord{},
+		endedIncarnations: map[string]time.Time{},
+		evidence:          map[evidenceKey]evidence{},
+		listedLeaving:     map[string]bool{},
+		refuted:           map[string]struct{}{},
+		suspects:          map[string]*nodeRecord{},
+		inFlight:          map[string]time.Time{},
+		nextPrune:         now.Add(pruneInterval),
+		extraExchanges:    rate.NewLimiter(rate.Limit(settings.ExtraExchangesPerSecond), extraExchangeBurst),
+		updateBytes:       rate.NewLimiter(rate.Limit(settings.UpdateBytesPerSecond), updateByteBurst),
+		syncBytes:         rate.NewLimiter(rate.Limit(settings.SyncBytesPerSecond), syncByteBurst),
+		peersStale:        true,
 	}
 	g.SetSeeds(seeds)
 	if len(g.seeds) == 0 {
-		g.firstContact = now
+		g.firstExchange = now
 	}
-	g.nextRegular = now.Add(g.jitter(settings.ExchangeInterval))
-	g.self.beat(now)
+	g.nextPeriodicProbe = now.Add(g.jitter(settings.ExchangeInterval))
+	g.self.updateHeartbeat(now)
 	g.publish()
 	return g
 }
@@ -138,7 +138,7 @@
 func (g *Gossip) SetConfigurationVersion(version uint64) {
 	if version > g.self.configurationVersion {
 		g.self.configurationVersion = version
-		g.hurry()
+		g.queueUrgent()
 	}
 }
 
@@ -156,57 +156,57 @@
 }
 
 func (g *Gossip) announceSelf() {
-	g.self.advance(0)
-	g.changed()
-	g.spread(g.self.status(), fromNode)
-	g.hurry()
-	g.finish()
+	g.self.advanceHeartbeat(0)
+	g.invalidate()
+	g.disseminate(g.self.status(), fromNode)
+	g.queueUrgent()
+	g.publishIfStale()
 }
 
-// Finish takes in the outcome of an exchange; response is nil where it failed.
-func (g *Gossip) Finish(now time.Time, exchange Exchange, response *peerv1.ExchangeResponse) {
+// HandleOutcome takes in the outcome of an exchange; response is nil where it failed.
+func (g *Gossip) HandleOutcome(now time.Time, exchange Exchange, response *peerv1.ExchangeResponse) {
 	delete(g.inFlight, exchange.Target.Address)
 	if response != nil {
-		g.noteContact(now)
-		g.absorb(now, response.GetNodes(), response.GetEngines(), "")
+		g.recordFirstExchange(now)
+		g.mergeMessage(now, response.GetNodes(), response.GetEngines(), "")
 	}
-	if !answers(exchange.Target, response) {
-		g.noteFailure(now, exchange)
+	if !isFromTarget(exchange.Target, response) {
+		g.handleFailure(now, exchange)
 	}
-	g.finish()
+	g.publishIfStale()
 }
 
-// answers reports whether the response came from the incarnation that was
+// isFromTarget reports whether the response came from the incarnation that was
 // addressed. A node's response begins with its own status.
-func answers(target Target, response *peerv1.ExchangeResponse) bool {
+func isFromTarget(target Target, response *peerv1.ExchangeResponse) bool {
 	if response == nil || len(response.GetNodes()) == 0 {
 		return false
 	}
 	return target.Incarnation == "" || response.GetNodes()[0].GetIncarnation() == target.Incarnation
 }
 
-func (g *Gossip) noteFailure(now time.Time, exchange Exchange) {
+func (g *Gossip) handleFailure(now time.Time, exchange Exchange) {
 	known := g.records[exchange.Target.Node]
 	if known == nil || known.status.GetIncarnation() != exchange.Target.Incarnation {
 		return
 	}
-	if known.direct.After(exchange.started) {
+	if known.directContactAt.After(exchange.started) {
 		return
 	}
 	g.suspect(now, known)
 }
 
-// Answer handles another node's exchange.
-func (g *Gossip) Answer(now time.Time, request *peerv1.ExchangeRequest) *peerv1.ExchangeResponse {
-	g.self.beat(now)
-	g.noteContact(now)
+// HandleRequest handles another node's exchange.
+func (g *Gossip) HandleRequest(now time.Time, request *peerv1.ExchangeRequest) *peerv1.ExchangeResponse {
+	g.self.updateHeartbeat(now)
+	g.recordFirstExchange(now)
 	sender := request.GetSender()
-	wasGone := g.believesGone(sender)
+	wasGone := g.considersGone(sender)
 	g.merge(now, sender, fromNode)
-	answers := g.absorb(now, request.GetNodes(), request.GetEngines(), sender.GetNode())
-	copyNeeded := wasGone || g.lacksMuch(now, sender, request.GetNodes())
-	nodes, engines := g.appendix(now, copyNeeded, answers)
-	g.finish()
+	answers := g.mergeMessage(now, request.GetNodes(), request.GetEngines(), sender.GetNode())
+	copyNeeded := wasGone || g.needsFullCopy(now, sender, request.GetNodes())
+	nodes, engines := g.responseContents(now, copyNeeded, answers)
+	g.publishIfStale()
 	return &peerv1.ExchangeResponse{
 		Nodes:                nodes,
 		Engines:              engines,
@@ -214,17 +214,17 @@
 	}
 }
 
-// believesGone reports whether the sender's very life was taken for gone: it
+// considersGone reports whether the sender's very life was taken for gone: it
 // comes from the other side of a cut, whose nodes it knows and this one doesn't.
-func (g *Gossip) believesGone(sender *peerv1.NodeStatus) bool {
+func (g *Gossip) considersGone(sender *peerv1.NodeStatus) bool {
 	known := g.records[sender.GetNode()]
-	return known != nil && known.gone() && compareLives(sender, known.status) == 0
+	return known != nil && known.gone() && compareStarts(sender, known.status) == 0
 }
 
-// lacksMuch reports whether the asker needs a full copy: it has just begun, or
+// needsFullCopy reports whether the asker needs a full copy: it has just begun, or
 // its table has differed from this one at every exchange for so long that no
 // change under way explains it.
-func (g *Gossip) lacksMuch(now time.Time, sender *peerv1.NodeStatus, nodes []*peerv1.NodeStatus) bool {
+func (g *Gossip) needsFullCopy(now time.Time, sender *peerv1.NodeStatus, nodes []*peerv1.NodeStatus) bool {
 	known := g.records[sender.GetNode()]
 	if known == nil || len(nodes) == 0 || !isDigest(nodes[0]) {
 		return false
@@ -253,10 +253,10 @@
 	return true
 }
 
-// absorb merges what a message carries and returns the answers to its
+// mergeMessage merges what a message carries and returns the answers to its
 // questions. The first whole status of a response is the responder's own; asker
 // is empty for a response.
-func (g *Gossip) absorb(now time.Time, nodes []*peerv1.NodeStatus, engines []*peerv1.EngineEvidence, asker string) []*peerv1.NodeStatus {
+func (g *Gossip) mergeMessage(now time.Time, nodes []*peerv1.NodeStatus, engines []*peerv1.EngineEvidence, asker string) []*peerv1.NodeStatus {
 	from := fromUpdate
 	if len(nodes) > fullCopyStatuses {
 		from = fromCopy
@@ -268,8 +268,8 @@
 			continue
 		case position == 0 && asker == "":
 			g.merge(now, status, fromNode)
-		case isQuestion(status):
-			if answer := g.answerQuestion(now, status); answer != nil {
+		case isQuery(status):
+			if answer := g.answerQuery(now, status); answer != nil {
 				answers = append(answers, answer)
 			}
 		default:
@@ -282,28 +282,28 @@
 	return answers
 }
 
-func (g *Gossip) noteContact(now time.Time) {
-	if g.firstContact.IsZero() {
-		g.firstContact = now
+func (g *Gossip) recordFirstExchange(now time.Time) {
+	if g.firstExchange.IsZero() {
+		g.firstExchange = now
 	}
 }
 
-func (g *Gossip) settle(now time.Time) {
-	if g.settled || g.firstContact.IsZero() {
+func (g *Gossip) updateSettled(now time.Time) {
+	if g.settled || g.firstExchange.IsZero() {
 		return
 	}
-	if now.Sub(g.firstContact) >= g.settings.SettleTime {
+	if now.Sub(g.firstExchange) >= g.settings.SettleTime {
 		g.settled = true
-		g.stale = true
+		g.snapshotStale = true
 	}
 }
 
-// finish publishes a new snapshot where something changed.
-func (g *Gossip) finish() {
-	if !g.stale {
+// publishIfStale publishes a new snapshot where something changed.
+func (g *Gossip) publishIfStale() {
+	if !g.snapshotStale {
 		return
 	}
-	g.stale = false
+	g.snapshotStale = false
 	g.publish()
 }
 
--- a/coordination/membership/identity.go
+++ b/coordination/membership/identity.go
@@ -19,11 +19,11 @@
 	Started       time.Time
 }
 
-// self is this node's own status.
-type self struct {
+// localStatus is this node's own status.
+type localStatus struct {
 	identity             Identity
 	startedUnixMs        int64
-	firstBeat            time.Time
+	heartbeatEpoch       time.Time
 	heartbeatOffset      uint64
 	heartbeat            uint64
 	leaving              bool
@@ -31,27 +31,27 @@
 	configurationVersion uint64
 }
 
-func (s *self) beat(now time.Time) {
-	elapsed := now.Sub(s.firstBeat)
+func (s *localStatus) updateHeartbeat(now time.Time) {
+	elapsed := now.Sub(s.heartbeatEpoch)
 	if elapsed < 0 {
 		elapsed = 0
 	}
-	s.raise(s.heartbeatOffset + uint64(elapsed/heartbeatInterval) + 1)
+	s.raiseHeartbeat(s.heartbeatOffset + uint64(elapsed/heartbeatInterval) + 1)
 }
 
-// raise lifts the heartbeat to at least value; it never falls.
-func (s *self) raise(value uint64) {
+// raiseHeartbeat lifts the heartbeat to at least value; it never falls.
+func (s *localStatus) raiseHeartbeat(value uint64) {
 	s.heartbeat = max(s.heartbeat, value)
 }
 
-// advance makes the next status later than every one before.
-func (s *self) advance(above uint64) {
+// advanceHeartbeat makes the next status later than every one before.
+func (s *localStatus) advanceHeartbeat(above uint64) {
 	target := max(s.heartbeat, above) + 1
 	s.heartbeatOffset += target - s.heartbeat
 	s.heartbeat = target
 }
 
-func (s *self) status() *peerv1.NodeStatus {
+func (s *localStatus) status() *peerv1.NodeStatus {
 	return &peerv1.NodeStatus{
 		Node:                 s.identity.Node,
 		Incarnation:          s.identity.Incarnation,
@@ -70,17 +70,17 @@
 // refute answers a claim about this node that would override its own status,
 // in the manner of SWIM: it goes past the claim. It reports whether others
 // must be told.
-func (s *self) refute(claim *peerv1.NodeStatus) bool {
+func (s *localStatus) refute(claim *peerv1.NodeStatus) bool {
 	mine := s.status()
 	if !supersedes(claim, mine) {
 		return false
 	}
-	if compareLives(claim, mine) > 0 {
+	if compareStarts(claim, mine) > 0 {
 		// The clock went back between two starts of this node.
 		s.startedUnixMs = claim.GetStartedUnixMs() + 1
 		return true
 	}
-	s.advance(claim.GetHeartbeat())
+	s.advanceHeartbeat(claim.GetHeartbeat())
 	return true
 }
 
--- a/coordination/membership/member.go
+++ b/coordination/membership/member.go
@@ -53,19 +53,19 @@
 
 // Members is an immutable snapshot. Slices it returns must not be changed.
 type Members struct {
-	all           []Member
-	live          []Member
-	zones         []Zone
-	byNode        map[string]int
-	byIncarnation map[string]int
-	buried        map[string]struct{}
-	engines       map[string]engineView
-	settled       bool
+	all               []Member
+	live              []Member
+	zones             []Zone
+	byNode            map[string]int
+	byIncarnation     map[string]int
+	endedIncarnations map[string]struct{}
+	engines           map[string]engineView
+	settled           bool
 }
 
 type engineView struct {
-	leaving    bool
-	ejectedFor int
+	leaving   bool
+	ejections int
 }
 
 // All returns every remembered node, also gone ones, ordered by name.
@@ -111,7 +111,7 @@
 	if found {
 		return member.State == Gone
 	}
-	if _, found := m.buried[incarnation]; found {
+	if _, found := m.endedIncarnations[incarnation]; found {
 		return true
 	}
 	return m.settled
@@ -130,7 +130,7 @@
 // EngineEjections returns how many nodes say that they send the engine no work
 // because it fails or is slow for them.
 func (m *Members) EngineEjections(engine string) int {
-	return m.engines[engine].ejectedFor
+	return m.engines[engine].ejections
 }
 
 // LeavingEngines returns the names for which EngineLeaving holds, ordered. A
@@ -148,11 +148,11 @@
 
 func (g *Gossip) publish() {
 	members := &Members{
-		byNode:        make(map[string]int, len(g.records)+1),
-		byIncarnation: make(map[string]int, len(g.records)+1),
-		buried:        make(map[string]struct{}, len(g.buried)),
-		engines:       g.engineViews(),
-		settled:       g.settled,
+		byNode:            make(map[string]int, len(g.records)+1),
+		byIncarnation:     make(map[string]int, len(g.records)+1),
+		endedIncarnations: make(map[string]struct{}, len(g.endedIncarnations)),
+		engines:           g.engineViews(),
+		settled:           g.settled,
 	}
 	members.all = append(members.all, g.selfMember())
 	for _, known := range g.records {
@@ -166,8 +166,8 @@
 			members.live = append(members.live, member)
 		}
 	}
-	for incarnation := range g.buried {
-		members.buried[incarnation] = struct{}{}
+	for incarnation := range g.endedIncarnations {
+		members.endedIncarnations[incarnation] = struct{}{}
 	}
 	members.zones = groupByZone(members.live)
 	g.members.Store(members)
--- a/coordination/membership/message.go
+++ b/coordination/membership/message.go
@@ -19,16 +19,16 @@
 		Nodes:                []*peerv1.NodeStatus{g.digestStatus()},
 		ConfigurationVersion: g.self.configurationVersion,
 	}
-	request.Nodes = append(request.Nodes, g.questions()...)
+	request.Nodes = append(request.Nodes, g.suspectQueries()...)
 	nodes, engines := g.updates(now)
 	request.Nodes = append(request.Nodes, nodes...)
 	request.Engines = engines
 	return Exchange{Target: target, Request: request, started: now}
 }
 
-// appendix is what a response carries beside the versions: the own status, the
+// responseContents is what a response carries beside the versions: the own status, the
 // digest, answers, and either the waiting changes or a full copy.
-func (g *Gossip) appendix(now time.Time, copyNeeded bool, answers []*peerv1.NodeStatus) ([]*peerv1.NodeStatus, []*peerv1.EngineEvidence) {
+func (g *Gossip) responseContents(now time.Time, copyNeeded bool, answers []*peerv1.NodeStatus) ([]*peerv1.NodeStatus, []*peerv1.EngineEvidence) {
 	nodes := []*peerv1.NodeStatus{g.self.status(), g.digestStatus()}
 	if copyNeeded {
 		copied, engines, allowed := g.fullCopy(now)
@@ -79,11 +79,11 @@
 	if known == nil {
 		return nil, nil
 	}
-	return onWire(known.status), nil
+	return toWire(known.status), nil
 }
 
-// onWire strips a gone node's status to its mark.
-func onWire(status *peerv1.NodeStatus) *peerv1.NodeStatus {
+// toWire strips a gone node's status to its mark.
+func toWire(status *peerv1.NodeStatus) *peerv1.NodeStatus {
 	if !status.GetGone() {
 		return status
 	}
@@ -97,7 +97,7 @@
 	size := 0
 	for _, name := range sortedNames(g.records) {
 		known := g.records[name]
-		status := onWire(known.status)
+		status := toWire(known.status)
 		nodes = append(nodes, status)
 		size += proto.Size(status) + listOverhead
 	}
--- a/coordination/membership/model_test.go
+++ b/coordination/membership/model_test.go
@@ -19,8 +19,8 @@
 	engines    map[string]bool
 }
 
-// quiet is how long after the last disturbance all views must agree.
-const quiet = 3 * time.Minute
+// convergenceTime is how long after the last disturbance all views must agree.
+const convergenceTime = 3 * time.Minute
 
 // TestMain fixes rapid's seed, so that every run has the same verdict; flags on
 // the command line come later and win.
@@ -34,7 +34,7 @@
 	os.Exit(m.Run())
 }
 
-func TestViewsAgreeAfterAnyDisturbance(t *testing.T) {
+func TestViewsConvergeAfterDisturbances(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		size := rapid.IntRange(3, 9).Draw(t, "nodes")
 		m := &model{
@@ -48,7 +48,7 @@
 			m.simulation.run(time.Duration(pause) * time.Millisecond)
 		}
 		m.repair()
-		m.simulation.run(quiet)
+		m.simulation.run(convergenceTime)
 		m.check(t)
 	})
 }
@@ -74,23 +74,23 @@
 	case "engine":
 		m.setEngine(node, rapid.Bool().Draw(t, "leaving"))
 	case "cut":
-		s.cut = map[string]bool{node.identity.Zone: true}
+		s.isolatedZones = map[string]bool{node.identity.Zone: true}
 	case "heal":
-		s.cut = nil
+		s.isolatedZones = nil
 	case "loss":
 		s.loss = rapid.Float64Range(0, 0.3).Draw(t, "rate")
 	}
 }
 
 // forget drops what only the node was sure to know.
-func (m *model) forget(node *simulated) {
+func (m *model) forget(node *simulatedNode) {
 	delete(m.leaving, node.identity.Node)
 	delete(m.engines, engineOf(node))
 }
 
-func engineOf(node *simulated) string { return "engine-of-" + node.identity.Node }
+func engineOf(node *simulatedNode) string { return "engine-of-" + node.identity.Node }
 
-func (m *model) setLeaving(node *simulated, leaving bool) {
+func (m *model) setLeaving(node *simulatedNode, leaving bool) {
 	if !node.running {
 		return
 	}
@@ -101,7 +101,7 @@
 // setEngine has the node see the engine's own word. Each engine has one observer,
 // so that its last word is the last one there is, unless it restarted in
 // between: then it may not know that there is something to withdraw.
-func (m *model) setEngine(node *simulated, leaving bool) {
+func (m *model) setEngine(node *simulatedNode, leaving bool) {
 	if !node.running {
 		return
 	}
@@ -121,7 +121,7 @@
 // is a seed: nodes that never met can't find each other without any.
 func (m *model) repair() {
 	s := m.simulation
-	s.cut = nil
+	s.isolatedZones = nil
 	s.loss = 0
 	if !s.nodes[0].running {
 		m.ended = append(m.ended, s.nodes[0].identity.Incarnation)
@@ -149,7 +149,7 @@
 	}
 }
 
-func (m *model) firstRunning() *simulated {
+func (m *model) firstRunning() *simulatedNode {
 	for _, node := range m.simulation.nodes {
 		if node.running {
 			return node
@@ -158,7 +158,7 @@
 	return nil
 }
 
-func (m *model) checkView(t *rapid.T, node *simulated, running []string) {
+func (m *model) checkView(t *rapid.T, node *simulatedNode, running []string) {
 	members := node.gossip.Members()
 	var live []string
 	for _, member := range members.Live() {
--- a/coordination/membership/queue.go
+++ b/coordination/membership/queue.go
@@ -29,9 +29,9 @@
 type update struct {
 	subject  subject
 	priority priority
-	// sendsLeft counts the messages that still carry the change.
-	sendsLeft int
-	order     uint64
+	// transmissionsLeft counts the messages that still carry the change.
+	transmissionsLeft int
+	order             uint64
 }
 
 // updateQueue holds the changes to append to the next messages: the urgent
@@ -45,10 +45,10 @@
 	q.remove(subject)
 	q.order++
 	q.updates = append(q.updates, update{
-		subject:   subject,
-		priority:  priority,
-		sendsLeft: sends,
-		order:     q.order,
+		subject:           subject,
+		priority:          priority,
+		transmissionsLeft: sends,
+		order:             q.order,
 	})
 }
 
@@ -58,12 +58,12 @@
 	})
 }
 
-// heard takes note that another node is spreading the same change, so that less
+// countDuplicate takes note that another node is spreading the same change, so that less
 // of it is left to do here. Urgent changes are sent in full measure.
-func (q *updateQueue) heard(subject subject) {
+func (q *updateQueue) countDuplicate(subject subject) {
 	for position := range q.updates {
 		if q.updates[position].subject == subject && q.updates[position].priority != priorityLeaving {
-			q.updates[position].sendsLeft -= heardSends
+			q.updates[position].transmissionsLeft -= duplicateReduction
 		}
 	}
 }
@@ -78,21 +78,21 @@
 	for position := range q.updates {
 		sent, more := visit(q.updates[position].subject)
 		if sent {
-			q.updates[position].sendsLeft--
+			q.updates[position].transmissionsLeft--
 		}
 		if !more {
 			break
 		}
 	}
 	q.updates = slices.DeleteFunc(q.updates, func(u update) bool {
-		return u.sendsLeft <= 0
+		return u.transmissionsLeft <= 0
 	})
 }
 
 func compareUpdates(a, b update) int {
 	order := cmp.Compare(a.priority, b.priority)
 	if order == 0 {
-		order = cmp.Compare(b.sendsLeft, a.sendsLeft)
+		order = cmp.Compare(b.transmissionsLeft, a.transmissionsLeft)
 	}
 	if order == 0 {
 		order = cmp.Compare(b.order, a.order)
@@ -100,8 +100,8 @@
 	return order
 }
 
-// sendsFor is how often a change is sent by each node of a fleet: a multiple of
+// transmissionLimit is how often a change is sent by each node of a fleet: a multiple of
 // the logarithm of its size, as in SWIM.
-func sendsFor(nodes int) int {
-	return sendsPerLogarithm * bits.Len(uint(nodes))
+func transmissionLimit(nodes int) int {
+	return transmissionMultiplier * bits.Len(uint(nodes))
 }
--- a/coordination/membership/ring.go
+++ b/coordination/membership/ring.go
@@ -43,8 +43,8 @@
 // exchanges in a row hold one of them.
 var ringOrder = [ringCount]int{anyZoneRings, 0, 1, anyZoneRings + 1, 2, 3}
 
-func (g *Gossip) successor(ring int) *record {
-	var nearest *record
+func (g *Gossip) successor(ring int) *nodeRecord {
+	var nearest *nodeRecord
 	var nearestDistance uint64
 	for _, known := range g.records {
 		if known.gone() || !g.onRing(ring, known) {
@@ -59,6 +59,6 @@
 	return nearest
 }
 
-func (g *Gossip) onRing(ring int, known *record) bool {
+func (g *Gossip) onRing(ring int, known *nodeRecord) bool {
 	return ring < anyZoneRings || known.status.GetZone() != g.self.identity.Zone
 }
--- a/coordination/membership/service.go
+++ b/coordination/membership/service.go
@@ -13,8 +13,8 @@
 const (
 	stepInterval  = 100 * time.Millisecond
 	departTimeout = time.Second
-	// maximumViews bounds the shard views in one message.
-	maximumViews = 16
+	// maximumShardViews bounds the shard views in one message.
+	maximumShardViews = 16
 )
 
 // Exchanger sends an exchange to the node at the address (host:port). An
@@ -58,7 +58,7 @@
 	options Options
 	mutex   sync.Mutex
 	gossip  *Gossip
-	kick    chan struct{}
+	wakeup  chan struct{}
 }
 
 // NewService makes a service that owns the gossip from now on.
@@ -66,7 +66,7 @@
 	return &Service{
 		options: options,
 		gossip:  gossip,
-		kick:    make(chan struct{}, 1),
+		wakeup:  make(chan struct{}, 1),
 	}
 }
 
@@ -82,14 +82,14 @@
 	defer running.Wait()
 	for {
 		for _, exchange := range s.step() {
-			running.Go(func() { s.perform(ctx, exchange) })
+			running.Go(func() { s.runExchange(ctx, exchange) })
 		}
 		select {
 		case <-ctx.Done():
 			s.depart()
 			return ctx.Err()
 		case <-ticker.C:
-		case <-s.kick:
+		case <-s.wakeup:
 		}
 	}
 }
@@ -100,50 +100,50 @@
 // Exchange answers another node's exchange.
 func (s *Service) Exchange(_ context.Context, request *peerv1.ExchangeRequest) (*peerv1.ExchangeResponse, error) {
 	var response *peerv1.ExchangeResponse
-	s.locked(func(now time.Time) {
-		response = s.gossip.Answer(now, request)
+	s.withGossip(func(now time.Time) {
+		response = s.gossip.HandleRequest(now, request)
 	})
 	s.mergeShards(request.GetShards())
 	s.fillResponse(request, response)
-	s.noteConfiguration(request.GetSender().GetAddress(), request.GetConfigurationVersion())
+	s.reportConfigurationVersion(request.GetSender().GetAddress(), request.GetConfigurationVersion())
 	return response, nil
 }
 
 // SetLeaving says whether this node is leaving.
 func (s *Service) SetLeaving(leaving bool) {
-	s.locked(func(time.Time) { s.gossip.SetLeaving(leaving) })
+	s.withGossip(func(time.Time) { s.gossip.SetLeaving(leaving) })
 }
 
 // SetSeeds replaces the addresses of other nodes to try.
 func (s *Service) SetSeeds(addresses []string) {
-	s.locked(func(time.Time) { s.gossip.SetSeeds(addresses) })
+	s.withGossip(func(time.Time) { s.gossip.SetSeeds(addresses) })
 }
 
 // ObserveMachines takes in a reading of the platform's machine list.
 func (s *Service) ObserveMachines(machines []Machine) {
-	s.locked(func(now time.Time) { s.gossip.ObserveMachines(now, machines) })
+	s.withGossip(func(now time.Time) { s.gossip.ObserveMachines(now, machines) })
 }
 
 // ObserveEngine takes in what this node saw of an engine.
 func (s *Service) ObserveEngine(report EngineReport) {
-	s.locked(func(now time.Time) { s.gossip.ObserveEngine(now, report) })
+	s.withGossip(func(now time.Time) { s.gossip.ObserveEngine(now, report) })
 }
 
 // ObserveEjection says whether this node sends the engine no work.
 func (s *Service) ObserveEjection(engine string, ejected bool) {
-	s.locked(func(now time.Time) { s.gossip.ObserveEjection(now, engine, ejected) })
+	s.withGossip(func(now time.Time) { s.gossip.ObserveEjection(now, engine, ejected) })
 }
 
 // ConfigurationChanged has the peers told of a new version at once.
 func (s *Service) ConfigurationChanged() {
-	s.locked(func(time.Time) {})
+	s.withGossip(func(time.Time) {})
 }
 
-// locked runs one action of the gossip and then passes on what came of it.
-func (s *Service) locked(action func(now time.Time)) {
+// withGossip runs one action of the gossip and then passes on what came of it.
+func (s *Service) withGossip(action func(now time.Time)) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	hurried := s.gossip.Hurried()
+	hurried := s.gossip.HasUrgent()
 	if s.options.ConfigurationVersion != nil {
 		s.gossip.SetConfigurationVersion(s.options.ConfigurationVersion())
 	}
@@ -153,25 +153,25 @@
 	}
 	// What is still urgent from before waits for the next tick: the budget of
 	// exchanges is used up.
-	if s.gossip.Hurried() && !hurried {
+	if s.gossip.HasUrgent() && !hurried {
 		s.wake()
 	}
 }
 
 func (s *Service) wake() {
 	select {
-	case s.kick <- struct{}{}:
+	case s.wakeup <- struct{}{}:
 	default:
 	}
 }
 
 func (s *Service) step() []Exchange {
 	var exchanges []Exchange
-	s.locked(func(now time.Time) { exchanges = s.gossip.Step(now) })
+	s.withGossip(func(now time.Time) { exchanges = s.gossip.Step(now) })
 	return exchanges
 }
 
-func (s *Service) perform(ctx context.Context, exchange Exchange) {
+func (s *Service) runExchange(ctx context.Context, exchange Exchange) {
 	limited, cancel := context.WithTimeout(ctx, s.gossip.settings.ExchangeTimeout)
 	defer cancel()
 	s.fillRequest(exchange.Request)
@@ -186,10 +186,10 @@
 			zap.Error(err))
 		response = nil
 	}
-	s.locked(func(now time.Time) { s.gossip.Finish(now, exchange, response) })
+	s.withGossip(func(now time.Time) { s.gossip.HandleOutcome(now, exchange, response) })
 	if response != nil {
 		s.mergeShards(response.GetShards())
-		s.noteConfiguration(exchange.Target.Address, response.GetConfigurationVersion())
+		s.reportConfigurationVersion(exchange.Target.Address, response.GetConfigurationVersion())
 	}
 }
 
@@ -206,7 +206,7 @@
 	}
 	response.ShardsDigest = s.options.Shards.Digest()
 	if request.GetShardsDigest() != response.ShardsDigest {
-		response.Shards = s.options.Shards.Outgoing(maximumViews)
+		response.Shards = s.options.Shards.Outgoing(maximumShardViews)
 	}
 }
 
@@ -216,7 +216,7 @@
 	}
 }
 
-func (s *Service) noteConfiguration(address string, version uint64) {
+func (s *Service) reportConfigurationVersion(address string, version uint64) {
 	if s.options.ConfigurationSeen == nil || s.options.ConfigurationVersion == nil {
 		return
 	}
@@ -228,7 +228,7 @@
 // depart tells the peers that this node has gone; it doesn't wait long.
 func (s *Service) depart() {
 	var exchanges []Exchange
-	s.locked(func(now time.Time) { exchanges = s.gossip.Depart(now) })
+	s.withGossip(func(now time.Time) { exchanges = s.gossip.Depart(now) })
 	ctx, cancel := context.WithTimeout(context.Background(), departTimeout)
 	defer cancel()
 	var running sync.WaitGroup
--- a/coordination/membership/service_test.go
+++ b/coordination/membership/service_test.go
@@ -112,7 +112,7 @@
 	}, poll.WithTimeout(time.Minute), poll.WithDelay(5*time.Millisecond))
 }
 
-func TestServicesFindAndLeaveEachOther(t *testing.T) {
+func TestServicesJoinAndDepart(t *testing.T) {
 	net := &network{services: map[string]*membership.Service{}}
 	var mutex sync.Mutex
 	var newest uint64
@@ -165,8 +165,8 @@
 
 	// b knows only a's address; whoever drives it carries the messages.
 	for _, exchange := range b.Step(now) {
-		response := a.Answer(now, exchange.Request)
-		b.Finish(now, exchange, response)
+		response := a.HandleRequest(now, exchange.Request)
+		b.HandleOutcome(now, exchange, response)
 	}
 	for _, member := range b.Members().Live() {
 		fmt.Println(member.Node, member.Zone, member.State)
--- a/coordination/membership/settings.go
+++ b/coordination/membership/settings.go
@@ -11,9 +11,9 @@
 	ExchangeTimeout time.Duration
 	// SuspicionTime is how long a suspected node has to prove that it lives.
 	SuspicionTime time.Duration
-	// AskInterval is the pause between two probes of a suspected node, and
+	// SuspectProbeInterval is the pause between two probes of a suspected node, and
 	// between two questions to the same helper.
-	AskInterval time.Duration
+	SuspectProbeInterval time.Duration
 	// ContactInterval is the pause between two tries at a seed or at a node
 	// that is believed gone; it lets two sides of a cut find each other again.
 	ContactInterval time.Duration
@@ -22,8 +22,8 @@
 	// SettleTime is how long after its first exchange a node waits until it
 	// takes an incarnation it never heard of for gone.
 	SettleTime time.Duration
-	// ForgetTime is how long a gone node and withdrawn evidence are remembered.
-	ForgetTime time.Duration
+	// RetentionTime is how long a gone node and withdrawn evidence are remembered.
+	RetentionTime time.Duration
 	// MachineListLag bounds how old the platform's machine list may be.
 	MachineListLag time.Duration
 	// ExtraExchangesPerSecond bounds the exchanges beside the regular ones.
@@ -48,8 +48,8 @@
 const (
 	// helperCount is how many nodes are asked for a later heartbeat of a suspected one.
 	helperCount = 3
-	// maximumQuestions bounds the suspected nodes that one exchange asks about.
-	maximumQuestions = 8
+	// maximumQueries bounds the suspected nodes that one exchange asks about.
+	maximumQueries = 8
 	// minimumProbes is the least number of probes that a suspected node gets within
 	// Settings.SuspicionTime.
 	minimumProbes = 4
@@ -58,15 +58,15 @@
 	// goneHeartbeatMargin is how many heartbeats a gone mark is ahead of what the node
 	// would have by now, so that it overrides what others have heard of it.
 	goneHeartbeatMargin = 3
-	// stallTime is the time between two steps after which a node takes itself to have
+	// stallThreshold is the time between two steps after which a node takes itself to have
 	// been stopped, and gives all suspects their time again.
-	stallTime = 2 * time.Second
-	// proofAge is how old a helper's knowledge may be to count as a sign of life.
-	proofAge = 2 * time.Second
-	// probeSpacing is the least time between two probes of a node that others ask for.
-	probeSpacing = 500 * time.Millisecond
-	// loneContactPause stands for Settings.ContactInterval while no other node is known.
-	loneContactPause = 500 * time.Millisecond
+	stallThreshold = 2 * time.Second
+	// maximumProofAge is how old a helper's knowledge may be to count as a sign of life.
+	maximumProofAge = 2 * time.Second
+	// minimumProbeInterval is the least time between two probes of a node that others ask for.
+	minimumProbeInterval = 500 * time.Millisecond
+	// isolatedRejoinInterval stands for Settings.ContactInterval while no other node is known.
+	isolatedRejoinInterval = 500 * time.Millisecond
 )
 
 // Bounds of what is sent. docs/design/membership.md measures the bytes a second that
@@ -84,14 +84,14 @@
 	// fullCopyStatuses is the number of statuses above which a message counts as a full
 	// copy.
 	fullCopyStatuses = 24
-	// fullCopySends bounds how often a change that came in a full copy is sent on.
-	fullCopySends = 4
-	// sendsPerLogarithm times the logarithm to base 2 of the number of nodes is how often
+	// fullCopyTransmissions bounds how often a change that came in a full copy is sent on.
+	fullCopyTransmissions = 4
+	// transmissionMultiplier times the logarithm to base 2 of the number of nodes is how often
 	// each node sends a change, as in SWIM.
-	sendsPerLogarithm = 2
-	// heardSends is by how much that number falls when the change comes in from another
+	transmissionMultiplier = 2
+	// duplicateReduction is by how much that number falls when the change comes in from another
 	// node.
-	heardSends = 2
+	duplicateReduction = 2
 )
 
 // Bounds of what is kept. All are chosen, not measured.
@@ -112,11 +112,11 @@
 		ExchangeInterval:        time.Second / 3,
 		ExchangeTimeout:         time.Second,
 		SuspicionTime:           4 * time.Second,
-		AskInterval:             700 * time.Millisecond,
+		SuspectProbeInterval:    700 * time.Millisecond,
 		ContactInterval:         5 * time.Second,
 		SyncDelay:               5 * time.Second,
 		SettleTime:              15 * time.Second,
-		ForgetTime:              time.Hour,
+		RetentionTime:           time.Hour,
 		MachineListLag:          time.Minute,
 		ExtraExchangesPerSecond: 4,
 		UpdateBytesPerSecond:    2 << 10,
@@ -129,17 +129,17 @@
 	setDefault(&s.ExchangeInterval, defaults.ExchangeInterval)
 	setDefault(&s.ExchangeTimeout, defaults.ExchangeTimeout)
 	setDefault(&s.SuspicionTime, defaults.SuspicionTime)
-	setDefault(&s.AskInterval, defaults.AskInterval)
+	setDefault(&s.SuspectProbeInterval, defaults.SuspectProbeInterval)
 	setDefault(&s.ContactInterval, defaults.ContactInterval)
 	setDefault(&s.SyncDelay, defaults.SyncDelay)
 	setDefault(&s.SettleTime, defaults.SettleTime)
-	setDefault(&s.ForgetTime, defaults.ForgetTime)
+	setDefault(&s.RetentionTime, defaults.RetentionTime)
 	setDefault(&s.MachineListLag, defaults.MachineListLag)
 	setDefault(&s.ExtraExchangesPerSecond, defaults.ExtraExchangesPerSecond)
 	setDefault(&s.UpdateBytesPerSecond, defaults.UpdateBytesPerSecond)
 	setDefault(&s.SyncBytesPerSecond, defaults.SyncBytesPerSecond)
 	// A suspected node gets several chances, however short its time.
-	s.AskInterval = min(s.AskInterval, s.SuspicionTime/minimumProbes)
+	s.SuspectProbeInterval = min(s.SuspectProbeInterval, s.SuspicionTime/minimumProbes)
 	return s
 }
 
--- a/coordination/membership/simulation_test.go
+++ b/coordination/membership/simulation_test.go
@@ -14,27 +14,27 @@
 // simulation steps a fleet in virtual time: messages take a latency, may be
 // lost, and don't pass a cut between zones.
 type simulation struct {
-	now      time.Time
-	random   *rand.Rand
-	nodes    []*simulated
-	byAddr   map[string]*simulated
-	queue    timeline
-	sequence int
-	loss     float64
-	latency  time.Duration
-	cut      map[string]bool
-	suspects int
+	now           time.Time
+	random        *rand.Rand
+	nodes         []*simulatedNode
+	byAddr        map[string]*simulatedNode
+	queue         taskQueue
+	sequence      int
+	loss          float64
+	latency       time.Duration
+	isolatedZones map[string]bool
+	suspects      int
 	// encode runs every message through its encoding.
 	encode bool
 }
 
-type simulated struct {
-	gossip   *Gossip
-	identity Identity
-	running  bool
-	bytes    int
-	messages int
-	gone     int
+type simulatedNode struct {
+	gossip     *Gossip
+	identity   Identity
+	running    bool
+	bytes      int
+	messages   int
+	leftEvents int
 }
 
 type task struct {
@@ -43,18 +43,18 @@
 	run      func()
 }
 
-type timeline []task
+type taskQueue []task
 
-func (t timeline) Len() int { return len(t) }
-func (t timeline) Less(i, j int) bool {
+func (t taskQueue) Len() int { return len(t) }
+func (t taskQueue) Less(i, j int) bool {
 	if t[i].at.Equal(t[j].at) {
 		return t[i].sequence < t[j].sequence
 	}
 	return t[i].at.Before(t[j].at)
 }
-func (t timeline) Swap(i, j int) { t[i], t[j] = t[j], t[i] }
-func (t *timeline) Push(x any)   { *t = append(*t, x.(task)) }
-func (t *timeline) Pop() any {
+func (t taskQueue) Swap(i, j int) { t[i], t[j] = t[j], t[i] }
+func (t *taskQueue) Push(x any)   { *t = append(*t, x.(task)) }
+func (t *taskQueue) Pop() any {
 	last := (*t)[len(*t)-1]
 	*t = (*t)[:len(*t)-1]
 	return last
@@ -62,11 +62,11 @@
 
 func newSimulation(seed uint64, nodes, zones int) *simulation {
 	s := &simulation{
-		now:     time.UnixMilli(1_700_000_000_000),
-		random:  rand.New(rand.NewPCG(seed, 1)),
-		byAddr:  map[string]*simulated{},
-		latency: 2 * time.Millisecond,
-		cut:     map[string]bool{},
+		now:           time.UnixMilli(1_700_000_000_000),
+		random:        rand.New(rand.NewPCG(seed, 1)),
+		byAddr:        map[string]*simulatedNode{},
+		latency:       2 * time.Millisecond,
+		isolatedZones: map[string]bool{},
 	}
 	for number := range nodes {
 		s.add(number, fmt.Sprintf("zone-%02d", number%zones))
@@ -78,8 +78,8 @@
 	return fmt.Sprintf("10.1.%d.%d:7070", number/250, number%250)
 }
 
-func (s *simulation) add(number int, zone string) *simulated {
-	node := &simulated{identity: Identity{
+func (s *simulation) add(number int, zone string) *simulatedNode {
+	node := &simulatedNode{identity: Identity{
 		Node:          fmt.Sprintf("node-%s-%03d", zone, number),
 		Address:       address(number),
 		CallerAddress: fmt.Sprintf("10.1.%d.%d:8080", number/250, number%250),
@@ -92,11 +92,11 @@
 }
 
 // start begins a new incarnation.
-func (s *simulation) start(node *simulated) {
+func (s *simulation) start(node *simulatedNode) {
 	s.restart(node, fmt.Sprintf("%016x", s.random.Uint64()))
 }
 
-func (s *simulation) restart(node *simulated, incarnation string) {
+func (s *simulation) restart(node *simulatedNode, incarnation string) {
 	node.identity.Incarnation = incarnation
 	node.identity.Started = s.now
 	node.running = true
@@ -112,7 +112,7 @@
 	heap.Push(&s.queue, task{at: s.now.Add(pause), sequence: s.sequence, run: run})
 }
 
-func (s *simulation) tick(node *simulated, gossip *Gossip) {
+func (s *simulation) tick(node *simulatedNode, gossip *Gossip) {
 	if !node.running || node.gossip != gossip {
 		return
 	}
@@ -120,28 +120,28 @@
 	s.after(stepInterval, func() { s.tick(node, gossip) })
 }
 
-func (s *simulation) step(node *simulated) {
+func (s *simulation) step(node *simulatedNode) {
 	for _, exchange := range node.gossip.Step(s.now) {
 		s.send(node, exchange)
 	}
-	s.settle(node)
+	s.drainEvents(node)
 }
 
-// settle does what Service does after each action.
-func (s *simulation) settle(node *simulated) {
+// drainEvents does what Service does after each action.
+func (s *simulation) drainEvents(node *simulatedNode) {
 	for _, event := range node.gossip.TakeEvents() {
 		if event.Kind == Suspected {
 			s.suspects++
 		}
 		if event.Kind == Left {
-			node.gone++
+			node.leftEvents++
 		}
 	}
 }
 
-func (s *simulation) kick(node *simulated, hurried bool) {
-	s.settle(node)
-	if node.gossip.Hurried() && !hurried {
+func (s *simulation) scheduleUrgentStep(node *simulatedNode, hurried bool) {
+	s.drainEvents(node)
+	if node.gossip.HasUrgent() && !hurried {
 		gossip := node.gossip
 		s.after(0, func() {
 			if node.running && node.gossip == gossip {
@@ -151,13 +151,13 @@
 	}
 }
 
-func (s *simulation) act(node *simulated, action func(g *Gossip)) {
-	hurried := node.gossip.Hurried()
+func (s *simulation) act(node *simulatedNode, action func(g *Gossip)) {
+	hurried := node.gossip.HasUrgent()
 	action(node.gossip)
-	s.kick(node, hurried)
+	s.scheduleUrgentStep(node, hurried)
 }
 
-func (s *simulation) send(from *simulated, exchange Exchange) {
+func (s *simulation) send(from *simulatedNode, exchange Exchange) {
 	from.count(exchange.Request)
 	gossip := from.gossip
 	answered := false
@@ -166,17 +166,17 @@
 			return
 		}
 		answered = true
-		s.act(from, func(g *Gossip) { g.Finish(s.now, exchange, response) })
+		s.act(from, func(g *Gossip) { g.HandleOutcome(s.now, exchange, response) })
 	}
 	s.after(gossip.settings.ExchangeTimeout, func() { finish(nil) })
 	to := s.byAddr[exchange.Target.Address]
-	if to == nil || !s.passes(from, to) {
+	if to == nil || !s.delivers(from, to) {
 		return
 	}
 	s.after(s.latency, func() { s.deliver(from, to, exchange.Request, finish) })
 }
 
-func (s *simulation) deliver(from, to *simulated, request *peerv1.ExchangeRequest, finish func(*peerv1.ExchangeResponse)) {
+func (s *simulation) deliver(from, to *simulatedNode, request *peerv1.ExchangeRequest, finish func(*peerv1.ExchangeResponse)) {
 	if !to.running {
 		s.after(s.latency, func() { finish(nil) })
 		return
@@ -186,12 +186,12 @@
 		request = encoded(request, &peerv1.ExchangeRequest{})
 	}
 	var response *peerv1.ExchangeResponse
-	s.act(to, func(g *Gossip) { response = g.Answer(s.now, request) })
+	s.act(to, func(g *Gossip) { response = g.HandleRequest(s.now, request) })
 	to.count(response)
 	if s.encode {
 		response = encoded(response, &peerv1.ExchangeResponse{})
 	}
-	if !s.passes(to, from) {
+	if !s.delivers(to, from) {
 		return
 	}
 	s.after(s.latency, func() {
@@ -200,13 +200,13 @@
 	})
 }
 
-func (n *simulated) count(message proto.Message) {
+func (n *simulatedNode) count(message proto.Message) {
 	n.bytes += proto.Size(message)
 	n.messages++
 }
 
-func (s *simulation) passes(from, to *simulated) bool {
-	if s.cut[from.identity.Zone] != s.cut[to.identity.Zone] {
+func (s *simulation) delivers(from, to *simulatedNode) bool {
+	if s.isolatedZones[from.identity.Zone] != s.isolatedZones[to.identity.Zone] {
 		return false
 	}
 	return s.random.Float64() >= s.loss
@@ -239,8 +239,8 @@
 	s.now = end
 }
 
-// everyone reports whether the condition holds at all running nodes.
-func (s *simulation) everyone(condition func(m *Members) bool) bool {
+// allRunning reports whether the condition holds at all running nodes.
+func (s *simulation) allRunning(condition func(m *Members) bool) bool {
 	for _, node := range s.nodes {
 		if node.running && !condition(node.gossip.Members()) {
 			return false
@@ -249,14 +249,14 @@
 	return true
 }
 
-func (s *simulation) complete() bool {
+func (s *simulation) viewsComplete() bool {
 	running := 0
 	for _, node := range s.nodes {
 		if node.running {
 			running++
 		}
 	}
-	return s.everyone(func(m *Members) bool { return len(m.Live()) == running })
+	return s.allRunning(func(m *Members) bool { return len(m.Live()) == running })
 }
 
 func (s *simulation) resetTraffic() {
--- a/coordination/membership/status.go
+++ b/coordination/membership/status.go
@@ -22,7 +22,7 @@
 	return status.GetNode() == ""
 }
 
-func isQuestion(status *peerv1.NodeStatus) bool {
+func isQuery(status *peerv1.NodeStatus) bool {
 	return status.GetAddress() == "" && !status.GetGone()
 }
 
@@ -33,7 +33,7 @@
 	}
 }
 
-func questionAbout(status *peerv1.NodeStatus, heartbeat uint64) *peerv1.NodeStatus {
+func newQuery(status *peerv1.NodeStatus, heartbeat uint64) *peerv1.NodeStatus {
 	return &peerv1.NodeStatus{
 		Node:        status.GetNode(),
 		Incarnation: status.GetIncarnation(),
@@ -41,8 +41,8 @@
 	}
 }
 
-// acceptable refuses statuses that no node sends.
-func acceptable(status *peerv1.NodeStatus) bool {
+// isValidStatus refuses statuses that no node sends.
+func isValidStatus(status *peerv1.NodeStatus) bool {
 	names := []string{status.GetNode(), status.GetIncarnation(), status.GetAddress(), status.GetZone(), status.GetCallerAddress()}
 	for _, name := range names {
 		if len(name) > maximumNameLength {
@@ -56,7 +56,7 @@
 // node. A later start wins, then the later heartbeat; of equal heartbeats the
 // one that says gone wins, so that only the node itself can refute it.
 func supersedes(candidate, known *peerv1.NodeStatus) bool {
-	order := compareLives(candidate, known)
+	order := compareStarts(candidate, known)
 	if order == 0 {
 		order = cmp.Compare(candidate.GetHeartbeat(), known.GetHeartbeat())
 	}
@@ -66,9 +66,9 @@
 	return order > 0
 }
 
-// compareLives orders two starts of one node. A node with a data folder keeps
+// compareStarts orders two starts of one node. A node with a data folder keeps
 // its incarnation over a restart and is told apart by the time of its start.
-func compareLives(a, b *peerv1.NodeStatus) int {
+func compareStarts(a, b *peerv1.NodeStatus) int {
 	order := cmp.Compare(a.GetStartedUnixMs(), b.GetStartedUnixMs())
 	if order == 0 {
 		order = cmp.Compare(a.GetIncarnation(), b.GetIncarnation())
@@ -76,10 +76,10 @@
 	return order
 }
 
-// isNews reports whether others must be told of the change, as opposed to a
+// needsDissemination reports whether others must be told of the change, as opposed to a
 // mere advance of the heartbeat.
-func isNews(known, status *peerv1.NodeStatus) bool {
-	return compareLives(known, status) != 0 ||
+func needsDissemination(known, status *peerv1.NodeStatus) bool {
+	return compareStarts(known, status) != 0 ||
 		known.GetGone() != status.GetGone() ||
 		known.GetLeaving() != status.GetLeaving() ||
 		known.GetAddress() != status.GetAddress() && !status.GetGone()
@@ -96,8 +96,8 @@
 	}
 }
 
-// keepPlace fills the place of a gone node, which its mark doesn't carry.
-func keepPlace(gone, known *peerv1.NodeStatus) *peerv1.NodeStatus {
+// withKnownLocation fills the place of a gone node, which its mark doesn't carry.
+func withKnownLocation(gone, known *peerv1.NodeStatus) *peerv1.NodeStatus {
 	result := proto.CloneOf(gone)
 	if result.Address == "" {
 		result.Address = known.GetAddress()
@@ -108,7 +108,7 @@
 	return result
 }
 
-func (g *Gossip) member(known *record) Member {
+func (g *Gossip) member(known *nodeRecord) Member {
 	status := known.status
 	return Member{
 		Node:          status.GetNode(),
--- a/coordination/membership/step.go
+++ b/coordination/membership/step.go
@@ -13,12 +13,12 @@
 	if g.self.gone {
 		return nil
 	}
-	g.self.beat(now)
-	g.forgiveStall(now)
+	g.self.updateHeartbeat(now)
+	g.restartSuspicionsAfterStall(now)
 	g.expireInFlight(now)
 	g.expireSuspicions(now)
 	g.prune(now)
-	g.settle(now)
+	g.updateSettled(now)
 	g.refreshPeers()
 
 	var exchanges []Exchange
@@ -27,26 +27,26 @@
 			exchanges = append(exchanges, g.compose(now, target))
 		}
 	}
-	g.stepRegular(now, send)
+	g.stepPeriodic(now, send)
 	g.stepUrgent(now, send)
 	g.stepProbes(now, send)
-	g.stepQuestions(now, send)
-	g.stepContacts(now, send)
-	g.finish()
+	g.stepIndirectProbes(now, send)
+	g.stepRejoin(now, send)
+	g.publishIfStale()
 	return exchanges
 }
 
-// Hurried reports whether Step has urgent exchanges to send.
-func (g *Gossip) Hurried() bool { return len(g.urgent) > 0 }
+// HasUrgent reports whether Step has urgent exchanges to send.
+func (g *Gossip) HasUrgent() bool { return len(g.urgent) > 0 }
 
-// stepRegular probes the peers in turn.
-func (g *Gossip) stepRegular(now time.Time, send func(Target)) {
-	if now.Before(g.nextRegular) {
+// stepPeriodic probes the peers in turn.
+func (g *Gossip) stepPeriodic(now time.Time, send func(Target)) {
+	if now.Before(g.nextPeriodicProbe) {
 		return
 	}
-	g.nextRegular = g.nextRegular.Add(g.settings.ExchangeInterval)
-	if g.nextRegular.Before(now) {
-		g.nextRegular = now.Add(g.settings.ExchangeInterval)
+	g.nextPeriodicProbe = g.nextPeriodicProbe.Add(g.settings.ExchangeInterval)
+	if g.nextPeriodicProbe.Before(now) {
+		g.nextPeriodicProbe = now.Add(g.settings.ExchangeInterval)
 	}
 	if len(g.peers) == 0 {
 		return
@@ -69,8 +69,8 @@
 	}
 }
 
-// hurry has the peers told at once.
-func (g *Gossip) hurry() {
+// queueUrgent has the peers told at once.
+func (g *Gossip) queueUrgent() {
 	g.refreshPeers()
 	g.urgent = slices.Clone(g.peers)
 }
@@ -82,15 +82,15 @@
 		if now.Before(known.suspicion.nextProbe) || !g.extraExchanges.AllowN(now, 1) {
 			continue
 		}
-		known.suspicion.nextProbe = now.Add(g.settings.AskInterval)
+		known.suspicion.nextProbe = now.Add(g.settings.SuspectProbeInterval)
 		known.lastProbe = now
 		send(known.target())
 	}
-	wanted := g.wantedProbes
-	g.wantedProbes = nil
+	wanted := g.requestedProbes
+	g.requestedProbes = nil
 	for _, name := range wanted {
 		known := g.records[name]
-		if known == nil || known.gone() || now.Sub(known.lastProbe) < probeSpacing {
+		if known == nil || known.gone() || now.Sub(known.lastProbe) < minimumProbeInterval {
 			continue
 		}
 		if g.extraExchanges.AllowN(now, 1) {
@@ -102,21 +102,21 @@
 
 // requestProbe asks for a direct probe at the next step.
 func (g *Gossip) requestProbe(node string) {
-	if !slices.Contains(g.wantedProbes, node) {
-		g.wantedProbes = append(g.wantedProbes, node)
+	if !slices.Contains(g.requestedProbes, node) {
+		g.requestedProbes = append(g.requestedProbes, node)
 	}
 }
 
-// stepQuestions asks the helpers about the suspects.
-func (g *Gossip) stepQuestions(now time.Time, send func(Target)) {
+// stepIndirectProbes asks the helpers about the suspects.
+func (g *Gossip) stepIndirectProbes(now time.Time, send func(Target)) {
 	if len(g.suspects) == 0 {
 		g.helpers = nil
 		return
 	}
-	if now.Before(g.nextAsk) {
+	if now.Before(g.nextIndirectProbe) {
 		return
 	}
-	g.nextAsk = now.Add(g.settings.AskInterval)
+	g.nextIndirectProbe = now.Add(g.settings.SuspectProbeInterval)
 	if g.helpersOutdated() {
 		g.chooseHelpers()
 	}
@@ -137,32 +137,32 @@
 	})
 }
 
-// stepContacts tries seeds and nodes believed gone, so that a new node finds
+// stepRejoin tries seeds and nodes believed gone, so that a new node finds
 // the fleet and the sides of a healed cut find each other.
-func (g *Gossip) stepContacts(now time.Time, send func(Target)) {
-	if now.Before(g.nextContact) {
+func (g *Gossip) stepRejoin(now time.Time, send func(Target)) {
+	if now.Before(g.nextRejoin) {
 		return
 	}
 	pause := g.settings.ContactInterval
 	if len(g.peers) == 0 {
-		pause = loneContactPause
+		pause = isolatedRejoinInterval
 	}
-	g.nextContact = now.Add(pause/2 + g.jitter(pause))
-	candidates := g.contactCandidates()
+	g.nextRejoin = now.Add(pause/2 + g.jitter(pause))
+	candidates := g.rejoinCandidates()
 	if len(candidates) == 0 {
 		return
 	}
-	g.contactCursor++
+	g.rejoinCursor++
 	if len(g.peers) == 0 {
-		send(candidates[g.contactCursor%len(candidates)])
+		send(candidates[g.rejoinCursor%len(candidates)])
 		return
 	}
 	send(candidates[g.random.IntN(len(candidates))])
 }
 
-// contactCandidates are the seeds at whose address no live node is known, and
+// rejoinCandidates are the seeds at whose address no live node is known, and
 // the gone nodes.
-func (g *Gossip) contactCandidates() []Target {
+func (g *Gossip) rejoinCandidates() []Target {
 	var candidates []Target
 	live := map[string]struct{}{}
 	for _, name := range sortedNames(g.records) {
--- a/coordination/membership/suspicion.go
+++ b/coordination/membership/suspicion.go
@@ -15,27 +15,27 @@
 	nextProbe time.Time
 }
 
-func (g *Gossip) suspect(now time.Time, known *record) {
+func (g *Gossip) suspect(now time.Time, known *nodeRecord) {
 	if known.suspicion != nil || known.gone() {
 		return
 	}
 	known.suspicion = &suspicion{
 		since:     now,
 		heartbeat: known.status.GetHeartbeat(),
-		nextProbe: now.Add(g.settings.AskInterval),
+		nextProbe: now.Add(g.settings.SuspectProbeInterval),
 	}
 	g.suspects[known.status.GetNode()] = known
-	g.stale = true
-	g.record(Event{Kind: Suspected, Member: g.member(known)})
+	g.snapshotStale = true
+	g.recordEvent(Event{Kind: Suspected, Member: g.member(known)})
 }
 
-func (g *Gossip) endSuspicion(known *record) {
+func (g *Gossip) endSuspicion(known *nodeRecord) {
 	if known.suspicion == nil {
 		return
 	}
 	known.suspicion = nil
 	delete(g.suspects, known.status.GetNode())
-	g.stale = true
+	g.snapshotStale = true
 }
 
 // expireSuspicions declares those gone that had their time.
@@ -55,17 +55,17 @@
 // declareGone marks the node with the heartbeat it would have by now, so that
 // the mark overrides what others heard from it since; the node itself, where it
 // lives, goes past it.
-func (g *Gossip) declareGone(now time.Time, known *record) {
-	silent := uint64(now.Sub(known.heard) / heartbeatInterval)
+func (g *Gossip) declareGone(now time.Time, known *nodeRecord) {
+	silent := uint64(now.Sub(known.updatedAt) / heartbeatInterval)
 	heartbeat := known.status.GetHeartbeat() + silent + goneHeartbeatMargin
 	g.endSuspicion(known)
 	g.replace(now, known, goneStatus(known.status, heartbeat), fromNode)
 }
 
-// forgiveStall restarts all suspicions after this process itself stood still:
+// restartSuspicionsAfterStall restarts all suspicions after this process itself stood still:
 // the answers may have been there.
-func (g *Gossip) forgiveStall(now time.Time) {
-	stalled := !g.lastStep.IsZero() && now.Sub(g.lastStep) > stallTime
+func (g *Gossip) restartSuspicionsAfterStall(now time.Time) {
+	stalled := !g.lastStep.IsZero() && now.Sub(g.lastStep) > stallThreshold
 	g.lastStep = now
 	if !stalled {
 		return
@@ -76,15 +76,15 @@
 	}
 }
 
-// questions asks helpers for proof that the suspects live.
-func (g *Gossip) questions() []*peerv1.NodeStatus {
+// suspectQueries asks helpers for proof that the suspects live.
+func (g *Gossip) suspectQueries() []*peerv1.NodeStatus {
 	var result []*peerv1.NodeStatus
 	for _, name := range sortedNames(g.suspects) {
-		if len(result) == maximumQuestions {
+		if len(result) == maximumQueries {
 			break
 		}
 		known := g.suspects[name]
-		result = append(result, questionAbout(known.status, known.suspicion.heartbeat))
+		result = append(result, newQuery(known.status, known.suspicion.heartbeat))
 	}
 	g.random.Shuffle(len(result), func(i, j int) {
 		result[i], result[j] = result[j], result[i]
@@ -92,17 +92,17 @@
 	return result
 }
 
-// answerQuestion returns what is known beyond the question; where that is
+// answerQuery returns what is known beyond the question; where that is
 // nothing, the node is probed, so that the next question finds an answer.
-func (g *Gossip) answerQuestion(now time.Time, question *peerv1.NodeStatus) *peerv1.NodeStatus {
+func (g *Gossip) answerQuery(now time.Time, question *peerv1.NodeStatus) *peerv1.NodeStatus {
 	known := g.records[question.GetNode()]
-	if known == nil || !acceptable(question) {
+	if known == nil || !isValidStatus(question) {
 		return nil
 	}
 	if known.gone() {
 		return known.status
 	}
-	fresh := now.Sub(known.heard) <= proofAge
+	fresh := now.Sub(known.updatedAt) <= maximumProofAge
 	if fresh && known.status.GetHeartbeat() > question.GetHeartbeat() {
 		return known.status
 	}
@@ -132,8 +132,8 @@
 	}
 }
 
-func (g *Gossip) shuffledLive() []*record {
-	var candidates []*record
+func (g *Gossip) shuffledLive() []*nodeRecord {
+	var candidates []*nodeRecord
 	for _, name := range sortedNames(g.records) {
 		known := g.records[name]
 		if known.state() == Alive {
--- a/coordination/membership/table.go
+++ b/coordination/membership/table.go
@@ -8,26 +8,26 @@
 	peerv1 "github.com/marblering/marblering/api/peer/v1"
 )
 
-// record is what is known of the newest life of one other node.
-type record struct {
+// nodeRecord is what is known of the newest life of one other node.
+type nodeRecord struct {
 	// status is never changed in place; messages share it.
 	status    *peerv1.NodeStatus
 	positions positions
-	// heard is when the heartbeat last rose, direct when the node itself last
+	// updatedAt is when the heartbeat last rose, direct when the node itself last
 	// answered or asked.
-	heard     time.Time
-	direct    time.Time
-	lastProbe time.Time
-	goneSince time.Time
-	suspicion *suspicion
+	updatedAt       time.Time
+	directContactAt time.Time
+	lastProbe       time.Time
+	goneSince       time.Time
+	suspicion       *suspicion
 	// differsSince is when its table began to differ from this node's at every
 	// exchange; zero while they are equal.
 	differsSince time.Time
 }
 
-func (r *record) gone() bool { return r.status.GetGone() }
+func (r *nodeRecord) gone() bool { return r.status.GetGone() }
 
-func (r *record) state() State {
+func (r *nodeRecord) state() State {
 	if r.gone() {
 		return Gone
 	}
@@ -37,7 +37,7 @@
 	return Alive
 }
 
-func (r *record) target() Target {
+func (r *nodeRecord) target() Target {
 	return Target{
 		Node:        r.status.GetNode(),
 		Incarnation: r.status.GetIncarnation(),
@@ -59,11 +59,11 @@
 
 // merge records one whole status.
 func (g *Gossip) merge(now time.Time, status *peerv1.NodeStatus, from origin) {
-	if !acceptable(status) {
+	if !isValidStatus(status) {
 		return
 	}
 	if status.GetNode() == g.self.identity.Node {
-		g.answerClaim(now, status)
+		g.handleClaim(now, status)
 		return
 	}
 	known := g.records[status.GetNode()]
@@ -71,8 +71,8 @@
 		g.insert(now, status, from)
 		return
 	}
-	if from == fromUpdate && !isNews(known.status, status) {
-		g.queue.heard(subject{node: status.GetNode()})
+	if from == fromUpdate && !needsDissemination(known.status, status) {
+		g.queue.countDuplicate(subject{node: status.GetNode()})
 	}
 	if supersedes(status, known.status) {
 		g.replace(now, known, status, from)
@@ -81,14 +81,14 @@
 		g.requestProbe(status.GetNode())
 	}
 	if from == fromNode {
-		g.heardFrom(now, known, status.GetIncarnation())
+		g.confirmAlive(now, known, status.GetIncarnation())
 	}
 }
 
-// heardFrom ends a suspicion of the incarnation, which has answered itself.
-func (g *Gossip) heardFrom(now time.Time, known *record, incarnation string) {
+// confirmAlive ends a suspicion of the incarnation, which has answered itself.
+func (g *Gossip) confirmAlive(now time.Time, known *nodeRecord, incarnation string) {
 	if incarnation == known.status.GetIncarnation() && !known.gone() {
-		known.direct = now
+		known.directContactAt = now
 		g.endSuspicion(known)
 	}
 }
@@ -98,36 +98,36 @@
 	if len(g.records) >= maximumNodes {
 		return
 	}
-	known := &record{
+	known := &nodeRecord{
 		status:    status,
 		positions: ringPositions(status.GetNode()),
-		heard:     now,
+		updatedAt: now,
 	}
 	if from == fromNode {
-		known.direct = now
+		known.directContactAt = now
 	}
 	g.records[status.GetNode()] = known
-	delete(g.buried, status.GetIncarnation())
-	g.changed()
+	delete(g.endedIncarnations, status.GetIncarnation())
+	g.invalidate()
 	if status.GetGone() {
 		known.goneSince = now
 		return
 	}
-	g.record(Event{Kind: Joined, Member: g.member(known)})
+	g.recordEvent(Event{Kind: Joined, Member: g.member(known)})
 	if from != fromCopy || g.settled {
-		g.spread(status, from)
+		g.disseminate(status, from)
 	}
 }
 
-func (g *Gossip) replace(now time.Time, known *record, status *peerv1.NodeStatus, from origin) {
+func (g *Gossip) replace(now time.Time, known *nodeRecord, status *peerv1.NodeStatus, from origin) {
 	previous := known.status
 	wasGone := previous.GetGone()
-	news := isNews(previous, status)
+	news := needsDissemination(previous, status)
 	if status.GetGone() && status.GetAddress() == "" {
-		status = keepPlace(status, previous)
+		status = withKnownLocation(status, previous)
 	}
 	known.status = status
-	known.heard = now
+	known.updatedAt = now
 	if !status.GetGone() {
 		g.endSuspicion(known)
 	}
@@ -135,81 +135,81 @@
 		return
 	}
 	if status.GetIncarnation() != previous.GetIncarnation() {
-		g.bury(now, previous.GetIncarnation())
+		g.recordEnded(now, previous.GetIncarnation())
 	}
-	delete(g.buried, status.GetIncarnation())
-	g.changed()
+	delete(g.endedIncarnations, status.GetIncarnation())
+	g.invalidate()
 	if status.GetGone() {
 		known.suspicion = nil
 		known.goneSince = now
 	}
 	g.recordChange(known, wasGone, previous)
-	g.spread(status, from)
+	g.disseminate(status, from)
 }
 
-func (g *Gossip) recordChange(known *record, wasGone bool, previous *peerv1.NodeStatus) {
+func (g *Gossip) recordChange(known *nodeRecord, wasGone bool, previous *peerv1.NodeStatus) {
 	member := g.member(known)
 	switch {
 	case member.State == Gone:
-		g.record(Event{Kind: Left, Member: member})
+		g.recordEvent(Event{Kind: Left, Member: member})
 	case wasGone || previous.GetIncarnation() != member.Incarnation:
-		g.record(Event{Kind: Joined, Member: member})
+		g.recordEvent(Event{Kind: Joined, Member: member})
 	case member.Leaving && !previous.GetLeaving():
-		g.record(Event{Kind: Leaving, Member: member})
+		g.recordEvent(Event{Kind: Leaving, Member: member})
 	}
 }
 
-// spread queues a change for the next messages.
-func (g *Gossip) spread(status *peerv1.NodeStatus, from origin) {
-	sends := sendsFor(len(g.records) + 1)
+// disseminate queues a change for the next messages.
+func (g *Gossip) disseminate(status *peerv1.NodeStatus, from origin) {
+	sends := transmissionLimit(len(g.records) + 1)
 	if from == fromCopy {
-		sends = min(sends, fullCopySends)
+		sends = min(sends, fullCopyTransmissions)
 	}
 	level := priorityAlive
 	if status.GetGone() {
 		level = priorityGone
 	} else if status.GetLeaving() {
 		level = priorityLeaving
-		g.hurry()
+		g.queueUrgent()
 	}
 	g.queue.add(subject{node: status.GetNode()}, level, sends)
 }
 
-// answerClaim refutes what others say of this node where it would override the
+// handleClaim refutes what others say of this node where it would override the
 // node's own word.
-func (g *Gossip) answerClaim(now time.Time, claim *peerv1.NodeStatus) {
+func (g *Gossip) handleClaim(now time.Time, claim *peerv1.NodeStatus) {
 	foreign := claim.GetIncarnation() != g.self.identity.Incarnation
 	if g.self.gone || !supersedes(claim, g.self.status()) {
 		if foreign {
-			g.bury(now, claim.GetIncarnation())
+			g.recordEnded(now, claim.GetIncarnation())
 		}
 		return
 	}
 	if foreign {
 		if _, found := g.refuted[claim.GetIncarnation()]; found {
 			// Another process runs under this node's name and insists.
-			g.record(Event{Kind: NameTaken, Member: g.selfMember()})
+			g.recordEvent(Event{Kind: NameTaken, Member: g.selfMember()})
 			return
 		}
 		g.refuted[claim.GetIncarnation()] = struct{}{}
 	}
 	if g.self.refute(claim) {
-		g.changed()
-		g.spread(g.self.status(), fromNode)
+		g.invalidate()
+		g.disseminate(g.self.status(), fromNode)
 	}
 }
 
-// bury remembers an incarnation that another one of its node replaced.
-func (g *Gossip) bury(now time.Time, incarnation string) {
-	if _, found := g.buried[incarnation]; !found {
-		g.stale = true
+// recordEnded remembers an incarnation that another one of its node replaced.
+func (g *Gossip) recordEnded(now time.Time, incarnation string) {
+	if _, found := g.endedIncarnations[incarnation]; !found {
+		g.snapshotStale = true
 	}
-	g.buried[incarnation] = now
+	g.endedIncarnations[incarnation] = now
 }
 
-// changed marks everything that is derived from the records as stale.
-func (g *Gossip) changed() {
-	g.stale = true
+// invalidate marks everything that is derived from the records as stale.
+func (g *Gossip) invalidate() {
+	g.snapshotStale = true
 	g.peersStale = true
 	g.digest = 0
 }
@@ -252,18 +252,18 @@
 		return
 	}
 	g.nextPrune = now.Add(pruneInterval)
-	oldest := now.Add(-g.settings.ForgetTime)
+	oldest := now.Add(-g.settings.RetentionTime)
 	for name, known := range g.records {
 		if known.gone() && known.goneSince.Before(oldest) {
 			delete(g.records, name)
-			g.bury(now, known.status.GetIncarnation())
-			g.stale = true
+			g.recordEnded(now, known.status.GetIncarnation())
+			g.snapshotStale = true
 		}
 	}
-	for incarnation, since := range g.buried {
+	for incarnation, since := range g.endedIncarnations {
 		if since.Before(oldest) {
-			delete(g.buried, incarnation)
-			g.stale = true
+			delete(g.endedIncarnations, incarnation)
+			g.snapshotStale = true
 		}
 	}
 	g.pruneEvidence(oldest)
