--- a/coordination/membership/settings.go
+++ b/coordination/membership/settings.go
@@ -2,111 +2,114 @@
 
 import "time"
 
-// Settings are the tunable parts of the protocol. The zero value of a field
-// takes the default of DefaultSettings.
+// Settings holds the parameters of the protocol. A zero field takes its value
+// from DefaultSettings.
 type Settings struct {
-	// ExchangeInterval is the pause between two regular exchanges of a node.
+	// ExchangeInterval is the interval between two periodic probes by a node.
 	ExchangeInterval time.Duration
-	// ExchangeTimeout is how long an exchange may take before it has failed.
+	// ExchangeTimeout is the time after which an exchange has failed.
 	ExchangeTimeout time.Duration
-	// SuspicionTime is how long a suspected node has to prove that it lives.
+	// SuspicionTime is how long a node stays suspected before it is declared dead.
 	SuspicionTime time.Duration
-	// SuspectProbeInterval is the pause between two probes of a suspected node, and
-	// between two questions to the same helper.
+	// SuspectProbeInterval is the interval between two direct probes of a suspected
+	// node, and between two rounds of indirect probes.
 	SuspectProbeInterval time.Duration
-	// ContactInterval is the pause between two tries at a seed or at a node
-	// that is believed gone; it lets two sides of a cut find each other again.
+	// ContactInterval is the mean interval between two attempts to contact a seed
+	// or a gone node, which reconnect the cluster after a network partition.
 	ContactInterval time.Duration
-	// SyncDelay is how long tables may differ before a full copy is sent.
+	// SyncDelay is how long two nodes' tables may differ before a full copy is sent.
 	SyncDelay time.Duration
-	// SettleTime is how long after its first exchange a node waits until it
-	// takes an incarnation it never heard of for gone.
+	// SettleTime is the time after its first exchange from which a node reports
+	// unknown incarnations as gone.
 	SettleTime time.Duration
-	// RetentionTime is how long a gone node and withdrawn evidence are remembered.
+	// RetentionTime is how long gone nodes and withdrawn evidence are kept.
 	RetentionTime time.Duration
-	// MachineListLag bounds how old the platform's machine list may be.
+	// MachineListLag is the maximum age of a reading of the platform's machine list.
 	MachineListLag time.Duration
-	// ExtraExchangesPerSecond bounds the exchanges beside the regular ones.
+	// ExtraExchangesPerSecond limits the exchanges other than periodic probes
+	// and rejoin attempts.
 	ExtraExchangesPerSecond float64
-	// UpdateBytesPerSecond bounds the bytes of appended changes a node sends.
+	// UpdateBytesPerSecond limits the piggybacked changes that a node sends.
 	UpdateBytesPerSecond float64
-	// SyncBytesPerSecond bounds the bytes of full copies a node sends.
+	// SyncBytesPerSecond limits the full copies that a node sends.
 	SyncBytesPerSecond float64
 }
 
-// Whom a node probes: its successors on hash rings.
+// Numbers of hash rings, on which a node's successors are the peers it probes.
 const (
-	// anyZoneRings is the number of rings over all nodes, otherZoneRings that over nodes
-	// of other zones. So about six nodes probe each node, some of them from other
-	// zones. Chosen, not measured.
+	// anyZoneRings is the number of rings over all nodes, otherZoneRings the number of
+	// rings over nodes of other zones.
 	anyZoneRings   = 4
 	otherZoneRings = 2
 	ringCount      = anyZoneRings + otherZoneRings
 )
 
-// Suspicion. All are chosen, not measured.
+// Parameters of failure detection.
 const (
-	// helperCount is how many nodes are asked for a later heartbeat of a suspected one.
+	// helperCount is the number of nodes through which suspected nodes are probed
+	// indirectly.
 	helperCount = 3
-	// maximumQueries bounds the suspected nodes that one exchange asks about.
+	// maximumQueries is the maximum number of suspected nodes that one exchange queries.
 	maximumQueries = 8
-	// minimumProbes is the least number of probes that a suspected node gets within
+	// minimumProbes is the minimum number of probe intervals within
 	// Settings.SuspicionTime.
 	minimumProbes = 4
-	// heartbeatInterval is the pause between two heartbeats of a node.
+	// heartbeatInterval is the time in which a node's heartbeat grows by one.
 	heartbeatInterval = time.Second
-	// goneHeartbeatMargin is how many heartbeats a gone mark is ahead of what the node
-	// would have by now, so that it overrides what others have heard of it.
+	// goneHeartbeatMargin is how far a gone mark is ahead of the node's expected
+	// heartbeat, so that it overrides later heartbeats that other nodes have received.
 	goneHeartbeatMargin = 3
-	// stallThreshold is the time between two steps after which a node takes itself to have
-	// been stopped, and gives all suspects their time again.
+	// stallThreshold is the time between two steps above which a node assumes that its own
+	// process was paused, and restarts its suspicions.
 	stallThreshold = 2 * time.Second
-	// maximumProofAge is how old a helper's knowledge may be to count as a sign of life.
+	// maximumProofAge is the maximum age of a heartbeat with which a helper answers a
+	// query.
 	maximumProofAge = 2 * time.Second
-	// minimumProbeInterval is the least time between two probes of a node that others ask for.
+	// minimumProbeInterval is the minimum time between a probe of a node and a further
+	// requested probe of it.
 	minimumProbeInterval = 500 * time.Millisecond
-	// isolatedRejoinInterval stands for Settings.ContactInterval while no other node is known.
+	// isolatedRejoinInterval replaces Settings.ContactInterval while a node has no peers.
 	isolatedRejoinInterval = 500 * time.Millisecond
 )
 
-// Bounds of what is sent. docs/design/membership.md measures the bytes a second that
-// come of them; the single figures are chosen.
+// Limits of the network traffic.
 const (
-	// maximumUpdateBytes bounds the changes that one message carries.
+	// maximumUpdateBytes is the maximum size of the changes in one message.
 	maximumUpdateBytes = 1200
-	// extraExchangeBurst is the number of exchanges beside the regular ones that may be
-	// saved up.
+	// extraExchangeBurst is the burst of the Settings.ExtraExchangesPerSecond limit.
 	extraExchangeBurst = 12
-	// updateByteBurst and syncByteBurst are the bytes of changes and of full copies that
-	// may be saved up.
+	// updateByteBurst and syncByteBurst are the bursts of the
+	// Settings.UpdateBytesPerSecond and Settings.SyncBytesPerSecond limits.
 	updateByteBurst = 8 << 10
 	syncByteBurst   = 80 << 10
 	// fullCopyStatuses is the number of statuses above which a message counts as a full
 	// copy.
 	fullCopyStatuses = 24
-	// fullCopyTransmissions bounds how often a change that came in a full copy is sent on.
+	// fullCopyTransmissions is the maximum number of times a node sends a change that it
+	// received in a full copy.
 	fullCopyTransmissions = 4
-	// transmissionMultiplier times the logarithm to base 2 of the number of nodes is how often
-	// each node sends a change, as in SWIM.
+	// transmissionMultiplier is the number of times a node sends a change per bit of the
+	// number of nodes.
 	transmissionMultiplier = 2
-	// duplicateReduction is by how much that number falls when the change comes in from another
-	// node.
+	// duplicateReduction is the number of transmissions saved when another node is seen
+	// to send the same change.
 	duplicateReduction = 2
 )
 
-// Bounds of what is kept. All are chosen, not measured.
+// Limits of the memory use.
 const (
-	// maximumNodes and maximumEvidence bound the nodes and the statements about engines
-	// that are known.
+	// maximumNodes and maximumEvidence are the maximum numbers of other nodes and of
+	// evidence entries.
 	maximumNodes    = 4096
 	maximumEvidence = 4096
-	// maximumNameLength bounds names and addresses, in bytes.
+	// maximumNameLength is the maximum length of a name or address in bytes.
 	maximumNameLength = 256
-	// pruneInterval is the pause between two searches for what is to be forgotten.
+	// pruneInterval is the interval at which outdated entries are removed.
 	pruneInterval = time.Minute
 )
 
-// DefaultSettings returns the settings that docs/design/membership.md measures.
+// DefaultSettings returns the default settings; docs/design/membership.md has
+// measurements of them.
 func DefaultSettings() Settings {
 	return Settings{
 		ExchangeInterval:        time.Second / 3,
@@ -138,7 +141,7 @@
 	setDefault(&s.ExtraExchangesPerSecond, defaults.ExtraExchangesPerSecond)
 	setDefault(&s.UpdateBytesPerSecond, defaults.UpdateBytesPerSecond)
 	setDefault(&s.SyncBytesPerSecond, defaults.SyncBytesPerSecond)
-	// A suspected node gets several chances, however short its time.
+	// Ensures several probes of a suspected node within a short SuspicionTime.
 	s.SuspectProbeInterval = min(s.SuspectProbeInterval, s.SuspicionTime/minimumProbes)
 	return s
 }
