--- a/coordination/membership/service.go
+++ b/coordination/membership/service.go
@@ -13,47 +13,47 @@
 const (
 	stepInterval  = 100 * time.Millisecond
 	departTimeout = time.Second
-	// maximumShardViews bounds the shard views in one message.
+	// maximumShardViews is the maximum number of shard views in one message.
 	maximumShardViews = 16
 )
 
-// Exchanger sends an exchange to the node at the address (host:port). An
-// answer of another kind than a response is an error; so is none until the
+// Exchanger sends exchange requests to other nodes. Exchange returns an error if
+// the node at the address (host:port) doesn't return a valid response before the
 // context ends.
 type Exchanger interface {
 	Exchange(ctx context.Context, address string, request *peerv1.ExchangeRequest) (*peerv1.ExchangeResponse, error)
 }
 
-// ShardViews supplies and takes the shard views that travel with exchanges.
+// ShardViews provides and merges the shard views that exchanges carry.
 type ShardViews interface {
-	// Digest is equal at two nodes that know the same epochs.
+	// Digest returns the same value on all nodes that know the same epochs.
 	Digest() uint64
-	// Outgoing returns at most limit views for a node whose digest differs.
+	// Outgoing returns at most limit views to send to a node whose digest differs.
 	Outgoing(limit int) []*peerv1.ShardView
-	// Merge takes in the views of another node.
+	// Merge merges the views of another node.
 	Merge(views []*peerv1.ShardView)
 }
 
-// Options are a Service's collaborators. Exchanger, Now and Logger are
-// required.
+// Options holds the dependencies and callbacks of a Service. Exchanger, Now and
+// Logger are required.
 type Options struct {
 	Exchanger Exchanger
 	Now       func() time.Time
 	Logger    *zap.Logger
 	// Shards may be nil.
 	Shards ShardViews
-	// ConfigurationVersion returns this node's version; it may be nil.
+	// ConfigurationVersion returns this node's configuration version; it may be nil.
 	ConfigurationVersion func() uint64
-	// ConfigurationSeen is told of a later version at a node's address; it may
-	// be nil and mustn't block.
+	// ConfigurationSeen is called with the address of a node that has a later
+	// configuration version; it may be nil and must not block.
 	ConfigurationSeen func(address string, version uint64)
-	// Observe is told of every event, in order; it may be nil and mustn't block
-	// or call the service.
+	// Observe is called with every event, in order; it may be nil and must not
+	// block or call the service.
 	Observe func(Event)
 }
 
-// Service drives a Gossip in real time. It is a suture service; its other
-// methods may be called from any goroutine.
+// Service drives a Gossip in real time. It implements suture.Service. All methods
+// but Serve are safe for concurrent use.
 type Service struct {
 	options Options
 	mutex   sync.Mutex
@@ -61,7 +61,7 @@
 	wakeup  chan struct{}
 }
 
-// NewService makes a service that owns the gossip from now on.
+// NewService returns a service that takes ownership of gossip.
 func NewService(gossip *Gossip, options Options) *Service {
 	return &Service{
 		options: options,
@@ -70,11 +70,11 @@
 	}
 }
 
-// Members returns the newest snapshot without taking a lock.
+// Members returns the latest snapshot without taking a lock.
 func (s *Service) Members() *Members { return s.gossip.Members() }
 
-// Serve gossips until the context ends, then tells the peers that this node
-// has gone.
+// Serve runs the protocol until the context ends and then tells the peers that
+// this node has departed.
 func (s *Service) Serve(ctx context.Context) error {
 	ticker := time.NewTicker(stepInterval)
 	defer ticker.Stop()
@@ -94,10 +94,10 @@
 	}
 }
 
-// String names the service in the supervisor's messages.
+// String returns the service's name for the supervisor's messages.
 func (s *Service) String() string { return "membership" }
 
-// Exchange answers another node's exchange.
+// Exchange processes another node's exchange and returns the response.
 func (s *Service) Exchange(_ context.Context, request *peerv1.ExchangeRequest) (*peerv1.ExchangeResponse, error) {
 	var response *peerv1.ExchangeResponse
 	s.withGossip(func(now time.Time) {
@@ -109,41 +109,43 @@
 	return response, nil
 }
 
-// SetLeaving says whether this node is leaving.
+// SetLeaving sets or clears this node's leaving mark.
 func (s *Service) SetLeaving(leaving bool) {
 	s.withGossip(func(time.Time) { s.gossip.SetLeaving(leaving) })
 }
 
-// SetSeeds replaces the addresses of other nodes to try.
+// SetSeeds replaces the seed addresses.
 func (s *Service) SetSeeds(addresses []string) {
 	s.withGossip(func(time.Time) { s.gossip.SetSeeds(addresses) })
 }
 
-// ObserveMachines takes in a reading of the platform's machine list.
+// ObserveMachines applies a reading of the platform's machine list.
 func (s *Service) ObserveMachines(machines []Machine) {
 	s.withGossip(func(now time.Time) { s.gossip.ObserveMachines(now, machines) })
 }
 
-// ObserveEngine takes in what this node saw of an engine.
+// ObserveEngine applies what this node learned from an engine.
 func (s *Service) ObserveEngine(report EngineReport) {
 	s.withGossip(func(now time.Time) { s.gossip.ObserveEngine(now, report) })
 }
 
-// ObserveEjection says whether this node sends the engine no work.
+// ObserveEjection records whether this node has stopped sending work to the
+// engine.
 func (s *Service) ObserveEjection(engine string, ejected bool) {
 	s.withGossip(func(now time.Time) { s.gossip.ObserveEjection(now, engine, ejected) })
 }
 
-// ConfigurationChanged has the peers told of a new version at once.
+// ConfigurationChanged sends a new configuration version to the peers immediately.
 func (s *Service) ConfigurationChanged() {
 	s.withGossip(func(time.Time) {})
 }
 
-// withGossip runs one action of the gossip and then passes on what came of it.
+// withGossip runs an action while holding the lock, then reports the events and
+// wakes Serve if the action queued urgent exchanges.
 func (s *Service) withGossip(action func(now time.Time)) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	hurried := s.gossip.HasUrgent()
+	hadUrgent := s.gossip.HasUrgent()
 	if s.options.ConfigurationVersion != nil {
 		s.gossip.SetConfigurationVersion(s.options.ConfigurationVersion())
 	}
@@ -151,9 +153,9 @@
 	for _, event := range s.gossip.TakeEvents() {
 		s.observe(event)
 	}
-	// What is still urgent from before waits for the next tick: the budget of
-	// exchanges is used up.
-	if s.gossip.HasUrgent() && !hurried {
+	// Urgent exchanges left over from before exceeded the rate limit and wait for
+	// the next tick.
+	if s.gossip.HasUrgent() && !hadUrgent {
 		s.wake()
 	}
 }
@@ -225,7 +227,8 @@
 	}
 }
 
-// depart tells the peers that this node has gone; it doesn't wait long.
+// depart tells the peers that this node has departed and waits at most
+// departTimeout.
 func (s *Service) depart() {
 	var exchanges []Exchange
 	s.withGossip(func(now time.Time) { exchanges = s.gossip.Depart(now) })
@@ -236,7 +239,7 @@
 		running.Go(func() {
 			_, err := s.options.Exchanger.Exchange(ctx, exchange.Target.Address, exchange.Request)
 			if err != nil {
-				s.options.Logger.Debug("departure not delivered",
+				s.options.Logger.Debug("sending the departure to a peer failed",
 					zap.String("peer", exchange.Target.Node),
 					zap.Error(err))
 			}
@@ -254,18 +257,18 @@
 
 func (s *Service) logEvent(event Event) {
 	if event.Kind == EngineChanged {
-		s.options.Logger.Info("membership changed",
+		s.options.Logger.Info("engine leaving mark changed",
 			zap.String("event", event.Kind.String()),
 			zap.String("engine", event.Engine),
 			zap.Bool("leaving", event.EngineLeaving))
 		return
 	}
-	// A lost message is enough for a suspicion.
+	// A single lost message causes a suspicion, so it isn't worth the info level.
 	level := zap.InfoLevel
 	if event.Kind == Suspected {
 		level = zap.DebugLevel
 	}
-	s.options.Logger.Log(level, "membership",
+	s.options.Logger.Log(level, "node membership changed",
 		zap.String("event", event.Kind.String()),
 		zap.String("peer", event.Member.Node),
 		zap.String("incarnation", event.Member.Incarnation),
