--- a/coordination/membership/event.go
+++ b/coordination/membership/event.go
@@ -1,26 +1,26 @@
 package membership
 
-// EventKind says what changed.
+// EventKind is the kind of a change of the view.
 type EventKind uint8
 
 // Kinds of events.
 const (
-	// Joined: a node, or a new incarnation of one, is alive.
+	// Joined reports that a node, or a new incarnation of it, is alive.
 	Joined EventKind = iota
-	// Leaving: a node said that it is leaving.
+	// Leaving reports that a node announced that it is leaving.
 	Leaving
-	// Suspected: a node didn't answer this node.
+	// Suspected reports that a node didn't answer this node.
 	Suspected
-	// Left: a node is gone.
+	// Left reports that a node departed or was declared dead.
 	Left
-	// EngineChanged: an engine, or a machine of that name, is leaving or no
-	// longer leaving.
+	// EngineChanged reports that an engine, or a machine of that name, is
+	// leaving or no longer leaving.
 	EngineChanged
-	// NameTaken: another process claims this node's name.
+	// NameTaken reports that another process uses this node's name.
 	NameTaken
 )
 
-// String returns the kind's name.
+// String returns the kind's name, as the logs contain it.
 func (k EventKind) String() string {
 	switch k {
 	case Joined:
--- a/coordination/membership/evidence.go
+++ b/coordination/membership/evidence.go
@@ -9,16 +9,15 @@
 	peerv1 "github.com/marblering/marblering/api/peer/v1"
 )
 
-// Evidence about an engine is kept by engine and observer; the highest version
-// wins, and of equal versions the one that says leaving. Two observers aren't
-// nodes: what the engine says itself and what the platform's machine list says
-// is the same whoever read it, so all nodes share one entry for each. Node
-// names must not begin with "@".
+// Observers that aren't nodes. Evidence is keyed by engine and observer; the
+// highest version wins, and among equal versions the one with the leaving mark.
+// All nodes share one entry for the engine's own state and one for the
+// platform's machine list. Node names must not begin with "@".
 const (
-	// ObserverEngine stands for the engine's own word: an answer 503 or its
-	// state.
+	// ObserverEngine is the observer of what the engine reports itself: a 503
+	// response or its state.
 	ObserverEngine = "@engine"
-	// ObserverMachineList stands for the platform's machine list.
+	// ObserverMachineList is the observer of the platform's machine list.
 	ObserverMachineList = "@machines"
 )
 
@@ -27,7 +26,7 @@
 	observer string
 }
 
-// shared reports whether all nodes write the same entry.
+// shared reports whether all nodes write to the same entry.
 func (k evidenceKey) shared() bool {
 	return k.observer == ObserverEngine || k.observer == ObserverMachineList
 }
@@ -37,24 +36,26 @@
 	receivedAt time.Time
 }
 
-// Machine is one line of the platform's machine list.
+// Machine is one entry of the platform's machine list.
 type Machine struct {
 	Name    string
 	Leaving bool
 }
 
-// EngineReport is what this node saw of an engine itself.
+// EngineReport is the state of an engine as this node learned it from the engine.
 type EngineReport struct {
 	Engine string
-	// Leaving is the engine's own word: it answered 503, or its state says so.
+	// Leaving is set when the engine responded with 503 or reported that it is
+	// leaving.
 	Leaving bool
-	// Asked is when the question was sent that the engine answered. A report
-	// that an engine isn't leaving only counts against older evidence.
+	// Asked is when the request was sent that the engine responded to. A report
+	// that the engine isn't leaving overrides only evidence from before Asked.
 	Asked time.Time
 }
 
-// ObserveMachines takes in a reading of the platform's machine list. The list
-// lags, so that it can withdraw only what it said itself.
+// ObserveMachines applies a reading of the platform's machine list. As readings
+// may be outdated, one clears a leaving mark only if this node's previous reading
+// had it or the mark is older than Settings.MachineListLag.
 func (g *Gossip) ObserveMachines(now time.Time, machines []Machine) {
 	for _, machine := range machines {
 		g.observeMachine(now, machine)
@@ -88,7 +89,7 @@
 	delete(g.listedLeaving, machine.Name)
 }
 
-// ObserveEngine takes in what this node saw of an engine.
+// ObserveEngine applies what this node learned from an engine.
 func (g *Gossip) ObserveEngine(now time.Time, report EngineReport) {
 	key := evidenceKey{engine: report.Engine, observer: ObserverEngine}
 	known := g.evidence[key]
@@ -102,7 +103,8 @@
 	g.publishIfStale()
 }
 
-// ObserveEjection says whether this node sends the engine no work.
+// ObserveEjection records whether this node has stopped sending work to the
+// engine.
 func (g *Gossip) ObserveEjection(now time.Time, engine string, ejected bool) {
 	key := evidenceKey{engine: engine, observer: g.self.identity.Node}
 	if g.evidence[key].fact.GetEjected() == ejected {
@@ -112,7 +114,7 @@
 	g.publishIfStale()
 }
 
-// writeEvidence writes the next version of an entry.
+// writeEvidence creates the next version of an entry.
 func (g *Gossip) writeEvidence(now time.Time, key evidenceKey, leaving, ejected bool) {
 	g.mergeEvidence(now, &peerv1.EngineEvidence{
 		Engine:   key.engine,
@@ -144,8 +146,8 @@
 	g.disseminateEvidence(key, fact)
 }
 
-// hasRoomForEvidence keeps a part of the room for leaving engines: a cut makes
-// every node eject half of the engines.
+// hasRoomForEvidence reserves most of the table for leaving engines: during a
+// network partition every node ejects the engines that it can't reach.
 func (g *Gossip) hasRoomForEvidence(fact *peerv1.EngineEvidence) bool {
 	if fact.GetLeaving() {
 		return len(g.evidence) < maximumEvidence
@@ -207,8 +209,8 @@
 
 func (g *Gossip) pruneEvidence(oldest time.Time) {
 	for key, entry := range g.evidence {
-		over := !entry.fact.GetLeaving() && !entry.fact.GetEjected()
-		if over && entry.receivedAt.Before(oldest) {
+		withdrawn := !entry.fact.GetLeaving() && !entry.fact.GetEjected()
+		if withdrawn && entry.receivedAt.Before(oldest) {
 			delete(g.evidence, key)
 			g.snapshotStale = true
 		}
--- a/coordination/membership/gossip.go
+++ b/coordination/membership/gossip.go
@@ -10,16 +10,16 @@
 	peerv1 "github.com/marblering/marblering/api/peer/v1"
 )
 
-// Target is where an exchange goes. Node and Incarnation are empty for a seed,
-// of which only the address is known.
+// Target is the destination of an exchange. Node and Incarnation are empty where
+// only the address is used, as for seeds.
 type Target struct {
 	Node        string
 	Incarnation string
 	Address     string
 }
 
-// Exchange is one request that the caller of Step has to send; its outcome
-// goes to Finish.
+// Exchange is one request for the caller of Step to send; its outcome goes to
+// HandleOutcome.
 type Exchange struct {
 	Target  Target
 	Request *peerv1.ExchangeRequest
@@ -38,10 +38,10 @@
 	records           map[string]*nodeRecord
 	endedIncarnations map[string]time.Time
 	evidence          map[evidenceKey]evidence
-	// listedLeaving holds the machines that this node's own last reading of the
-	// machine list gave as leaving.
+	// listedLeaving holds the machines that were leaving in this node's last
+	// reading of the machine list.
 	listedLeaving map[string]bool
-	// refuted holds foreign incarnations under this node's name.
+	// refuted holds other incarnations under this node's name that it refuted.
 	refuted map[string]struct{}
 
 	queue    updateQueue
@@ -73,8 +73,9 @@
 	members       atomic.Pointer[Members]
 }
 
-// New begins the protocol for a node that knows nobody yet. Seeds are addresses
-// (host:port) of other nodes; this node's own may be among them.
+// New returns the protocol state of a node that doesn't know any other node.
+// Seeds are addresses (host:port) of other nodes; this node's own address may be
+// among them and is ignored.
 func New(settings Settings, identity Identity, seeds []string, random *rand.Rand, now time.Time) *Gossip {
 	settings = settings.withDefaults()
 	g := &Gossip{
@@ -109,8 +110,8 @@
 	return g
 }
 
-// SetSeeds replaces the addresses that are tried while nobody is known, and
-// now and then afterwards.
+// SetSeeds replaces the addresses that the node contacts to join the cluster and
+// to reconnect after a network partition.
 func (g *Gossip) SetSeeds(addresses []string) {
 	g.seeds = g.seeds[:0]
 	for _, address := range addresses {
@@ -120,11 +121,11 @@
 	}
 }
 
-// Members returns the newest snapshot; it may be called from any goroutine.
+// Members returns the latest snapshot. It is safe for concurrent use.
 func (g *Gossip) Members() *Members { return g.members.Load() }
 
-// SetLeaving says whether this node is leaving. The mark travels ahead of all
-// else.
+// SetLeaving sets or clears this node's leaving mark, which is disseminated
+// before other changes.
 func (g *Gossip) SetLeaving(leaving bool) {
 	if g.self.leaving == leaving {
 		return
@@ -133,8 +134,8 @@
 	g.announceSelf()
 }
 
-// SetConfigurationVersion sets the version that exchanges carry and asks for
-// a round at once where it grew.
+// SetConfigurationVersion sets the version that exchanges carry. A higher version
+// is sent to all peers immediately; a lower one is ignored.
 func (g *Gossip) SetConfigurationVersion(version uint64) {
 	if version > g.self.configurationVersion {
 		g.self.configurationVersion = version
@@ -142,8 +143,8 @@
 	}
 }
 
-// Depart says that this node is gone for good. It returns the last exchanges
-// to send; Step returns none afterwards.
+// Depart marks this node as gone and returns the final exchanges to send. Step
+// returns none afterwards.
 func (g *Gossip) Depart(now time.Time) []Exchange {
 	g.self.gone = true
 	g.announceSelf()
@@ -163,7 +164,8 @@
 	g.publishIfStale()
 }
 
-// HandleOutcome takes in the outcome of an exchange; response is nil where it failed.
+// HandleOutcome processes the outcome of an exchange; response is nil if the
+// exchange failed.
 func (g *Gossip) HandleOutcome(now time.Time, exchange Exchange, response *peerv1.ExchangeResponse) {
 	delete(g.inFlight, exchange.Target.Address)
 	if response != nil {
@@ -176,8 +178,9 @@
 	g.publishIfStale()
 }
 
-// isFromTarget reports whether the response came from the incarnation that was
-// addressed. A node's response begins with its own status.
+// isFromTarget reports whether the response came from the target's incarnation, or
+// from any node if the target's is unknown. The first status in a response is the
+// responder's own.
 func isFromTarget(target Target, response *peerv1.ExchangeResponse) bool {
 	if response == nil || len(response.GetNodes()) == 0 {
 		return false
@@ -196,7 +199,7 @@
 	g.suspect(now, known)
 }
 
-// HandleRequest handles another node's exchange.
+// HandleRequest processes another node's exchange and returns the response.
 func (g *Gossip) HandleRequest(now time.Time, request *peerv1.ExchangeRequest) *peerv1.ExchangeResponse {
 	g.self.updateHeartbeat(now)
 	g.recordFirstExchange(now)
@@ -214,16 +217,18 @@
 	}
 }
 
-// considersGone reports whether the sender's very life was taken for gone: it
-// comes from the other side of a cut, whose nodes it knows and this one doesn't.
+// considersGone reports whether this node has declared the sender's incarnation
+// gone. After a network partition such a sender needs a full copy and knows nodes
+// that this node has lost.
 func (g *Gossip) considersGone(sender *peerv1.NodeStatus) bool {
 	known := g.records[sender.GetNode()]
 	return known != nil && known.gone() && compareStarts(sender, known.status) == 0
 }
 
-// needsFullCopy reports whether the asker needs a full copy: it has just begun, or
-// its table has differed from this one at every exchange for so long that no
-// change under way explains it.
+// needsFullCopy reports whether the sender needs a full copy of the table: it knows
+// far fewer nodes than this one, as after a start, or the tables have differed at
+// every exchange for longer than Settings.SyncDelay, too long for pending changes
+// to explain the difference.
 func (g *Gossip) needsFullCopy(now time.Time, sender *peerv1.NodeStatus, nodes []*peerv1.NodeStatus) bool {
 	known := g.records[sender.GetNode()]
 	if known == nil || len(nodes) == 0 || !isDigest(nodes[0]) {
@@ -245,7 +250,7 @@
 		return false
 	}
 	if theirs > ours {
-		// The asker knows more: have it answer an exchange of this node.
+		// The sender knows more nodes: probe it to receive a full copy from it.
 		g.requestProbe(sender.GetNode())
 		return false
 	}
@@ -253,10 +258,10 @@
 	return true
 }
 
-// mergeMessage merges what a message carries and returns the answers to its
-// questions. The first whole status of a response is the responder's own; asker
-// is empty for a response.
-func (g *Gossip) mergeMessage(now time.Time, nodes []*peerv1.NodeStatus, engines []*peerv1.EngineEvidence, asker string) []*peerv1.NodeStatus {
+// mergeMessage merges the contents of a message and returns the statuses that
+// answer its queries. The sender is empty for a response, whose first status is
+// the responder's own.
+func (g *Gossip) mergeMessage(now time.Time, nodes []*peerv1.NodeStatus, engines []*peerv1.EngineEvidence, sender string) []*peerv1.NodeStatus {
 	from := fromUpdate
 	if len(nodes) > fullCopyStatuses {
 		from = fromCopy
@@ -266,7 +271,7 @@
 		switch {
 		case isDigest(status):
 			continue
-		case position == 0 && asker == "":
+		case position == 0 && sender == "":
 			g.merge(now, status, fromNode)
 		case isQuery(status):
 			if answer := g.answerQuery(now, status); answer != nil {
@@ -298,7 +303,7 @@
 	}
 }
 
-// publishIfStale publishes a new snapshot where something changed.
+// publishIfStale publishes a new snapshot if the state has changed since the last.
 func (g *Gossip) publishIfStale() {
 	if !g.snapshotStale {
 		return
--- a/coordination/membership/identity.go
+++ b/coordination/membership/identity.go
@@ -6,11 +6,11 @@
 	peerv1 "github.com/marblering/marblering/api/peer/v1"
 )
 
-// Identity is what a node says of itself.
+// Identity holds the properties of a node that are fixed for one run of it.
 type Identity struct {
 	Node string
-	// Incarnation names one life of the node. It must be new at every start
-	// unless the node kept all its promises in a data folder.
+	// Incarnation identifies one run of the node. It must be new at every start
+	// unless the node restored its state from a data folder.
 	Incarnation   string
 	Address       string
 	CallerAddress string
@@ -19,7 +19,7 @@
 	Started       time.Time
 }
 
-// localStatus is this node's own status.
+// localStatus holds this node's own status.
 type localStatus struct {
 	identity             Identity
 	startedUnixMs        int64
@@ -39,12 +39,13 @@
 	s.raiseHeartbeat(s.heartbeatOffset + uint64(elapsed/heartbeatInterval) + 1)
 }
 
-// raiseHeartbeat lifts the heartbeat to at least value; it never falls.
+// raiseHeartbeat sets the heartbeat to value unless it is already higher.
 func (s *localStatus) raiseHeartbeat(value uint64) {
 	s.heartbeat = max(s.heartbeat, value)
 }
 
-// advanceHeartbeat makes the next status later than every one before.
+// advanceHeartbeat moves the heartbeat past above and past its current value, so
+// that the next status supersedes all earlier ones.
 func (s *localStatus) advanceHeartbeat(above uint64) {
 	target := max(s.heartbeat, above) + 1
 	s.heartbeatOffset += target - s.heartbeat
@@ -67,16 +68,15 @@
 	}
 }
 
-// refute answers a claim about this node that would override its own status,
-// in the manner of SWIM: it goes past the claim. It reports whether others
-// must be told.
+// refute makes this node's status supersede a claim about it, as in SWIM. It
+// reports whether the status changed and must be disseminated.
 func (s *localStatus) refute(claim *peerv1.NodeStatus) bool {
 	mine := s.status()
 	if !supersedes(claim, mine) {
 		return false
 	}
 	if compareStarts(claim, mine) > 0 {
-		// The clock went back between two starts of this node.
+		// The clock was set back between two starts of this node.
 		s.startedUnixMs = claim.GetStartedUnixMs() + 1
 		return true
 	}
--- a/coordination/membership/member.go
+++ b/coordination/membership/member.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// State says what is believed of a node.
+// State is the liveness of a node as this node sees it.
 type State uint8
 
 // States of a node.
 const (
-	// Alive nodes answer, as far as is known.
+	// Alive nodes are neither suspected nor gone.
 	Alive State = iota
-	// Suspect nodes failed to answer this node and still have time to.
+	// Suspect nodes failed to respond to this node but aren't yet declared dead.
 	Suspect
-	// Gone nodes have said good-bye, were replaced, or are taken for dead.
+	// Gone nodes have departed or were declared dead.
 	Gone
 )
 
-// String returns the state's name.
+// String returns the state's name, as the logs contain it.
 func (s State) String() string {
 	switch s {
 	case Alive:
@@ -30,11 +30,11 @@
 	}
 }
 
-// Member is one node as this node sees it.
+// Member is the state of one node as this node sees it.
 type Member struct {
 	Node        string
 	Incarnation string
-	// Address is where other nodes reach it, CallerAddress where callers do.
+	// Address is the address for other nodes, CallerAddress the one for callers.
 	Address       string
 	CallerAddress string
 	Zone          string
@@ -45,13 +45,14 @@
 	Started       time.Time
 }
 
-// Zone is the live nodes of one zone.
+// Zone holds the live nodes of one zone.
 type Zone struct {
 	Name    string
 	Members []Member
 }
 
-// Members is an immutable snapshot. Slices it returns must not be changed.
+// Members is an immutable snapshot of the cluster. Callers must not modify the
+// slices that it returns.
 type Members struct {
 	all               []Member
 	live              []Member
@@ -68,17 +69,17 @@
 	ejections int
 }
 
-// All returns every remembered node, also gone ones, ordered by name.
+// All returns every known node, including gone ones, ordered by name.
 func (m *Members) All() []Member { return m.all }
 
-// Live returns the nodes that aren't gone, this one included, ordered by name.
+// Live returns the nodes that aren't gone, including this one, ordered by name.
 func (m *Members) Live() []Member { return m.live }
 
 // ByZone returns the live nodes grouped by zone; zones and nodes are ordered by
 // name.
 func (m *Members) ByZone() []Zone { return m.zones }
 
-// Node returns the newest incarnation of the node.
+// Node returns the latest incarnation of the node.
 func (m *Members) Node(name string) (Member, bool) {
 	position, found := m.byNode[name]
 	if !found {
@@ -102,10 +103,10 @@
 	return found && member.State != Gone
 }
 
-// Gone reports whether the incarnation has ended: it said good-bye, another
-// incarnation of its node replaced it, it is taken for dead, or nobody has
-// mentioned it although this node has long been part of the fleet. An
-// incarnation may be neither Alive nor Gone while too little is known.
+// Gone reports whether the incarnation has ended: it departed, was replaced by
+// another incarnation of its node, was declared dead, or is unknown although the
+// view is Settled. Before the view is Settled, an unknown incarnation is neither
+// Alive nor Gone.
 func (m *Members) Gone(incarnation string) bool {
 	member, found := m.Incarnation(incarnation)
 	if found {
@@ -117,24 +118,24 @@
 	return m.settled
 }
 
-// Settled reports whether this node has been part of the fleet long enough to
-// know every live node.
+// Settled reports whether this node has been in contact with other nodes for long
+// enough to know every live node.
 func (m *Members) Settled() bool { return m.settled }
 
-// EngineLeaving reports whether any node, the engine itself or the platform's
-// machine list said that the engine is leaving.
+// EngineLeaving reports whether any observer marked the engine as leaving: a node,
+// the engine itself or the platform's machine list.
 func (m *Members) EngineLeaving(engine string) bool {
 	return m.engines[engine].leaving
 }
 
-// EngineEjections returns how many nodes say that they send the engine no work
+// EngineEjections returns how many nodes have stopped sending work to the engine
 // because it fails or is slow for them.
 func (m *Members) EngineEjections(engine string) int {
 	return m.engines[engine].ejections
 }
 
-// LeavingEngines returns the names for which EngineLeaving holds, ordered. A
-// name that the machine list gave may be that of a node.
+// LeavingEngines returns the sorted names for which EngineLeaving is true. As the
+// machine list also contains nodes, a name may be that of a node.
 func (m *Members) LeavingEngines() []string {
 	var names []string
 	for name, view := range m.engines {
--- a/coordination/membership/message.go
+++ b/coordination/membership/message.go
@@ -8,8 +8,8 @@
 	peerv1 "github.com/marblering/marblering/api/peer/v1"
 )
 
-// listOverhead is the tag and length that a message in a list adds to its own
-// encoded size, in bytes.
+// listOverhead is the size in bytes of the tag and length prefix that precede a
+// message in a repeated field.
 const listOverhead = 3
 
 func (g *Gossip) compose(now time.Time, target Target) Exchange {
@@ -26,8 +26,8 @@
 	return Exchange{Target: target, Request: request, started: now}
 }
 
-// responseContents is what a response carries beside the versions: the own status, the
-// digest, answers, and either the waiting changes or a full copy.
+// responseContents returns the statuses and evidence of a response: this node's
+// status, the digest, and either a full copy or the answers and pending changes.
 func (g *Gossip) responseContents(now time.Time, copyNeeded bool, answers []*peerv1.NodeStatus) ([]*peerv1.NodeStatus, []*peerv1.EngineEvidence) {
 	nodes := []*peerv1.NodeStatus{g.self.status(), g.digestStatus()}
 	if copyNeeded {
@@ -41,8 +41,8 @@
 	return append(nodes, updates...), engines
 }
 
-// updates takes waiting changes from the queue, as many as the size of a
-// message and the node's budget of bytes allow.
+// updates takes pending changes from the queue, up to the size limit of a message
+// and the node's byte budget.
 func (g *Gossip) updates(now time.Time) ([]*peerv1.NodeStatus, []*peerv1.EngineEvidence) {
 	var nodes []*peerv1.NodeStatus
 	var engines []*peerv1.EngineEvidence
@@ -65,8 +65,8 @@
 	return nodes, engines
 }
 
-// lookUp returns what is known now of a subject. Both are nil where it has been
-// forgotten since; that takes up a send and costs nothing.
+// lookUp returns the current status or evidence of a subject. Both are nil if the
+// subject has been pruned; its update then still counts as a transmission.
 func (g *Gossip) lookUp(about subject) (*peerv1.NodeStatus, *peerv1.EngineEvidence) {
 	if about.node == "" {
 		key := evidenceKey{engine: about.engine, observer: about.observer}
@@ -82,7 +82,7 @@
 	return toWire(known.status), nil
 }
 
-// toWire strips a gone node's status to its mark.
+// toWire reduces the status of a gone node to the fields that goneStatus sets.
 func toWire(status *peerv1.NodeStatus) *peerv1.NodeStatus {
 	if !status.GetGone() {
 		return status
@@ -90,7 +90,8 @@
 	return goneStatus(status, status.GetHeartbeat())
 }
 
-// fullCopy returns everything another node needs, where the budget allows it.
+// fullCopy returns the statuses of all other nodes and the shared evidence, or
+// false if the byte budget doesn't allow it.
 func (g *Gossip) fullCopy(now time.Time) ([]*peerv1.NodeStatus, []*peerv1.EngineEvidence, bool) {
 	var nodes []*peerv1.NodeStatus
 	var engines []*peerv1.EngineEvidence
@@ -102,13 +103,13 @@
 		size += proto.Size(status) + listOverhead
 	}
 	for key, entry := range g.evidence {
-		// What was withdrawn goes along: the receiver may still believe it.
+		// Includes withdrawn evidence, which the receiver may still hold.
 		if key.shared() {
 			engines = append(engines, entry.fact)
 			size += proto.Size(entry.fact) + listOverhead
 		}
 	}
-	// A copy beyond the burst could never be sent: it takes the whole burst.
+	// The limiter never allows more than the burst, so a larger copy costs that.
 	cost := min(size, syncByteBurst)
 	if !g.syncBytes.AllowN(now, cost) {
 		return nil, nil, false
--- a/coordination/membership/queue.go
+++ b/coordination/membership/queue.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// priority orders the changes that wait to be sent; smaller goes first.
+// priority orders pending changes; lower values are sent first.
 type priority uint8
 
 const (
@@ -16,7 +16,7 @@
 	priorityEjected
 )
 
-// subject names what changed: a node, or the evidence of an observer about an
+// subject identifies what changed: a node, or an observer's evidence about an
 // engine.
 type subject struct {
 	node     string
@@ -24,18 +24,18 @@
 	observer string
 }
 
-// update is a change that is still being spread. What is sent is looked up when
-// it is sent, so a later change replaces an earlier one of the same subject.
+// update is a change that is still being disseminated. Its contents are looked up
+// when it is sent, so that a later change replaces an earlier one of the subject.
 type update struct {
 	subject  subject
 	priority priority
-	// transmissionsLeft counts the messages that still carry the change.
+	// transmissionsLeft is the number of messages that are yet to carry the change.
 	transmissionsLeft int
 	order             uint64
 }
 
-// updateQueue holds the changes to append to the next messages: the urgent
-// first, then those sent least often, then the newest.
+// updateQueue holds the changes to piggyback on the next messages, ordered by
+// priority, then by the most transmissions left, then by the newest.
 type updateQueue struct {
 	updates []update
 	order   uint64
@@ -58,8 +58,8 @@
 	})
 }
 
-// countDuplicate takes note that another node is spreading the same change, so that less
-// of it is left to do here. Urgent changes are sent in full measure.
+// countDuplicate reduces the transmissions left of a change that another node also
+// disseminates. Leaving marks keep their full number of transmissions.
 func (q *updateQueue) countDuplicate(subject subject) {
 	for position := range q.updates {
 		if q.updates[position].subject == subject && q.updates[position].priority != priorityLeaving {
@@ -68,8 +68,8 @@
 	}
 }
 
-// take visits the changes in order. visit reports whether it sent the change
-// and whether it can send more.
+// take calls visit for the changes in order. visit reports whether it sent the
+// change and whether to continue.
 func (q *updateQueue) take(visit func(subject) (sent, more bool)) {
 	if len(q.updates) == 0 {
 		return
@@ -100,8 +100,8 @@
 	return order
 }
 
-// transmissionLimit is how often a change is sent by each node of a fleet: a multiple of
-// the logarithm of its size, as in SWIM.
+// transmissionLimit returns how often each node sends a change: a multiple of the
+// logarithm of the number of nodes, as in SWIM.
 func transmissionLimit(nodes int) int {
 	return transmissionMultiplier * bits.Len(uint(nodes))
 }
--- a/coordination/membership/ring.go
+++ b/coordination/membership/ring.go
@@ -6,7 +6,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// positions are a node's places on the rings.
+// positions holds a node's position on each hash ring.
 type positions [ringCount]uint64
 
 func ringPositions(node string) positions {
@@ -17,11 +17,11 @@
 	return result
 }
 
-// A node's peers are its successors on several rings, each of which orders all
-// live nodes by another hash of their names. So every node has a constant
-// number of peers and is the peer of about as many, the graph is a random one,
-// and the first ring alone connects every node with every other. The successors
-// on the last rings are looked for in other zones.
+// rebuildPeers sets the node's peers to its successors on several rings, each of
+// which orders the live nodes by a different hash of their names. Every node thus
+// has a constant number of peers and is a peer of about as many, the peer graph is
+// random, and a single ring over all nodes already connects it. On the last
+// otherZoneRings rings, the successor is the nearest node of another zone.
 func (g *Gossip) rebuildPeers() {
 	g.peers = g.peers[:0]
 	chosen := map[string]struct{}{}
@@ -39,8 +39,8 @@
 	}
 }
 
-// ringOrder spreads the peers in other zones among the rest, so that any three
-// exchanges in a row hold one of them.
+// ringOrder interleaves the rings over other zones with the rest, so that one of
+// any three consecutive exchanges goes to another zone.
 var ringOrder = [ringCount]int{anyZoneRings, 0, 1, anyZoneRings + 1, 2, 3}
 
 func (g *Gossip) successor(ring int) *nodeRecord {
--- a/coordination/membership/status.go
+++ b/coordination/membership/status.go
@@ -9,11 +9,11 @@
 	peerv1 "github.com/marblering/marblering/api/peer/v1"
 )
 
-// A NodeStatus on the wire takes one of three shapes:
+// A NodeStatus message has one of three forms:
 //
-//   - a whole status: all fields that apply;
-//   - a question: node, incarnation and heartbeat only. The sender suspects
-//     the node and asks for proof of a later heartbeat;
+//   - a full status: all fields that apply;
+//   - a query: node, incarnation and heartbeat only. The sender suspects the
+//     node and asks for a status with a later heartbeat;
 //   - a digest: no node name; heartbeat carries the digest of the sender's
 //     table and started_unix_ms the number of its live nodes. Equal digests
 //     mean equal tables.
@@ -41,7 +41,7 @@
 	}
 }
 
-// isValidStatus refuses statuses that no node sends.
+// isValidStatus checks the required fields and the length limits of a status.
 func isValidStatus(status *peerv1.NodeStatus) bool {
 	names := []string{status.GetNode(), status.GetIncarnation(), status.GetAddress(), status.GetZone(), status.GetCallerAddress()}
 	for _, name := range names {
@@ -52,9 +52,9 @@
 	return status.GetNode() != "" && status.GetIncarnation() != ""
 }
 
-// supersedes reports whether candidate is later than known; both are of one
-// node. A later start wins, then the later heartbeat; of equal heartbeats the
-// one that says gone wins, so that only the node itself can refute it.
+// supersedes reports whether candidate is newer than known, a status of the same
+// node. The later start wins, then the higher heartbeat; at equal heartbeats the
+// gone mark wins, so that only the node itself can refute it.
 func supersedes(candidate, known *peerv1.NodeStatus) bool {
 	order := compareStarts(candidate, known)
 	if order == 0 {
@@ -66,8 +66,9 @@
 	return order > 0
 }
 
-// compareStarts orders two starts of one node. A node with a data folder keeps
-// its incarnation over a restart and is told apart by the time of its start.
+// compareStarts orders two runs of a node by start time, then by incarnation. A
+// node with a data folder keeps its incarnation across restarts, so the
+// incarnation alone doesn't distinguish them.
 func compareStarts(a, b *peerv1.NodeStatus) int {
 	order := cmp.Compare(a.GetStartedUnixMs(), b.GetStartedUnixMs())
 	if order == 0 {
@@ -76,8 +77,8 @@
 	return order
 }
 
-// needsDissemination reports whether others must be told of the change, as opposed to a
-// mere advance of the heartbeat.
+// needsDissemination reports whether status differs from known in more than the
+// heartbeat, so that other nodes must be told.
 func needsDissemination(known, status *peerv1.NodeStatus) bool {
 	return compareStarts(known, status) != 0 ||
 		known.GetGone() != status.GetGone() ||
@@ -85,7 +86,8 @@
 		known.GetAddress() != status.GetAddress() && !status.GetGone()
 }
 
-// goneStatus is the mark of a dead node: no more than tells its life apart.
+// goneStatus returns the gone mark of a node, reduced to the fields that identify
+// its run.
 func goneStatus(status *peerv1.NodeStatus, heartbeat uint64) *peerv1.NodeStatus {
 	return &peerv1.NodeStatus{
 		Node:          status.GetNode(),
@@ -96,7 +98,8 @@
 	}
 }
 
-// withKnownLocation fills the place of a gone node, which its mark doesn't carry.
+// withKnownLocation fills in a gone node's address and zone, which its gone mark
+// may lack.
 func withKnownLocation(gone, known *peerv1.NodeStatus) *peerv1.NodeStatus {
 	result := proto.CloneOf(gone)
 	if result.Address == "" {
--- a/coordination/membership/step.go
+++ b/coordination/membership/step.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Step advances the protocol to now and returns the exchanges to send. It
-// should be called several times a second, and at once when Hurried says so.
+// Step advances the protocol to now and returns the exchanges to send. Call it
+// several times a second, and immediately when HasUrgent becomes true.
 func (g *Gossip) Step(now time.Time) []Exchange {
 	if g.self.gone {
 		return nil
@@ -36,10 +36,10 @@
 	return exchanges
 }
 
-// HasUrgent reports whether Step has urgent exchanges to send.
+// HasUrgent reports whether urgent exchanges are waiting for Step.
 func (g *Gossip) HasUrgent() bool { return len(g.urgent) > 0 }
 
-// stepPeriodic probes the peers in turn.
+// stepPeriodic probes the next peer in round-robin order.
 func (g *Gossip) stepPeriodic(now time.Time, send func(Target)) {
 	if now.Before(g.nextPeriodicProbe) {
 		return
@@ -55,7 +55,7 @@
 	send(g.records[g.peers[g.peerCursor]].target())
 }
 
-// stepUrgent passes urgent news to all peers without waiting for their turn.
+// stepUrgent sends urgent changes to all peers without waiting for their turn.
 func (g *Gossip) stepUrgent(now time.Time, send func(Target)) {
 	for len(g.urgent) > 0 {
 		known := g.records[g.urgent[0]]
@@ -69,13 +69,13 @@
 	}
 }
 
-// queueUrgent has the peers told at once.
+// queueUrgent queues an immediate exchange with every peer.
 func (g *Gossip) queueUrgent() {
 	g.refreshPeers()
 	g.urgent = slices.Clone(g.peers)
 }
 
-// stepProbes looks directly at suspects and at nodes that others doubt.
+// stepProbes probes the suspects directly, and the nodes from requestProbe.
 func (g *Gossip) stepProbes(now time.Time, send func(Target)) {
 	for _, name := range sortedNames(g.suspects) {
 		known := g.suspects[name]
@@ -86,9 +86,9 @@
 		known.lastProbe = now
 		send(known.target())
 	}
-	wanted := g.requestedProbes
+	requested := g.requestedProbes
 	g.requestedProbes = nil
-	for _, name := range wanted {
+	for _, name := range requested {
 		known := g.records[name]
 		if known == nil || known.gone() || now.Sub(known.lastProbe) < minimumProbeInterval {
 			continue
@@ -100,14 +100,14 @@
 	}
 }
 
-// requestProbe asks for a direct probe at the next step.
+// requestProbe queues a direct probe for the next step.
 func (g *Gossip) requestProbe(node string) {
 	if !slices.Contains(g.requestedProbes, node) {
 		g.requestedProbes = append(g.requestedProbes, node)
 	}
 }
 
-// stepIndirectProbes asks the helpers about the suspects.
+// stepIndirectProbes sends the queries about the suspects to the helpers.
 func (g *Gossip) stepIndirectProbes(now time.Time, send func(Target)) {
 	if len(g.suspects) == 0 {
 		g.helpers = nil
@@ -137,8 +137,8 @@
 	})
 }
 
-// stepRejoin tries seeds and nodes believed gone, so that a new node finds
-// the fleet and the sides of a healed cut find each other.
+// stepRejoin contacts seeds and gone nodes, so that a new node joins the cluster
+// and the sides of a healed partition merge.
 func (g *Gossip) stepRejoin(now time.Time, send func(Target)) {
 	if now.Before(g.nextRejoin) {
 		return
@@ -160,8 +160,8 @@
 	send(candidates[g.random.IntN(len(candidates))])
 }
 
-// rejoinCandidates are the seeds at whose address no live node is known, and
-// the gone nodes.
+// rejoinCandidates returns the gone nodes and the seeds whose address isn't that
+// of a known live node.
 func (g *Gossip) rejoinCandidates() []Target {
 	var candidates []Target
 	live := map[string]struct{}{}
@@ -195,7 +195,7 @@
 	return found
 }
 
-// expireInFlight forgets exchanges whose outcome never came.
+// expireInFlight removes exchanges whose outcome was never reported.
 func (g *Gossip) expireInFlight(now time.Time) {
 	for address, started := range g.inFlight {
 		if now.Sub(started) > 2*g.settings.ExchangeTimeout {
@@ -204,7 +204,7 @@
 	}
 }
 
-// sortedNames makes the order of a map's keys the same at every run.
+// sortedNames returns the sorted keys of a map, for a deterministic order.
 func sortedNames[K cmp.Ordered, V any](values map[K]V) []K {
 	return slices.Sorted(maps.Keys(values))
 }
--- a/coordination/membership/suspicion.go
+++ b/coordination/membership/suspicion.go
@@ -6,11 +6,11 @@
 	peerv1 "github.com/marblering/marblering/api/peer/v1"
 )
 
-// suspicion is this node's doubt about one that didn't answer.
+// suspicion is the state of a node that failed to respond to this node.
 type suspicion struct {
 	since time.Time
-	// heartbeat is the last one known at the start; a later one is proof of
-	// life.
+	// heartbeat is the last known heartbeat at the start of the suspicion; a later
+	// one ends it.
 	heartbeat uint64
 	nextProbe time.Time
 }
@@ -38,7 +38,7 @@
 	g.snapshotStale = true
 }
 
-// expireSuspicions declares those gone that had their time.
+// expireSuspicions declares the suspects gone whose Settings.SuspicionTime is over.
 func (g *Gossip) expireSuspicions(now time.Time) {
 	for _, name := range sortedNames(g.suspects) {
 		known := g.suspects[name]
@@ -52,18 +52,18 @@
 	}
 }
 
-// declareGone marks the node with the heartbeat it would have by now, so that
-// the mark overrides what others heard from it since; the node itself, where it
-// lives, goes past it.
+// declareGone marks the node as gone with a heartbeat beyond the one that it would
+// have by now, so that the mark overrides what other nodes have received from it
+// since. If the node is alive, it refutes the mark with a higher heartbeat.
 func (g *Gossip) declareGone(now time.Time, known *nodeRecord) {
-	silent := uint64(now.Sub(known.updatedAt) / heartbeatInterval)
-	heartbeat := known.status.GetHeartbeat() + silent + goneHeartbeatMargin
+	missed := uint64(now.Sub(known.updatedAt) / heartbeatInterval)
+	heartbeat := known.status.GetHeartbeat() + missed + goneHeartbeatMargin
 	g.endSuspicion(known)
 	g.replace(now, known, goneStatus(known.status, heartbeat), fromNode)
 }
 
-// restartSuspicionsAfterStall restarts all suspicions after this process itself stood still:
-// the answers may have been there.
+// restartSuspicionsAfterStall restarts all suspicions after this process itself was
+// paused, as it may have missed responses in that time.
 func (g *Gossip) restartSuspicionsAfterStall(now time.Time) {
 	stalled := !g.lastStep.IsZero() && now.Sub(g.lastStep) > stallThreshold
 	g.lastStep = now
@@ -76,7 +76,8 @@
 	}
 }
 
-// suspectQueries asks helpers for proof that the suspects live.
+// suspectQueries returns queries about the suspects, at most maximumQueries of
+// them.
 func (g *Gossip) suspectQueries() []*peerv1.NodeStatus {
 	var result []*peerv1.NodeStatus
 	for _, name := range sortedNames(g.suspects) {
@@ -92,26 +93,27 @@
 	return result
 }
 
-// answerQuery returns what is known beyond the question; where that is
-// nothing, the node is probed, so that the next question finds an answer.
-func (g *Gossip) answerQuery(now time.Time, question *peerv1.NodeStatus) *peerv1.NodeStatus {
-	known := g.records[question.GetNode()]
-	if known == nil || !isValidStatus(question) {
+// answerQuery returns the status of the queried node if it is gone or has a recent
+// heartbeat later than the query's. Otherwise it returns nil and probes the node,
+// so that a repeated query can be answered.
+func (g *Gossip) answerQuery(now time.Time, query *peerv1.NodeStatus) *peerv1.NodeStatus {
+	known := g.records[query.GetNode()]
+	if known == nil || !isValidStatus(query) {
 		return nil
 	}
 	if known.gone() {
 		return known.status
 	}
-	fresh := now.Sub(known.updatedAt) <= maximumProofAge
-	if fresh && known.status.GetHeartbeat() > question.GetHeartbeat() {
+	recent := now.Sub(known.updatedAt) <= maximumProofAge
+	if recent && known.status.GetHeartbeat() > query.GetHeartbeat() {
 		return known.status
 	}
-	g.requestProbe(question.GetNode())
+	g.requestProbe(query.GetNode())
 	return nil
 }
 
-// chooseHelpers picks the nodes to ask about suspects, one of them in another
-// zone where there is one.
+// chooseHelpers picks random live nodes for the indirect probes, one of them in
+// another zone if possible.
 func (g *Gossip) chooseHelpers() {
 	g.helpers = g.helpers[:0]
 	candidates := g.shuffledLive()
--- a/coordination/membership/table.go
+++ b/coordination/membership/table.go
@@ -8,20 +8,20 @@
 	peerv1 "github.com/marblering/marblering/api/peer/v1"
 )
 
-// nodeRecord is what is known of the newest life of one other node.
+// nodeRecord holds the latest known status of another node.
 type nodeRecord struct {
-	// status is never changed in place; messages share it.
+	// status must not be modified, as messages share it.
 	status    *peerv1.NodeStatus
 	positions positions
-	// updatedAt is when the heartbeat last rose, direct when the node itself last
-	// answered or asked.
+	// updatedAt is when the status was last replaced by a newer one,
+	// directContactAt when the node itself last sent a request or response.
 	updatedAt       time.Time
 	directContactAt time.Time
 	lastProbe       time.Time
 	goneSince       time.Time
 	suspicion       *suspicion
-	// differsSince is when its table began to differ from this node's at every
-	// exchange; zero while they are equal.
+	// differsSince is when the node's table began to differ from this node's, or
+	// zero while they are equal.
 	differsSince time.Time
 }
 
@@ -45,19 +45,19 @@
 	}
 }
 
-// origin says how a status came in.
+// origin is the way in which a status was received.
 type origin uint8
 
 const (
-	// fromNode is the node's own word about itself.
+	// fromNode is a status that the node sent itself.
 	fromNode origin = iota
-	// fromUpdate is a change that is being spread.
+	// fromUpdate is a piggybacked change.
 	fromUpdate
 	// fromCopy is an entry of a full copy.
 	fromCopy
 )
 
-// merge records one whole status.
+// merge merges one full status into the table.
 func (g *Gossip) merge(now time.Time, status *peerv1.NodeStatus, from origin) {
 	if !isValidStatus(status) {
 		return
@@ -77,7 +77,7 @@
 	if supersedes(status, known.status) {
 		g.replace(now, known, status, from)
 	} else if status.GetGone() && !known.gone() {
-		// Others gave it up with less knowledge than is here: look again.
+		// Another node declared it gone on older information: check again.
 		g.requestProbe(status.GetNode())
 	}
 	if from == fromNode {
@@ -85,7 +85,7 @@
 	}
 }
 
-// confirmAlive ends a suspicion of the incarnation, which has answered itself.
+// confirmAlive ends the suspicion of the incarnation after direct contact with it.
 func (g *Gossip) confirmAlive(now time.Time, known *nodeRecord, incarnation string) {
 	if incarnation == known.status.GetIncarnation() && !known.gone() {
 		known.directContactAt = now
@@ -93,7 +93,7 @@
 	}
 }
 
-// insert records the first status of a node.
+// insert adds the first known status of a node.
 func (g *Gossip) insert(now time.Time, status *peerv1.NodeStatus, from origin) {
 	if len(g.records) >= maximumNodes {
 		return
@@ -122,7 +122,7 @@
 func (g *Gossip) replace(now time.Time, known *nodeRecord, status *peerv1.NodeStatus, from origin) {
 	previous := known.status
 	wasGone := previous.GetGone()
-	news := needsDissemination(previous, status)
+	changed := needsDissemination(previous, status)
 	if status.GetGone() && status.GetAddress() == "" {
 		status = withKnownLocation(status, previous)
 	}
@@ -131,7 +131,7 @@
 	if !status.GetGone() {
 		g.endSuspicion(known)
 	}
-	if !news {
+	if !changed {
 		return
 	}
 	if status.GetIncarnation() != previous.GetIncarnation() {
@@ -159,7 +159,8 @@
 	}
 }
 
-// disseminate queues a change for the next messages.
+// disseminate queues a change for the next messages; a leaving mark is sent to all
+// peers immediately.
 func (g *Gossip) disseminate(status *peerv1.NodeStatus, from origin) {
 	sends := transmissionLimit(len(g.records) + 1)
 	if from == fromCopy {
@@ -175,8 +176,8 @@
 	g.queue.add(subject{node: status.GetNode()}, level, sends)
 }
 
-// handleClaim refutes what others say of this node where it would override the
-// node's own word.
+// handleClaim refutes a status of this node from another node where that would
+// supersede its own.
 func (g *Gossip) handleClaim(now time.Time, claim *peerv1.NodeStatus) {
 	foreign := claim.GetIncarnation() != g.self.identity.Incarnation
 	if g.self.gone || !supersedes(claim, g.self.status()) {
@@ -187,7 +188,7 @@
 	}
 	if foreign {
 		if _, found := g.refuted[claim.GetIncarnation()]; found {
-			// Another process runs under this node's name and insists.
+			// Still claimed after a refutation: another process uses this name.
 			g.recordEvent(Event{Kind: NameTaken, Member: g.selfMember()})
 			return
 		}
@@ -199,7 +200,8 @@
 	}
 }
 
-// recordEnded remembers an incarnation that another one of its node replaced.
+// recordEnded records that an incarnation was replaced or pruned, so that it is
+// still reported as gone.
 func (g *Gossip) recordEnded(now time.Time, incarnation string) {
 	if _, found := g.endedIncarnations[incarnation]; !found {
 		g.snapshotStale = true
@@ -207,15 +209,15 @@
 	g.endedIncarnations[incarnation] = now
 }
 
-// invalidate marks everything that is derived from the records as stale.
+// invalidate marks everything derived from the records as outdated.
 func (g *Gossip) invalidate() {
 	g.snapshotStale = true
 	g.peersStale = true
 	g.digest = 0
 }
 
-// tableDigest is equal at two nodes that know the same live nodes and the same
-// leaving engines.
+// tableDigest returns the same value on all nodes that know the same live nodes
+// and leaving engines.
 func (g *Gossip) tableDigest() uint64 {
 	if g.digest != 0 {
 		return g.digest
@@ -246,7 +248,8 @@
 	return hash.Sum64()
 }
 
-// prune forgets what is long over.
+// prune removes gone nodes, ended incarnations and withdrawn evidence that are
+// older than Settings.RetentionTime.
 func (g *Gossip) prune(now time.Time) {
 	if now.Before(g.nextPrune) {
 		return
