--- a/coordination/membership/benchmark_test.go
+++ b/coordination/membership/benchmark_test.go
@@ -10,9 +10,8 @@
 
 var benchmarkSizes = []int{3, 12, 350}
 
-// BenchmarkIdleSecond is the processor time of one node in one second in which
-// nothing changes, encoding and decoding included, HTTP not, and the bytes of
-// its messages, sent and received.
+// BenchmarkIdleSecond reports, per node and second without changes, the CPU time
+// including message encoding but not HTTP, and the bytes sent and received.
 func BenchmarkIdleSecond(b *testing.B) {
 	for _, size := range benchmarkSizes {
 		b.Run(fmt.Sprintf("nodes=%d", size), func(b *testing.B) {
@@ -29,7 +28,8 @@
 	}
 }
 
-// BenchmarkChurnSecond is the same while every two seconds a node restarts.
+// BenchmarkChurnSecond reports the same figures while a node restarts every two
+// seconds.
 func BenchmarkChurnSecond(b *testing.B) {
 	for _, size := range benchmarkSizes {
 		b.Run(fmt.Sprintf("nodes=%d", size), func(b *testing.B) {
@@ -58,8 +58,9 @@
 	b.ReportMetric(0, "ns/op")
 }
 
-// BenchmarkConvergence reports, in virtual milliseconds, how long it takes
-// until all nodes know; its run time says nothing.
+// BenchmarkConvergence reports, in virtual milliseconds, how long a leaving
+// mark, a node failure and the start of a fleet take to reach all nodes. Its
+// wall-clock time has no meaning.
 func BenchmarkConvergence(b *testing.B) {
 	for _, size := range benchmarkSizes {
 		for _, loss := range []float64{0, 0.05} {
@@ -80,16 +81,16 @@
 	s.act(s.nodes[2], func(g *Gossip) { g.SetLeaving(true) })
 	leaving, _ := s.runUntil(time.Minute, s.leavingEverywhere(node))
 	s.run(10 * time.Second)
-	dead := s.nodes[1]
-	dead.running = false
-	death, _ := s.runUntil(time.Minute, s.goneEverywhere(dead.identity.Incarnation))
+	failed := s.nodes[1]
+	failed.running = false
+	failure, _ := s.runUntil(time.Minute, s.goneEverywhere(failed.identity.Incarnation))
 
 	fresh := newSimulation(uint64(size), size, min(size, 13))
 	fresh.loss = loss
 	start, _ := fresh.runUntil(5*time.Minute, fresh.viewsComplete)
 	mean, highest := fresh.traffic(start)
 	b.ReportMetric(milliseconds(leaving), "leaving-ms")
-	b.ReportMetric(milliseconds(death), "death-ms")
+	b.ReportMetric(milliseconds(failure), "death-ms")
 	b.ReportMetric(milliseconds(start), "start-ms")
 	b.ReportMetric(mean, "start-B/s/node")
 	b.ReportMetric(highest, "start-B/s/highest-node")
@@ -99,8 +100,8 @@
 	return float64(duration) / float64(time.Millisecond)
 }
 
-// BenchmarkHealthyLoss reports suspicions and deaths declared of nodes that
-// live, a node and hour, while messages are lost.
+// BenchmarkHealthyLoss reports suspicions and false failure detections per node
+// and hour while messages are lost.
 func BenchmarkHealthyLoss(b *testing.B) {
 	for _, loss := range []float64{0.02, 0.05, 0.1, 0.2} {
 		b.Run(fmt.Sprintf("loss=%v", loss), func(b *testing.B) {
@@ -123,7 +124,8 @@
 	}
 }
 
-// encoded runs a message through its encoding, as the network would.
+// encoded marshals message and unmarshals the result into another message, as
+// the network transport does.
 func encoded[M proto.Message](message M, into M) M {
 	data, err := proto.Marshal(message)
 	if err != nil {
--- a/coordination/membership/fleet_test.go
+++ b/coordination/membership/fleet_test.go
@@ -8,18 +8,18 @@
 	"gotest.tools/v3/assert"
 )
 
-// Times in these tests are virtual: they are the same at every run.
+// Limits in virtual time, which is deterministic.
 const (
 	leavingLimit = 3 * time.Second
 	deathLimit   = 10 * time.Second
 	healLimit    = 60 * time.Second
 	joinLimit    = 60 * time.Second
-	// trafficLimit is a third of what all of a node's control may use, in
-	// bytes a second.
+	// trafficLimit is in bytes per second: a third of the budget for a node's
+	// control traffic.
 	trafficLimit = 3000
 )
 
-// newFleet starts a fleet in which everyone knows everyone.
+// newFleet starts a fleet in which every node knows all others.
 func newFleet(size int) *simulation {
 	s := newSimulation(uint64(size), size, min(size, 13))
 	for _, node := range s.nodes {
@@ -37,7 +37,7 @@
 	s := newSimulation(1, 60, 13)
 	took, ok := s.runUntil(joinLimit, s.viewsComplete)
 	assert.Assert(t, ok)
-	t.Logf("all know all after %v", took)
+	t.Logf("all views are complete after %v", took)
 	assert.Equal(t, s.suspects, 0)
 }
 
@@ -85,13 +85,14 @@
 	assert.Equal(t, s.suspects, 0)
 }
 
-// checkLeaving has each kind of first sign appear at one node.
+// checkLeaving introduces each kind of leaving mark at one node and checks that
+// it reaches all nodes in time.
 func checkLeaving(t *testing.T, s *simulation) {
 	node := s.nodes[2]
 	s.act(node, func(g *Gossip) { g.SetLeaving(true) })
 	took, ok := s.runUntil(leavingLimit, s.leavingEverywhere(node.identity.Node))
-	assert.Assert(t, ok, "a node's own mark")
-	t.Logf("loss %v: a node's own mark is everywhere after %v", s.loss, took)
+	assert.Assert(t, ok, "the node's own leaving mark")
+	t.Logf("loss %v: the node's own leaving mark reached all nodes after %v", s.loss, took)
 	s.act(node, func(g *Gossip) { g.SetLeaving(false) })
 
 	machine := s.nodes[1].identity.Node
@@ -99,8 +100,8 @@
 		g.ObserveMachines(s.now, []Machine{{Name: machine, Leaving: true}})
 	})
 	took, ok = s.runUntil(leavingLimit, s.leavingEverywhere(machine))
-	assert.Assert(t, ok, "the machine list's mark")
-	t.Logf("loss %v: the machine list's mark is everywhere after %v", s.loss, took)
+	assert.Assert(t, ok, "the leaving mark from the machine list")
+	t.Logf("loss %v: the leaving mark from the machine list reached all nodes after %v", s.loss, took)
 	s.act(s.nodes[0], func(g *Gossip) {
 		g.ObserveMachines(s.now, []Machine{{Name: machine}})
 	})
@@ -110,23 +111,23 @@
 		g.ObserveEngine(s.now, EngineReport{Engine: engine, Leaving: true, Asked: s.now})
 	})
 	took, ok = s.runUntil(leavingLimit, s.engineLeavingEverywhere(engine))
-	assert.Assert(t, ok, "an engine's answer")
-	t.Logf("loss %v: an engine's answer is everywhere after %v", s.loss, took)
+	assert.Assert(t, ok, "the engine's leaving mark")
+	t.Logf("loss %v: the engine's leaving mark reached all nodes after %v", s.loss, took)
 	s.run(10 * time.Second)
 }
 
 func checkFailureDetection(t *testing.T, s *simulation) {
-	dead := s.nodes[1]
-	dead.running = false
+	failed := s.nodes[1]
+	failed.running = false
 	s.resetTraffic()
-	took, ok := s.runUntil(deathLimit, s.goneEverywhere(dead.identity.Incarnation))
+	took, ok := s.runUntil(deathLimit, s.goneEverywhere(failed.identity.Incarnation))
 	assert.Assert(t, ok)
-	t.Logf("a death is known everywhere after %v", took)
+	t.Logf("the failure is known at all nodes after %v", took)
 	others := 0
 	for _, node := range s.nodes {
 		others += node.leftEvents
 	}
-	assert.Equal(t, others, len(s.nodes)-1, "nobody else was declared gone")
+	assert.Equal(t, others, len(s.nodes)-1, "every other node reports exactly one node as gone")
 }
 
 func TestMessageLossCausesNoFalseDeath(t *testing.T) {
@@ -142,28 +143,28 @@
 
 func TestPartitionHeals(t *testing.T) {
 	s := newFleet(50)
-	cut := map[string]bool{"zone-00": true, "zone-01": true, "zone-02": true}
-	s.isolatedZones = cut
+	isolated := map[string]bool{"zone-00": true, "zone-01": true, "zone-02": true}
+	s.isolatedZones = isolated
 	s.run(20 * time.Second)
 	for _, node := range s.nodes {
 		for _, member := range node.gossip.Members().Live() {
-			assert.Equal(t, cut[member.Zone], cut[node.identity.Zone], "no node of the other side is alive")
+			assert.Equal(t, isolated[member.Zone], isolated[node.identity.Zone], "no node on the other side of the partition is alive")
 		}
 	}
 	inside := s.nodes[0]
-	assert.Assert(t, cut[inside.identity.Zone])
+	assert.Assert(t, isolated[inside.identity.Zone])
 	s.act(inside, func(g *Gossip) { g.SetLeaving(true) })
 	s.run(leavingLimit)
 	for _, node := range s.nodes {
 		member, _ := node.gossip.Members().Node(inside.identity.Node)
-		assert.Equal(t, member.Leaving, cut[node.identity.Zone])
+		assert.Equal(t, member.Leaving, isolated[node.identity.Zone])
 	}
 	s.isolatedZones = nil
 	took, ok := s.runUntil(healLimit, func() bool {
 		return s.viewsComplete() && s.leavingEverywhere(inside.identity.Node)()
 	})
 	assert.Assert(t, ok)
-	t.Logf("all views are complete %v after the cut healed", took)
+	t.Logf("all views are complete %v after the partition healed", took)
 }
 
 func TestRestartSupersedesImmediately(t *testing.T) {
@@ -181,10 +182,10 @@
 	assert.Assert(t, ok)
 	assert.Assert(t, s.nodes[0].gossip.Members().Gone(first))
 	s.run(DefaultSettings().SettleTime)
-	assert.Assert(t, s.goneEverywhere(first)(), "also at the node itself, which never heard of it")
+	assert.Assert(t, s.goneEverywhere(first)(), "the restarted node, which has no record of it, also reports it as gone")
 }
 
-// A node with a data folder keeps its incarnation over a restart.
+// A node with a data folder keeps its incarnation across a restart.
 func TestRestartOfSameIncarnation(t *testing.T) {
 	s := newFleet(12)
 	node := s.nodes[4]
@@ -201,14 +202,14 @@
 
 func TestNodeRefutesGoneMark(t *testing.T) {
 	s := newFleet(12)
-	accused, accuser := s.nodes[4], s.nodes[5]
-	s.act(accuser, func(g *Gossip) {
-		g.declareGone(s.now, g.records[accused.identity.Node])
+	target, detector := s.nodes[4], s.nodes[5]
+	s.act(detector, func(g *Gossip) {
+		g.declareGone(s.now, g.records[target.identity.Node])
 		g.publishIfStale()
 	})
-	assert.Assert(t, accuser.gossip.Members().Gone(accused.identity.Incarnation))
+	assert.Assert(t, detector.gossip.Members().Gone(target.identity.Incarnation))
 	s.run(deathLimit)
-	assert.Assert(t, s.allRunning(func(m *Members) bool { return m.Alive(accused.identity.Incarnation) }))
+	assert.Assert(t, s.allRunning(func(m *Members) bool { return m.Alive(target.identity.Incarnation) }))
 }
 
 func TestDepartureSpreadsImmediately(t *testing.T) {
@@ -222,8 +223,8 @@
 	assert.Assert(t, ok)
 }
 
-// A process that stood still finds its exchanges timed out and its suspicions
-// overdue. It must not take that for the death of the others.
+// Checks that a process that was paused, whose exchanges and suspicions are all
+// overdue when it resumes, doesn't declare its peers gone.
 func TestPausedNodeDeclaresNobodyGone(t *testing.T) {
 	s := newFleet(12)
 	paused := s.nodes[4]
@@ -235,8 +236,8 @@
 	s.tick(paused, gossip)
 	s.run(20 * time.Second)
 	for _, node := range s.nodes {
-		accused := node != paused && node.leftEvents != 1 || node == paused && node.leftEvents != 0
-		assert.Assert(t, !accused, "%s saw %d deaths", node.identity.Node, node.leftEvents)
+		mistaken := node != paused && node.leftEvents != 1 || node == paused && node.leftEvents != 0
+		assert.Assert(t, !mistaken, "%s reported %d nodes as gone", node.identity.Node, node.leftEvents)
 	}
 	assert.Assert(t, s.viewsComplete())
 }
@@ -256,21 +257,21 @@
 	assert.Assert(t, s.allRunning(func(m *Members) bool {
 		member, _ := m.Node(name)
 		return !member.Leaving
-	}), "past the lag, the list's word counts again")
+	}), "once the mark is older than MachineListLag, the list clears it")
 }
 
 func TestOutdatedReportKeepsEngineLeavingMark(t *testing.T) {
 	s := newFleet(3)
 	node := s.nodes[0]
-	asked := s.now
+	requestedAt := s.now
 	s.run(time.Second)
-	report := func(leaving bool, asked time.Time) {
+	report := func(leaving bool, requestedAt time.Time) {
 		s.act(node, func(g *Gossip) {
-			g.ObserveEngine(s.now, EngineReport{Engine: "engine-1", Leaving: leaving, Asked: asked})
+			g.ObserveEngine(s.now, EngineReport{Engine: "engine-1", Leaving: leaving, Asked: requestedAt})
 		})
 	}
 	report(true, s.now)
-	report(false, asked)
+	report(false, requestedAt)
 	assert.Assert(t, node.gossip.Members().EngineLeaving("engine-1"))
 	s.run(time.Second)
 	report(false, s.now)
--- a/coordination/membership/model_test.go
+++ b/coordination/membership/model_test.go
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 )
 
-// model is what a fleet that was left alone must agree on.
+// model holds the state on which all views must agree once disturbances end.
 type model struct {
 	simulation *simulation
 	ended      []string
@@ -19,11 +19,12 @@
 	engines    map[string]bool
 }
 
-// convergenceTime is how long after the last disturbance all views must agree.
+// convergenceTime is the time after the last disturbance until all views must
+// agree.
 const convergenceTime = 3 * time.Minute
 
-// TestMain fixes rapid's seed, so that every run has the same verdict; flags on
-// the command line come later and win.
+// TestMain fixes rapid's seed so that test runs are reproducible. Command-line
+// flags override these values.
 func TestMain(m *testing.M) {
 	for name, value := range map[string]string{"rapid.seed": "1", "rapid.checks": "80", "rapid.nofailfile": "true"} {
 		if err := flag.Set(name, value); err != nil {
@@ -82,7 +83,7 @@
 	}
 }
 
-// forget drops what only the node was sure to know.
+// forget removes the expectations that may be lost when the node stops.
 func (m *model) forget(node *simulatedNode) {
 	delete(m.leaving, node.identity.Node)
 	delete(m.engines, engineOf(node))
@@ -98,9 +99,9 @@
 	m.simulation.act(node, func(g *Gossip) { g.SetLeaving(leaving) })
 }
 
-// setEngine has the node see the engine's own word. Each engine has one observer,
-// so that its last word is the last one there is, unless it restarted in
-// between: then it may not know that there is something to withdraw.
+// setEngine has the node report the state of its engine. Only this node reports on
+// the engine, so its last report must win, unless the node restarted in between
+// and no longer knows of the leaving mark that it would clear.
 func (m *model) setEngine(node *simulatedNode, leaving bool) {
 	if !node.running {
 		return
@@ -117,8 +118,9 @@
 	})
 }
 
-// repair ends all disturbances; nodes that don't run have ended. The first node
-// is a seed: nodes that never met can't find each other without any.
+// repair ends all disturbances and records the incarnations of stopped nodes as
+// ended. It starts the first node, a seed, as nodes that don't know each other
+// can only meet through one.
 func (m *model) repair() {
 	s := m.simulation
 	s.isolatedZones = nil
@@ -169,7 +171,8 @@
 	assert.DeepEqual(t, live, running)
 	for _, incarnation := range m.ended {
 		assert.Assert(t, !members.Alive(incarnation), "%s at %s", incarnation, node.identity.Node)
-		// A node that never met another can't tell.
+		// Until its view is settled, a node can't tell an ended incarnation from
+		// an unknown one.
 		if members.Settled() {
 			assert.Assert(t, members.Gone(incarnation), "%s at %s", incarnation, node.identity.Node)
 		}
--- a/coordination/membership/service_test.go
+++ b/coordination/membership/service_test.go
@@ -16,7 +16,7 @@
 	"github.com/marblering/marblering/coordination/membership"
 )
 
-// network delivers exchanges within the process.
+// network delivers exchanges between the services of one process.
 type network struct {
 	mutex    sync.Mutex
 	services map[string]*membership.Service
@@ -38,7 +38,7 @@
 	delete(n.services, address)
 }
 
-// views is a stand-in for the shards: one view that spreads.
+// views is a fake of membership.ShardViews with a single view.
 type views struct {
 	mutex sync.Mutex
 	epoch uint64
@@ -122,7 +122,7 @@
 		newest = max(newest, version)
 	}
 	nodes := []*runningNode{startNode(t, net, 0, seen), startNode(t, net, 1, seen), startNode(t, net, 2, seen)}
-	waitFor(t, "all know all", func() bool {
+	waitFor(t, "all nodes know each other", func() bool {
 		for _, node := range nodes {
 			if len(node.service.Members().Live()) != len(nodes) {
 				return false
@@ -163,7 +163,7 @@
 	}
 	a, b := start("a", 1), start("b", 2)
 
-	// b knows only a's address; whoever drives it carries the messages.
+	// b knows only a's address. The caller transports the messages.
 	for _, exchange := range b.Step(now) {
 		response := a.HandleRequest(now, exchange.Request)
 		b.HandleOutcome(now, exchange, response)
--- a/coordination/membership/simulation_test.go
+++ b/coordination/membership/simulation_test.go
@@ -11,8 +11,8 @@
 	peerv1 "github.com/marblering/marblering/api/peer/v1"
 )
 
-// simulation steps a fleet in virtual time: messages take a latency, may be
-// lost, and don't pass a cut between zones.
+// simulation runs a fleet in virtual time. Messages have a latency, may be lost,
+// and don't pass between the isolated zones and the others.
 type simulation struct {
 	now           time.Time
 	random        *rand.Rand
@@ -24,7 +24,7 @@
 	latency       time.Duration
 	isolatedZones map[string]bool
 	suspects      int
-	// encode runs every message through its encoding.
+	// encode marshals and unmarshals every message.
 	encode bool
 }
 
@@ -91,7 +91,7 @@
 	return node
 }
 
-// start begins a new incarnation.
+// start starts the node with a new incarnation.
 func (s *simulation) start(node *simulatedNode) {
 	s.restart(node, fmt.Sprintf("%016x", s.random.Uint64()))
 }
@@ -127,7 +127,8 @@
 	s.drainEvents(node)
 }
 
-// drainEvents does what Service does after each action.
+// drainEvents takes the node's events, as Service does after each action, and
+// counts them.
 func (s *simulation) drainEvents(node *simulatedNode) {
 	for _, event := range node.gossip.TakeEvents() {
 		if event.Kind == Suspected {
@@ -139,9 +140,9 @@
 	}
 }
 
-func (s *simulation) scheduleUrgentStep(node *simulatedNode, hurried bool) {
+func (s *simulation) scheduleUrgentStep(node *simulatedNode, hadUrgent bool) {
 	s.drainEvents(node)
-	if node.gossip.HasUrgent() && !hurried {
+	if node.gossip.HasUrgent() && !hadUrgent {
 		gossip := node.gossip
 		s.after(0, func() {
 			if node.running && node.gossip == gossip {
@@ -152,9 +153,9 @@
 }
 
 func (s *simulation) act(node *simulatedNode, action func(g *Gossip)) {
-	hurried := node.gossip.HasUrgent()
+	hadUrgent := node.gossip.HasUrgent()
 	action(node.gossip)
-	s.scheduleUrgentStep(node, hurried)
+	s.scheduleUrgentStep(node, hadUrgent)
 }
 
 func (s *simulation) send(from *simulatedNode, exchange Exchange) {
@@ -216,8 +217,8 @@
 	s.runUntil(duration, func() bool { return false })
 }
 
-// runUntil returns how long it took until the condition held, which it looks at
-// every 10 ms, and whether it did within the limit.
+// runUntil runs until the condition holds, checking it every 10 ms, and returns
+// the time taken and whether the condition held within the limit.
 func (s *simulation) runUntil(limit time.Duration, condition func() bool) (time.Duration, bool) {
 	start := s.now
 	for s.now.Sub(start) < limit {
@@ -239,7 +240,7 @@
 	s.now = end
 }
 
-// allRunning reports whether the condition holds at all running nodes.
+// allRunning reports whether the condition holds on all running nodes.
 func (s *simulation) allRunning(condition func(m *Members) bool) bool {
 	for _, node := range s.nodes {
 		if node.running && !condition(node.gossip.Members()) {
@@ -266,8 +267,8 @@
 	}
 }
 
-// traffic returns the mean and the highest bytes per second of a node, sent
-// and received together, over the duration.
+// traffic returns the mean and the highest rate of a node over the duration, in
+// bytes per second sent and received.
 func (s *simulation) traffic(duration time.Duration) (mean, highest float64) {
 	for _, node := range s.nodes {
 		rate := float64(node.bytes) / duration.Seconds()
