--- a/coordination/membership/benchmark_test.go
+++ b/coordination/membership/benchmark_test.go
@@ -15,7 +15,7 @@
 func BenchmarkIdleSecond(b *testing.B) {
 	for _, size := range benchmarkSizes {
 		b.Run(fmt.Sprintf("nodes=%d", size), func(b *testing.B) {
-			s := newFleet(size)
+			s := newCluster(size)
 			s.encode = true
 			s.resetTraffic()
 			seconds := 0
@@ -33,7 +33,7 @@
 func BenchmarkChurnSecond(b *testing.B) {
 	for _, size := range benchmarkSizes {
 		b.Run(fmt.Sprintf("nodes=%d", size), func(b *testing.B) {
-			s := newFleet(size)
+			s := newCluster(size)
 			s.encode = true
 			s.resetTraffic()
 			seconds := 0
@@ -59,7 +59,7 @@
 }
 
 // BenchmarkConvergence reports, in virtual milliseconds, how long a leaving
-// mark, a node failure and the start of a fleet take to reach all nodes. Its
+// mark, a node failure and the start of a cluster take to reach all nodes. Its
 // wall-clock time has no meaning.
 func BenchmarkConvergence(b *testing.B) {
 	for _, size := range benchmarkSizes {
@@ -75,7 +75,7 @@
 }
 
 func reportConvergence(b *testing.B, size int, loss float64) {
-	s := newFleet(size)
+	s := newCluster(size)
 	s.loss = loss
 	node := s.nodes[2].identity.Node
 	s.act(s.nodes[2], func(g *Gossip) { g.SetLeaving(true) })
@@ -105,7 +105,7 @@
 func BenchmarkHealthyLoss(b *testing.B) {
 	for _, loss := range []float64{0.02, 0.05, 0.1, 0.2} {
 		b.Run(fmt.Sprintf("loss=%v", loss), func(b *testing.B) {
-			s := newFleet(50)
+			s := newCluster(50)
 			s.loss = loss
 			minutes := 0
 			for b.Loop() {
--- a/coordination/membership/fleet_test.go
+++ b/coordination/membership/fleet_test.go
@@ -10,17 +10,17 @@
 
 // Limits in virtual time, which is deterministic.
 const (
-	leavingLimit = 3 * time.Second
-	deathLimit   = 10 * time.Second
-	healLimit    = 60 * time.Second
-	joinLimit    = 60 * time.Second
+	leavingLimit          = 3 * time.Second
+	failureDetectionLimit = 10 * time.Second
+	healLimit             = 60 * time.Second
+	joinLimit             = 60 * time.Second
 	// trafficLimit is in bytes per second: a third of the budget for a node's
 	// control traffic.
 	trafficLimit = 3000
 )
 
-// newFleet starts a fleet in which every node knows all others.
-func newFleet(size int) *simulation {
+// newCluster starts a cluster in which every node knows all others.
+func newCluster(size int) *simulation {
 	s := newSimulation(uint64(size), size, min(size, 13))
 	for _, node := range s.nodes {
 		for _, other := range s.nodes {
@@ -65,7 +65,7 @@
 func TestPropagationTimeAndTraffic(t *testing.T) {
 	for _, size := range []int{3, 12, 350} {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
-			s := newFleet(size)
+			s := newCluster(size)
 			checkIdle(t, s)
 			for _, loss := range []float64{0, 0.05} {
 				s.loss = loss
@@ -120,7 +120,7 @@
 	failed := s.nodes[1]
 	failed.running = false
 	s.resetTraffic()
-	took, ok := s.runUntil(deathLimit, s.goneEverywhere(failed.identity.Incarnation))
+	took, ok := s.runUntil(failureDetectionLimit, s.goneEverywhere(failed.identity.Incarnation))
 	assert.Assert(t, ok)
 	t.Logf("the failure is known at all nodes after %v", took)
 	others := 0
@@ -131,7 +131,7 @@
 }
 
 func TestMessageLossCausesNoFalseDeath(t *testing.T) {
-	s := newFleet(20)
+	s := newCluster(20)
 	s.loss = 0.1
 	s.run(5 * time.Minute)
 	t.Logf("%d suspicions in %d node minutes", s.suspects, 5*len(s.nodes))
@@ -142,7 +142,7 @@
 }
 
 func TestPartitionHeals(t *testing.T) {
-	s := newFleet(50)
+	s := newCluster(50)
 	isolated := map[string]bool{"zone-00": true, "zone-01": true, "zone-02": true}
 	s.isolatedZones = isolated
 	s.run(20 * time.Second)
@@ -168,7 +168,7 @@
 }
 
 func TestRestartSupersedesImmediately(t *testing.T) {
-	s := newFleet(12)
+	s := newCluster(12)
 	node := s.nodes[4]
 	first := node.identity.Incarnation
 	s.start(node)
@@ -187,10 +187,10 @@
 
 // A node with a data folder keeps its incarnation across a restart.
 func TestRestartOfSameIncarnation(t *testing.T) {
-	s := newFleet(12)
+	s := newCluster(12)
 	node := s.nodes[4]
 	node.running = false
-	s.run(deathLimit)
+	s.run(failureDetectionLimit)
 	incarnation := node.identity.Incarnation
 	assert.Assert(t, s.goneEverywhere(incarnation)())
 	s.restart(node, incarnation)
@@ -201,19 +201,19 @@
 }
 
 func TestNodeRefutesGoneMark(t *testing.T) {
-	s := newFleet(12)
+	s := newCluster(12)
 	target, detector := s.nodes[4], s.nodes[5]
 	s.act(detector, func(g *Gossip) {
 		g.declareGone(s.now, g.records[target.identity.Node])
 		g.publishIfStale()
 	})
 	assert.Assert(t, detector.gossip.Members().Gone(target.identity.Incarnation))
-	s.run(deathLimit)
+	s.run(failureDetectionLimit)
 	assert.Assert(t, s.allRunning(func(m *Members) bool { return m.Alive(target.identity.Incarnation) }))
 }
 
 func TestDepartureSpreadsImmediately(t *testing.T) {
-	s := newFleet(12)
+	s := newCluster(12)
 	node := s.nodes[4]
 	for _, exchange := range node.gossip.Depart(s.now) {
 		s.send(node, exchange)
@@ -226,7 +226,7 @@
 // Checks that a process that was paused, whose exchanges and suspicions are all
 // overdue when it resumes, doesn't declare its peers gone.
 func TestPausedNodeDeclaresNobodyGone(t *testing.T) {
-	s := newFleet(12)
+	s := newCluster(12)
 	paused := s.nodes[4]
 	gossip := paused.gossip
 	s.act(paused, func(g *Gossip) { g.suspect(s.now, g.records[s.nodes[5].identity.Node]) })
@@ -243,7 +243,7 @@
 }
 
 func TestOutdatedMachineListKeepsLeavingMark(t *testing.T) {
-	s := newFleet(12)
+	s := newCluster(12)
 	first, lagging := s.nodes[0], s.nodes[1]
 	name := s.nodes[2].identity.Node
 	s.act(first, func(g *Gossip) { g.ObserveMachines(s.now, []Machine{{Name: name, Leaving: true}}) })
@@ -261,7 +261,7 @@
 }
 
 func TestOutdatedReportKeepsEngineLeavingMark(t *testing.T) {
-	s := newFleet(3)
+	s := newCluster(3)
 	node := s.nodes[0]
 	requestedAt := s.now
 	s.run(time.Second)
--- a/coordination/membership/simulation_test.go
+++ b/coordination/membership/simulation_test.go
@@ -11,7 +11,7 @@
 	peerv1 "github.com/marblering/marblering/api/peer/v1"
 )
 
-// simulation runs a fleet in virtual time. Messages have a latency, may be lost,
+// simulation runs a cluster in virtual time. Messages have a latency, may be lost,
 // and don't pass between the isolated zones and the others.
 type simulation struct {
 	now           time.Time
--- a/coordination/membership/status.go
+++ b/coordination/membership/status.go
@@ -77,8 +77,8 @@
 	return order
 }
 
-// needsDissemination reports whether status differs from known in more than the
-// heartbeat, so that other nodes must be told.
+// needsDissemination reports whether the change from known to status must be sent
+// to other nodes. An advance of the heartbeat alone needn't be.
 func needsDissemination(known, status *peerv1.NodeStatus) bool {
 	return compareStarts(known, status) != 0 ||
 		known.GetGone() != status.GetGone() ||
