--- a/coordination/membership/model_test.go
+++ b/coordination/membership/model_test.go
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 )
 
-// model is what a fleet that was left alone must agree on.
+// model holds the state on which all views must agree once disturbances end.
 type model struct {
 	simulation *simulation
 	ended      []string
@@ -19,11 +19,12 @@
 	engines    map[string]bool
 }
 
-// quiet is how long after the last disturbance all views must agree.
-const quiet = 3 * time.Minute
+// convergenceTime is the time after the last disturbance until all views must
+// agree.
+const convergenceTime = 3 * time.Minute
 
-// TestMain fixes rapid's seed, so that every run has the same verdict; flags on
-// the command line come later and win.
+// TestMain fixes rapid's seed so that test runs are reproducible. Command-line
+// flags override these values.
 func TestMain(m *testing.M) {
 	for name, value := range map[string]string{"rapid.seed": "1", "rapid.checks": "80", "rapid.nofailfile": "true"} {
 		if err := flag.Set(name, value); err != nil {
@@ -34,7 +35,7 @@
 	os.Exit(m.Run())
 }
 
-func TestViewsAgreeAfterAnyDisturbance(t *testing.T) {
+func TestViewsConvergeAfterDisturbances(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		size := rapid.IntRange(3, 9).Draw(t, "nodes")
 		m := &model{
@@ -48,7 +49,7 @@
 			m.simulation.run(time.Duration(pause) * time.Millisecond)
 		}
 		m.repair()
-		m.simulation.run(quiet)
+		m.simulation.run(convergenceTime)
 		m.check(t)
 	})
 }
@@ -74,23 +75,23 @@
 	case "engine":
 		m.setEngine(node, rapid.Bool().Draw(t, "leaving"))
 	case "cut":
-		s.cut = map[string]bool{node.identity.Zone: true}
+		s.isolatedZones = map[string]bool{node.identity.Zone: true}
 	case "heal":
-		s.cut = nil
+		s.isolatedZones = nil
 	case "loss":
 		s.loss = rapid.Float64Range(0, 0.3).Draw(t, "rate")
 	}
 }
 
-// forget drops what only the node was sure to know.
-func (m *model) forget(node *simulated) {
+// forget removes the expectations that may be lost when the node stops.
+func (m *model) forget(node *simulatedNode) {
 	delete(m.leaving, node.identity.Node)
 	delete(m.engines, engineOf(node))
 }
 
-func engineOf(node *simulated) string { return "engine-of-" + node.identity.Node }
+func engineOf(node *simulatedNode) string { return "engine-of-" + node.identity.Node }
 
-func (m *model) setLeaving(node *simulated, leaving bool) {
+func (m *model) setLeaving(node *simulatedNode, leaving bool) {
 	if !node.running {
 		return
 	}
@@ -98,10 +99,10 @@
 	m.simulation.act(node, func(g *Gossip) { g.SetLeaving(leaving) })
 }
 
-// setEngine has the node see the engine's own word. Each engine has one observer,
-// so that its last word is the last one there is, unless it restarted in
-// between: then it may not know that there is something to withdraw.
-func (m *model) setEngine(node *simulated, leaving bool) {
+// setEngine has the node report the state of its engine. Only this node reports on
+// the engine, so its last report must win, unless the node restarted in between
+// and no longer knows of the leaving mark that it would clear.
+func (m *model) setEngine(node *simulatedNode, leaving bool) {
 	if !node.running {
 		return
 	}
@@ -117,11 +118,12 @@
 	})
 }
 
-// repair ends all disturbances; nodes that don't run have ended. The first node
-// is a seed: nodes that never met can't find each other without any.
+// repair ends all disturbances and records the incarnations of stopped nodes as
+// ended. It starts the first node, a seed, as nodes that don't know each other
+// can only meet through one.
 func (m *model) repair() {
 	s := m.simulation
-	s.cut = nil
+	s.isolatedZones = nil
 	s.loss = 0
 	if !s.nodes[0].running {
 		m.ended = append(m.ended, s.nodes[0].identity.Incarnation)
@@ -149,7 +151,7 @@
 	}
 }
 
-func (m *model) firstRunning() *simulated {
+func (m *model) firstRunning() *simulatedNode {
 	for _, node := range m.simulation.nodes {
 		if node.running {
 			return node
@@ -158,7 +160,7 @@
 	return nil
 }
 
-func (m *model) checkView(t *rapid.T, node *simulated, running []string) {
+func (m *model) checkView(t *rapid.T, node *simulatedNode, running []string) {
 	members := node.gossip.Members()
 	var live []string
 	for _, member := range members.Live() {
@@ -169,7 +171,8 @@
 	assert.DeepEqual(t, live, running)
 	for _, incarnation := range m.ended {
 		assert.Assert(t, !members.Alive(incarnation), "%s at %s", incarnation, node.identity.Node)
-		// A node that never met another can't tell.
+		// Until its view is settled, a node can't tell an ended incarnation from
+		// an unknown one.
 		if members.Settled() {
 			assert.Assert(t, members.Gone(incarnation), "%s at %s", incarnation, node.identity.Node)
 		}
--- a/coordination/membership/queue.go
+++ b/coordination/membership/queue.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// priority orders the changes that wait to be sent; smaller goes first.
+// priority orders pending changes; lower values are sent first.
 type priority uint8
 
 const (
@@ -16,7 +16,7 @@
 	priorityEjected
 )
 
-// subject names what changed: a node, or the evidence of an observer about an
+// subject identifies what changed: a node, or an observer's evidence about an
 // engine.
 type subject struct {
 	node     string
@@ -24,18 +24,18 @@
 	observer string
 }
 
-// update is a change that is still being spread. What is sent is looked up when
-// it is sent, so a later change replaces an earlier one of the same subject.
+// update is a change that is still being disseminated. Its contents are looked up
+// when it is sent, so that a later change replaces an earlier one of the subject.
 type update struct {
 	subject  subject
 	priority priority
-	// sendsLeft counts the messages that still carry the change.
-	sendsLeft int
-	order     uint64
+	// transmissionsLeft is the number of messages that are yet to carry the change.
+	transmissionsLeft int
+	order             uint64
 }
 
-// updateQueue holds the changes to append to the next messages: the urgent
-// first, then those sent least often, then the newest.
+// updateQueue holds the changes to piggyback on the next messages, ordered by
+// priority, then by the most transmissions left, then by the newest.
 type updateQueue struct {
 	updates []update
 	order   uint64
@@ -45,10 +45,10 @@
 	q.remove(subject)
 	q.order++
 	q.updates = append(q.updates, update{
-		subject:   subject,
-		priority:  priority,
-		sendsLeft: sends,
-		order:     q.order,
+		subject:           subject,
+		priority:          priority,
+		transmissionsLeft: sends,
+		order:             q.order,
 	})
 }
 
@@ -58,18 +58,18 @@
 	})
 }
 
-// heard takes note that another node is spreading the same change, so that less
-// of it is left to do here. Urgent changes are sent in full measure.
-func (q *updateQueue) heard(subject subject) {
+// countDuplicate reduces the transmissions left of a change that another node also
+// disseminates. Leaving marks keep their full number of transmissions.
+func (q *updateQueue) countDuplicate(subject subject) {
 	for position := range q.updates {
 		if q.updates[position].subject == subject && q.updates[position].priority != priorityLeaving {
-			q.updates[position].sendsLeft -= heardSends
+			q.updates[position].transmissionsLeft -= duplicateReduction
 		}
 	}
 }
 
-// take visits the changes in order. visit reports whether it sent the change
-// and whether it can send more.
+// take calls visit for the changes in order. visit reports whether it sent the
+// change and whether to continue.
 func (q *updateQueue) take(visit func(subject) (sent, more bool)) {
 	if len(q.updates) == 0 {
 		return
@@ -78,21 +78,21 @@
 	for position := range q.updates {
 		sent, more := visit(q.updates[position].subject)
 		if sent {
-			q.updates[position].sendsLeft--
+			q.updates[position].transmissionsLeft--
 		}
 		if !more {
 			break
 		}
 	}
 	q.updates = slices.DeleteFunc(q.updates, func(u update) bool {
-		return u.sendsLeft <= 0
+		return u.transmissionsLeft <= 0
 	})
 }
 
 func compareUpdates(a, b update) int {
 	order := cmp.Compare(a.priority, b.priority)
 	if order == 0 {
-		order = cmp.Compare(b.sendsLeft, a.sendsLeft)
+		order = cmp.Compare(b.transmissionsLeft, a.transmissionsLeft)
 	}
 	if order == 0 {
 		order = cmp.Compare(b.order, a.order)
@@ -100,8 +100,8 @@
 	return order
 }
 
-// sendsFor is how often a change is sent by each node of a fleet: a multiple of
-// the logarithm of its size, as in SWIM.
-func sendsFor(nodes int) int {
-	return sendsPerLogarithm * bits.Len(uint(nodes))
+// transmissionLimit returns how often each node sends a change: a multiple of the
+// logarithm of the number of nodes, as in SWIM.
+func transmissionLimit(nodes int) int {
+	return transmissionMultiplier * bits.Len(uint(nodes))
 }
