--- a/coordination/membership/settings.go
+++ b/coordination/membership/settings.go
@@ -14,9 +14,9 @@
 	// SuspectProbeInterval is the interval between two direct probes of a suspected
 	// node, and between two rounds of indirect probes.
 	SuspectProbeInterval time.Duration
-	// ContactInterval is the mean interval between two attempts to contact a seed
+	// RejoinInterval is the mean interval between two attempts to contact a seed
 	// or a gone node, which reconnect the cluster after a network partition.
-	ContactInterval time.Duration
+	RejoinInterval time.Duration
 	// SyncDelay is how long two nodes' tables may differ before a full copy is sent.
 	SyncDelay time.Duration
 	// SettleTime is the time after its first exchange from which a node reports
@@ -116,7 +116,7 @@
 		ExchangeTimeout:         time.Second,
 		SuspicionTime:           4 * time.Second,
 		SuspectProbeInterval:    700 * time.Millisecond,
-		ContactInterval:         5 * time.Second,
+		RejoinInterval:          5 * time.Second,
 		SyncDelay:               5 * time.Second,
 		SettleTime:              15 * time.Second,
 		RetentionTime:           time.Hour,
@@ -133,7 +133,7 @@
 	setDefault(&s.ExchangeTimeout, defaults.ExchangeTimeout)
 	setDefault(&s.SuspicionTime, defaults.SuspicionTime)
 	setDefault(&s.SuspectProbeInterval, defaults.SuspectProbeInterval)
-	setDefault(&s.ContactInterval, defaults.ContactInterval)
+	setDefault(&s.RejoinInterval, defaults.RejoinInterval)
 	setDefault(&s.SyncDelay, defaults.SyncDelay)
 	setDefault(&s.SettleTime, defaults.SettleTime)
 	setDefault(&s.RetentionTime, defaults.RetentionTime)
--- a/coordination/membership/step.go
+++ b/coordination/membership/step.go
@@ -143,7 +143,7 @@
 	if now.Before(g.nextRejoin) {
 		return
 	}
-	pause := g.settings.ContactInterval
+	pause := g.settings.RejoinInterval
 	if len(g.peers) == 0 {
 		pause = isolatedRejoinInterval
 	}
--- a/node/storage/gossip.go
+++ b/node/storage/gossip.go
@@ -41,7 +41,7 @@
 	gossip.ExchangeInterval = exchangeInterval
 	gossip.ExchangeTimeout = exchangeTimeout
 	gossip.SuspicionTime = suspicionTime
-	gossip.ContactInterval = contactInterval
+	gossip.RejoinInterval = contactInterval
 	gossip.SyncDelay = syncDelay
 	gossip.SettleTime = settleTime
 	return gossip
