--- a/coordination/membership/evidence.go
+++ b/coordination/membership/evidence.go
@@ -48,9 +48,9 @@
 	// Leaving is set when the engine responded with 503 or reported that it is
 	// leaving.
 	Leaving bool
-	// Asked is when the request was sent that the engine responded to. A report
-	// that the engine isn't leaving overrides only evidence from before Asked.
-	Asked time.Time
+	// RequestedAt is when the request was sent that the engine responded to. A report
+	// that the engine isn't leaving overrides only evidence from before RequestedAt.
+	RequestedAt time.Time
 }
 
 // ObserveMachines applies a reading of the platform's machine list. As readings
@@ -96,7 +96,7 @@
 	if report.Leaving == known.fact.GetLeaving() {
 		return
 	}
-	if !report.Leaving && !report.Asked.After(known.receivedAt) {
+	if !report.Leaving && !report.RequestedAt.After(known.receivedAt) {
 		return
 	}
 	g.writeEvidence(now, key, report.Leaving, false)
--- a/coordination/membership/fleet_test.go
+++ b/coordination/membership/fleet_test.go
@@ -108,7 +108,7 @@
 
 	engine := fmt.Sprintf("engine-%v", s.loss)
 	s.act(s.nodes[0], func(g *Gossip) {
-		g.ObserveEngine(s.now, EngineReport{Engine: engine, Leaving: true, Asked: s.now})
+		g.ObserveEngine(s.now, EngineReport{Engine: engine, Leaving: true, RequestedAt: s.now})
 	})
 	took, ok = s.runUntil(leavingLimit, s.engineLeavingEverywhere(engine))
 	assert.Assert(t, ok, "the engine's leaving mark")
@@ -267,7 +267,7 @@
 	s.run(time.Second)
 	report := func(leaving bool, requestedAt time.Time) {
 		s.act(node, func(g *Gossip) {
-			g.ObserveEngine(s.now, EngineReport{Engine: "engine-1", Leaving: leaving, Asked: requestedAt})
+			g.ObserveEngine(s.now, EngineReport{Engine: "engine-1", Leaving: leaving, RequestedAt: requestedAt})
 		})
 	}
 	report(true, s.now)
--- a/coordination/membership/model_test.go
+++ b/coordination/membership/model_test.go
@@ -114,7 +114,7 @@
 	}
 	m.engines[engineOf(node)] = leaving
 	s.act(node, func(g *Gossip) {
-		g.ObserveEngine(s.now, EngineReport{Engine: engineOf(node), Leaving: leaving, Asked: s.now})
+		g.ObserveEngine(s.now, EngineReport{Engine: engineOf(node), Leaving: leaving, RequestedAt: s.now})
 	})
 }
 
--- a/node/membership.go
+++ b/node/membership.go
@@ -71,5 +71,5 @@
 
 // engineLeaving tells the other nodes what this one saw of an engine.
 func (n *Node) engineLeaving(engine string, leaving bool) {
-	n.membership.ObserveEngine(membership.EngineReport{Engine: engine, Leaving: leaving, Asked: time.Now()})
+	n.membership.ObserveEngine(membership.EngineReport{Engine: engine, Leaving: leaving, RequestedAt: time.Now()})
 }
