--- a/coordination/membership/service.go
+++ b/coordination/membership/service.go
@@ -44,9 +44,9 @@
 	Shards ShardViews
 	// ConfigurationVersion returns this node's configuration version; it may be nil.
 	ConfigurationVersion func() uint64
-	// ConfigurationSeen is called with the address of a node that has a later
+	// OnNewerConfiguration is called with the address of a node that has a later
 	// configuration version; it may be nil and must not block.
-	ConfigurationSeen func(address string, version uint64)
+	OnNewerConfiguration func(address string, version uint64)
 	// Observe is called with every event, in order; it may be nil and must not
 	// block or call the service.
 	Observe func(Event)
@@ -219,11 +219,11 @@
 }
 
 func (s *Service) reportConfigurationVersion(address string, version uint64) {
-	if s.options.ConfigurationSeen == nil || s.options.ConfigurationVersion == nil {
+	if s.options.OnNewerConfiguration == nil || s.options.ConfigurationVersion == nil {
 		return
 	}
 	if version > s.options.ConfigurationVersion() {
-		s.options.ConfigurationSeen(address, version)
+		s.options.OnNewerConfiguration(address, version)
 	}
 }
 
--- a/coordination/membership/service_test.go
+++ b/coordination/membership/service_test.go
@@ -84,7 +84,7 @@
 		Logger:               zap.NewNop(),
 		Shards:               node.shards,
 		ConfigurationVersion: func() uint64 { return uint64(number) },
-		ConfigurationSeen:    seen,
+		OnNewerConfiguration: seen,
 	})
 	network.mutex.Lock()
 	network.services[address] = node.service
--- a/node/membership.go
+++ b/node/membership.go
@@ -29,7 +29,7 @@
 		Logger:               n.logger,
 		Shards:               peer.NewViewGossip(n.views),
 		ConfigurationVersion: n.holder.Version,
-		ConfigurationSeen:    n.configurationSeen,
+		OnNewerConfiguration: n.configurationSeen,
 		Observe:              n.observeMembership,
 	})
 	n.configurationMembers = newConfigurationMembers(configuration.Member{
