--- a/coordination/membership/service.go
+++ b/coordination/membership/service.go
@@ -47,9 +47,9 @@
 	// OnNewerConfiguration is called with the address of a node that has a later
 	// configuration version; it may be nil and must not block.
 	OnNewerConfiguration func(address string, version uint64)
-	// Observe is called with every event, in order; it may be nil and must not
+	// OnEvent is called with every event, in order; it may be nil and must not
 	// block or call the service.
-	Observe func(Event)
+	OnEvent func(Event)
 }
 
 // Service drives a Gossip in real time. It implements suture.Service. All methods
@@ -250,8 +250,8 @@
 
 func (s *Service) observe(event Event) {
 	s.logEvent(event)
-	if s.options.Observe != nil {
-		s.options.Observe(event)
+	if s.options.OnEvent != nil {
+		s.options.OnEvent(event)
 	}
 }
 
--- a/node/membership.go
+++ b/node/membership.go
@@ -30,7 +30,7 @@
 		Shards:               peer.NewViewGossip(n.views),
 		ConfigurationVersion: n.holder.Version,
 		OnNewerConfiguration: n.configurationSeen,
-		Observe:              n.observeMembership,
+		OnEvent:              n.observeMembership,
 	})
 	n.configurationMembers = newConfigurationMembers(configuration.Member{
 		Node:        identity.Node,
