--- a/coordination/membership/service.go
+++ b/coordination/membership/service.go
@@ -135,8 +135,8 @@
 	s.withGossip(func(now time.Time) { s.gossip.ObserveEjection(now, engine, ejected) })
 }
 
-// ConfigurationChanged sends a new configuration version to the peers immediately.
-func (s *Service) ConfigurationChanged() {
+// NotifyConfigurationChange sends a new configuration version to the peers immediately.
+func (s *Service) NotifyConfigurationChange() {
 	s.withGossip(func(time.Time) {})
 }
 
--- a/node/configuration.go
+++ b/node/configuration.go
@@ -117,6 +117,6 @@
 
 // announceConfiguration tells the peers of a new version at once.
 func (n *Node) announceConfiguration() {
-	n.membership.ConfigurationChanged()
+	n.membership.NotifyConfigurationChange()
 	n.logger.Debug("configuration announced", zap.Uint64("version", n.holder.Version()))
 }
