--- a/coordination/shard/assign.go
+++ b/coordination/shard/assign.go
@@ -19,21 +19,21 @@
 // may lose at most, nodes with a data folder first, then those in the fewest
 // sets.
 func AssignAll(shards uint32, factor int, candidates []Candidate) [][]register.Member {
-	sets := make(setCounts)
+	sets := make(setsPerNode)
 	all := make([][]register.Member, 0, shards)
 	for shard := range shards {
-		members := fill(shard, factor, nil, candidates, sets)
-		sets.count(nil, members)
+		members := addMembers(shard, factor, nil, candidates, sets)
+		sets.update(nil, members)
 		all = append(all, members)
 	}
 	return all
 }
 
-// setCounts is in how many sets each node is, by its name.
-type setCounts map[string]int
+// setsPerNode is in how many sets each node is, by its name.
+type setsPerNode map[string]int
 
-// count takes in that a set gets other members.
-func (s setCounts) count(before, after []register.Member) {
+// update takes in that a set gets other members.
+func (s setsPerNode) update(before, after []register.Member) {
 	for _, member := range before {
 		s[member.Node]--
 	}
@@ -46,15 +46,15 @@
 // the others are still a majority without them, and one at least.
 func zoneLimit(factor int) int { return max((factor-1)/2, 1) }
 
-// fill adds candidates to the members that stay until there are enough.
-func fill(shard uint32, factor int, kept []register.Member, candidates []Candidate, sets setCounts) []register.Member {
+// addMembers adds candidates to the members that stay until there are enough.
+func addMembers(shard uint32, factor int, kept []register.Member, candidates []Candidate, sets setsPerNode) []register.Member {
 	members := slices.Clone(kept)
 	if len(members) >= factor {
 		// The usual case, for every set of every node each second: nothing to
 		// order.
 		return members
 	}
-	f := filler{key: strconv.FormatUint(uint64(shard), 10), limit: zoneLimit(factor), sets: sets, zones: make(map[string]int)}
+	f := candidateRanking{key: strconv.FormatUint(uint64(shard), 10), limit: zoneLimit(factor), sets: sets, zones: make(map[string]int)}
 	for _, member := range members {
 		f.zones[member.Zone]++
 	}
@@ -68,11 +68,11 @@
 	return members
 }
 
-// filler ranks the candidates of one set.
-type filler struct {
+// candidateRanking ranks the candidates of one set.
+type candidateRanking struct {
 	key   string
 	limit int
-	sets  setCounts
+	sets  setsPerNode
 	// zones counts the set's members so far.
 	zones map[string]int
 }
@@ -80,10 +80,10 @@
 // compare puts the better candidate first. Zones within the limit are equal: a
 // zone with few nodes would otherwise stand in every set, and all of its nodes'
 // work would be that of the whole system.
-func (f filler) compare(a, b Candidate) int {
+func (f candidateRanking) compare(a, b Candidate) int {
 	return cmp.Or(
 		cmp.Compare(f.excess(a), f.excess(b)),
-		-cmp.Compare(dataFolders(a), dataFolders(b)),
+		-cmp.Compare(dataFolderRank(a), dataFolderRank(b)),
 		cmp.Compare(f.sets[a.Member.Node], f.sets[b.Member.Node]),
 		cmp.Compare(f.zones[a.Member.Zone], f.zones[b.Member.Zone]),
 		-cmp.Compare(program.Affinity(a.Member.Node, f.key), program.Affinity(b.Member.Node, f.key)),
@@ -91,9 +91,9 @@
 }
 
 // excess is by how much the candidate would put its zone over the limit.
-func (f filler) excess(c Candidate) int { return max(f.zones[c.Member.Zone]+1-f.limit, 0) }
+func (f candidateRanking) excess(c Candidate) int { return max(f.zones[c.Member.Zone]+1-f.limit, 0) }
 
-func dataFolders(c Candidate) int {
+func dataFolderRank(c Candidate) int {
 	if c.HasDataFolder {
 		return 1
 	}
--- a/coordination/shard/catchup.go
+++ b/coordination/shard/catchup.go
@@ -14,9 +14,9 @@
 // since it was slower than the majority or wasn't reached when the epoch opened.
 // Until then the set lives on what the majority holds.
 func (i *Installer) CatchUp(ctx context.Context) {
-	for _, missing := range i.replica.missing() {
+	for _, missing := range i.replica.missingShards() {
 		if !missing.knowsPrevious() {
-			missing.Previous = i.askPrevious(ctx, missing.View)
+			missing.Previous = i.fetchPreviousView(ctx, missing.View)
 		}
 		if missing.knowsPrevious() {
 			i.Install(ctx, InstallRequest{Previous: missing.Previous, Successor: missing.View})
@@ -24,15 +24,15 @@
 	}
 }
 
-// askPrevious asks the other members for the view before this one. A node that
+// fetchPreviousView asks the other members for the view before this one. A node that
 // heard of the view by gossip, after missing some, doesn't know it.
-func (i *Installer) askPrevious(ctx context.Context, view register.View) register.View {
+func (i *Installer) fetchPreviousView(ctx context.Context, view register.View) register.View {
 	for _, member := range view.Members {
 		if member.Incarnation == i.replica.incarnation {
 			continue
 		}
 		fence := register.Fence{Shard: view.Shard, Epoch: unknownEpoch, Replica: member.Incarnation}
-		reply, err := i.source.Pull(ctx, member, PullRequest{Fence: fence, TurnsOnly: true}, ignoreItem)
+		reply, err := i.source.Pull(ctx, member, PullRequest{Fence: fence, TurnsOnly: true}, discardItem)
 		if err == nil && reply.View != nil && reply.View.Epoch+1 == view.Epoch {
 			return *reply.View
 		}
@@ -40,19 +40,19 @@
 	return register.View{}
 }
 
-func ignoreItem(PullItem) error { return nil }
+func discardItem(PullItem) error { return nil }
 
 // knowsPrevious tells whether the state names the view that the newest followed.
-func (s state) knowsPrevious() bool {
+func (s shardState) knowsPrevious() bool {
 	return s.Previous.Epoch > 0 && s.Previous.Epoch+1 == s.View.Epoch
 }
 
-// missing returns the states of the shards that this replica should hold by the
+// missingShards returns the states of the shards that this replica should hold by the
 // newest view that it was told of, and doesn't.
-func (r *Replica) missing() []state {
-	var missing []state
+func (r *Replica) missingShards() []shardState {
+	var missing []shardState
 	for shard := range r.views.Count() {
-		p, err := r.current(shard)
+		p, err := r.acquire(shard)
 		if err != nil {
 			continue
 		}
--- a/coordination/shard/decision.go
+++ b/coordination/shard/decision.go
@@ -10,11 +10,11 @@
 // decisionViews are the views of a client that decides about one epoch: the
 // members stay those of the epoch, and a newer view ends the work.
 type decisionViews struct {
-	current register.View
-	moved   func()
+	current     register.View
+	onNewerView func()
 
-	mutex   sync.Mutex
-	learned register.View
+	mutex  sync.Mutex
+	newest register.View
 }
 
 var _ register.Views = (*decisionViews)(nil)
@@ -26,11 +26,11 @@
 func (d *decisionViews) Learn(view register.View) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	if view.Epoch <= d.current.Epoch || view.Epoch <= d.learned.Epoch {
+	if view.Epoch <= d.current.Epoch || view.Epoch <= d.newest.Epoch {
 		return
 	}
-	d.learned = view
-	d.moved()
+	d.newest = view
+	d.onNewerView()
 }
 
 // ConfigurationVersion implements register.Views; replicas don't compare it for
@@ -40,9 +40,9 @@
 // LearnConfiguration implements register.Views.
 func (d *decisionViews) LearnConfiguration(context.Context, uint64) {}
 
-// next returns the newest view that a member named.
-func (d *decisionViews) next() register.View {
+// newestView returns the newest view that a member named.
+func (d *decisionViews) newestView() register.View {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return d.learned
+	return d.newest
 }
--- a/coordination/shard/driver.go
+++ b/coordination/shard/driver.go
@@ -55,11 +55,11 @@
 	if newest, found := d.views.View(current.Shard); found && newest.Epoch > current.Epoch {
 		return newest, nil
 	}
-	successor, err := d.choose(ctx, current, wanted)
+	successor, err := d.decideSuccessor(ctx, current, wanted)
 	if err != nil {
 		return register.View{}, merry.Prependf(err, "decide what follows epoch %d of shard %d", current.Epoch, current.Shard)
 	}
-	return d.follow(ctx, current, successor)
+	return d.completeChange(ctx, current, successor)
 }
 
 // Refresh gives the shard a new epoch with the same members, which brings in
@@ -69,11 +69,11 @@
 	if err != nil {
 		return register.View{}, merry.Prependf(err, "decide to refresh epoch %d of shard %d", current.Epoch, current.Shard)
 	}
-	return d.follow(ctx, current, successor)
+	return d.completeChange(ctx, current, successor)
 }
 
-// follow carries out the decision about the successor.
-func (d *Driver) follow(ctx context.Context, current, successor register.View) (register.View, error) {
+// completeChange carries out the decision about the successor.
+func (d *Driver) completeChange(ctx context.Context, current, successor register.View) (register.View, error) {
 	if successor.Epoch > current.Epoch+1 {
 		d.views.Learn(successor)
 		return successor, nil
@@ -88,21 +88,21 @@
 	return successor, nil
 }
 
-// choose returns the successor view. Where the wanted members can't take part,
+// decideSuccessor returns the successor view. Where the wanted members can't take part,
 // it proposes nothing and only finds out what another driver got decided.
-func (d *Driver) choose(ctx context.Context, current register.View, wanted []register.Member) (register.View, error) {
+func (d *Driver) decideSuccessor(ctx context.Context, current register.View, wanted []register.Member) (register.View, error) {
 	if len(wanted) == 0 {
-		return d.decide(ctx, current, nil)
+		return d.runDecision(ctx, current, nil)
 	}
 	proposed := register.View{Shard: current.Shard, Epoch: current.Epoch + 1, Members: wanted}
 	if err := proposed.Validate(); err != nil {
 		return register.View{}, err
 	}
-	unable := d.copyAhead(ctx, current, proposed)
+	unable := d.precopyTurns(ctx, current, proposed)
 	if unable == nil {
 		return d.propose(ctx, current, wanted)
 	}
-	decided, err := d.decide(ctx, current, nil)
+	decided, err := d.runDecision(ctx, current, nil)
 	if errors.Is(err, errUndecided) {
 		return register.View{}, merry.Prepend(unable, "copy turns ahead")
 	}
@@ -115,19 +115,19 @@
 	if err != nil {
 		return register.View{}, merry.Prepend(err, "encode view")
 	}
-	return d.decide(ctx, current, encoded)
+	return d.runDecision(ctx, current, encoded)
 }
 
 // errUndecided is returned by a decision register that is only read.
 var errUndecided = merry.Sentinel("shard: no successor is decided")
 
-// decide has the members of the current epoch agree on the encoded view, nil to
+// runDecision has the members of the current epoch agree on the encoded view, nil to
 // propose none, and returns the one that they agreed on. A newer epoch than the
 // next is returned where a member says that it is open.
-func (d *Driver) decide(ctx context.Context, current register.View, encoded []byte) (register.View, error) {
+func (d *Driver) runDecision(ctx context.Context, current register.View, encoded []byte) (register.View, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	views := &decisionViews{current: current, moved: cancel}
+	views := &decisionViews{current: current, onNewerView: cancel}
 	client := register.NewClient(d.incarnation, d.members, views, d.clock, d.newRandom(), d.settings)
 	decided, err := client.Apply(ctx, current.Shard, successorKey(current.Epoch), func(found []byte) ([]byte, error) {
 		switch {
@@ -138,7 +138,7 @@
 		}
 		return encoded, nil
 	})
-	if next := views.next(); next.Epoch > current.Epoch {
+	if next := views.newestView(); next.Epoch > current.Epoch {
 		// A member says that its epoch has ended: the decision has been made.
 		return next, nil
 	}
@@ -159,10 +159,10 @@
 
 // seal ends the current epoch at a majority of its members.
 func (d *Driver) seal(ctx context.Context, current, successor register.View) error {
-	return d.onMajority(ctx, current.Members, func(ctx context.Context, member register.Member) error {
+	return d.runOnMajority(ctx, current.Members, func(ctx context.Context, member register.Member) error {
 		request := SealRequest{Fence: fenceOf(current, member), Successor: successor}
 		reply, err := d.members.Seal(ctx, member, request)
-		return failure(reply, err)
+		return replyError(reply, err)
 	})
 }
 
@@ -207,20 +207,20 @@
 
 // install has every member of the successor copy the shard. One result a member comes
 // from the channel.
-func (d *Driver) install(ctx context.Context, request InstallRequest) <-chan installation {
+func (d *Driver) install(ctx context.Context, request InstallRequest) <-chan installResult {
 	members := request.Successor.Members
-	installed := make(chan installation, len(members))
+	installed := make(chan installResult, len(members))
 	for _, member := range members {
 		go func() {
 			reply, err := d.members.Install(ctx, member, request)
-			installed <- installation{member: member, reply: reply, err: failure(reply, err)}
+			installed <- installResult{member: member, reply: reply, err: replyError(reply, err)}
 		}()
 	}
 	return installed
 }
 
-// installation is how the copying of a shard ended at one member.
-type installation struct {
+// installResult is how the copying of a shard ended at one member.
+type installResult struct {
 	member register.Member
 	reply  archive.Reply
 	err    error
@@ -231,16 +231,16 @@
 func (d *Driver) open(ctx context.Context, view register.View, members []register.Member) {
 	for _, member := range members {
 		reply, err := d.members.Open(ctx, member, OpenRequest{View: view})
-		if err := failure(reply, err); err != nil {
+		if err := replyError(reply, err); err != nil {
 			d.logger.Info("replica set not opened at a member", zap.Uint32("shard", view.Shard), zap.Uint64("epoch", view.Epoch),
 				zap.String("node", member.Node), zap.Error(err))
 		}
 	}
 }
 
-// onMajority runs the step at all members at once and returns when a majority
+// runOnMajority runs the step at all members at once and returns when a majority
 // has done it or can't any more.
-func (d *Driver) onMajority(ctx context.Context, members []register.Member, step func(context.Context, register.Member) error) error {
+func (d *Driver) runOnMajority(ctx context.Context, members []register.Member, step func(context.Context, register.Member) error) error {
 	needed := register.View{Members: members}.Quorum()
 	results := make(chan error, len(members))
 	for _, member := range members {
--- a/coordination/shard/installer.go
+++ b/coordination/shard/installer.go
@@ -15,11 +15,11 @@
 )
 
 const (
-	// parallelWrites limits the writes of one installation that wait for the
+	// maxParallelWrites limits the writes of one installation that wait for the
 	// medium; a disk store syncs those that wait together.
-	parallelWrites = 256
-	// wantedTurns limits the turns that one request asks for.
-	wantedTurns = 128
+	maxParallelWrites = 256
+	// maxTurnsPerPull limits the turns that one request asks for.
+	maxTurnsPerPull = 128
 )
 
 // Installer copies shards to this node's replica.
@@ -27,21 +27,21 @@
 	replica *Replica
 	source  Source
 	logger  *zap.Logger
-	// ahead lets one shard be copied ahead at a time: turns that are served
+	// precopySlot lets one shard be copied precopySlot at a time: turns that are served
 	// meanwhile need the processor, the disk and the link too.
-	ahead chan struct{}
+	precopySlot chan struct{}
 }
 
 // NewInstaller makes the installer of the replica.
 func NewInstaller(local *Replica, source Source, logger *zap.Logger) *Installer {
-	return &Installer{replica: local, source: source, logger: logger, ahead: make(chan struct{}, 1)}
+	return &Installer{replica: local, source: source, logger: logger, precopySlot: make(chan struct{}, 1)}
 }
 
 // Install copies the shard from a majority of the previous view's members and
 // returns once the copy has reached the medium. It may be repeated.
 func (i *Installer) Install(ctx context.Context, request InstallRequest) archive.Reply {
 	shard := request.Successor.Shard
-	if !i.isAsked(request) {
+	if !i.isAddressed(request) {
 		return archive.Reply{Refusal: register.RefusalIncarnation, View: i.replica.openView(shard)}
 	}
 	if request.Previous.Epoch+1 != request.Successor.Epoch || request.Previous.Shard != shard {
@@ -53,50 +53,50 @@
 	}
 	defer release()
 	if request.TurnsOnly {
-		return i.copyAhead(ctx, request)
+		return i.precopyTurns(ctx, request)
 	}
 	// The previous epoch ends here at the latest. A replica that has been told
 	// of a newer view by now may still be needed as a source of this one.
 	wasFirst := request.Previous.Epoch == FirstEpoch && i.replica.isMember(request.Previous)
-	if reply := i.replica.advance(request.Successor, wasFirst); reply.Refusal != register.RefusalNone {
+	if reply := i.replica.adoptView(request.Successor, wasFirst); reply.Refusal != register.RefusalNone {
 		return reply
 	}
-	if i.replica.holds(request.Successor) {
+	if i.replica.holdsData(request.Successor) {
 		return archive.Reply{}
 	}
 	if err := i.copyShard(ctx, request); err != nil {
-		return i.report(request, err)
+		return i.replyTo(request, err)
 	}
-	return i.report(request, i.replica.finishInstall(request.Successor))
+	return i.replyTo(request, i.replica.finishInstall(request.Successor))
 }
 
-// isAsked tells whether the request is meant for this replica: a member of the successor,
+// isAddressed tells whether the request is meant for this replica: a member of the successor,
 // or one of the previous view that copies turns ahead.
-func (i *Installer) isAsked(request InstallRequest) bool {
+func (i *Installer) isAddressed(request InstallRequest) bool {
 	return i.replica.isMember(request.Successor) || request.TurnsOnly && i.replica.isMember(request.Previous)
 }
 
-// copyAhead copies turns. A member of the previous view that isn't asked to do so
+// precopyTurns copies turns. A member of the previous view that isn't asked to do so
 // tells whether it holds that epoch.
-func (i *Installer) copyAhead(ctx context.Context, request InstallRequest) archive.Reply {
+func (i *Installer) precopyTurns(ctx context.Context, request InstallRequest) archive.Reply {
 	isMember := i.replica.isMember(request.Previous)
-	if isMember && !i.replica.holds(request.Previous) {
+	if isMember && !i.replica.holdsData(request.Previous) {
 		return archive.Reply{Refusal: register.RefusalNotReady}
 	}
 	if isMember && !request.Fill {
 		return archive.Reply{}
 	}
 	select {
-	case i.ahead <- struct{}{}:
-		defer func() { <-i.ahead }()
+	case i.precopySlot <- struct{}{}:
+		defer func() { <-i.precopySlot }()
 	case <-ctx.Done():
 		return archive.Reply{Refusal: register.RefusalNotReady}
 	}
-	return i.report(request, i.copyShard(ctx, request))
+	return i.replyTo(request, i.copyShard(ctx, request))
 }
 
-// report logs and returns how an installation ended.
-func (i *Installer) report(request InstallRequest, err error) archive.Reply {
+// replyTo logs and returns how an installation ended.
+func (i *Installer) replyTo(request InstallRequest, err error) archive.Reply {
 	if err == nil {
 		return archive.Reply{}
 	}
@@ -107,7 +107,7 @@
 
 // copyShard brings over what a majority of the previous members hold.
 func (i *Installer) copyShard(ctx context.Context, request InstallRequest) error {
-	listings, err := i.list(ctx, request)
+	listings, err := i.listMajority(ctx, request)
 	if err != nil {
 		return err
 	}
@@ -125,9 +125,9 @@
 		return err
 	}
 	for _, from := range listings {
-		wanted := from.holding(missing)
-		for batch := range slices.Chunk(wanted, wantedTurns) {
-			if err := i.fetch(ctx, request, from.member, batch, missing); err != nil {
+		wanted := from.intersect(missing)
+		for batch := range slices.Chunk(wanted, maxTurnsPerPull) {
+			if err := i.fetchTurns(ctx, request, from.member, batch, missing); err != nil {
 				i.logger.Info("turns not copied", zap.String("node", from.member.Node), zap.Error(err))
 				break
 			}
@@ -140,8 +140,8 @@
 	return nil
 }
 
-// fetch stores the wanted turns of one member and takes them out of missing.
-func (i *Installer) fetch(ctx context.Context, request InstallRequest, member register.Member, wanted []TurnReference, missing map[TurnReference]struct{}) error {
+// fetchTurns stores the wanted turns of one member and takes them out of missing.
+func (i *Installer) fetchTurns(ctx context.Context, request InstallRequest, member register.Member, wanted []TurnReference, missing map[TurnReference]struct{}) error {
 	pull := PullRequest{Fence: fenceOf(request.Previous, member), TurnsOnly: request.TurnsOnly, Wanted: wanted}
 	var received []replica.Turn
 	reply, err := i.pull(ctx, member, pull, func(item PullItem) error {
@@ -150,7 +150,7 @@
 		}
 		return nil
 	})
-	if err := failure(reply, err); err != nil {
+	if err := replyError(reply, err); err != nil {
 		return err
 	}
 	err = i.replica.putTurns(request.Successor.Shard, received)
@@ -190,7 +190,7 @@
 
 func (r *Replica) putTurns(shard uint32, turns []replica.Turn) error {
 	var group errgroup.Group
-	group.SetLimit(parallelWrites)
+	group.SetLimit(maxParallelWrites)
 	for _, turn := range turns {
 		group.Go(func() error { return r.store.PutTurn(shard, turn) })
 	}
@@ -201,14 +201,14 @@
 // ballots win, so nothing newer is overwritten.
 func (r *Replica) mergeRegisters(shard uint32, copied map[string]replica.Register) error {
 	var group errgroup.Group
-	group.SetLimit(parallelWrites)
+	group.SetLimit(maxParallelWrites)
 	for key, state := range copied {
 		group.Go(func() error {
 			held, err := r.store.LoadRegister(shard, key)
 			if err != nil {
 				return err
 			}
-			return r.store.SaveRegister(shard, key, inherit(register.Merge(held, state), r.incarnation))
+			return r.store.SaveRegister(shard, key, markInherited(register.Merge(held, state), r.incarnation))
 		})
 	}
 	return merry.Prepend(group.Wait(), "store copied registers")
@@ -216,21 +216,21 @@
 
 // beginInstall waits until no other installation of the shard runs.
 func (r *Replica) beginInstall(ctx context.Context, shard uint32) (release func(), err error) {
-	p, err := r.part(shard)
+	p, err := r.shardReplica(shard)
 	if err != nil {
 		return nil, err
 	}
 	select {
-	case p.install <- struct{}{}:
-		return func() { <-p.install }, nil
+	case p.installSlot <- struct{}{}:
+		return func() { <-p.installSlot }, nil
 	case <-ctx.Done():
 		return nil, merry.Prepend(context.Cause(ctx), "wait for another installation")
 	}
 }
 
-// holds tells whether the data of the view is installed here.
-func (r *Replica) holds(view register.View) bool {
-	p, err := r.current(view.Shard)
+// holdsData tells whether the data of the view is installed here.
+func (r *Replica) holdsData(view register.View) bool {
+	p, err := r.acquire(view.Shard)
 	if err != nil {
 		return false
 	}
@@ -240,7 +240,7 @@
 
 // finishInstall notes that the data of the view is held.
 func (r *Replica) finishInstall(view register.View) error {
-	p, err := r.current(view.Shard)
+	p, err := r.acquire(view.Shard)
 	if err != nil {
 		return err
 	}
@@ -249,7 +249,7 @@
 	defer p.mutex.Unlock()
 	next := p.state
 	next.DataEpoch = max(next.DataEpoch, view.Epoch)
-	return r.change(view.Shard, p, next)
+	return r.setState(view.Shard, p, next)
 }
 
 func referenceOf(turn replica.Turn) TurnReference {
--- a/coordination/shard/listing.go
+++ b/coordination/shard/listing.go
@@ -22,8 +22,8 @@
 	turns     map[TurnReference]struct{}
 }
 
-// holding returns those of the turns that the member listed.
-func (l *listing) holding(turns map[TurnReference]struct{}) []TurnReference {
+// intersect returns those of the turns that the member listed.
+func (l *listing) intersect(turns map[TurnReference]struct{}) []TurnReference {
 	var held []TurnReference
 	for reference := range turns {
 		if _, found := l.turns[reference]; found {
@@ -38,20 +38,20 @@
 // shard takes.
 const listHedgeDelay = 500 * time.Millisecond
 
-// listed is the outcome of one member's listing.
-type listed struct {
+// listingResult is the outcome of one member's listing.
+type listingResult struct {
 	listing *listing
 	err     error
 }
 
-// list reads the listings of a majority of the previous members. It asks no more
+// listMajority reads the listings of a majority of the previous members. It asks no more
 // of them, unless some fail or are late: a listing is as much work for a member
 // as many turns, and all members of the successor ask for listings at once.
-func (i *Installer) list(ctx context.Context, request InstallRequest) ([]*listing, error) {
+func (i *Installer) listMajority(ctx context.Context, request InstallRequest) ([]*listing, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	members := i.listingOrder(request.Previous.Members)
-	results := make(chan listed, len(members))
+	results := make(chan listingResult, len(members))
 	asked := 0
 	ask := func(count int) {
 		for ; asked < len(members) && count > 0; count-- {
@@ -59,7 +59,7 @@
 			asked++
 			go func() {
 				found, err := i.listMember(ctx, request, member)
-				results <- listed{listing: found, err: err}
+				results <- listingResult{listing: found, err: err}
 			}()
 		}
 	}
@@ -129,7 +129,7 @@
 		}
 		return ctx.Err()
 	})
-	if err := failure(reply, err); err != nil {
+	if err := replyError(reply, err); err != nil {
 		return nil, merry.Prependf(err, "list shard %d of node %s", request.Previous.Shard, member.Node)
 	}
 	return made, nil
@@ -147,8 +147,8 @@
 	return register.Fence{Shard: view.Shard, Epoch: view.Epoch, Replica: member.Incarnation}
 }
 
-// failure makes a refusal an error.
-func failure(reply archive.Reply, err error) error {
+// replyError makes a refusal an error.
+func replyError(reply archive.Reply, err error) error {
 	if err != nil {
 		return err
 	}
@@ -163,12 +163,12 @@
 // that the order of ballots stays what it was.
 const inheritedSeparator = "\x00"
 
-// inherit marks an accepted value as copied from an earlier epoch. Members may
+// markInherited marks an accepted value as copied from an earlier epoch. Members may
 // have copied from different majorities, so a value that some of them hold at
 // one ballot need not be one that was ever decided, although it looks so. The
 // mark makes the ballot differ at each member, and a proposer has the value
 // accepted anew before it relies on it.
-func inherit(state replica.Register, incarnation string) replica.Register {
+func markInherited(state replica.Register, incarnation string) replica.Register {
 	if state.Accepted.IsZero() {
 		return state
 	}
--- a/coordination/shard/maintainer.go
+++ b/coordination/shard/maintainer.go
@@ -17,25 +17,25 @@
 	driver    *Driver
 	settings  PlanSettings
 	logger    *zap.Logger
-	// unfinished and unready hold what the round before found, so that whoever
+	// lastUnfinished and unready hold what the round before found, so that whoever
 	// is at work on it has had the time between two rounds.
-	unfinished map[uint32]uint64
-	unready    map[uint32]uint64
-	// lost are the sets that were reported as lost in the round before.
-	lost map[uint32]lostKey
+	lastUnfinished map[uint32]uint64
+	lastUnready    map[uint32]uint64
+	// lastLost are the sets that were reported as lastLost in the round before.
+	lastLost map[uint32]lostSetState
 }
 
 // NewMaintainer makes the maintainer of the named node.
 func NewMaintainer(node string, local *Replica, installer *Installer, driver *Driver, settings PlanSettings, logger *zap.Logger) *Maintainer {
 	return &Maintainer{
-		node:       node,
-		replica:    local,
-		installer:  installer,
-		driver:     driver,
-		settings:   settings,
-		logger:     logger,
-		unfinished: make(map[uint32]uint64),
-		unready:    make(map[uint32]uint64),
+		node:           node,
+		replica:        local,
+		installer:      installer,
+		driver:         driver,
+		settings:       settings,
+		logger:         logger,
+		lastUnfinished: make(map[uint32]uint64),
+		lastUnready:    make(map[uint32]uint64),
 	}
 }
 
@@ -48,10 +48,10 @@
 	outcome := Plan(situation, m.settings)
 	var group errgroup.Group
 	group.SetLimit(max(1, m.settings.Moves))
-	for _, view := range m.abandoned() {
+	for _, view := range m.stalledChanges() {
 		group.Go(func() error { return m.drive(ctx, view, nil, "unfinished") })
 	}
-	for _, view := range m.stranded() {
+	for _, view := range m.stalledInstalls() {
 		group.Go(func() error { return m.refresh(ctx, view) })
 	}
 	for _, move := range outcome.Moves {
@@ -71,22 +71,22 @@
 // reportLost writes a line for each set that is lost in another way than at the
 // round before.
 func (m *Maintainer) reportLost(sets []LostSet) {
-	lostBefore := m.lost
-	m.lost = make(map[uint32]lostKey, len(sets))
+	lostBefore := m.lastLost
+	m.lastLost = make(map[uint32]lostSetState, len(sets))
 	for _, lost := range sets {
-		key := lostKey{epoch: lost.View.Epoch, gone: lost.Gone, forgotten: lost.Forgotten}
-		m.lost[lost.View.Shard] = key
+		key := lostSetState{epoch: lost.View.Epoch, gone: lost.Unreachable, forgotten: lost.Wiped}
+		m.lastLost[lost.View.Shard] = key
 		if lostBefore[lost.View.Shard] == key {
 			continue
 		}
 		m.logger.Error("replica set has lost its majority", zap.Uint32("shard", lost.View.Shard),
-			zap.Uint64("epoch", lost.View.Epoch), zap.Int("gone", lost.Gone), zap.Int("forgotten", lost.Forgotten),
-			zap.Bool("final", lost.IsFinal()))
+			zap.Uint64("epoch", lost.View.Epoch), zap.Int("gone", lost.Unreachable), zap.Int("forgotten", lost.Wiped),
+			zap.Bool("final", lost.IsPermanent()))
 	}
 }
 
-// lostKey is what is reported of a set that has lost its majority.
-type lostKey struct {
+// lostSetState is what is reported of a set that has lost its majority.
+type lostSetState struct {
 	epoch           uint64
 	gone, forgotten int
 }
@@ -112,27 +112,27 @@
 	return nil
 }
 
-// abandoned returns the changes that were unfinished in the round before too.
-func (m *Maintainer) abandoned() []register.View {
-	return repeated(&m.unfinished, m.replica.Unfinished())
+// stalledChanges returns the changes that were unfinished in the round before too.
+func (m *Maintainer) stalledChanges() []register.View {
+	return seenAgain(&m.lastUnfinished, m.replica.Unfinished())
 }
 
-// stranded returns the shards that this replica should hold and couldn't copy
+// stalledInstalls returns the shards that this replica should hold and couldn't copy
 // in two rounds: the sources are gone, or it doesn't know them. A new epoch with
 // the same members brings it in.
-func (m *Maintainer) stranded() []register.View {
+func (m *Maintainer) stalledInstalls() []register.View {
 	var views []register.View
 	for _, shard := range m.replica.Unready() {
 		if view, found := m.replica.views.View(shard); found {
 			views = append(views, view)
 		}
 	}
-	return repeated(&m.unready, views)
+	return seenAgain(&m.lastUnready, views)
 }
 
-// repeated returns the views that were seen at the same epoch before, and
+// seenAgain returns the views that were seen at the same epoch before, and
 // remembers these for the next time.
-func repeated(seen *map[uint32]uint64, views []register.View) []register.View {
+func seenAgain(seen *map[uint32]uint64, views []register.View) []register.View {
 	var again []register.View
 	next := make(map[uint32]uint64, len(views))
 	for _, view := range views {
--- a/coordination/shard/map.go
+++ b/coordination/shard/map.go
@@ -26,8 +26,8 @@
 // How many shards there are is decided when the first sets are founded. A map that
 // doesn't know yet has none: it knows no view, and nothing can be located.
 type Map struct {
-	writing sync.Mutex
-	views   atomic.Pointer[[]register.View]
+	writeMutex sync.Mutex
+	views      atomic.Pointer[[]register.View]
 }
 
 // NewMap makes a map of so many shards, without a view yet; zero where the number
@@ -44,8 +44,8 @@
 
 // Found makes the number of shards known. It never changes afterwards.
 func (m *Map) Found(count uint32) {
-	m.writing.Lock()
-	defer m.writing.Unlock()
+	m.writeMutex.Lock()
+	defer m.writeMutex.Unlock()
 	if m.Count() == 0 {
 		views := make([]register.View, count)
 		m.views.Store(&views)
@@ -80,8 +80,8 @@
 	if view.Epoch <= m.Epoch(view.Shard) || len(view.Members) == 0 {
 		return
 	}
-	m.writing.Lock()
-	defer m.writing.Unlock()
+	m.writeMutex.Lock()
+	defer m.writeMutex.Unlock()
 	views := *m.views.Load()
 	if int(view.Shard) >= len(views) || view.Epoch <= views[view.Shard].Epoch {
 		return
--- a/coordination/shard/plan.go
+++ b/coordination/shard/plan.go
@@ -54,15 +54,15 @@
 
 // Reasons in the order of their urgency.
 const (
-	ReasonForgotten Reason = "a member has begun a new incarnation"
-	ReasonGone      Reason = "a member is gone"
-	ReasonLeaving   Reason = "a member is leaving"
-	ReasonMoved     Reason = "a member has another address"
-	ReasonTooFew    Reason = "the set is smaller than the replication factor"
-	ReasonZones     Reason = "the set can be spread over more zones"
+	ReasonForgotten      Reason = "a member has begun a new incarnation"
+	ReasonGone           Reason = "a member is gone"
+	ReasonLeaving        Reason = "a member is leaving"
+	ReasonAddressChanged Reason = "a member has another address"
+	ReasonUndersized     Reason = "the set is smaller than the replication factor"
+	ReasonZoneSpread     Reason = "the set can be spread over more zones"
 )
 
-var urgency = []Reason{ReasonForgotten, ReasonGone, ReasonLeaving, ReasonMoved, ReasonTooFew, ReasonZones}
+var urgency = []Reason{ReasonForgotten, ReasonGone, ReasonLeaving, ReasonAddressChanged, ReasonUndersized, ReasonZoneSpread}
 
 // Move is one wanted change of a replica set.
 type Move struct {
@@ -77,14 +77,14 @@
 // doesn't answer. It is never begun anew from empty.
 type LostSet struct {
 	View register.View
-	// Forgotten counts the members whose incarnation has ended, which can't
+	// Wiped counts the members whose incarnation has ended, which can't
 	// come back; Gone those that may.
-	Forgotten int
-	Gone      int
+	Wiped       int
+	Unreachable int
 }
 
-// IsFinal tells whether no return of nodes can bring the set back.
-func (l LostSet) IsFinal() bool { return len(l.View.Members)-l.Forgotten < l.View.Quorum() }
+// IsPermanent tells whether no return of nodes can bring the set back.
+func (l LostSet) IsPermanent() bool { return len(l.View.Members)-l.Wiped < l.View.Quorum() }
 
 // Outcome is what a plan decides.
 type Outcome struct {
@@ -92,20 +92,20 @@
 	Lost  []LostSet
 }
 
-// plannedOverlap is how long before a member stops answering the node that
+// replacementLead is how long before a member stops answering the node that
 // replaces it may have begun.
-const plannedOverlap = 10 * time.Second
+const replacementLead = 10 * time.Second
 
-// planSlot is how long the order of moves and their drivers stay as they are. A
+// planSlotLength is how long the order of moves and their drivers stay as they are. A
 // move that can't be done, or a driver that can't do it, then gives way.
-const planSlot = 30 * time.Second
+const planSlotLength = 30 * time.Second
 
 // Plan decides which sets need other members. It is a pure function; nodes that
 // know the same at about the same time make the same plan.
 func Plan(situation Situation, settings PlanSettings) Outcome {
-	p := planner{situation: situation, settings: settings, nodes: make(map[string]Node), sets: make(setCounts)}
+	p := planner{situation: situation, settings: settings, nodes: make(map[string]Node), sets: make(setsPerNode)}
 	for _, view := range situation.Views {
-		p.sets.count(nil, view.Members)
+		p.sets.update(nil, view.Members)
 	}
 	for _, node := range situation.Nodes {
 		p.nodes[node.Member.Node] = node
@@ -113,13 +113,13 @@
 	p.usable = p.candidates()
 	var outcome Outcome
 	for _, view := range situation.Views {
-		judged := p.judge(view)
-		if answering(judged) < view.Quorum() {
-			outcome.Lost = append(outcome.Lost, lostSet(view, judged))
+		judged := p.assessMembers(view)
+		if countAnswering(judged) < view.Quorum() {
+			outcome.Lost = append(outcome.Lost, newLostSet(view, judged))
 			continue
 		}
-		if move, isNeeded := p.move(view, judged); isNeeded {
-			p.sets.count(view.Members, move.Members)
+		if move, isNeeded := p.planMove(view, judged); isNeeded {
+			p.sets.update(view.Members, move.Members)
 			outcome.Moves = append(outcome.Moves, move)
 		}
 	}
@@ -140,11 +140,11 @@
 	// usable are the nodes that may become members.
 	usable []Candidate
 	// sets counts the sets of each node, the moves planned so far included.
-	sets setCounts
+	sets setsPerNode
 }
 
-// judgement is what is known of one member.
-type judgement struct {
+// memberStatus is what is known of one member.
+type memberStatus struct {
 	member register.Member
 	// reason to replace the member; empty to keep it.
 	reason Reason
@@ -152,50 +152,50 @@
 	answers bool
 }
 
-func (p planner) judge(view register.View) []judgement {
-	judged := make([]judgement, len(view.Members))
+func (p planner) assessMembers(view register.View) []memberStatus {
+	judged := make([]memberStatus, len(view.Members))
 	for index, member := range view.Members {
-		judged[index] = p.judgeMember(view, member)
+		judged[index] = p.assessMember(view, member)
 	}
 	return judged
 }
 
-func (p planner) judgeMember(view register.View, member register.Member) judgement {
+func (p planner) assessMember(view register.View, member register.Member) memberStatus {
 	node, isKnown := p.nodes[member.Node]
 	goneSince := node.GoneSince
 	if !isKnown {
 		goneSince = p.situation.WatchedSince
 	}
-	judged := judgement{member: member, answers: goneSince.IsZero()}
+	judged := memberStatus{member: member, answers: goneSince.IsZero()}
 	switch {
 	case isKnown && node.Member.Incarnation != member.Incarnation:
 		judged.reason, judged.answers = ReasonForgotten, false
-	case !goneSince.IsZero() && p.situation.Now.Sub(goneSince) >= p.patience(view, goneSince):
+	case !goneSince.IsZero() && p.situation.Now.Sub(goneSince) >= p.replacementDelay(view, goneSince):
 		judged.reason = ReasonGone
 	case !goneSince.IsZero():
 	case node.Leaving:
 		judged.reason = ReasonLeaving
 	case node.Member != member:
-		judged.reason = ReasonMoved
+		judged.reason = ReasonAddressChanged
 	}
 	return judged
 }
 
-// patience is how long a member of the set may be gone before it is replaced.
-func (p planner) patience(view register.View, goneSince time.Time) time.Duration {
+// replacementDelay is how long a member of the set may be gone before it is replaced.
+func (p planner) replacementDelay(view register.View, goneSince time.Time) time.Duration {
 	if p.settings.ReplacedAfter == 0 {
 		return p.settings.GoneAfter
 	}
 	for _, node := range p.situation.Nodes {
 		isReady := node.GoneSince.IsZero() && !node.Leaving
-		if isReady && !hasNode(view.Members, node.Member.Node) && node.Started.After(goneSince.Add(-plannedOverlap)) {
+		if isReady && !hasNode(view.Members, node.Member.Node) && node.Started.After(goneSince.Add(-replacementLead)) {
 			return p.settings.ReplacedAfter
 		}
 	}
 	return p.settings.GoneAfter
 }
 
-func answering(judged []judgement) int {
+func countAnswering(judged []memberStatus) int {
 	count := 0
 	for _, one := range judged {
 		if one.answers {
@@ -205,75 +205,75 @@
 	return count
 }
 
-func lostSet(view register.View, judged []judgement) LostSet {
+func newLostSet(view register.View, judged []memberStatus) LostSet {
 	lost := LostSet{View: view}
 	for _, one := range judged {
 		switch {
 		case one.reason == ReasonForgotten:
-			lost.Forgotten++
+			lost.Wiped++
 		case !one.answers:
-			lost.Gone++
+			lost.Unreachable++
 		}
 	}
 	return lost
 }
 
-// move returns the successor that the set needs, if there is one.
-func (p planner) move(view register.View, judged []judgement) (Move, bool) {
-	reason := p.reason(judged)
-	members := p.successor(view, judged)
+// planMove returns the successor that the set needs, if there is one.
+func (p planner) planMove(view register.View, judged []memberStatus) (Move, bool) {
+	reason := p.mostUrgentReason(judged)
+	members := p.successorMembers(view, judged)
 	if reason == "" {
-		members = p.spread(view, members)
-		reason = ReasonZones
+		members = p.spreadZones(view, members)
+		reason = ReasonZoneSpread
 	}
-	if canWait(reason) && silent(judged) > 0 || !hasNewMember(view.Members, members) {
+	if isOptional(reason) && countUnresponsive(judged) > 0 || !hasNewMember(view.Members, members) {
 		return Move{}, false
 	}
-	return Move{View: view, Members: members, Reason: reason, Driver: p.driver(view)}, true
+	return Move{View: view, Members: members, Reason: reason, Driver: p.chooseDriver(view)}, true
 }
 
 func hasNewMember(before, after []register.Member) bool {
 	return slices.ContainsFunc(after, func(member register.Member) bool { return !slices.Contains(before, member) })
 }
 
-// reason returns the most urgent reason.
-func (p planner) reason(judged []judgement) Reason {
+// mostUrgentReason returns the most urgent mostUrgentReason.
+func (p planner) mostUrgentReason(judged []memberStatus) Reason {
 	for _, reason := range urgency {
-		if slices.ContainsFunc(judged, func(one judgement) bool { return one.reason == reason }) {
+		if slices.ContainsFunc(judged, func(one memberStatus) bool { return one.reason == reason }) {
 			return reason
 		}
 	}
 	if len(judged) < p.settings.Factor {
-		return ReasonTooFew
+		return ReasonUndersized
 	}
 	return ""
 }
 
-// successor is the best set that can be had now. Each of its members answers,
+// successorMembers is the best set that can be had now. Each of its members answers,
 // since a set that names one that doesn't is never proposed. One that is gone or
 // another incarnation is replaced; the place of one that is only silent stays
 // empty until it comes back or is gone; one that is leaving stays while nobody
 // can stand in for it.
-func (p planner) successor(view register.View, judged []judgement) []register.Member {
+func (p planner) successorMembers(view register.View, judged []memberStatus) []register.Member {
 	var kept, leaving []register.Member
 	for _, one := range judged {
 		switch {
 		case !one.answers:
 		case one.reason == ReasonLeaving:
 			leaving = append(leaving, one.member)
-		case one.reason == ReasonMoved:
+		case one.reason == ReasonAddressChanged:
 			kept = append(kept, p.nodes[one.member.Node].Member)
 		default:
 			kept = append(kept, one.member)
 		}
 	}
-	filled := fill(view.Shard, p.settings.Factor-silent(judged), kept, p.usable, p.sets)
-	missing := max(len(view.Members)-silent(judged)-len(filled), 0)
+	filled := addMembers(view.Shard, p.settings.Factor-countUnresponsive(judged), kept, p.usable, p.sets)
+	missing := max(len(view.Members)-countUnresponsive(judged)-len(filled), 0)
 	return append(filled, leaving[:min(missing, len(leaving))]...)
 }
 
-// silent counts the members that don't answer and may still come back.
-func silent(judged []judgement) int {
+// countUnresponsive counts the members that don't answer and may still come back.
+func countUnresponsive(judged []memberStatus) int {
 	count := 0
 	for _, one := range judged {
 		if !one.answers && one.reason == "" {
@@ -283,9 +283,9 @@
 	return count
 }
 
-// canWait tells a change that is only wished for: to leave a silent member out
+// isOptional tells a change that is only wished for: to leave a silent member out
 // for it would cost more than it is worth.
-func canWait(reason Reason) bool { return reason == ReasonLeaving || reason == ReasonZones }
+func isOptional(reason Reason) bool { return reason == ReasonLeaving || reason == ReasonZoneSpread }
 
 // candidates are the nodes that may become members.
 func (p planner) candidates() []Candidate {
@@ -298,23 +298,23 @@
 	return candidates
 }
 
-// spread replaces a member of a zone that has more than its part where another
+// spreadZones replaces a member of a zone that has more than its part where another
 // zone has a candidate.
-func (p planner) spread(view register.View, members []register.Member) []register.Member {
+func (p planner) spreadZones(view register.View, members []register.Member) []register.Member {
 	for index, member := range members {
-		if inZone(members, member.Zone) <= zoneLimit(len(members)) {
+		if countInZone(members, member.Zone) <= zoneLimit(len(members)) {
 			continue
 		}
 		others := slices.Delete(slices.Clone(members), index, index+1)
-		filled := fill(view.Shard, len(members), others, p.usable, p.sets)
-		if added := filled[len(filled)-1]; inZone(others, added.Zone) < zoneLimit(len(members)) {
+		filled := addMembers(view.Shard, len(members), others, p.usable, p.sets)
+		if added := filled[len(filled)-1]; countInZone(others, added.Zone) < zoneLimit(len(members)) {
 			return filled
 		}
 	}
 	return members
 }
 
-func inZone(members []register.Member, zone string) int {
+func countInZone(members []register.Member, zone string) int {
 	count := 0
 	for _, member := range members {
 		if member.Zone == zone {
@@ -326,12 +326,12 @@
 
 // slotKey names a change of the set within the present slot.
 func (p planner) slotKey(view register.View) string {
-	slot := p.situation.Now.Unix() / int64(planSlot/time.Second)
+	slot := p.situation.Now.Unix() / int64(planSlotLength/time.Second)
 	return fmt.Sprintf("%d/%d/%d", view.Shard, view.Epoch, slot)
 }
 
-// driver is the answering node with the highest affinity to the change.
-func (p planner) driver(view register.View) string {
+// chooseDriver is the answering node with the highest affinity to the change.
+func (p planner) chooseDriver(view register.View) string {
 	key := p.slotKey(view)
 	var best string
 	for _, node := range p.situation.Nodes {
--- a/coordination/shard/plan_test.go
+++ b/coordination/shard/plan_test.go
@@ -104,12 +104,12 @@
 			nodes[0].GoneSince, nodes[1].GoneSince = longGone, justGone
 			return nodes
 		}},
-		{name: "moved", members: []int{0, 1, 2}, reason: shard.ReasonMoved, want: "[n0-1 n1-1 n2-1]", happens: func(nodes []shard.Node) []shard.Node {
+		{name: "moved", members: []int{0, 1, 2}, reason: shard.ReasonAddressChanged, want: "[n0-1 n1-1 n2-1]", happens: func(nodes []shard.Node) []shard.Node {
 			nodes[0].Member.Address = "elsewhere"
 			return nodes
 		}},
-		{name: "too few", members: []int{0, 1}, reason: shard.ReasonTooFew, want: "[n0-1 n1-1 n2-1]"},
-		{name: "two in a zone", members: []int{0, 1, 3}, reason: shard.ReasonZones, want: "[n1-1 n2-1 n3-1]"},
+		{name: "too few", members: []int{0, 1}, reason: shard.ReasonUndersized, want: "[n0-1 n1-1 n2-1]"},
+		{name: "two in a zone", members: []int{0, 1, 3}, reason: shard.ReasonZoneSpread, want: "[n1-1 n2-1 n3-1]"},
 		{name: "majority gone", members: []int{0, 1, 2}, lost: true, happens: func(nodes []shard.Node) []shard.Node {
 			nodes[0].GoneSince, nodes[1].GoneSince = longGone, justGone
 			return nodes
--- a/coordination/shard/planmodel_test.go
+++ b/coordination/shard/planmodel_test.go
@@ -218,7 +218,7 @@
 			whole++
 		}
 	}
-	assert.Assert(w.t, !lost.IsFinal() || whole < lost.View.Quorum(), "%d disks of %v are whole", whole, lost)
+	assert.Assert(w.t, !lost.IsPermanent() || whole < lost.View.Quorum(), "%d disks of %v are whole", whole, lost)
 }
 
 // checkMove: no set names a machine twice, or a member that is known not to
--- a/coordination/shard/ahead.go
+++ b/coordination/shard/precopy.go
@@ -12,18 +12,18 @@
 	"github.com/marblering/marblering/coordination/register"
 )
 
-// fillTimeout is how long members that stay may take to copy ahead the turns that
+// backfillTimeout is how long members that stay may take to copy ahead the turns that
 // they lack. What they haven't copied by then they copy while the set is sealed:
 // longer would keep a set without its redundancy for the sake of a short seal.
-const fillTimeout = 3 * time.Second
+const backfillTimeout = 3 * time.Second
 
-// copyAhead has the members of the proposed view copy turns while the current
+// precopyTurns has the members of the proposed view copy turns while the current
 // ones still serve, so that little is left once they are sealed: a turn is stored
 // by a majority, so that each member lacks some. Each wanted member must answer,
 // since a set that is decided with a member that is gone has no reserve left. No
 // old member may still be copying the current epoch: what it copies from would be
 // out of reach once that epoch has ended.
-func (d *Driver) copyAhead(ctx context.Context, current, proposed register.View) error {
+func (d *Driver) precopyTurns(ctx context.Context, current, proposed register.View) error {
 	var copies errgroup.Group
 	request := InstallRequest{Previous: current, Successor: proposed, TurnsOnly: true}
 	for _, member := range proposed.Members {
@@ -32,12 +32,12 @@
 		}
 		copies.Go(func() error {
 			reply, err := d.members.Install(ctx, member, request)
-			return merry.Prependf(failure(reply, err), "node %s", member.Node)
+			return merry.Prependf(replyError(reply, err), "node %s", member.Node)
 		})
 	}
-	probed := d.probe(ctx, current, proposed)
+	probed := d.probeMembers(ctx, current, proposed)
 	if probed == nil {
-		d.fill(ctx, current, proposed)
+		d.backfillTurns(ctx, current, proposed)
 	}
 	copied := copies.Wait()
 	if probed != nil {
@@ -46,10 +46,10 @@
 	return copied
 }
 
-// probe asks the current members whether they hold the current epoch. One whose
+// probeMembers asks the current members whether they hold the current epoch. One whose
 // place in the proposed view another incarnation of its node takes isn't asked:
 // its address is that of the new one.
-func (d *Driver) probe(ctx context.Context, current, proposed register.View) error {
+func (d *Driver) probeMembers(ctx context.Context, current, proposed register.View) error {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	defer d.clock.AfterFunc(d.settings.RequestTimeout, stop)()
@@ -65,7 +65,7 @@
 			case err == nil && reply.Refusal == register.RefusalNotReady:
 				return merry.Errorf("node %s doesn't hold epoch %d yet", member.Node, current.Epoch)
 			case slices.Contains(proposed.Members, member):
-				return merry.Prependf(failure(reply, err), "node %s", member.Node)
+				return merry.Prependf(replyError(reply, err), "node %s", member.Node)
 			}
 			return nil
 		})
@@ -80,12 +80,12 @@
 	})
 }
 
-// fill has the members that stay copy the turns that they lack, as far as they
+// backfillTurns has the members that stay copy the turns that they lack, as far as they
 // come in time. It is no condition of the change.
-func (d *Driver) fill(ctx context.Context, current, proposed register.View) {
+func (d *Driver) backfillTurns(ctx context.Context, current, proposed register.View) {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	defer d.clock.AfterFunc(fillTimeout, stop)()
+	defer d.clock.AfterFunc(backfillTimeout, stop)()
 	request := InstallRequest{Previous: current, Successor: proposed, TurnsOnly: true, Fill: true}
 	var fills errgroup.Group
 	for _, member := range current.Members {
@@ -94,7 +94,7 @@
 		}
 		fills.Go(func() error {
 			reply, err := d.members.Install(ctx, member, request)
-			if err := failure(reply, err); err != nil {
+			if err := replyError(reply, err); err != nil {
 				d.logger.Info("turns not copied ahead to a member", zap.Uint32("shard", current.Shard),
 					zap.String("member", member.Node), zap.Error(err))
 			}
--- a/coordination/shard/replica.go
+++ b/coordination/shard/replica.go
@@ -19,17 +19,17 @@
 	views         *Map
 	configuration func() uint64
 	acceptor      register.Acceptor
-	locks         *stripes
+	locks         *stripedLocks
 
 	// requests is held for reading while a request is answered.
 	requests sync.RWMutex
-	// heldVersion is the configuration version in the store; durable is set
+	// durableVersion is the configuration version in the store; durable is set
 	// once it was read.
-	heldVersion uint64
-	durable     bool
+	durableVersion  uint64
+	isVersionLoaded bool
 
-	partsMutex sync.RWMutex
-	parts      map[uint32]*part
+	mutex  sync.RWMutex
+	shards map[uint32]*shardReplica
 }
 
 // NewReplica makes the replica of one incarnation. The function gives the
@@ -40,8 +40,8 @@
 		store:         store,
 		views:         views,
 		configuration: configuration,
-		locks:         newStripes(),
-		parts:         make(map[uint32]*part),
+		locks:         newStripedLocks(),
+		shards:        make(map[uint32]*shardReplica),
 	}
 }
 
@@ -51,27 +51,27 @@
 // Shards returns the number of shards, zero where it isn't known.
 func (r *Replica) Shards() uint32 { return r.views.Count() }
 
-// part returns the replica's part in the shard.
-func (r *Replica) part(shard uint32) (*part, error) {
+// shardReplica returns the replica's shardReplica in the shard.
+func (r *Replica) shardReplica(shard uint32) (*shardReplica, error) {
 	if shard >= r.views.Count() {
 		return nil, merry.Errorf("shard %d of %d", shard, r.views.Count())
 	}
-	r.partsMutex.RLock()
-	found := r.parts[shard]
-	r.partsMutex.RUnlock()
+	r.mutex.RLock()
+	found := r.shards[shard]
+	r.mutex.RUnlock()
 	if found != nil {
 		return found, nil
 	}
-	r.partsMutex.Lock()
-	defer r.partsMutex.Unlock()
-	if r.parts[shard] == nil {
-		r.parts[shard] = newPart()
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	if r.shards[shard] == nil {
+		r.shards[shard] = newShardReplica()
 	}
-	return r.parts[shard], nil
+	return r.shards[shard], nil
 }
 
-// verdict is the part of a reply that doesn't depend on the kind of request.
-type verdict struct {
+// voteResult is the part of a reply that doesn't depend on the kind of request.
+type voteResult struct {
 	refusal register.Refusal
 	view    *register.View
 	version uint64
@@ -107,33 +107,33 @@
 	return reply
 }
 
-type decision func(current replica.Register) (next replica.Register, refusal register.Refusal)
+type acceptorStep func(current replica.Register) (next replica.Register, refusal register.Refusal)
 
 // vote checks the fence, loads the register, decides and stores the outcome as
 // one step. A request whose caller has given up is refused and changes nothing.
-func (r *Replica) vote(ctx context.Context, fence register.Fence, key string, decide decision) verdict {
+func (r *Replica) vote(ctx context.Context, fence register.Fence, key string, decide acceptorStep) voteResult {
 	r.requests.RLock()
 	defer r.requests.RUnlock()
 	version, err := r.version()
 	if err != nil {
-		return verdict{refusal: register.RefusalStorage}
+		return voteResult{refusal: register.RefusalStorage}
 	}
-	current, err := r.current(fence.Shard)
+	current, err := r.acquire(fence.Shard)
 	if err != nil {
-		return verdict{refusal: register.RefusalStorage, version: version}
+		return voteResult{refusal: register.RefusalStorage, version: version}
 	}
 	defer current.mutex.RUnlock()
-	if refusal, view := r.check(current.state, fence, key); refusal != register.RefusalNone {
-		return verdict{refusal: refusal, view: view, version: version}
+	if refusal, view := r.checkFence(current.state, fence, key); refusal != register.RefusalNone {
+		return voteResult{refusal: refusal, view: view, version: version}
 	}
 	// Who the members are doesn't depend on the configuration.
 	if fence.ConfigurationVersion < version && !isSuccessorKey(key) {
-		return verdict{refusal: register.RefusalConfiguration, version: version}
+		return voteResult{refusal: register.RefusalConfiguration, version: version}
 	}
-	return verdict{refusal: r.decide(ctx, fence.Shard, key, decide), version: version}
+	return voteResult{refusal: r.updateRegister(ctx, fence.Shard, key, decide), version: version}
 }
 
-func (r *Replica) decide(ctx context.Context, shard uint32, key string, decide decision) register.Refusal {
+func (r *Replica) updateRegister(ctx context.Context, shard uint32, key string, decide acceptorStep) register.Refusal {
 	unlock, held := r.locks.lock(ctx, shard, key)
 	if !held {
 		return register.RefusalNotReady
@@ -155,12 +155,12 @@
 
 // PutTurn stores a turn, unless its caller has given up meanwhile.
 func (r *Replica) PutTurn(ctx context.Context, fence register.Fence, turn replica.Turn) archive.Reply {
-	current, err := r.current(fence.Shard)
+	current, err := r.acquire(fence.Shard)
 	if err != nil {
 		return archive.Reply{Refusal: register.RefusalStorage}
 	}
 	defer current.mutex.RUnlock()
-	if refusal, view := r.check(current.state, fence, turn.Program); refusal != register.RefusalNone {
+	if refusal, view := r.checkFence(current.state, fence, turn.Program); refusal != register.RefusalNone {
 		return archive.Reply{Refusal: refusal, View: view}
 	}
 	if ctx.Err() != nil {
@@ -174,27 +174,27 @@
 
 // ReadTurns visits the program's turns from the given sequence on.
 func (r *Replica) ReadTurns(_ context.Context, fence register.Fence, id string, from uint64, visit func(replica.Turn) error) (archive.Reply, error) {
-	if refusal, view := r.admit(fence, id); refusal != register.RefusalNone {
+	if refusal, view := r.checkRequest(fence, id); refusal != register.RefusalNone {
 		return archive.Reply{Refusal: refusal, View: view}, nil
 	}
 	return archive.Reply{}, r.store.ReadTurns(fence.Shard, id, from, visit)
 }
 
-// admit checks the fence of a request that may go on after the epoch has ended,
+// checkRequest checks the fence of a request that may go on after the epoch has ended,
 // as reading what doesn't change.
-func (r *Replica) admit(fence register.Fence, key string) (register.Refusal, *register.View) {
-	current, err := r.current(fence.Shard)
+func (r *Replica) checkRequest(fence register.Fence, key string) (register.Refusal, *register.View) {
+	current, err := r.acquire(fence.Shard)
 	if err != nil {
 		return register.RefusalStorage, nil
 	}
 	defer current.mutex.RUnlock()
-	return r.check(current.state, fence, key)
+	return r.checkFence(current.state, fence, key)
 }
 
 // Peek returns the value that this replica accepted last: a hint, since it may
 // be out of date or undecided.
 func (r *Replica) Peek(fence register.Fence, key string) ([]byte, register.Refusal) {
-	if refusal, _ := r.admit(fence, key); refusal != register.RefusalNone {
+	if refusal, _ := r.checkRequest(fence, key); refusal != register.RefusalNone {
 		return nil, refusal
 	}
 	state, err := r.store.LoadRegister(fence.Shard, key)
@@ -218,14 +218,14 @@
 // version returns the newest configuration version that the replica knows,
 // which is what it held before a restart at least.
 func (r *Replica) version() (uint64, error) {
-	held, err := r.held()
+	held, err := r.storedVersion()
 	return max(held, r.configuration()), err
 }
 
-func (r *Replica) held() (uint64, error) {
-	r.partsMutex.RLock()
-	held, durable := r.heldVersion, r.durable
-	r.partsMutex.RUnlock()
+func (r *Replica) storedVersion() (uint64, error) {
+	r.mutex.RLock()
+	held, durable := r.durableVersion, r.isVersionLoaded
+	r.mutex.RUnlock()
 	if durable {
 		return held, nil
 	}
@@ -236,11 +236,11 @@
 	if len(raw) == 8 {
 		held = binary.BigEndian.Uint64(raw)
 	}
-	r.partsMutex.Lock()
-	defer r.partsMutex.Unlock()
-	r.durable = true
-	r.heldVersion = max(r.heldVersion, held)
-	return r.heldVersion, nil
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	r.isVersionLoaded = true
+	r.durableVersion = max(r.durableVersion, held)
+	return r.durableVersion, nil
 }
 
 // HoldConfiguration makes the configuration version durable and waits for the
@@ -256,9 +256,9 @@
 	if err := r.store.SaveMeta(nodeShard, configurationVersionName, raw); err != nil {
 		return merry.Prependf(err, "save configuration version %d", version)
 	}
-	r.partsMutex.Lock()
-	r.heldVersion = max(r.heldVersion, version)
-	r.partsMutex.Unlock()
+	r.mutex.Lock()
+	r.durableVersion = max(r.durableVersion, version)
+	r.mutex.Unlock()
 	r.requests.Lock()
 	defer r.requests.Unlock()
 	return nil
--- a/coordination/shard/part.go
+++ b/coordination/shard/shardreplica.go
@@ -19,23 +19,23 @@
 
 func isSuccessorKey(key string) bool { return strings.HasPrefix(key, successorKeyPrefix) }
 
-// part is a replica's part in one shard.
-type part struct {
+// shardReplica is a replica's shardReplica in one shard.
+type shardReplica struct {
 	// mutex is held for reading while a request is answered, for writing while
 	// the state changes: no request of an epoch is answered once it has ended.
 	mutex  sync.RWMutex
 	loaded bool
-	state  state
-	// install is held while the shard is copied.
-	install chan struct{}
+	state  shardState
+	// installSlot is held while the shard is copied.
+	installSlot chan struct{}
 }
 
-func newPart() *part { return &part{install: make(chan struct{}, 1)} }
+func newShardReplica() *shardReplica { return &shardReplica{installSlot: make(chan struct{}, 1)} }
 
-// current returns the part with its state loaded and brought up to what the
+// acquire returns the part with its state loaded and brought up to what the
 // node knows to be open. The caller must release its read lock.
-func (r *Replica) current(shard uint32) (*part, error) {
-	p, err := r.part(shard)
+func (r *Replica) acquire(shard uint32) (*shardReplica, error) {
+	p, err := r.shardReplica(shard)
 	if err != nil {
 		return nil, err
 	}
@@ -45,7 +45,7 @@
 		return p, nil
 	}
 	p.mutex.RUnlock()
-	if err := r.catchUp(shard, p); err != nil {
+	if err := r.applyOpenView(shard, p); err != nil {
 		return nil, err
 	}
 	p.mutex.RLock()
@@ -53,16 +53,16 @@
 }
 
 // isBehind tells whether the newest open view changes the state.
-func (s state) isBehind(newest register.View) bool {
+func (s shardState) isBehind(newest register.View) bool {
 	return s.View.Epoch < newest.Epoch || s.Opened.Epoch < newest.Epoch
 }
 
-// catchUp loads the state and takes in the newest open view: an older epoch has
+// applyOpenView loads the state and takes in the newest open view: an older epoch has
 // ended, the replica's own may be served.
-func (r *Replica) catchUp(shard uint32, p *part) error {
+func (r *Replica) applyOpenView(shard uint32, p *shardReplica) error {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if err := r.load(shard, p); err != nil {
+	if err := r.ensureLoaded(shard, p); err != nil {
 		return err
 	}
 	newest, _ := r.views.View(shard)
@@ -77,14 +77,14 @@
 		next.DataEpoch = FirstEpoch
 	}
 	if next.View.Epoch < newest.Epoch {
-		next = next.followedBy(newest)
+		next = next.advanceTo(newest)
 	}
 	next.Opened = newest
-	return r.change(shard, p, next)
+	return r.setState(shard, p, next)
 }
 
-// load reads the state from the store once. The caller holds the lock.
-func (r *Replica) load(shard uint32, p *part) error {
+// ensureLoaded reads the state from the store once. The caller holds the lock.
+func (r *Replica) ensureLoaded(shard uint32, p *shardReplica) error {
 	if p.loaded {
 		return nil
 	}
@@ -98,8 +98,8 @@
 	return nil
 }
 
-// change stores the state before it takes effect. The caller holds the lock.
-func (r *Replica) change(shard uint32, p *part, next state) error {
+// setState stores the state before it takes effect. The caller holds the lock.
+func (r *Replica) setState(shard uint32, p *shardReplica, next shardState) error {
 	if err := saveState(r.store, shard, next); err != nil {
 		return err
 	}
@@ -113,8 +113,8 @@
 	})
 }
 
-// check compares a request's fence with what this replica is and knows.
-func (r *Replica) check(current state, fence register.Fence, key string) (register.Refusal, *register.View) {
+// checkFence compares a request's fence with what this replica is and knows.
+func (r *Replica) checkFence(current shardState, fence register.Fence, key string) (register.Refusal, *register.View) {
 	open := r.openView(fence.Shard)
 	switch {
 	case fence.Replica != r.incarnation:
--- a/coordination/shard/state.go
+++ b/coordination/shard/state.go
@@ -20,9 +20,9 @@
 	configurationVersionName = "configuration-version"
 )
 
-// state is what a replica remembers of its part in one shard. It is stored as
+// shardState is what a replica remembers of its part in one shard. It is stored as
 // JSON.
-type state struct {
+type shardState struct {
 	// View is the newest decided view that the replica was told of; the epochs
 	// before it have ended here.
 	View register.View
@@ -35,17 +35,17 @@
 }
 
 // isInstalled reports whether the replica holds the data of its view.
-func (s state) isInstalled() bool {
+func (s shardState) isInstalled() bool {
 	return s.View.Epoch > 0 && s.DataEpoch == s.View.Epoch
 }
 
 // isOpen reports whether the replica may serve its view.
-func (s state) isOpen() bool {
+func (s shardState) isOpen() bool {
 	return s.isInstalled() && s.Opened.Epoch == s.View.Epoch
 }
 
-// followedBy returns the state after the decision of a newer view.
-func (s state) followedBy(view register.View) state {
+// advanceTo returns the state after the decision of a newer view.
+func (s shardState) advanceTo(view register.View) shardState {
 	s.Previous = s.View
 	s.View = view
 	return s
@@ -53,7 +53,7 @@
 
 // successorOf returns the view that followed the epoch, or nil where the
 // replica doesn't know it.
-func (s state) successorOf(epoch uint64) *register.View {
+func (s shardState) successorOf(epoch uint64) *register.View {
 	for _, view := range []register.View{s.View, s.Previous} {
 		if view.Epoch == epoch+1 {
 			return &view
@@ -66,7 +66,7 @@
 	return stateNamePrefix + strconv.FormatUint(uint64(shard), 10)
 }
 
-func saveState(store replica.Store, shard uint32, current state) error {
+func saveState(store replica.Store, shard uint32, current shardState) error {
 	encoded, err := json.Marshal(current)
 	if err != nil {
 		return merry.Prependf(err, "encode state of shard %d", shard)
@@ -74,8 +74,8 @@
 	return merry.Prependf(store.SaveMeta(nodeShard, stateName(shard), encoded), "save state of shard %d", shard)
 }
 
-func loadState(store replica.Store, shard uint32) (state, error) {
-	var loaded state
+func loadState(store replica.Store, shard uint32) (shardState, error) {
+	var loaded shardState
 	encoded, err := store.LoadMeta(nodeShard, stateName(shard))
 	if err != nil || encoded == nil {
 		return loaded, merry.Prependf(err, "load state of shard %d", shard)
--- a/coordination/shard/sweep.go
+++ b/coordination/shard/sweep.go
@@ -22,7 +22,7 @@
 		if !unneeded || !i.AllHold(ctx, view) {
 			continue
 		}
-		if err := i.replica.drop(view); err != nil {
+		if err := i.replica.dropShard(view); err != nil {
 			return err
 		}
 	}
@@ -37,8 +37,8 @@
 			TurnsOnly: true,
 			Wanted:    []TurnReference{{Program: probeProgram}},
 		}
-		reply, err := i.source.Pull(ctx, member, probe, ignoreItem)
-		if failure(reply, err) != nil {
+		reply, err := i.source.Pull(ctx, member, probe, discardItem)
+		if replyError(reply, err) != nil {
 			return false
 		}
 	}
@@ -48,7 +48,7 @@
 // isUnneeded tells whether data is held of a shard whose newest decided view is
 // open and has other members.
 func (r *Replica) isUnneeded(view register.View) (bool, error) {
-	p, err := r.current(view.Shard)
+	p, err := r.acquire(view.Shard)
 	if err != nil {
 		return false, err
 	}
@@ -56,13 +56,13 @@
 	return p.state.isUnneeded(r, view), nil
 }
 
-func (s state) isUnneeded(r *Replica, view register.View) bool {
+func (s shardState) isUnneeded(r *Replica, view register.View) bool {
 	return s.DataEpoch > 0 && s.View.Epoch == view.Epoch && !r.isMember(view)
 }
 
-// drop forgets the shard, unless a newer view has been decided meanwhile.
-func (r *Replica) drop(view register.View) error {
-	p, err := r.current(view.Shard)
+// dropShard forgets the shard, unless a newer view has been decided meanwhile.
+func (r *Replica) dropShard(view register.View) error {
+	p, err := r.acquire(view.Shard)
 	if err != nil {
 		return err
 	}
@@ -74,7 +74,7 @@
 	}
 	next := p.state
 	next.DataEpoch = 0
-	if err := r.change(view.Shard, p, next); err != nil {
+	if err := r.setState(view.Shard, p, next); err != nil {
 		return err
 	}
 	return r.store.DropShard(view.Shard)
--- a/coordination/shard/transition.go
+++ b/coordination/shard/transition.go
@@ -21,17 +21,17 @@
 	if request.Successor.Epoch != request.Fence.Epoch+1 || request.Successor.Shard != request.Fence.Shard {
 		return archive.Reply{Refusal: register.RefusalEpoch}
 	}
-	return r.advance(request.Successor, request.Fence.Epoch == FirstEpoch)
+	return r.adoptView(request.Successor, request.Fence.Epoch == FirstEpoch)
 }
 
-// advance takes in a decided view: the epochs before it have ended here.
+// adoptView takes in a decided view: the epochs before it have ended here.
 // WasFirst tells that this replica is a member of the first epoch, which began
 // empty, so that a member that has never heard of it holds its data.
-func (r *Replica) advance(view register.View, wasFirst bool) archive.Reply {
+func (r *Replica) adoptView(view register.View, wasFirst bool) archive.Reply {
 	if view.Validate() != nil {
 		return archive.Reply{Refusal: register.RefusalEpoch}
 	}
-	p, err := r.current(view.Shard)
+	p, err := r.acquire(view.Shard)
 	if err != nil {
 		return archive.Reply{Refusal: register.RefusalStorage}
 	}
@@ -39,11 +39,11 @@
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if view.Epoch > p.state.View.Epoch {
-		next := p.state.followedBy(view)
+		next := p.state.advanceTo(view)
 		if wasFirst && p.state.View.Epoch == 0 {
 			next.DataEpoch = FirstEpoch
 		}
-		if err := r.change(view.Shard, p, next); err != nil {
+		if err := r.setState(view.Shard, p, next); err != nil {
 			return archive.Reply{Refusal: register.RefusalStorage}
 		}
 	}
@@ -58,7 +58,7 @@
 // Open lets the replica serve the view, which it must have installed. The caller
 // must know that a majority of the members have.
 func (r *Replica) Open(_ context.Context, request OpenRequest) archive.Reply {
-	p, err := r.current(request.View.Shard)
+	p, err := r.acquire(request.View.Shard)
 	if err != nil {
 		return archive.Reply{Refusal: register.RefusalStorage}
 	}
@@ -76,7 +76,7 @@
 		return archive.Reply{Refusal: register.RefusalNotReady}
 	}
 	r.views.Learn(request.View)
-	if err := r.catchUp(request.View.Shard, p); err != nil {
+	if err := r.applyOpenView(request.View.Shard, p); err != nil {
 		return archive.Reply{Refusal: register.RefusalStorage}
 	}
 	return archive.Reply{}
@@ -87,7 +87,7 @@
 // they were read.
 func (r *Replica) Pull(_ context.Context, request PullRequest, visit func(PullItem) error) (archive.Reply, error) {
 	shard := request.Fence.Shard
-	p, err := r.current(shard)
+	p, err := r.acquire(shard)
 	if err != nil {
 		return archive.Reply{Refusal: register.RefusalStorage}, nil
 	}
@@ -156,7 +156,7 @@
 // the views that were open. A node calls it when it starts with a data folder.
 func (r *Replica) Restore() error {
 	for shard := range r.views.Count() {
-		p, err := r.current(shard)
+		p, err := r.acquire(shard)
 		if err != nil {
 			return err
 		}
@@ -172,7 +172,7 @@
 func (r *Replica) Unfinished() []register.View {
 	var unfinished []register.View
 	for shard := range r.views.Count() {
-		p, err := r.current(shard)
+		p, err := r.acquire(shard)
 		if err != nil {
 			continue
 		}
@@ -204,7 +204,7 @@
 		if !r.isMember(view) {
 			continue
 		}
-		p, err := r.current(view.Shard)
+		p, err := r.acquire(view.Shard)
 		if err != nil {
 			unready = append(unready, view.Shard)
 			continue
