--- a/coordination/shard/decision.go
+++ b/coordination/shard/decision.go
@@ -7,8 +7,9 @@
 	"github.com/marblering/marblering/coordination/register"
 )
 
-// decisionViews are the views of a client that decides about one epoch: the
-// members stay those of the epoch, and a newer view ends the work.
+// decisionViews is the register.Views of a client that decides the successor of one epoch.
+// It always returns the view of that epoch, and calls onNewerView once a member reports a
+// newer one.
 type decisionViews struct {
 	current     register.View
 	onNewerView func()
@@ -33,14 +34,14 @@
 	d.onNewerView()
 }
 
-// ConfigurationVersion implements register.Views; replicas don't compare it for
-// these registers.
+// ConfigurationVersion implements register.Views. Replicas ignore the version for
+// successor registers.
 func (d *decisionViews) ConfigurationVersion() uint64 { return 0 }
 
 // LearnConfiguration implements register.Views.
 func (d *decisionViews) LearnConfiguration(context.Context, uint64) {}
 
-// newestView returns the newest view that a member named.
+// newestView returns the newest view that a member reported, or the zero view.
 func (d *decisionViews) newestView() register.View {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
--- a/coordination/shard/doc.go
+++ b/coordination/shard/doc.go
@@ -1,24 +1,27 @@
-// Package shard groups registers and turns into shards, keeps the replica set
-// of each and changes it while programs run.
+// Package shard partitions registers and turns into shards and reconfigures the
+// replica set of each shard while it serves requests.
 //
-// The parts are:
+// The main components are:
 //
-//   - Map: the newest open view (epoch and members) of each shard that a node
-//     knows; which shard a program belongs to.
-//   - Replica: the server side of one node. It answers for the shards of which
-//     its incarnation is a member and refuses everything else.
-//   - Driver: carries a shard from one epoch to the next.
-//   - Plan: decides, from who is alive, which shards need other members.
+//   - Map: maps programs to shards and holds the newest open view (epoch and
+//     members) of each shard that a node knows.
+//   - Replica: the server side of one node. It serves the shards of which its
+//     incarnation is a member and refuses requests for all others.
+//   - Installer: copies the data of shards to the node's replica.
+//   - Driver: moves a shard from one epoch to the next.
+//   - Plan: decides which replica sets need other members, given the nodes that
+//     answer.
+//   - Maintainer: runs these steps periodically on each node.
 //
 // # Reconfiguration
 //
-// The members of epoch e decide the view of epoch e+1 in a register of their
-// own (single-decree Paxos). A majority of them is sealed, which ends e. Each
+// The members of epoch e decide the view of epoch e+1 in a separate register
+// (single-decree Paxos). A majority of them is then sealed, which ends e. Each
 // member of the new view copies the shard from a majority of sealed members,
-// and once a majority has, e+1 opens. Any node may drive any step at any time;
-// every step may be repeated. A view becomes known to nodes and callers only
-// when it opens, so whoever knows an epoch can rely on a majority of its
-// members holding the data, and whoever knows only the epoch before can finish
-// the change. Compare L. Lamport, D. Malkhi, L. Zhou, "Vertical Paxos and
+// and once a majority has finished, e+1 opens. Any node may drive any step at
+// any time, and every step is idempotent. Nodes and clients learn a view only
+// when it opens, so a majority of the members of a known epoch holds its data,
+// and a node that knows only the previous epoch can finish the change. See
+// L. Lamport, D. Malkhi, L. Zhou, "Vertical Paxos and
 // Primary-Backup Replication", 2009, and "Reconfiguring a State Machine", 2010.
 package shard
--- a/coordination/shard/driver.go
+++ b/coordination/shard/driver.go
@@ -14,12 +14,12 @@
 	"go.uber.org/zap"
 )
 
-// ErrNoMajority means that too few members answered for a step. The shard stays
-// as far as it came; driving it again goes on from there.
+// ErrNoMajority means that too few members completed a step. The shard keeps the steps
+// that were completed, and the next Drive resumes from there.
 var ErrNoMajority = merry.Sentinel("shard: no majority of the members answered")
 
-// Driver carries shards from one epoch to the next. Any number of drivers may
-// work on one shard; one that stops half way is finished by the next.
+// Driver moves shards from one epoch to the next. Any number of drivers may work on the
+// same shard; a change that one leaves unfinished can be finished by any other.
 type Driver struct {
 	incarnation string
 	members     Members
@@ -32,8 +32,8 @@
 	random      *rand.Rand
 }
 
-// NewDriver makes a driver that decides under the given incarnation's ballots
-// and learns the views that it opens. Random is used under a lock.
+// NewDriver returns a driver that uses the given incarnation in its ballots and adds the
+// views that it opens to views. The driver guards random with a lock.
 func NewDriver(incarnation string, members Members, views *Map, clock register.Clock, random *rand.Rand, settings register.Settings, logger *zap.Logger) *Driver {
 	return &Driver{
 		incarnation: incarnation,
@@ -46,50 +46,51 @@
 	}
 }
 
-// Drive ends the epoch of the current view and opens the next one with the
-// wanted members, or with those that another driver got decided; without wanted
-// members it only finishes what another driver began. It returns the
-// view that it opened, or a newer one that it found open. Members that are
-// slower than the majority are waited for until ctx ends.
+// Drive ends the epoch of the current view and opens the next one with the wanted members,
+// or with those of a successor that another driver got decided first. With no wanted
+// members it only finishes a change that another driver began. It returns the view that it
+// opened, or a newer open view that it found. After a majority has installed the view,
+// Drive waits for the other members until ctx ends.
 func (d *Driver) Drive(ctx context.Context, current register.View, wanted []register.Member) (register.View, error) {
 	if newest, found := d.views.View(current.Shard); found && newest.Epoch > current.Epoch {
 		return newest, nil
 	}
 	successor, err := d.decideSuccessor(ctx, current, wanted)
 	if err != nil {
-		return register.View{}, merry.Prependf(err, "decide what follows epoch %d of shard %d", current.Epoch, current.Shard)
+		return register.View{}, merry.Prependf(err, "decide the successor of epoch %d of shard %d", current.Epoch, current.Shard)
 	}
 	return d.completeChange(ctx, current, successor)
 }
 
-// Refresh gives the shard a new epoch with the same members, which brings in
-// one that doesn't hold the current epoch's data and can't copy it any more.
+// Refresh opens a new epoch with the same members, so that a member that lacks the data of
+// the current epoch and can no longer copy it gets a copy.
 func (d *Driver) Refresh(ctx context.Context, current register.View) (register.View, error) {
 	successor, err := d.propose(ctx, current, current.Members)
 	if err != nil {
-		return register.View{}, merry.Prependf(err, "decide to refresh epoch %d of shard %d", current.Epoch, current.Shard)
+		return register.View{}, merry.Prependf(err, "decide the refresh of epoch %d of shard %d", current.Epoch, current.Shard)
 	}
 	return d.completeChange(ctx, current, successor)
 }
 
-// completeChange carries out the decision about the successor.
+// completeChange seals the current epoch, then installs and opens the decided successor.
 func (d *Driver) completeChange(ctx context.Context, current, successor register.View) (register.View, error) {
 	if successor.Epoch > current.Epoch+1 {
 		d.views.Learn(successor)
 		return successor, nil
 	}
-	sealing := time.Now()
+	sealStarted := time.Now()
 	if err := d.seal(ctx, current, successor); err != nil {
 		return register.View{}, merry.Prependf(err, "seal epoch %d of shard %d", current.Epoch, current.Shard)
 	}
-	if err := d.installAndOpen(ctx, current, successor, sealing); err != nil {
+	if err := d.installAndOpen(ctx, current, successor, sealStarted); err != nil {
 		return register.View{}, merry.Prependf(err, "install epoch %d of shard %d", successor.Epoch, current.Shard)
 	}
 	return successor, nil
 }
 
-// decideSuccessor returns the successor view. Where the wanted members can't take part,
-// it proposes nothing and only finds out what another driver got decided.
+// decideSuccessor returns the decided successor of the current view. If precopying to the
+// wanted members fails, it proposes nothing and returns a successor only if one was decided
+// already.
 func (d *Driver) decideSuccessor(ctx context.Context, current register.View, wanted []register.Member) (register.View, error) {
 	if len(wanted) == 0 {
 		return d.runDecision(ctx, current, nil)
@@ -98,18 +99,19 @@
 	if err := proposed.Validate(); err != nil {
 		return register.View{}, err
 	}
-	unable := d.precopyTurns(ctx, current, proposed)
-	if unable == nil {
+	precopyErr := d.precopyTurns(ctx, current, proposed)
+	if precopyErr == nil {
 		return d.propose(ctx, current, wanted)
 	}
 	decided, err := d.runDecision(ctx, current, nil)
 	if errors.Is(err, errUndecided) {
-		return register.View{}, merry.Prepend(unable, "copy turns ahead")
+		return register.View{}, merry.Prepend(precopyErr, "precopy turns")
 	}
 	return decided, err
 }
 
-// propose has the wanted members decided, or others that were proposed before.
+// propose proposes the wanted members and returns the decided view, which may be one that
+// was proposed earlier.
 func (d *Driver) propose(ctx context.Context, current register.View, wanted []register.Member) (register.View, error) {
 	encoded, err := json.Marshal(register.View{Shard: current.Shard, Epoch: current.Epoch + 1, Members: wanted})
 	if err != nil {
@@ -118,12 +120,12 @@
 	return d.runDecision(ctx, current, encoded)
 }
 
-// errUndecided is returned by a decision register that is only read.
+// errUndecided is returned by runDecision if it has nothing to propose and finds no proposal.
 var errUndecided = merry.Sentinel("shard: no successor is decided")
 
-// runDecision has the members of the current epoch agree on the encoded view, nil to
-// propose none, and returns the one that they agreed on. A newer epoch than the
-// next is returned where a member says that it is open.
+// runDecision proposes the encoded view to the members of the current epoch, or only reads
+// their decision if encoded is nil, and returns the decided view. If a member reports a
+// newer open epoch, it returns that view instead.
 func (d *Driver) runDecision(ctx context.Context, current register.View, encoded []byte) (register.View, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -139,7 +141,7 @@
 		return encoded, nil
 	})
 	if next := views.newestView(); next.Epoch > current.Epoch {
-		// A member says that its epoch has ended: the decision has been made.
+		// A member reported that its epoch has ended, so the decision was made before.
 		return next, nil
 	}
 	if err != nil {
@@ -166,19 +168,19 @@
 	})
 }
 
-// installAndOpen has every member of the successor copy the shard, opens the successor
-// once a majority of them has, and opens the others as they follow. Sealing is the time at
-// which this driver began to end the previous epoch.
-func (d *Driver) installAndOpen(ctx context.Context, current, successor register.View, sealing time.Time) error {
+// installAndOpen has every member of the successor copy the shard, opens the successor once
+// a majority has done so, and opens the other members as they finish. sealStarted is when
+// this driver began to seal the previous epoch.
+func (d *Driver) installAndOpen(ctx context.Context, current, successor register.View, sealStarted time.Time) error {
 	installed := d.install(ctx, InstallRequest{Previous: current, Successor: successor})
 	var ready []register.Member
-	var last error
+	var lastErr error
 	var openedAfter time.Duration
 	isOpen := false
 	for range successor.Members {
 		result := <-installed
 		if result.err != nil {
-			last = merry.Prependf(result.err, "node %s", result.member.Node)
+			lastErr = merry.Prependf(result.err, "node %s", result.member.Node)
 			if view := result.reply.View; view != nil && view.Epoch >= successor.Epoch {
 				isOpen = true
 				d.views.Learn(*view)
@@ -188,7 +190,7 @@
 		ready = append(ready, result.member)
 		if len(ready) >= successor.Quorum() {
 			if !isOpen {
-				openedAfter = time.Since(sealing)
+				openedAfter = time.Since(sealStarted)
 			}
 			isOpen = true
 			d.views.Learn(successor)
@@ -196,17 +198,17 @@
 		}
 	}
 	if !isOpen {
-		return merry.Wrap(ErrNoMajority, merry.AppendMessagef("%d of %d members installed: %v",
-			len(ready), len(successor.Members), last))
+		return merry.Wrap(ErrNoMajority, merry.AppendMessagef("%d of %d members installed the shard, last error: %v",
+			len(ready), len(successor.Members), lastErr))
 	}
 	d.logger.Info("shard opened", zap.Uint32("shard", successor.Shard), zap.Uint64("epoch", successor.Epoch),
 		zap.Int("installed", len(ready)), zap.Int("members", len(successor.Members)),
-		zap.Duration("opened_after", openedAfter), zap.Duration("took", time.Since(sealing)))
+		zap.Duration("opened_after", openedAfter), zap.Duration("took", time.Since(sealStarted)))
 	return nil
 }
 
-// install has every member of the successor copy the shard. One result a member comes
-// from the channel.
+// install has every member of the successor copy the shard. The channel receives one result
+// for each member.
 func (d *Driver) install(ctx context.Context, request InstallRequest) <-chan installResult {
 	members := request.Successor.Members
 	installed := make(chan installResult, len(members))
@@ -219,15 +221,15 @@
 	return installed
 }
 
-// installResult is how the copying of a shard ended at one member.
+// installResult is the outcome of the installation on one member.
 type installResult struct {
 	member register.Member
 	reply  archive.Reply
 	err    error
 }
 
-// open tells the members that the view may be served. A member that isn't
-// reached learns the view from others.
+// open tells the members that they may serve the view. A member that can't be reached
+// learns the view by gossip.
 func (d *Driver) open(ctx context.Context, view register.View, members []register.Member) {
 	for _, member := range members {
 		reply, err := d.members.Open(ctx, member, OpenRequest{View: view})
@@ -238,25 +240,25 @@
 	}
 }
 
-// runOnMajority runs the step at all members at once and returns when a majority
-// has done it or can't any more.
+// runOnMajority runs the step on all members concurrently and returns once a majority has
+// completed it, or with ErrNoMajority once all have answered.
 func (d *Driver) runOnMajority(ctx context.Context, members []register.Member, step func(context.Context, register.Member) error) error {
 	needed := register.View{Members: members}.Quorum()
 	results := make(chan error, len(members))
 	for _, member := range members {
 		go func() { results <- merry.Prependf(step(ctx, member), "node %s", member.Node) }()
 	}
-	done := 0
-	var last error
+	completed := 0
+	var lastErr error
 	for range members {
 		if err := <-results; err != nil {
-			last = err
+			lastErr = err
 			continue
 		}
-		done++
-		if done == needed {
+		completed++
+		if completed == needed {
 			return nil
 		}
 	}
-	return merry.Wrap(ErrNoMajority, merry.AppendMessagef("%d of %d: %v", done, len(members), last))
+	return merry.Wrap(ErrNoMajority, merry.AppendMessagef("%d of %d members completed the step, last error: %v", completed, len(members), lastErr))
 }
--- a/coordination/shard/precopy.go
+++ b/coordination/shard/precopy.go
@@ -12,17 +12,17 @@
 	"github.com/marblering/marblering/coordination/register"
 )
 
-// backfillTimeout is how long members that stay may take to copy ahead the turns that
-// they lack. What they haven't copied by then they copy while the set is sealed:
-// longer would keep a set without its redundancy for the sake of a short seal.
+// backfillTimeout limits how long the remaining members may precopy the turns that they
+// lack. They copy the rest after the seal: a longer limit would delay the replacement
+// of a lost member to save a little time in which the shard is sealed.
 const backfillTimeout = 3 * time.Second
 
-// precopyTurns has the members of the proposed view copy turns while the current
-// ones still serve, so that little is left once they are sealed: a turn is stored
-// by a majority, so that each member lacks some. Each wanted member must answer,
-// since a set that is decided with a member that is gone has no reserve left. No
-// old member may still be copying the current epoch: what it copies from would be
-// out of reach once that epoch has ended.
+// precopyTurns has the members of the proposed view copy turns while the current epoch is
+// still served, which shortens the time for which the shard is sealed: a turn is stored by
+// a majority, so each member lacks some. Every member of the proposed view must answer,
+// since a set with a member that is down tolerates fewer failures. No current member may
+// still be installing the current epoch: it could no longer reach its sources once the
+// epoch has ended.
 func (d *Driver) precopyTurns(ctx context.Context, current, proposed register.View) error {
 	var copies errgroup.Group
 	request := InstallRequest{Previous: current, Successor: proposed, TurnsOnly: true}
@@ -35,20 +35,20 @@
 			return merry.Prependf(replyError(reply, err), "node %s", member.Node)
 		})
 	}
-	probed := d.probeMembers(ctx, current, proposed)
-	if probed == nil {
+	probeErr := d.probeMembers(ctx, current, proposed)
+	if probeErr == nil {
 		d.backfillTurns(ctx, current, proposed)
 	}
-	copied := copies.Wait()
-	if probed != nil {
-		return probed
+	copyErr := copies.Wait()
+	if probeErr != nil {
+		return probeErr
 	}
-	return copied
+	return copyErr
 }
 
-// probeMembers asks the current members whether they hold the current epoch. One whose
-// place in the proposed view another incarnation of its node takes isn't asked:
-// its address is that of the new one.
+// probeMembers asks the current members whether they hold the current epoch. It skips a
+// member whose node has another incarnation in the proposed view, since the address
+// belongs to that incarnation now.
 func (d *Driver) probeMembers(ctx context.Context, current, proposed register.View) error {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
@@ -63,7 +63,7 @@
 			reply, err := d.members.Install(ctx, member, request)
 			switch {
 			case err == nil && reply.Refusal == register.RefusalNotReady:
-				return merry.Errorf("node %s doesn't hold epoch %d yet", member.Node, current.Epoch)
+				return merry.Errorf("node %s doesn't hold epoch %d of shard %d yet", member.Node, current.Epoch, current.Shard)
 			case slices.Contains(proposed.Members, member):
 				return merry.Prependf(replyError(reply, err), "node %s", member.Node)
 			}
@@ -73,15 +73,15 @@
 	return probes.Wait()
 }
 
-// isReplaced tells whether the view has another incarnation of the member's node.
+// isReplaced reports whether the view has another incarnation of the member's node.
 func isReplaced(member register.Member, proposed register.View) bool {
 	return slices.ContainsFunc(proposed.Members, func(other register.Member) bool {
 		return other.Node == member.Node && other.Incarnation != member.Incarnation
 	})
 }
 
-// backfillTurns has the members that stay copy the turns that they lack, as far as they
-// come in time. It is no condition of the change.
+// backfillTurns has the remaining members copy the turns that they lack, as far as
+// backfillTimeout allows. Failures are logged and don't stop the change.
 func (d *Driver) backfillTurns(ctx context.Context, current, proposed register.View) {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
@@ -95,7 +95,7 @@
 		fills.Go(func() error {
 			reply, err := d.members.Install(ctx, member, request)
 			if err := replyError(reply, err); err != nil {
-				d.logger.Info("turns not copied ahead to a member", zap.Uint32("shard", current.Shard),
+				d.logger.Info("member did not precopy missing turns", zap.Uint32("shard", current.Shard),
 					zap.String("member", member.Node), zap.Error(err))
 			}
 			return nil
