--- a/coordination/shard/catchup.go
+++ b/coordination/shard/catchup.go
@@ -6,13 +6,13 @@
 	"github.com/marblering/marblering/coordination/register"
 )
 
-// unknownEpoch is the epoch of a pull that asks which view came before the
-// newest one that the replica knows. It is answered by a refusal with that view.
+// unknownEpoch is the epoch of a pull that asks for the view before the newest one that
+// the replica knows. The replica refuses it and returns that view.
 const unknownEpoch uint64 = 0
 
-// CatchUp installs the shards whose data this replica should hold and doesn't,
-// since it was slower than the majority or wasn't reached when the epoch opened.
-// Until then the set lives on what the majority holds.
+// CatchUp installs the shards whose data this replica should hold but doesn't, because it
+// was slower than the majority or unreachable when the epoch opened. Until then the set
+// has fewer copies than members.
 func (i *Installer) CatchUp(ctx context.Context) {
 	for _, missing := range i.replica.missingShards() {
 		if !missing.knowsPrevious() {
@@ -25,7 +25,7 @@
 }
 
 // fetchPreviousView asks the other members for the view before this one. A node that
-// heard of the view by gossip, after missing some, doesn't know it.
+// skipped epochs, because it learned the view by gossip, doesn't know it.
 func (i *Installer) fetchPreviousView(ctx context.Context, view register.View) register.View {
 	for _, member := range view.Members {
 		if member.Incarnation == i.replica.incarnation {
@@ -42,22 +42,22 @@
 
 func discardItem(PullItem) error { return nil }
 
-// knowsPrevious tells whether the state names the view that the newest followed.
+// knowsPrevious reports whether Previous is the view of the epoch right before that of View.
 func (s shardState) knowsPrevious() bool {
 	return s.Previous.Epoch > 0 && s.Previous.Epoch+1 == s.View.Epoch
 }
 
-// missingShards returns the states of the shards that this replica should hold by the
-// newest view that it was told of, and doesn't.
+// missingShards returns the states of the shards that this replica is a member of, by the
+// newest decided view that it knows, but whose data it doesn't hold.
 func (r *Replica) missingShards() []shardState {
 	var missing []shardState
 	for shard := range r.views.Count() {
-		p, err := r.acquire(shard)
+		local, err := r.acquire(shard)
 		if err != nil {
 			continue
 		}
-		current := p.state
-		p.mutex.RUnlock()
+		current := local.state
+		local.mutex.RUnlock()
 		if r.isMember(current.View) && !current.isInstalled() {
 			missing = append(missing, current)
 		}
--- a/coordination/shard/installer.go
+++ b/coordination/shard/installer.go
@@ -15,30 +15,30 @@
 )
 
 const (
-	// maxParallelWrites limits the writes of one installation that wait for the
-	// medium; a disk store syncs those that wait together.
+	// maxParallelWrites limits the concurrent writes of one installation. A disk store groups
+	// concurrent writes into one sync.
 	maxParallelWrites = 256
-	// maxTurnsPerPull limits the turns that one request asks for.
+	// maxTurnsPerPull limits the turns that one pull requests.
 	maxTurnsPerPull = 128
 )
 
-// Installer copies shards to this node's replica.
+// Installer copies the data of shards from other members to this node's replica.
 type Installer struct {
 	replica *Replica
 	source  Source
 	logger  *zap.Logger
-	// precopySlot lets one shard be copied precopySlot at a time: turns that are served
-	// meanwhile need the processor, the disk and the link too.
+	// precopySlot limits precopying to one shard at a time, since it competes with requests
+	// for CPU, disk and network.
 	precopySlot chan struct{}
 }
 
-// NewInstaller makes the installer of the replica.
+// NewInstaller returns an installer for the local replica that copies from source.
 func NewInstaller(local *Replica, source Source, logger *zap.Logger) *Installer {
 	return &Installer{replica: local, source: source, logger: logger, precopySlot: make(chan struct{}, 1)}
 }
 
-// Install copies the shard from a majority of the previous view's members and
-// returns once the copy has reached the medium. It may be repeated.
+// Install copies the shard from a majority of the members of the previous view and returns
+// once the copy is durable. It is idempotent.
 func (i *Installer) Install(ctx context.Context, request InstallRequest) archive.Reply {
 	shard := request.Successor.Shard
 	if !i.isAddressed(request) {
@@ -55,10 +55,10 @@
 	if request.TurnsOnly {
 		return i.precopyTurns(ctx, request)
 	}
-	// The previous epoch ends here at the latest. A replica that has been told
-	// of a newer view by now may still be needed as a source of this one.
-	wasFirst := request.Previous.Epoch == FirstEpoch && i.replica.isMember(request.Previous)
-	if reply := i.replica.adoptView(request.Successor, wasFirst); reply.Refusal != register.RefusalNone {
+	// Adopting the successor ends the previous epoch on this replica. If a newer view has been
+	// decided already, the install still goes on: that view may need this replica as a source.
+	isFirstEpochMember := request.Previous.Epoch == FirstEpoch && i.replica.isMember(request.Previous)
+	if reply := i.replica.adoptView(request.Successor, isFirstEpochMember); reply.Refusal != register.RefusalNone {
 		return reply
 	}
 	if i.replica.holdsData(request.Successor) {
@@ -70,14 +70,14 @@
 	return i.replyTo(request, i.replica.finishInstall(request.Successor))
 }
 
-// isAddressed tells whether the request is meant for this replica: a member of the successor,
-// or one of the previous view that copies turns ahead.
+// isAddressed reports whether the request is meant for this replica: as a member of the
+// successor, or as a member of the previous view that precopies turns.
 func (i *Installer) isAddressed(request InstallRequest) bool {
 	return i.replica.isMember(request.Successor) || request.TurnsOnly && i.replica.isMember(request.Previous)
 }
 
-// precopyTurns copies turns. A member of the previous view that isn't asked to do so
-// tells whether it holds that epoch.
+// precopyTurns copies turns before the previous epoch is sealed. A member of the previous
+// view that isn't asked to backfill only reports whether it holds that epoch.
 func (i *Installer) precopyTurns(ctx context.Context, request InstallRequest) archive.Reply {
 	isMember := i.replica.isMember(request.Previous)
 	if isMember && !i.replica.holdsData(request.Previous) {
@@ -95,7 +95,7 @@
 	return i.replyTo(request, i.copyShard(ctx, request))
 }
 
-// replyTo logs and returns how an installation ended.
+// replyTo logs the error of an installation, if any, and returns the reply to the request.
 func (i *Installer) replyTo(request InstallRequest, err error) archive.Reply {
 	if err == nil {
 		return archive.Reply{}
@@ -105,7 +105,7 @@
 	return archive.Reply{Refusal: register.RefusalNotReady}
 }
 
-// copyShard brings over what a majority of the previous members hold.
+// copyShard copies the turns and registers that a majority of the previous members hold.
 func (i *Installer) copyShard(ctx context.Context, request InstallRequest) error {
 	listings, err := i.listMajority(ctx, request)
 	if err != nil {
@@ -117,8 +117,7 @@
 	return i.replica.mergeRegisters(request.Successor.Shard, mergeListings(listings))
 }
 
-// copyTurns fetches the turns that the replica doesn't hold yet, each from a
-// member that listed it.
+// copyTurns fetches the turns that the replica lacks, each from a member that listed it.
 func (i *Installer) copyTurns(ctx context.Context, request InstallRequest, listings []*listing) error {
 	missing, err := i.replica.missingTurns(request.Successor.Shard, listings)
 	if err != nil {
@@ -134,13 +133,14 @@
 		}
 	}
 	if len(missing) > 0 {
-		return merry.Errorf("%d turns of shard %d can't be read from the members that listed them",
+		return merry.Errorf("could not fetch %d turns of shard %d from any member that listed them",
 			len(missing), request.Successor.Shard)
 	}
 	return nil
 }
 
-// fetchTurns stores the wanted turns of one member and takes them out of missing.
+// fetchTurns copies the wanted turns from one member and removes those that it received
+// from missing.
 func (i *Installer) fetchTurns(ctx context.Context, request InstallRequest, member register.Member, wanted []TurnReference, missing map[TurnReference]struct{}) error {
 	pull := PullRequest{Fence: fenceOf(request.Previous, member), TurnsOnly: request.TurnsOnly, Wanted: wanted}
 	var received []replica.Turn
@@ -163,8 +163,8 @@
 	return nil
 }
 
-// mergeListings combines the states of each register. What a majority of sealed
-// members hold includes every decided value.
+// mergeListings merges the states of each register. The states of a majority of sealed
+// members include every decided value.
 func mergeListings(listings []*listing) map[string]replica.Register {
 	merged := make(map[string]replica.Register)
 	for _, from := range listings {
@@ -185,7 +185,7 @@
 		delete(missing, referenceOf(turn))
 		return nil
 	})
-	return missing, merry.Prepend(err, "list the turns that are here")
+	return missing, merry.Prepend(err, "list local turns")
 }
 
 func (r *Replica) putTurns(shard uint32, turns []replica.Turn) error {
@@ -197,8 +197,8 @@
 	return merry.Prepend(group.Wait(), "store copied turns")
 }
 
-// mergeRegisters adds the copied states to what the replica holds. Highest
-// ballots win, so nothing newer is overwritten.
+// mergeRegisters merges the copied states into the stored ones. The higher ballot wins, so
+// newer local states are kept.
 func (r *Replica) mergeRegisters(shard uint32, copied map[string]replica.Register) error {
 	var group errgroup.Group
 	group.SetLimit(maxParallelWrites)
@@ -214,42 +214,42 @@
 	return merry.Prepend(group.Wait(), "store copied registers")
 }
 
-// beginInstall waits until no other installation of the shard runs.
+// beginInstall waits until no other installation of the shard is running.
 func (r *Replica) beginInstall(ctx context.Context, shard uint32) (release func(), err error) {
-	p, err := r.shardReplica(shard)
+	held, err := r.shardReplica(shard)
 	if err != nil {
 		return nil, err
 	}
 	select {
-	case p.installSlot <- struct{}{}:
-		return func() { <-p.installSlot }, nil
+	case held.installSlot <- struct{}{}:
+		return func() { <-held.installSlot }, nil
 	case <-ctx.Done():
 		return nil, merry.Prepend(context.Cause(ctx), "wait for another installation")
 	}
 }
 
-// holdsData tells whether the data of the view is installed here.
+// holdsData reports whether the data of the view is installed.
 func (r *Replica) holdsData(view register.View) bool {
-	p, err := r.acquire(view.Shard)
+	held, err := r.acquire(view.Shard)
 	if err != nil {
 		return false
 	}
-	defer p.mutex.RUnlock()
-	return p.state.DataEpoch >= view.Epoch
+	defer held.mutex.RUnlock()
+	return held.state.DataEpoch >= view.Epoch
 }
 
-// finishInstall notes that the data of the view is held.
+// finishInstall records that the replica holds the data of the view.
 func (r *Replica) finishInstall(view register.View) error {
-	p, err := r.acquire(view.Shard)
+	held, err := r.acquire(view.Shard)
 	if err != nil {
 		return err
 	}
-	p.mutex.RUnlock()
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
-	next := p.state
+	held.mutex.RUnlock()
+	held.mutex.Lock()
+	defer held.mutex.Unlock()
+	next := held.state
 	next.DataEpoch = max(next.DataEpoch, view.Epoch)
-	return r.setState(view.Shard, p, next)
+	return r.setState(view.Shard, held, next)
 }
 
 func referenceOf(turn replica.Turn) TurnReference {
--- a/coordination/shard/listing.go
+++ b/coordination/shard/listing.go
@@ -14,15 +14,15 @@
 	"github.com/marblering/marblering/state/replica"
 )
 
-// listing is what one member of the previous view holds: its registers, and
-// the turns by name.
+// listing is what one member of the previous view holds: its registers, and references to
+// its turns.
 type listing struct {
 	member    register.Member
 	registers map[string]replica.Register
 	turns     map[TurnReference]struct{}
 }
 
-// intersect returns those of the turns that the member listed.
+// intersect returns the given turns that the member listed.
 func (l *listing) intersect(turns map[TurnReference]struct{}) []TurnReference {
 	var held []TurnReference
 	for reference := range turns {
@@ -33,20 +33,20 @@
 	return held
 }
 
-// listHedgeDelay is how long the members that were asked for listings may take
-// before another one is asked as well: some times what a listing of a large
-// shard takes.
+// listHedgeDelay is how long to wait for listings before asking one more member. It is a
+// multiple of the time that listing a large shard takes.
 const listHedgeDelay = 500 * time.Millisecond
 
-// listingResult is the outcome of one member's listing.
+// listingResult is the outcome of listing one member.
 type listingResult struct {
 	listing *listing
 	err     error
 }
 
-// listMajority reads the listings of a majority of the previous members. It asks no more
-// of them, unless some fail or are late: a listing is as much work for a member
-// as many turns, and all members of the successor ask for listings at once.
+// listMajority returns the listings of a majority of the previous members. It asks only as
+// many members as it needs, and one more for each that fails or is late: a listing costs a
+// member as much as serving many turns, and all members of the successor request listings
+// at the same time.
 func (i *Installer) listMajority(ctx context.Context, request InstallRequest) ([]*listing, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -67,13 +67,13 @@
 	hedge := time.NewTicker(listHedgeDelay)
 	defer hedge.Stop()
 	var listings []*listing
-	var last error
+	var lastErr error
 	for received := 0; received < asked; {
 		select {
 		case result := <-results:
 			received++
 			if result.err != nil {
-				last = result.err
+				lastErr = result.err
 				ask(1)
 				continue
 			}
@@ -85,19 +85,18 @@
 			ask(1)
 		}
 	}
-	return nil, tooFewListings(request.Previous, len(listings), last)
+	return nil, tooFewListings(request.Previous, len(listings), lastErr)
 }
 
-// tooFewListings is the error of a copy that a majority of the previous view's members
-// can't be listed for.
-func tooFewListings(previous register.View, listed int, last error) error {
-	return merry.Prependf(last, "%d of %d members of epoch %d can be copied, a majority is needed",
-		listed, len(previous.Members), previous.Epoch)
+// tooFewListings returns the error for a copy that lacks the listings of a majority.
+func tooFewListings(previous register.View, listed int, lastErr error) error {
+	return merry.Prependf(lastErr, "only %d of %d members of epoch %d of shard %d could be listed, need a majority",
+		listed, len(previous.Members), previous.Epoch, previous.Shard)
 }
 
-// listingOrder puts this replica's own listing first, which costs no request, and
-// the others in an order of this replica's own, so that each is asked about as
-// often as the others.
+// listingOrder returns the members in the order in which to list them: this replica first,
+// since that needs no request, then the others in an order that differs between replicas,
+// which spreads the load.
 func (i *Installer) listingOrder(members []register.Member) []register.Member {
 	own := i.replica.incarnation
 	ordered := slices.Clone(members)
@@ -114,7 +113,7 @@
 }
 
 func (i *Installer) listMember(ctx context.Context, request InstallRequest, member register.Member) (*listing, error) {
-	made := &listing{
+	result := &listing{
 		member:    member,
 		registers: make(map[string]replica.Register),
 		turns:     make(map[TurnReference]struct{}),
@@ -122,20 +121,20 @@
 	pull := PullRequest{Fence: fenceOf(request.Previous, member), TurnsOnly: request.TurnsOnly, OmitObjects: true}
 	reply, err := i.pull(ctx, member, pull, func(item PullItem) error {
 		if item.Turn != nil {
-			made.turns[referenceOf(*item.Turn)] = struct{}{}
+			result.turns[referenceOf(*item.Turn)] = struct{}{}
 		}
 		if item.Register != nil {
-			made.registers[item.Register.Key] = item.Register.State
+			result.registers[item.Register.Key] = item.Register.State
 		}
 		return ctx.Err()
 	})
 	if err := replyError(reply, err); err != nil {
 		return nil, merry.Prependf(err, "list shard %d of node %s", request.Previous.Shard, member.Node)
 	}
-	return made, nil
+	return result, nil
 }
 
-// pull reads from a member, from this replica without a connection.
+// pull reads from a member, or directly from the local replica.
 func (i *Installer) pull(ctx context.Context, member register.Member, request PullRequest, visit func(PullItem) error) (archive.Reply, error) {
 	if member.Incarnation == i.replica.incarnation {
 		return i.replica.Pull(ctx, request, visit)
@@ -147,7 +146,7 @@
 	return register.Fence{Shard: view.Shard, Epoch: view.Epoch, Replica: member.Incarnation}
 }
 
-// replyError makes a refusal an error.
+// replyError returns err, or an error for a reply that is a refusal.
 func replyError(reply archive.Reply, err error) error {
 	if err != nil {
 		return err
@@ -158,16 +157,15 @@
 	return nil
 }
 
-// inheritedSeparator parts the proposer of a ballot from the incarnation that
-// inherited the value. It sorts before every character of a proposer's name, so
-// that the order of ballots stays what it was.
+// inheritedSeparator separates the proposer of a ballot from the incarnation that inherited
+// the value. It sorts before every character of a proposer, which preserves the order of
+// ballots.
 const inheritedSeparator = "\x00"
 
-// markInherited marks an accepted value as copied from an earlier epoch. Members may
-// have copied from different majorities, so a value that some of them hold at
-// one ballot need not be one that was ever decided, although it looks so. The
-// mark makes the ballot differ at each member, and a proposer has the value
-// accepted anew before it relies on it.
+// markInherited marks an accepted value as copied from an earlier epoch. Members may have
+// copied from different majorities, so a value that a majority of them holds at the same
+// ballot need not have been decided. The mark makes the ballot differ between members,
+// which forces a proposer to have the value accepted again before relying on it.
 func markInherited(state replica.Register, incarnation string) replica.Register {
 	if state.Accepted.IsZero() {
 		return state
