--- a/coordination/shard/assign.go
+++ b/coordination/shard/assign.go
@@ -15,9 +15,9 @@
 	HasDataFolder bool
 }
 
-// AssignAll chooses the first members of all shards: as many of a zone as a set
-// may lose at most, nodes with a data folder first, then those in the fewest
-// sets.
+// AssignAll chooses the initial members of all shards. It limits the members of a set in
+// one zone to the number that the set may lose, then prefers nodes with a data folder,
+// then nodes that are in the fewest sets.
 func AssignAll(shards uint32, factor int, candidates []Candidate) [][]register.Member {
 	sets := make(setsPerNode)
 	all := make([][]register.Member, 0, shards)
@@ -29,10 +29,10 @@
 	return all
 }
 
-// setsPerNode is in how many sets each node is, by its name.
+// setsPerNode counts the replica sets that each node is a member of, by node name.
 type setsPerNode map[string]int
 
-// update takes in that a set gets other members.
+// update records that the members of a set change from before to after.
 func (s setsPerNode) update(before, after []register.Member) {
 	for _, member := range before {
 		s[member.Node]--
@@ -42,56 +42,55 @@
 	}
 }
 
-// zoneLimit is how many members of a set may stand in one zone: so many that
-// the others are still a majority without them, and one at least.
+// zoneLimit returns how many members of a set one zone may hold: as many as leave a
+// majority in other zones, but at least one.
 func zoneLimit(factor int) int { return max((factor-1)/2, 1) }
 
-// addMembers adds candidates to the members that stay until there are enough.
+// addMembers adds the best candidates to the kept members until the set has factor members.
 func addMembers(shard uint32, factor int, kept []register.Member, candidates []Candidate, sets setsPerNode) []register.Member {
 	members := slices.Clone(kept)
 	if len(members) >= factor {
-		// The usual case, for every set of every node each second: nothing to
-		// order.
+		// The usual case; every node plans every set each second, so skip the ranking.
 		return members
 	}
-	f := candidateRanking{key: strconv.FormatUint(uint64(shard), 10), limit: zoneLimit(factor), sets: sets, zones: make(map[string]int)}
+	ranking := candidateRanking{key: strconv.FormatUint(uint64(shard), 10), limit: zoneLimit(factor), sets: sets, zones: make(map[string]int)}
 	for _, member := range members {
-		f.zones[member.Zone]++
+		ranking.zones[member.Zone]++
 	}
-	rest := slices.DeleteFunc(slices.Clone(candidates), func(c Candidate) bool { return hasNode(members, c.Member.Node) })
-	for len(members) < factor && len(rest) > 0 {
-		chosen := slices.MinFunc(rest, f.compare).Member
-		f.zones[chosen.Zone]++
+	remaining := slices.DeleteFunc(slices.Clone(candidates), func(c Candidate) bool { return hasNode(members, c.Member.Node) })
+	for len(members) < factor && len(remaining) > 0 {
+		chosen := slices.MinFunc(remaining, ranking.compare).Member
+		ranking.zones[chosen.Zone]++
 		members = append(members, chosen)
-		rest = slices.DeleteFunc(rest, func(c Candidate) bool { return c.Member.Node == chosen.Node })
+		remaining = slices.DeleteFunc(remaining, func(c Candidate) bool { return c.Member.Node == chosen.Node })
 	}
 	return members
 }
 
-// candidateRanking ranks the candidates of one set.
+// candidateRanking ranks the candidates for one set.
 type candidateRanking struct {
 	key   string
 	limit int
 	sets  setsPerNode
-	// zones counts the set's members so far.
+	// zones counts the members chosen so far by zone.
 	zones map[string]int
 }
 
-// compare puts the better candidate first. Zones within the limit are equal: a
-// zone with few nodes would otherwise stand in every set, and all of its nodes'
-// work would be that of the whole system.
-func (f candidateRanking) compare(a, b Candidate) int {
+// compare orders better candidates first. Zones within the limit rank equally: otherwise a
+// zone with few nodes would be in every set, and its nodes would carry the load of all
+// shards.
+func (r candidateRanking) compare(a, b Candidate) int {
 	return cmp.Or(
-		cmp.Compare(f.excess(a), f.excess(b)),
+		cmp.Compare(r.excess(a), r.excess(b)),
 		-cmp.Compare(dataFolderRank(a), dataFolderRank(b)),
-		cmp.Compare(f.sets[a.Member.Node], f.sets[b.Member.Node]),
-		cmp.Compare(f.zones[a.Member.Zone], f.zones[b.Member.Zone]),
-		-cmp.Compare(program.Affinity(a.Member.Node, f.key), program.Affinity(b.Member.Node, f.key)),
+		cmp.Compare(r.sets[a.Member.Node], r.sets[b.Member.Node]),
+		cmp.Compare(r.zones[a.Member.Zone], r.zones[b.Member.Zone]),
+		-cmp.Compare(program.Affinity(a.Member.Node, r.key), program.Affinity(b.Member.Node, r.key)),
 	)
 }
 
-// excess is by how much the candidate would put its zone over the limit.
-func (f candidateRanking) excess(c Candidate) int { return max(f.zones[c.Member.Zone]+1-f.limit, 0) }
+// excess returns by how much the candidate would exceed the limit of its zone.
+func (r candidateRanking) excess(c Candidate) int { return max(r.zones[c.Member.Zone]+1-r.limit, 0) }
 
 func dataFolderRank(c Candidate) int {
 	if c.HasDataFolder {
--- a/coordination/shard/maintainer.go
+++ b/coordination/shard/maintainer.go
@@ -9,7 +9,7 @@
 	"github.com/marblering/marblering/coordination/register"
 )
 
-// Maintainer does one node's share of keeping the replica sets whole.
+// Maintainer runs one node's part of the repair and reconfiguration of replica sets.
 type Maintainer struct {
 	node      string
 	replica   *Replica
@@ -17,15 +17,16 @@
 	driver    *Driver
 	settings  PlanSettings
 	logger    *zap.Logger
-	// lastUnfinished and unready hold what the round before found, so that whoever
-	// is at work on it has had the time between two rounds.
+	// lastUnfinished and lastUnready map shards to the epochs found in the previous round.
+	// The maintainer acts only on what it finds twice, which leaves the node that is working
+	// on it the time between two rounds to finish.
 	lastUnfinished map[uint32]uint64
 	lastUnready    map[uint32]uint64
-	// lastLost are the sets that were reported as lastLost in the round before.
+	// lastLost holds the sets that were lost in the previous round, by shard.
 	lastLost map[uint32]lostSetState
 }
 
-// NewMaintainer makes the maintainer of the named node.
+// NewMaintainer returns the maintainer of the named node.
 func NewMaintainer(node string, local *Replica, installer *Installer, driver *Driver, settings PlanSettings, logger *zap.Logger) *Maintainer {
 	return &Maintainer{
 		node:           node,
@@ -39,10 +40,10 @@
 	}
 }
 
-// Round copies what this node's replica missed, finishes changes that others
-// left, drives the moves of the plan that are this node's, and drops what isn't
-// needed any more. It returns the plan. Call it every few seconds, one at a
-// time.
+// Round installs the shards that this node's replica missed, finishes changes that other
+// drivers left unfinished, drives the planned moves that are assigned to this node, and
+// drops data that is no longer needed. It returns the plan. Call it every few seconds;
+// calls must not overlap.
 func (m *Maintainer) Round(ctx context.Context, situation Situation) Outcome {
 	m.installer.CatchUp(ctx)
 	outcome := Plan(situation, m.settings)
@@ -59,7 +60,7 @@
 			group.Go(func() error { return m.drive(ctx, move.View, move.Members, string(move.Reason)) })
 		}
 	}
-	// Failures are logged; the next round tries again.
+	// Failures are logged; the next round retries.
 	_ = group.Wait()
 	if err := m.installer.Sweep(ctx); err != nil {
 		m.logger.Warn("shards not swept", zap.Error(err))
@@ -68,15 +69,14 @@
 	return outcome
 }
 
-// reportLost writes a line for each set that is lost in another way than at the
-// round before.
+// reportLost logs each lost set whose state has changed since the previous round.
 func (m *Maintainer) reportLost(sets []LostSet) {
-	lostBefore := m.lastLost
+	previous := m.lastLost
 	m.lastLost = make(map[uint32]lostSetState, len(sets))
 	for _, lost := range sets {
 		key := lostSetState{epoch: lost.View.Epoch, gone: lost.Unreachable, forgotten: lost.Wiped}
 		m.lastLost[lost.View.Shard] = key
-		if lostBefore[lost.View.Shard] == key {
+		if previous[lost.View.Shard] == key {
 			continue
 		}
 		m.logger.Error("replica set has lost its majority", zap.Uint32("shard", lost.View.Shard),
@@ -85,7 +85,7 @@
 	}
 }
 
-// lostSetState is what is reported of a set that has lost its majority.
+// lostSetState is the reported state of a set that has lost its majority.
 type lostSetState struct {
 	epoch           uint64
 	gone, forgotten int
@@ -112,14 +112,15 @@
 	return nil
 }
 
-// stalledChanges returns the changes that were unfinished in the round before too.
+// stalledChanges returns the views whose change of epoch was unfinished in the previous
+// round too.
 func (m *Maintainer) stalledChanges() []register.View {
 	return seenAgain(&m.lastUnfinished, m.replica.Unfinished())
 }
 
-// stalledInstalls returns the shards that this replica should hold and couldn't copy
-// in two rounds: the sources are gone, or it doesn't know them. A new epoch with
-// the same members brings it in.
+// stalledInstalls returns the views that this replica is a member of but couldn't install
+// in two rounds, because the sources are gone or unknown to it. A new epoch with the same
+// members makes it a member with data.
 func (m *Maintainer) stalledInstalls() []register.View {
 	var views []register.View
 	for _, shard := range m.replica.Unready() {
@@ -130,8 +131,8 @@
 	return seenAgain(&m.lastUnready, views)
 }
 
-// seenAgain returns the views that were seen at the same epoch before, and
-// remembers these for the next time.
+// seenAgain returns the views that are in seen with the same epoch, and replaces seen with
+// the given views.
 func seenAgain(seen *map[uint32]uint64, views []register.View) []register.View {
 	var again []register.View
 	next := make(map[uint32]uint64, len(views))
--- a/coordination/shard/plan.go
+++ b/coordination/shard/plan.go
@@ -12,47 +12,47 @@
 	"github.com/marblering/marblering/state/program"
 )
 
-// Node is what the membership says of one node.
+// Node is the membership state of one node.
 type Node struct {
 	Member        register.Member
 	HasDataFolder bool
-	// Leaving is set from the announcement of a planned stop.
+	// Leaving is set once the node has announced a planned stop.
 	Leaving bool
-	// GoneSince is when the node stopped answering; zero while it answers.
+	// GoneSince is when the node stopped answering, or zero while it answers.
 	GoneSince time.Time
-	// Started is when this incarnation's process began.
+	// Started is when the process of this incarnation started.
 	Started time.Time
 }
 
-// Situation is a snapshot of what one node knows.
+// Situation is a snapshot of the cluster as one node knows it.
 type Situation struct {
 	Now time.Time
-	// WatchedSince is when this node began to watch the others: a node that it
-	// has never heard of counts as gone since then.
+	// WatchedSince is when this node started to watch the others. A node that it has never
+	// heard of counts as gone since then.
 	WatchedSince time.Time
 	Views        []register.View
 	Nodes        []Node
 }
 
-// PlanSettings limits what a plan does.
+// PlanSettings configures Plan.
 type PlanSettings struct {
-	// Factor is the wanted number of members of a set.
+	// Factor is the replication factor: the wanted number of members of a set.
 	Factor int
-	// GoneAfter is how long a node must have been gone before its replicas are
-	// replaced, so that a short cut or a restart with data moves nothing.
+	// GoneAfter is how long a node must have been gone before its replicas are replaced, so
+	// that short network outages and restarts with data move nothing.
 	GoneAfter time.Duration
-	// ReplacedAfter is the same where a node stands ready that began shortly
-	// before the member stopped answering, or later: it is there to replace it.
-	// Zero makes no difference of it.
+	// ReplacedAfter applies instead of GoneAfter if there is a usable node outside the set
+	// that started shortly before the member stopped answering, or later, and therefore is
+	// probably its replacement. Zero disables it.
 	ReplacedAfter time.Duration
-	// Moves limits the moves of one plan.
+	// Moves limits the number of moves in one plan.
 	Moves int
 }
 
-// Reason says why a set gets other members.
+// Reason says why a replica set needs other members.
 type Reason string
 
-// Reasons in the order of their urgency.
+// Reasons, most urgent first.
 const (
 	ReasonForgotten      Reason = "a member has begun a new incarnation"
 	ReasonGone           Reason = "a member is gone"
@@ -62,46 +62,46 @@
 	ReasonZoneSpread     Reason = "the set can be spread over more zones"
 )
 
-var urgency = []Reason{ReasonForgotten, ReasonGone, ReasonLeaving, ReasonAddressChanged, ReasonUndersized, ReasonZoneSpread}
+var reasonsByUrgency = []Reason{ReasonForgotten, ReasonGone, ReasonLeaving, ReasonAddressChanged, ReasonUndersized, ReasonZoneSpread}
 
-// Move is one wanted change of a replica set.
+// Move is a planned change of the members of a replica set.
 type Move struct {
 	View    register.View
 	Members []register.Member
 	Reason  Reason
-	// Driver is the node that should drive the move: a hint.
+	// Driver is the node that should drive the move. It is only a hint.
 	Driver string
 }
 
-// LostSet is a set that can't decide anything, since a majority of its members
-// doesn't answer. It is never begun anew from empty.
+// LostSet is a replica set that can't decide anything because a majority of its members
+// doesn't answer. It is never recreated empty.
 type LostSet struct {
 	View register.View
-	// Wiped counts the members whose incarnation has ended, which can't
-	// come back; Gone those that may.
+	// Wiped counts the members whose node restarted as a new incarnation, without its
+	// data. Unreachable counts those that may return with their data.
 	Wiped       int
 	Unreachable int
 }
 
-// IsPermanent tells whether no return of nodes can bring the set back.
+// IsPermanent reports whether the set lacks a majority even if all unreachable members return.
 func (l LostSet) IsPermanent() bool { return len(l.View.Members)-l.Wiped < l.View.Quorum() }
 
-// Outcome is what a plan decides.
+// Outcome is the result of Plan.
 type Outcome struct {
 	Moves []Move
 	Lost  []LostSet
 }
 
-// replacementLead is how long before a member stops answering the node that
-// replaces it may have begun.
+// replacementLead is how long before a member stops answering a node may have started and
+// still count as its replacement.
 const replacementLead = 10 * time.Second
 
-// planSlotLength is how long the order of moves and their drivers stay as they are. A
-// move that can't be done, or a driver that can't do it, then gives way.
+// planSlotLength is how long the order of moves and their drivers stay the same. After that
+// they change, so that an impossible move or a broken driver doesn't block the others.
 const planSlotLength = 30 * time.Second
 
-// Plan decides which sets need other members. It is a pure function; nodes that
-// know the same at about the same time make the same plan.
+// Plan decides which replica sets need other members. It is a pure function: nodes that know
+// the same and call it at about the same time get the same plan.
 func Plan(situation Situation, settings PlanSettings) Outcome {
 	p := planner{situation: situation, settings: settings, nodes: make(map[string]Node), sets: make(setsPerNode)}
 	for _, view := range situation.Views {
@@ -113,19 +113,19 @@
 	p.usable = p.candidates()
 	var outcome Outcome
 	for _, view := range situation.Views {
-		judged := p.assessMembers(view)
-		if countAnswering(judged) < view.Quorum() {
-			outcome.Lost = append(outcome.Lost, newLostSet(view, judged))
+		statuses := p.assessMembers(view)
+		if countAnswering(statuses) < view.Quorum() {
+			outcome.Lost = append(outcome.Lost, newLostSet(view, statuses))
 			continue
 		}
-		if move, isNeeded := p.planMove(view, judged); isNeeded {
+		if move, isNeeded := p.planMove(view, statuses); isNeeded {
 			p.sets.update(view.Members, move.Members)
 			outcome.Moves = append(outcome.Moves, move)
 		}
 	}
 	slices.SortStableFunc(outcome.Moves, func(a, b Move) int {
 		return cmp.Or(
-			cmp.Compare(slices.Index(urgency, a.Reason), slices.Index(urgency, b.Reason)),
+			cmp.Compare(slices.Index(reasonsByUrgency, a.Reason), slices.Index(reasonsByUrgency, b.Reason)),
 			cmp.Compare(xxhash.Sum64String(p.slotKey(a.View)), xxhash.Sum64String(p.slotKey(b.View))),
 		)
 	})
@@ -137,27 +137,27 @@
 	situation Situation
 	settings  PlanSettings
 	nodes     map[string]Node
-	// usable are the nodes that may become members.
+	// usable holds the nodes that may become members.
 	usable []Candidate
-	// sets counts the sets of each node, the moves planned so far included.
+	// sets counts the sets of each node, including the moves planned so far.
 	sets setsPerNode
 }
 
-// memberStatus is what is known of one member.
+// memberStatus is the state of one member of a set.
 type memberStatus struct {
 	member register.Member
-	// reason to replace the member; empty to keep it.
+	// reason is why the member should be replaced; empty to keep it.
 	reason Reason
-	// answers is set while the incarnation of the member answers.
+	// answers is set if the member's incarnation answers.
 	answers bool
 }
 
 func (p planner) assessMembers(view register.View) []memberStatus {
-	judged := make([]memberStatus, len(view.Members))
+	statuses := make([]memberStatus, len(view.Members))
 	for index, member := range view.Members {
-		judged[index] = p.assessMember(view, member)
+		statuses[index] = p.assessMember(view, member)
 	}
-	return judged
+	return statuses
 }
 
 func (p planner) assessMember(view register.View, member register.Member) memberStatus {
@@ -166,22 +166,22 @@
 	if !isKnown {
 		goneSince = p.situation.WatchedSince
 	}
-	judged := memberStatus{member: member, answers: goneSince.IsZero()}
+	status := memberStatus{member: member, answers: goneSince.IsZero()}
 	switch {
 	case isKnown && node.Member.Incarnation != member.Incarnation:
-		judged.reason, judged.answers = ReasonForgotten, false
+		status.reason, status.answers = ReasonForgotten, false
 	case !goneSince.IsZero() && p.situation.Now.Sub(goneSince) >= p.replacementDelay(view, goneSince):
-		judged.reason = ReasonGone
+		status.reason = ReasonGone
 	case !goneSince.IsZero():
 	case node.Leaving:
-		judged.reason = ReasonLeaving
+		status.reason = ReasonLeaving
 	case node.Member != member:
-		judged.reason = ReasonAddressChanged
+		status.reason = ReasonAddressChanged
 	}
-	return judged
+	return status
 }
 
-// replacementDelay is how long a member of the set may be gone before it is replaced.
+// replacementDelay returns how long a member of the set may be gone before it is replaced.
 func (p planner) replacementDelay(view register.View, goneSince time.Time) time.Duration {
 	if p.settings.ReplacedAfter == 0 {
 		return p.settings.GoneAfter
@@ -195,38 +195,38 @@
 	return p.settings.GoneAfter
 }
 
-func countAnswering(judged []memberStatus) int {
+func countAnswering(statuses []memberStatus) int {
 	count := 0
-	for _, one := range judged {
-		if one.answers {
+	for _, status := range statuses {
+		if status.answers {
 			count++
 		}
 	}
 	return count
 }
 
-func newLostSet(view register.View, judged []memberStatus) LostSet {
+func newLostSet(view register.View, statuses []memberStatus) LostSet {
 	lost := LostSet{View: view}
-	for _, one := range judged {
+	for _, status := range statuses {
 		switch {
-		case one.reason == ReasonForgotten:
+		case status.reason == ReasonForgotten:
 			lost.Wiped++
-		case !one.answers:
+		case !status.answers:
 			lost.Unreachable++
 		}
 	}
 	return lost
 }
 
-// planMove returns the successor that the set needs, if there is one.
-func (p planner) planMove(view register.View, judged []memberStatus) (Move, bool) {
-	reason := p.mostUrgentReason(judged)
-	members := p.successorMembers(view, judged)
+// planMove returns the change that the set needs, if any.
+func (p planner) planMove(view register.View, statuses []memberStatus) (Move, bool) {
+	reason := p.mostUrgentReason(statuses)
+	members := p.successorMembers(view, statuses)
 	if reason == "" {
 		members = p.spreadZones(view, members)
 		reason = ReasonZoneSpread
 	}
-	if isOptional(reason) && countUnresponsive(judged) > 0 || !hasNewMember(view.Members, members) {
+	if isOptional(reason) && countUnresponsive(statuses) > 0 || !hasNewMember(view.Members, members) {
 		return Move{}, false
 	}
 	return Move{View: view, Members: members, Reason: reason, Driver: p.chooseDriver(view)}, true
@@ -236,58 +236,59 @@
 	return slices.ContainsFunc(after, func(member register.Member) bool { return !slices.Contains(before, member) })
 }
 
-// mostUrgentReason returns the most urgent mostUrgentReason.
-func (p planner) mostUrgentReason(judged []memberStatus) Reason {
-	for _, reason := range urgency {
-		if slices.ContainsFunc(judged, func(one memberStatus) bool { return one.reason == reason }) {
+// mostUrgentReason returns the most urgent reason to change the set, or "" if there is none.
+func (p planner) mostUrgentReason(statuses []memberStatus) Reason {
+	for _, reason := range reasonsByUrgency {
+		if slices.ContainsFunc(statuses, func(status memberStatus) bool { return status.reason == reason }) {
 			return reason
 		}
 	}
-	if len(judged) < p.settings.Factor {
+	if len(statuses) < p.settings.Factor {
 		return ReasonUndersized
 	}
 	return ""
 }
 
-// successorMembers is the best set that can be had now. Each of its members answers,
-// since a set that names one that doesn't is never proposed. One that is gone or
-// another incarnation is replaced; the place of one that is only silent stays
-// empty until it comes back or is gone; one that is leaving stays while nobody
-// can stand in for it.
-func (p planner) successorMembers(view register.View, judged []memberStatus) []register.Member {
+// successorMembers returns the best members that are available now. All of them answer,
+// since Drive requires that of every wanted member. Members that are gone or have a new
+// incarnation are replaced. The place of one that has only just stopped answering stays
+// empty until it returns or counts as gone. A leaving member stays while no other node can
+// take its place.
+func (p planner) successorMembers(view register.View, statuses []memberStatus) []register.Member {
 	var kept, leaving []register.Member
-	for _, one := range judged {
+	for _, status := range statuses {
 		switch {
-		case !one.answers:
-		case one.reason == ReasonLeaving:
-			leaving = append(leaving, one.member)
-		case one.reason == ReasonAddressChanged:
-			kept = append(kept, p.nodes[one.member.Node].Member)
+		case !status.answers:
+		case status.reason == ReasonLeaving:
+			leaving = append(leaving, status.member)
+		case status.reason == ReasonAddressChanged:
+			kept = append(kept, p.nodes[status.member.Node].Member)
 		default:
-			kept = append(kept, one.member)
+			kept = append(kept, status.member)
 		}
 	}
-	filled := addMembers(view.Shard, p.settings.Factor-countUnresponsive(judged), kept, p.usable, p.sets)
-	missing := max(len(view.Members)-countUnresponsive(judged)-len(filled), 0)
+	filled := addMembers(view.Shard, p.settings.Factor-countUnresponsive(statuses), kept, p.usable, p.sets)
+	missing := max(len(view.Members)-countUnresponsive(statuses)-len(filled), 0)
 	return append(filled, leaving[:min(missing, len(leaving))]...)
 }
 
-// countUnresponsive counts the members that don't answer and may still come back.
-func countUnresponsive(judged []memberStatus) int {
+// countUnresponsive counts the members that don't answer but haven't been gone long enough
+// to be replaced.
+func countUnresponsive(statuses []memberStatus) int {
 	count := 0
-	for _, one := range judged {
-		if !one.answers && one.reason == "" {
+	for _, status := range statuses {
+		if !status.answers && status.reason == "" {
 			count++
 		}
 	}
 	return count
 }
 
-// isOptional tells a change that is only wished for: to leave a silent member out
-// for it would cost more than it is worth.
+// isOptional reports whether the change may be postponed. An optional change isn't worth
+// removing an unresponsive member from the set.
 func isOptional(reason Reason) bool { return reason == ReasonLeaving || reason == ReasonZoneSpread }
 
-// candidates are the nodes that may become members.
+// candidates returns the nodes that may become members.
 func (p planner) candidates() []Candidate {
 	var candidates []Candidate
 	for _, node := range p.situation.Nodes {
@@ -298,8 +299,8 @@
 	return candidates
 }
 
-// spreadZones replaces a member of a zone that has more than its part where another
-// zone has a candidate.
+// spreadZones replaces a member in a zone that exceeds its limit if a zone below the limit
+// has a candidate.
 func (p planner) spreadZones(view register.View, members []register.Member) []register.Member {
 	for index, member := range members {
 		if countInZone(members, member.Zone) <= zoneLimit(len(members)) {
@@ -324,13 +325,13 @@
 	return count
 }
 
-// slotKey names a change of the set within the present slot.
+// slotKey identifies a change of the view in the current slot of planSlotLength.
 func (p planner) slotKey(view register.View) string {
 	slot := p.situation.Now.Unix() / int64(planSlotLength/time.Second)
 	return fmt.Sprintf("%d/%d/%d", view.Shard, view.Epoch, slot)
 }
 
-// chooseDriver is the answering node with the highest affinity to the change.
+// chooseDriver returns the answering node with the highest affinity to the change.
 func (p planner) chooseDriver(view register.View) string {
 	key := p.slotKey(view)
 	var best string
