--- a/coordination/shard/map.go
+++ b/coordination/shard/map.go
@@ -13,25 +13,25 @@
 	"github.com/marblering/marblering/state/program"
 )
 
-// FirstEpoch is the epoch of the sets in the first shard map.
+// FirstEpoch is the epoch of the initial replica sets.
 const FirstEpoch uint64 = 1
 
-// Nowhere is the shard of every program while the number of shards isn't known. It never
-// has a view.
+// Nowhere is the shard of every program while the number of shards is unknown. It never has
+// a view.
 const Nowhere uint32 = math.MaxUint32
 
-// Map holds the newest view of each shard that a node knows. Readers take no
-// lock (read-copy-update); a view is only replaced by one of a later epoch.
+// Map holds the newest open view of each shard that a node knows. Reads take no lock
+// (copy-on-write); a view is only replaced by one of a later epoch.
 //
-// How many shards there are is decided when the first sets are founded. A map that
-// doesn't know yet has none: it knows no view, and nothing can be located.
+// The number of shards is fixed when the initial sets are created. Until a map knows it, the
+// map has no views and locates every program in Nowhere.
 type Map struct {
 	writeMutex sync.Mutex
 	views      atomic.Pointer[[]register.View]
 }
 
-// NewMap makes a map of so many shards, without a view yet; zero where the number
-// isn't known.
+// NewMap returns a map of count shards without views. A count of zero means that the number
+// of shards is unknown.
 func NewMap(count uint32) *Map {
 	m := &Map{}
 	views := make([]register.View, count)
@@ -39,10 +39,10 @@
 	return m
 }
 
-// Count returns the number of shards, zero where it isn't known.
+// Count returns the number of shards, or zero if it is unknown.
 func (m *Map) Count() uint32 { return uint32(len(*m.views.Load())) }
 
-// Found makes the number of shards known. It never changes afterwards.
+// Found sets the number of shards if it is unknown. The number never changes afterwards.
 func (m *Map) Found(count uint32) {
 	m.writeMutex.Lock()
 	defer m.writeMutex.Unlock()
@@ -52,10 +52,9 @@
 	}
 }
 
-// Locate returns the shard of a program, which is that of its root, and Nowhere while the
-// number of shards isn't known. The first shard in its place would have a view a moment
-// later, and a change of the program would go to a register that nobody else looks at: a
-// node that had just started let turns begin that no budget counted.
+// Locate returns the shard of the program's root, or Nowhere while the number of shards is
+// unknown. Falling back to an actual shard would apply changes to a register that no other
+// node reads, and so let turns start that no budget counts.
 func (m *Map) Locate(id string) uint32 {
 	count := m.Count()
 	if count == 0 {
@@ -64,7 +63,7 @@
 	return uint32(xxhash.Sum64String(program.RootOf(id)) % uint64(count))
 }
 
-// View returns the newest view of the shard; found is false before the first.
+// View returns the newest known view of the shard; found is false if there is none.
 func (m *Map) View(shard uint32) (view register.View, found bool) {
 	views := *m.views.Load()
 	if int(shard) >= len(views) {
@@ -74,8 +73,8 @@
 	return view, view.Epoch != 0
 }
 
-// Learn takes in a view if it is newer than the one of the map. Only a view
-// that is open may be given: see the package comment.
+// Learn stores a view if it is newer than the known one. The view must be open: see the
+// package documentation.
 func (m *Map) Learn(view register.View) {
 	if view.Epoch <= m.Epoch(view.Shard) || len(view.Members) == 0 {
 		return
@@ -92,13 +91,13 @@
 	m.views.Store(&next)
 }
 
-// Epoch returns the newest known epoch of the shard, zero for none.
+// Epoch returns the newest known epoch of the shard, or zero if there is none.
 func (m *Map) Epoch(shard uint32) uint64 {
 	view, _ := m.View(shard)
 	return view.Epoch
 }
 
-// Views returns the known views in order of their shards.
+// Views returns the known views in shard order.
 func (m *Map) Views() []register.View {
 	var known []register.View
 	for _, view := range *m.views.Load() {
@@ -109,17 +108,17 @@
 	return known
 }
 
-// Digest is equal at two nodes that know the same epochs.
+// Digest returns a hash of the known epochs, which is equal on nodes that know the same ones.
 func (m *Map) Digest() uint64 {
 	digest := xxhash.New()
 	for _, view := range *m.views.Load() {
-		// A digest's Write never fails.
+		// Writing to a digest never fails.
 		_, _ = digest.WriteString(strconv.FormatUint(view.Epoch, 10) + ",")
 	}
 	return digest.Sum64()
 }
 
-// MembersOf returns the members of the views, each address once.
+// MembersOf returns the members of the views without duplicate addresses.
 func MembersOf(views []register.View) []register.Member {
 	var members []register.Member
 	for _, view := range views {
--- a/coordination/shard/replica.go
+++ b/coordination/shard/replica.go
@@ -12,7 +12,7 @@
 	"github.com/marblering/marblering/state/replica"
 )
 
-// Replica is one node's share of the shards. It is safe for concurrent use.
+// Replica serves the shards of one node. It is safe for concurrent use.
 type Replica struct {
 	incarnation   string
 	store         replica.Store
@@ -21,10 +21,10 @@
 	acceptor      register.Acceptor
 	locks         *stripedLocks
 
-	// requests is held for reading while a request is answered.
+	// requests is read-locked while a vote is processed.
 	requests sync.RWMutex
-	// durableVersion is the configuration version in the store; durable is set
-	// once it was read.
+	// durableVersion is the configuration version in the store, once isVersionLoaded is
+	// set. Both are guarded by mutex.
 	durableVersion  uint64
 	isVersionLoaded bool
 
@@ -32,7 +32,7 @@
 	shards map[uint32]*shardReplica
 }
 
-// NewReplica makes the replica of one incarnation. The function gives the
+// NewReplica returns the replica of one incarnation. The configuration function returns the
 // configuration version that the node knows.
 func NewReplica(incarnation string, store replica.Store, views *Map, configuration func() uint64) *Replica {
 	return &Replica{
@@ -45,16 +45,16 @@
 	}
 }
 
-// Incarnation names the life of the node whose promises this replica keeps.
+// Incarnation returns the incarnation of the node whose promises this replica keeps.
 func (r *Replica) Incarnation() string { return r.incarnation }
 
-// Shards returns the number of shards, zero where it isn't known.
+// Shards returns the number of shards, or zero if it is unknown.
 func (r *Replica) Shards() uint32 { return r.views.Count() }
 
-// shardReplica returns the replica's shardReplica in the shard.
+// shardReplica returns the state of the shard, not necessarily loaded.
 func (r *Replica) shardReplica(shard uint32) (*shardReplica, error) {
 	if shard >= r.views.Count() {
-		return nil, merry.Errorf("shard %d of %d", shard, r.views.Count())
+		return nil, merry.Errorf("shard %d does not exist: the number of shards is %d", shard, r.views.Count())
 	}
 	r.mutex.RLock()
 	found := r.shards[shard]
@@ -70,7 +70,7 @@
 	return r.shards[shard], nil
 }
 
-// voteResult is the part of a reply that doesn't depend on the kind of request.
+// voteResult is the part of a reply that prepare and accept requests have in common.
 type voteResult struct {
 	refusal register.Refusal
 	view    *register.View
@@ -107,10 +107,11 @@
 	return reply
 }
 
+// acceptorStep returns the next state of a register, or a refusal.
 type acceptorStep func(current replica.Register) (next replica.Register, refusal register.Refusal)
 
-// vote checks the fence, loads the register, decides and stores the outcome as
-// one step. A request whose caller has given up is refused and changes nothing.
+// vote checks the fence, then loads, changes and stores the register atomically. A request
+// whose context has ended is refused and changes nothing.
 func (r *Replica) vote(ctx context.Context, fence register.Fence, key string, decide acceptorStep) voteResult {
 	r.requests.RLock()
 	defer r.requests.RUnlock()
@@ -126,7 +127,7 @@
 	if refusal, view := r.checkFence(current.state, fence, key); refusal != register.RefusalNone {
 		return voteResult{refusal: refusal, view: view, version: version}
 	}
-	// Who the members are doesn't depend on the configuration.
+	// Successor registers don't depend on the configuration.
 	if fence.ConfigurationVersion < version && !isSuccessorKey(key) {
 		return voteResult{refusal: register.RefusalConfiguration, version: version}
 	}
@@ -153,7 +154,7 @@
 	return register.RefusalNone
 }
 
-// PutTurn stores a turn, unless its caller has given up meanwhile.
+// PutTurn stores a turn unless ctx has ended.
 func (r *Replica) PutTurn(ctx context.Context, fence register.Fence, turn replica.Turn) archive.Reply {
 	current, err := r.acquire(fence.Shard)
 	if err != nil {
@@ -172,7 +173,7 @@
 	return archive.Reply{}
 }
 
-// ReadTurns visits the program's turns from the given sequence on.
+// ReadTurns visits the turns of the program, starting at sequence from.
 func (r *Replica) ReadTurns(_ context.Context, fence register.Fence, id string, from uint64, visit func(replica.Turn) error) (archive.Reply, error) {
 	if refusal, view := r.checkRequest(fence, id); refusal != register.RefusalNone {
 		return archive.Reply{Refusal: refusal, View: view}, nil
@@ -180,8 +181,8 @@
 	return archive.Reply{}, r.store.ReadTurns(fence.Shard, id, from, visit)
 }
 
-// checkRequest checks the fence of a request that may go on after the epoch has ended,
-// as reading what doesn't change.
+// checkRequest checks the fence of a request that may continue after the epoch has ended,
+// such as a read of immutable data.
 func (r *Replica) checkRequest(fence register.Fence, key string) (register.Refusal, *register.View) {
 	current, err := r.acquire(fence.Shard)
 	if err != nil {
@@ -191,8 +192,8 @@
 	return r.checkFence(current.state, fence, key)
 }
 
-// Peek returns the value that this replica accepted last: a hint, since it may
-// be out of date or undecided.
+// Peek returns the value that this replica accepted last. It is only a hint, since it may be
+// outdated or undecided.
 func (r *Replica) Peek(fence register.Fence, key string) ([]byte, register.Refusal) {
 	if refusal, _ := r.checkRequest(fence, key); refusal != register.RefusalNone {
 		return nil, refusal
@@ -204,8 +205,8 @@
 	return state.Value, register.RefusalNone
 }
 
-// EachRecord visits the values of the shard's registers as this replica has
-// accepted them. They may be out of date, or undecided: a hint only.
+// EachRecord visits the accepted values of the shard's registers. They are only hints, since
+// they may be outdated or undecided.
 func (r *Replica) EachRecord(shard uint32, visit func(root string, value []byte) error) error {
 	return r.store.EachRegister(shard, func(key string, state replica.Register) error {
 		if isSuccessorKey(key) {
@@ -215,18 +216,19 @@
 	})
 }
 
-// version returns the newest configuration version that the replica knows,
-// which is what it held before a restart at least.
+// version returns the newest configuration version that the replica knows, which is at
+// least the one that it stored before a restart.
 func (r *Replica) version() (uint64, error) {
 	held, err := r.storedVersion()
 	return max(held, r.configuration()), err
 }
 
+// storedVersion returns the configuration version in the store.
 func (r *Replica) storedVersion() (uint64, error) {
 	r.mutex.RLock()
-	held, durable := r.durableVersion, r.isVersionLoaded
+	held, isLoaded := r.durableVersion, r.isVersionLoaded
 	r.mutex.RUnlock()
-	if durable {
+	if isLoaded {
 		return held, nil
 	}
 	raw, err := r.store.LoadMeta(nodeShard, configurationVersionName)
@@ -243,10 +245,9 @@
 	return r.durableVersion, nil
 }
 
-// HoldConfiguration makes the configuration version durable and waits for the
-// requests that were let in under an older one. When it returns, no change that
-// was decided under an older version is granted by this replica any more, also
-// after a restart with its data.
+// HoldConfiguration stores the configuration version and waits for the votes that were
+// admitted under an older one. After it returns, the replica grants no change that was
+// decided under an older version, not even after a restart with its data.
 func (r *Replica) HoldConfiguration() error {
 	version, err := r.version()
 	if err != nil {
--- a/coordination/shard/state.go
+++ b/coordination/shard/state.go
@@ -11,8 +11,8 @@
 	"github.com/marblering/marblering/state/replica"
 )
 
-// nodeShard is the shard number under which a replica keeps what must outlive
-// the data of the shards. No real shard has this number.
+// nodeShard is the shard number under which a replica stores metadata that must outlive the
+// data of the shards. No actual shard has it.
 const nodeShard uint32 = math.MaxUint32
 
 const (
@@ -20,17 +20,16 @@
 	configurationVersionName = "configuration-version"
 )
 
-// shardState is what a replica remembers of its part in one shard. It is stored as
-// JSON.
+// shardState is the durable state of one shard on a replica, stored as JSON.
 type shardState struct {
-	// View is the newest decided view that the replica was told of; the epochs
-	// before it have ended here.
+	// View is the newest decided view that the replica knows. Earlier epochs have ended on
+	// this replica.
 	View register.View
-	// Previous is the view that View followed here.
+	// Previous is the view that the replica had before View.
 	Previous register.View
-	// Opened is the newest view that the replica knew to be open.
+	// Opened is the newest open view that the replica knows.
 	Opened register.View
-	// DataEpoch is the newest epoch whose data the replica holds; zero for none.
+	// DataEpoch is the newest epoch whose data the replica holds, or zero for none.
 	DataEpoch uint64
 }
 
@@ -44,15 +43,14 @@
 	return s.isInstalled() && s.Opened.Epoch == s.View.Epoch
 }
 
-// advanceTo returns the state after the decision of a newer view.
+// advanceTo returns the state after a newer view was decided.
 func (s shardState) advanceTo(view register.View) shardState {
 	s.Previous = s.View
 	s.View = view
 	return s
 }
 
-// successorOf returns the view that followed the epoch, or nil where the
-// replica doesn't know it.
+// successorOf returns the view after the given epoch, or nil if the replica doesn't know it.
 func (s shardState) successorOf(epoch uint64) *register.View {
 	for _, view := range []register.View{s.View, s.Previous} {
 		if view.Epoch == epoch+1 {
