--- a/coordination/shard/stripe.go
+++ b/coordination/shard/stripe.go
@@ -6,13 +6,12 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// stripeCount is the number of locks that the registers share.
+// stripeCount is the number of locks that all registers share.
 const stripeCount = 256
 
-// stripedLocks are locks that a request stops waiting for once its caller has given
-// up. Whoever holds one waits for the disk; without that, requests that nobody
-// waits for any more would queue here, keep the shard from being sealed, and
-// write what they were asked to.
+// stripedLocks are locks that stop waiting when the context of a request ends. A holder may
+// wait for the disk; cancelled requests that kept waiting behind it would delay the seal of
+// the shard and still write.
 type stripedLocks [stripeCount]chan struct{}
 
 func newStripedLocks() *stripedLocks {
@@ -23,7 +22,7 @@
 	return &s
 }
 
-// lock takes the lock of the register; held is false once ctx has ended.
+// lock acquires the lock of the register; held is false if ctx ended first.
 func (s *stripedLocks) lock(ctx context.Context, shard uint32, key string) (unlock func(), held bool) {
 	stripe := s[(xxhash.Sum64String(key)+uint64(shard))%stripeCount]
 	select {
--- a/coordination/shard/sweep.go
+++ b/coordination/shard/sweep.go
@@ -6,13 +6,12 @@
 	"github.com/marblering/marblering/coordination/register"
 )
 
-// probeProgram is asked for to learn whether a member holds a shard; no program
-// has this id.
+// probeProgram is the program ID that AllHold pulls to learn whether a member holds a shard.
+// No program has this ID.
 const probeProgram = "!probe"
 
-// Sweep drops the data of the shards that are open without this replica, once
-// every member of the open view says that it holds the shard. Until then the
-// data may be needed to bring a member in.
+// Sweep deletes the data of shards whose open view doesn't include this replica, once every
+// member of that view holds the shard. Until then the data may be needed as a source.
 func (i *Installer) Sweep(ctx context.Context) error {
 	for _, view := range i.replica.views.Views() {
 		unneeded, err := i.replica.isUnneeded(view)
@@ -29,7 +28,7 @@
 	return nil
 }
 
-// AllHold asks the members whether they hold the data of the view.
+// AllHold reports whether every member holds the data of the view.
 func (i *Installer) AllHold(ctx context.Context, view register.View) bool {
 	for _, member := range view.Members {
 		probe := PullRequest{
@@ -45,36 +44,36 @@
 	return true
 }
 
-// isUnneeded tells whether data is held of a shard whose newest decided view is
-// open and has other members.
+// isUnneeded reports whether the replica holds data of the shard although its newest decided
+// view is the given open one and doesn't include the replica.
 func (r *Replica) isUnneeded(view register.View) (bool, error) {
-	p, err := r.acquire(view.Shard)
+	local, err := r.acquire(view.Shard)
 	if err != nil {
 		return false, err
 	}
-	defer p.mutex.RUnlock()
-	return p.state.isUnneeded(r, view), nil
+	defer local.mutex.RUnlock()
+	return local.state.isUnneeded(r, view), nil
 }
 
 func (s shardState) isUnneeded(r *Replica, view register.View) bool {
 	return s.DataEpoch > 0 && s.View.Epoch == view.Epoch && !r.isMember(view)
 }
 
-// dropShard forgets the shard, unless a newer view has been decided meanwhile.
+// dropShard deletes the data of the shard unless a newer view has been decided meanwhile.
 func (r *Replica) dropShard(view register.View) error {
-	p, err := r.acquire(view.Shard)
+	local, err := r.acquire(view.Shard)
 	if err != nil {
 		return err
 	}
-	p.mutex.RUnlock()
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
-	if !p.state.isUnneeded(r, view) {
+	local.mutex.RUnlock()
+	local.mutex.Lock()
+	defer local.mutex.Unlock()
+	if !local.state.isUnneeded(r, view) {
 		return nil
 	}
-	next := p.state
+	next := local.state
 	next.DataEpoch = 0
-	if err := r.setState(view.Shard, p, next); err != nil {
+	if err := r.setState(view.Shard, local, next); err != nil {
 		return err
 	}
 	return r.store.DropShard(view.Shard)
--- a/coordination/shard/transition.go
+++ b/coordination/shard/transition.go
@@ -12,8 +12,8 @@
 	"github.com/marblering/marblering/state/replica"
 )
 
-// Seal ends the fence's epoch. The reply carries the newest decided view that
-// the replica knows, open or not.
+// Seal ends the epoch of the fence. The reply has the newest decided view that the replica
+// knows, open or not.
 func (r *Replica) Seal(_ context.Context, request SealRequest) archive.Reply {
 	if request.Fence.Replica != r.incarnation {
 		return archive.Reply{Refusal: register.RefusalIncarnation, View: r.openView(request.Fence.Shard)}
@@ -24,46 +24,46 @@
 	return r.adoptView(request.Successor, request.Fence.Epoch == FirstEpoch)
 }
 
-// adoptView takes in a decided view: the epochs before it have ended here.
-// WasFirst tells that this replica is a member of the first epoch, which began
-// empty, so that a member that has never heard of it holds its data.
-func (r *Replica) adoptView(view register.View, wasFirst bool) archive.Reply {
+// adoptView records a decided view, which ends all earlier epochs on this replica.
+// isFirstEpochMember is set if the replica is a member of the first epoch. That epoch starts
+// empty, so such a replica holds its data even if it never learned of it.
+func (r *Replica) adoptView(view register.View, isFirstEpochMember bool) archive.Reply {
 	if view.Validate() != nil {
 		return archive.Reply{Refusal: register.RefusalEpoch}
 	}
-	p, err := r.acquire(view.Shard)
+	local, err := r.acquire(view.Shard)
 	if err != nil {
 		return archive.Reply{Refusal: register.RefusalStorage}
 	}
-	p.mutex.RUnlock()
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
-	if view.Epoch > p.state.View.Epoch {
-		next := p.state.advanceTo(view)
-		if wasFirst && p.state.View.Epoch == 0 {
+	local.mutex.RUnlock()
+	local.mutex.Lock()
+	defer local.mutex.Unlock()
+	if view.Epoch > local.state.View.Epoch {
+		next := local.state.advanceTo(view)
+		if isFirstEpochMember && local.state.View.Epoch == 0 {
 			next.DataEpoch = FirstEpoch
 		}
-		if err := r.setState(view.Shard, p, next); err != nil {
+		if err := r.setState(view.Shard, local, next); err != nil {
 			return archive.Reply{Refusal: register.RefusalStorage}
 		}
 	}
-	newest := p.state.View
+	newest := local.state.View
 	if newest.Epoch == view.Epoch && !slices.Equal(newest.Members, view.Members) {
-		// Two decisions about one epoch: whoever sent this one is wrong.
+		// Only one view can be decided for an epoch, so the request is invalid.
 		return archive.Reply{Refusal: register.RefusalEpoch, View: &newest}
 	}
 	return archive.Reply{View: &newest}
 }
 
-// Open lets the replica serve the view, which it must have installed. The caller
-// must know that a majority of the members have.
+// Open lets the replica serve the view, which it must have installed. The caller must know
+// that a majority of the members have installed it.
 func (r *Replica) Open(_ context.Context, request OpenRequest) archive.Reply {
-	p, err := r.acquire(request.View.Shard)
+	local, err := r.acquire(request.View.Shard)
 	if err != nil {
 		return archive.Reply{Refusal: register.RefusalStorage}
 	}
-	current := p.state
-	p.mutex.RUnlock()
+	current := local.state
+	local.mutex.RUnlock()
 	isFirst := request.View.Epoch == FirstEpoch && current.View.Epoch == 0
 	switch {
 	case request.View.Validate() != nil:
@@ -76,23 +76,23 @@
 		return archive.Reply{Refusal: register.RefusalNotReady}
 	}
 	r.views.Learn(request.View)
-	if err := r.applyOpenView(request.View.Shard, p); err != nil {
+	if err := r.applyOpenView(request.View.Shard, local); err != nil {
 		return archive.Reply{Refusal: register.RefusalStorage}
 	}
 	return archive.Reply{}
 }
 
-// Pull visits what the replica holds of the shard. Registers are given only
-// once the fence's epoch has ended here, so that nothing is granted in it after
-// they were read.
+// Pull visits the data that the replica holds of the shard. It sends registers only once the
+// epoch of the fence has ended on this replica, so that no vote in that epoch can follow the
+// read.
 func (r *Replica) Pull(_ context.Context, request PullRequest, visit func(PullItem) error) (archive.Reply, error) {
 	shard := request.Fence.Shard
-	p, err := r.acquire(shard)
+	local, err := r.acquire(shard)
 	if err != nil {
 		return archive.Reply{Refusal: register.RefusalStorage}, nil
 	}
-	current := p.state
-	p.mutex.RUnlock()
+	current := local.state
+	local.mutex.RUnlock()
 	hasEnded := current.View.Epoch > request.Fence.Epoch
 	switch {
 	case request.Fence.Replica != r.incarnation:
@@ -130,10 +130,10 @@
 	})
 }
 
-// errPastWanted ends a read of turns that is past the wanted one.
+// errPastWanted stops a read of turns after the wanted one.
 var errPastWanted = merry.Sentinel("past the wanted turn")
 
-// pullWanted visits those of the wanted turns that the replica holds.
+// pullWanted visits the wanted turns that the replica holds.
 func (r *Replica) pullWanted(shard uint32, wanted []TurnReference, visit func(PullItem) error) error {
 	for _, reference := range wanted {
 		err := r.store.ReadTurns(shard, reference.Program, reference.Sequence, func(turn replica.Turn) error {
@@ -152,34 +152,33 @@
 	return nil
 }
 
-// Restore loads what the store holds of each shard's epochs, and tells the map
-// the views that were open. A node calls it when it starts with a data folder.
+// Restore loads the stored state of each shard and adds the views that were open to the map.
+// A node calls it when it starts with a data folder.
 func (r *Replica) Restore() error {
 	for shard := range r.views.Count() {
-		p, err := r.acquire(shard)
+		local, err := r.acquire(shard)
 		if err != nil {
 			return err
 		}
-		p.mutex.RUnlock()
+		local.mutex.RUnlock()
 	}
 	return nil
 }
 
-// Unfinished returns the view that is to be followed, for each shard of which
-// this replica knows that a change of epoch began and not that it ended. Whoever
-// began it may be gone: driving these views, without wanting other members,
-// finishes the change before the members that it names fail too.
+// Unfinished returns the open view of each shard whose change of epoch began, as far as this
+// replica knows, and hasn't ended. Its driver may be gone. Driving these views without
+// wanted members finishes the change before more members fail.
 func (r *Replica) Unfinished() []register.View {
 	var unfinished []register.View
 	for shard := range r.views.Count() {
-		p, err := r.acquire(shard)
+		local, err := r.acquire(shard)
 		if err != nil {
 			continue
 		}
-		current := p.state
-		p.mutex.RUnlock()
+		current := local.state
+		local.mutex.RUnlock()
 		if current.Opened.Epoch == 0 {
-			// Others know which view is to be followed.
+			// Only replicas that know an open view can drive the change.
 			continue
 		}
 		hasEnded := current.Opened.Epoch < current.View.Epoch
@@ -190,29 +189,29 @@
 	return unfinished
 }
 
-// isChangeProposed tells whether a successor of the epoch was accepted here.
+// isChangeProposed reports whether this replica accepted a proposal for the successor of the epoch.
 func (r *Replica) isChangeProposed(shard uint32, epoch uint64) bool {
 	decision, err := r.store.LoadRegister(shard, successorKey(epoch))
 	return err == nil && !decision.Accepted.IsZero()
 }
 
-// Unready returns the shards whose newest open view has this replica as a
-// member although it doesn't hold their data: it missed the change of epoch.
+// Unready returns the shards whose newest open view includes this replica although it
+// doesn't hold their data, since it missed the change of epoch.
 func (r *Replica) Unready() []uint32 {
 	var unready []uint32
 	for _, view := range r.views.Views() {
 		if !r.isMember(view) {
 			continue
 		}
-		p, err := r.acquire(view.Shard)
+		local, err := r.acquire(view.Shard)
 		if err != nil {
 			unready = append(unready, view.Shard)
 			continue
 		}
-		if !p.state.isInstalled() {
+		if !local.state.isInstalled() {
 			unready = append(unready, view.Shard)
 		}
-		p.mutex.RUnlock()
+		local.mutex.RUnlock()
 	}
 	return unready
 }
