--- a/coordination/shard/bench_test.go
+++ b/coordination/shard/bench_test.go
@@ -18,13 +18,13 @@
 
 // A program of the benchmark: a record and some turns, compressed.
 const (
-	recordBytes = 2 << 10
-	turnBytes   = 4 << 10
-	turnsEach   = 8
+	recordBytes     = 2 << 10
+	turnBytes       = 4 << 10
+	turnsPerProgram = 8
 )
 
-// repairNetwork returns four nodes of which three hold the shard.
-func repairNetwork(b *testing.B, records int, open func() replica.Store) (*network, register.View) {
+// newRepairNetwork returns four nodes of which three hold the shard.
+func newRepairNetwork(b *testing.B, records int, open func() replica.Store) (*network, register.View) {
 	b.Helper()
 	n := newNetwork(1)
 	n.instant = true
@@ -52,7 +52,7 @@
 		program := fmt.Sprint("program-", number)
 		value := bytes.Repeat([]byte{1}, recordBytes)
 		assert.NilError(b, store.SaveRegister(0, program, replica.Register{Promised: ballot, Accepted: ballot, Value: value}))
-		for sequence := range uint64(turnsEach) {
+		for sequence := range uint64(turnsPerProgram) {
 			turn := replica.Turn{Program: program, Sequence: sequence, Object: bytes.Repeat([]byte{2}, turnBytes)}
 			turn.Digest = sha256.Sum256(fmt.Append(nil, program, sequence))
 			assert.NilError(b, store.PutTurn(0, turn))
@@ -88,7 +88,7 @@
 	var sealed, copied float64
 	for range b.N {
 		b.StopTimer()
-		n, view := repairNetwork(b, records, open)
+		n, view := newRepairNetwork(b, records, open)
 		wanted := append(view.Members[1:3:3], n.process(nodeName(3)).member)
 		driving := n.process(nodeName(1))
 		random := rand.New(rand.NewPCG(1, 1))
--- a/coordination/shard/driver_test.go
+++ b/coordination/shard/driver_test.go
@@ -16,19 +16,19 @@
 	"github.com/marblering/marblering/state/replica"
 )
 
-var errSilent = errors.New("no answer")
+var errNoAnswer = errors.New("no answer")
 
-// silentMembers grant everything, but for one that doesn't answer to the request
+// fakeMembers grant everything, but for one that doesn't answer to the request
 // to copy ahead. They note whether a successor was proposed.
-type silentMembers struct {
-	silent string
+type fakeMembers struct {
+	unresponsive string
 
 	mutex     sync.Mutex
 	registers map[string]replica.Register
 	proposed  bool
 }
 
-func (m *silentMembers) Prepare(_ context.Context, member register.Member, request register.PrepareRequest) (register.PrepareReply, error) {
+func (m *fakeMembers) Prepare(_ context.Context, member register.Member, request register.PrepareRequest) (register.PrepareReply, error) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	next, reply := register.Acceptor{}.Prepare(m.registers[member.Node], request.Ballot)
@@ -36,7 +36,7 @@
 	return reply, nil
 }
 
-func (m *silentMembers) Accept(_ context.Context, member register.Member, request register.AcceptRequest) (register.AcceptReply, error) {
+func (m *fakeMembers) Accept(_ context.Context, member register.Member, request register.AcceptRequest) (register.AcceptReply, error) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	m.proposed = true
@@ -45,34 +45,34 @@
 	return reply, nil
 }
 
-func (m *silentMembers) Seal(context.Context, register.Member, SealRequest) (archive.Reply, error) {
+func (m *fakeMembers) Seal(context.Context, register.Member, SealRequest) (archive.Reply, error) {
 	return archive.Reply{}, nil
 }
 
-func (m *silentMembers) Install(_ context.Context, member register.Member, request InstallRequest) (archive.Reply, error) {
-	if request.TurnsOnly && member.Node == m.silent {
-		return archive.Reply{}, errSilent
+func (m *fakeMembers) Install(_ context.Context, member register.Member, request InstallRequest) (archive.Reply, error) {
+	if request.TurnsOnly && member.Node == m.unresponsive {
+		return archive.Reply{}, errNoAnswer
 	}
 	return archive.Reply{}, nil
 }
 
-func (m *silentMembers) Open(context.Context, register.Member, OpenRequest) (archive.Reply, error) {
+func (m *fakeMembers) Open(context.Context, register.Member, OpenRequest) (archive.Reply, error) {
 	return archive.Reply{}, nil
 }
 
-// TestNoSetIsProposedWithASilentMember: a set that is decided with a member that
+// TestDriveDoesNotProposeUnresponsiveMember: a set that is decided with a member that
 // doesn't answer loses its majority with the next loss.
-func TestNoSetIsProposedWithASilentMember(t *testing.T) {
+func TestDriveDoesNotProposeUnresponsiveMember(t *testing.T) {
 	member := func(name string) register.Member { return register.Member{Node: name, Incarnation: name} }
 	current := register.View{Epoch: FirstEpoch, Members: []register.Member{member("a"), member("b"), member("c")}}
 	wanted := []register.Member{member("a"), member("b"), member("d")}
 	for _, silent := range []string{"a", "d"} {
-		members := &silentMembers{silent: silent, registers: make(map[string]replica.Register)}
+		members := &fakeMembers{unresponsive: silent, registers: make(map[string]replica.Register)}
 		settings := register.DefaultSettings()
 		settings.RequestTimeout = 50 * time.Millisecond
 		driver := NewDriver("driver", members, NewMap(1), register.SystemClock{}, rand.New(rand.NewPCG(1, 1)), settings, zap.NewNop())
 		_, err := driver.Drive(context.Background(), current, wanted)
-		assert.ErrorIs(t, err, errSilent, "%s is silent", silent)
+		assert.ErrorIs(t, err, errNoAnswer, "%s is silent", silent)
 		assert.Assert(t, !members.proposed, "%s is silent", silent)
 	}
 }
--- a/coordination/shard/inherit_test.go
+++ b/coordination/shard/inherit_test.go
@@ -43,11 +43,11 @@
 	return l.link.Pull(ctx, to, request, visit)
 }
 
-// TestCopiedValueIsDecidedAnew has two new members copy a value that only a
+// TestInheritedValueIsAcceptedAgain has two new members copy a value that only a
 // minority of the old ones accepted, and the third a later one that isn't based
 // on it. What a reader of the first two is told must be in what a reader of the
 // others is told afterwards.
-func TestCopiedValueIsDecidedAnew(t *testing.T) {
+func TestInheritedValueIsAcceptedAgain(t *testing.T) {
 	ctx := context.Background()
 	n := newNetwork(1)
 	n.instant = true
@@ -73,7 +73,7 @@
 	sources := [][]int{{0, 1}, {0, 1}, {1, 2}}
 	for index, member := range second.Members {
 		p := n.process(member.Node)
-		installer := shard.NewInstaller(p.replica, reaching(n, sources[index]...), zap.NewNop())
+		installer := shard.NewInstaller(p.replica, newPartialLink(n, sources[index]...), zap.NewNop())
 		reply := installer.Install(ctx, shard.InstallRequest{Previous: first, Successor: second})
 		assert.Equal(t, reply.Refusal, register.RefusalNone)
 		copied, err := p.store.LoadRegister(0, "program")
@@ -81,14 +81,14 @@
 		assert.Assert(t, !copied.Promised.Less(high), "%s forgot the highest promise of its sources", member.Node)
 		assert.Equal(t, p.replica.Open(ctx, shard.OpenRequest{View: second}).Refusal, register.RefusalNone)
 	}
-	before := readThrough(t, second, reaching(n, 3, 4))
-	after := readThrough(t, second, reaching(n, 3, 5))
+	before := readRegister(t, second, newPartialLink(n, 3, 4))
+	after := readRegister(t, second, newPartialLink(n, 3, 5))
 	assert.Equal(t, before, after)
 }
 
-// TestInstallKeepsWhatIsNewer has a new member install that holds a register at
+// TestInstallKeepsNewerState has a new member install that holds a register at
 // a higher ballot than its sources do, from an epoch that they were told of late.
-func TestInstallKeepsWhatIsNewer(t *testing.T) {
+func TestInstallKeepsNewerState(t *testing.T) {
 	ctx := context.Background()
 	n := newNetwork(1)
 	n.instant = true
@@ -109,7 +109,7 @@
 		assert.Equal(t, reply.Refusal, register.RefusalNone)
 	}
 	newest := n.process(nodeName(3))
-	installer := shard.NewInstaller(newest.replica, reaching(n, 0, 1), zap.NewNop())
+	installer := shard.NewInstaller(newest.replica, newPartialLink(n, 0, 1), zap.NewNop())
 	reply := installer.Install(ctx, shard.InstallRequest{Previous: first, Successor: second})
 	assert.Equal(t, reply.Refusal, register.RefusalNone)
 	kept, err := newest.store.LoadRegister(0, "program")
@@ -118,7 +118,7 @@
 	assert.Equal(t, kept.Accepted.Counter, uint64(4))
 }
 
-func reaching(n *network, nodes ...int) partialLink {
+func newPartialLink(n *network, nodes ...int) partialLink {
 	reached := make(map[string]bool)
 	for _, node := range nodes {
 		reached[nodeName(node)] = true
@@ -126,7 +126,7 @@
 	return partialLink{link{n, "client"}, reached}
 }
 
-func readThrough(t *testing.T, view register.View, members partialLink) string {
+func readRegister(t *testing.T, view register.View, members partialLink) string {
 	t.Helper()
 	views := shard.NewMap(1)
 	views.Learn(view)
@@ -139,9 +139,9 @@
 	return string(value)
 }
 
-// TestSealEndsVotesAndTurns demands that a sealed member grants nothing of the
+// TestSealRefusesVotesAndTurns demands that a sealed member grants nothing of the
 // epoch and names the successor only to whoever decides about it.
-func TestSealEndsVotesAndTurns(t *testing.T) {
+func TestSealRefusesVotesAndTurns(t *testing.T) {
 	ctx := context.Background()
 	n := newNetwork(1)
 	p := n.start("n0", "zone", nil)
--- a/coordination/shard/listing_test.go
+++ b/coordination/shard/listing_test.go
@@ -13,14 +13,14 @@
 	"github.com/marblering/marblering/coordination/shard"
 )
 
-// countedPulls counts pulls that ask for a listing, and loses those from one node.
-type countedPulls struct {
+// countingLink counts pulls that ask for a listing, and loses those from one node.
+type countingLink struct {
 	link
 	lost     string
 	listings *atomic.Int64
 }
 
-func (c countedPulls) Pull(ctx context.Context, to register.Member, request shard.PullRequest, visit func(shard.PullItem) error) (archive.Reply, error) {
+func (c countingLink) Pull(ctx context.Context, to register.Member, request shard.PullRequest, visit func(shard.PullItem) error) (archive.Reply, error) {
 	if request.OmitObjects {
 		c.listings.Add(1)
 	}
@@ -30,9 +30,9 @@
 	return c.link.Pull(ctx, to, request, visit)
 }
 
-// TestMajorityIsListed: a replica that installs asks for no more listings than it
+// TestInstallListsMajority: a replica that installs asks for no more listings than it
 // needs, counts its own, and asks others where one fails.
-func TestMajorityIsListed(t *testing.T) {
+func TestInstallListsMajority(t *testing.T) {
 	for _, c := range []struct {
 		name      string
 		installer int
@@ -42,9 +42,9 @@
 		{"a member of before", 2, 2},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			n, first, second := sealedFive(t)
+			n, first, second := newSealedSet(t)
 			p := n.process(nodeName(c.installer))
-			counted := countedPulls{link: link{n, "client"}, listings: &atomic.Int64{}}
+			counted := countingLink{link: link{n, "client"}, listings: &atomic.Int64{}}
 			installer := shard.NewInstaller(p.replica, counted, zap.NewNop())
 			reply := installer.Install(t.Context(), shard.InstallRequest{Previous: first, Successor: second})
 			assert.Equal(t, reply.Refusal, register.RefusalNone)
@@ -52,8 +52,8 @@
 		})
 	}
 	for lost := range 5 {
-		n, first, second := sealedFive(t)
-		counted := countedPulls{link: link{n, "client"}, lost: nodeName(lost), listings: &atomic.Int64{}}
+		n, first, second := newSealedSet(t)
+		counted := countingLink{link: link{n, "client"}, lost: nodeName(lost), listings: &atomic.Int64{}}
 		installer := shard.NewInstaller(n.process(nodeName(5)).replica, counted, zap.NewNop())
 		reply := installer.Install(t.Context(), shard.InstallRequest{Previous: first, Successor: second})
 		assert.Equal(t, reply.Refusal, register.RefusalNone)
@@ -61,9 +61,9 @@
 	}
 }
 
-// sealedFive is a set of five members whose epoch has ended, and its successor,
+// newSealedSet is a set of five members whose epoch has ended, and its successor,
 // in which a sixth stands for the first.
-func sealedFive(t *testing.T) (n *network, first, second register.View) {
+func newSealedSet(t *testing.T) (n *network, first, second register.View) {
 	t.Helper()
 	n = newNetwork(1)
 	n.instant = true
--- a/coordination/shard/locate_test.go
+++ b/coordination/shard/locate_test.go
@@ -9,7 +9,7 @@
 	"github.com/marblering/marblering/coordination/shard"
 )
 
-// TestProgramIsNowhereBeforeTheShardsAreKnown: a storage node that has just started is
+// TestLocateBeforeShardCountIsKnown: a storage node that has just started is
 // asked for the budget of a program, looks up its shard, and learns the sets before it asks
 // for the shard's members. It was sent to the first shard, whatever the program's. The
 // tokens that it reserved and counted there are in no record that others read: in a log the
@@ -17,7 +17,7 @@
 // known"; the draws of b1 to b4 were decided in shard 1, whose record never had them, and
 // the return of b0's reserve found no holder there. b4 was answered with 200 at 400 of 350
 // tokens.
-func TestProgramIsNowhereBeforeTheShardsAreKnown(t *testing.T) {
+func TestLocateBeforeShardCountIsKnown(t *testing.T) {
 	const shards = 2
 	views := shard.NewMap(0)
 	located := views.Locate("p")
--- a/coordination/shard/model_test.go
+++ b/coordination/shard/model_test.go
@@ -43,17 +43,17 @@
 	modelSetSize   = 3
 	modelEvents    = 40
 	recoveryRounds = 60
-	modelSettle    = 10 * time.Second
+	modelDrainTime = 10 * time.Second
 )
 
-// world is one run of the model: clients that append to registers while replica
+// modelRun is one run of the model: clients that append to registers while replica
 // sets change and nodes fail.
-type world struct {
+type modelRun struct {
 	*network
-	// hasLoss is set from a loss of memory until every member holds the newest
+	// hasDataLoss is set from a loss of memory until every member holds the newest
 	// epoch again: a set survives the loss of a minority, not more.
-	hasLoss bool
-	workers sync.WaitGroup
+	hasDataLoss bool
+	workers     sync.WaitGroup
 	// drivers counts those at work.
 	drivers atomic.Int32
 
@@ -62,7 +62,7 @@
 }
 
 // newestView returns the newest open view that any node knows.
-func (w *world) newestView() register.View {
+func (w *modelRun) newestView() register.View {
 	var newest register.View
 	for _, name := range w.names() {
 		if view, _ := w.process(name).views.View(0); view.Epoch > newest.Epoch {
@@ -74,7 +74,7 @@
 
 // isHealthy tells whether every member of the newest view is alive, holds its
 // data and serves it, and no change of epoch is under way.
-func (w *world) isHealthy() bool {
+func (w *modelRun) isHealthy() bool {
 	if w.drivers.Load() > 0 || slices.ContainsFunc(w.names(), w.isChanging) {
 		return false
 	}
@@ -90,14 +90,14 @@
 	return true
 }
 
-func (w *world) isChanging(node string) bool {
+func (w *modelRun) isChanging(node string) bool {
 	return len(w.process(node).replica.Unfinished()) > 0
 }
 
-// finish has each node do what its replica owes, as shard.Maintainer does: copy
-// shards that it missed, finish changes of epoch, and ask for a new epoch where
+// maintain has each node do what its replica owes, as shard.Maintainer does: copy
+// shards that it missed, maintain changes of epoch, and ask for a new epoch where
 // it can't copy the shard any more.
-func (w *world) finish(ctx context.Context) {
+func (w *modelRun) maintain(ctx context.Context) {
 	unready := make(map[string]int)
 	for ctx.Err() == nil {
 		time.Sleep(300 * time.Millisecond)
@@ -113,7 +113,7 @@
 			}
 			unready[node]++
 			if unready[node] > 3 {
-				w.launch(node, time.Second, func(ctx context.Context, driver *shard.Driver, view register.View) {
+				w.startDriver(node, time.Second, func(ctx context.Context, driver *shard.Driver, view register.View) {
 					_, _ = driver.Refresh(ctx, view)
 				})
 			}
@@ -122,21 +122,21 @@
 }
 
 // drive starts a driver at the node.
-func (w *world) drive(node string, wanted []register.Member, life time.Duration) {
-	w.launch(node, life, func(ctx context.Context, driver *shard.Driver, view register.View) {
+func (w *modelRun) drive(node string, wanted []register.Member, life time.Duration) {
+	w.startDriver(node, life, func(ctx context.Context, driver *shard.Driver, view register.View) {
 		_, _ = driver.Drive(ctx, view, wanted)
 	})
 }
 
-// launch starts a driver at the node; it dies after the given time, and with the
+// startDriver starts a driver at the node; it dies after the given time, and with the
 // node's process.
-func (w *world) launch(node string, life time.Duration, work func(context.Context, *shard.Driver, register.View)) {
+func (w *modelRun) startDriver(node string, life time.Duration, work func(context.Context, *shard.Driver, register.View)) {
 	p := w.process(node)
 	view, found := p.views.View(0)
 	if !found {
 		return
 	}
-	random := rand.New(rand.NewPCG(uint64(w.pick(1000)), 2))
+	random := rand.New(rand.NewPCG(uint64(w.randomInt(1000)), 2))
 	driver := shard.NewDriver(p.member.Incarnation, link{w.network, node}, p.views, register.SystemClock{}, random, settings(), zap.NewNop())
 	w.drivers.Add(1)
 	w.workers.Go(func() {
@@ -157,8 +157,8 @@
 	eventDriveTwice
 	// eventRestart restarts a node that keeps its data.
 	eventRestart
-	// eventForget restarts a node without its data, where the set survives it.
-	eventForget
+	// eventWipe restarts a node without its data, where the set survives it.
+	eventWipe
 	eventFreeze
 	eventSweep
 	eventKinds
@@ -196,7 +196,7 @@
 	return events
 }
 
-func (w *world) membersOf(nodes []int) []register.Member {
+func (w *modelRun) membersOf(nodes []int) []register.Member {
 	var members []register.Member
 	for _, node := range nodes[:modelSetSize] {
 		members = append(members, w.process(nodeName(node)).member)
@@ -206,11 +206,11 @@
 
 func nodeName(index int) string { return fmt.Sprintf("n%d", index) }
 
-func (w *world) step(happens event) {
+func (w *modelRun) applyEvent(happens event) {
 	node := nodeName(happens.node)
 	p := w.process(node)
 	if w.isHealthy() {
-		w.hasLoss = false
+		w.hasDataLoss = false
 	}
 	switch happens.kind {
 	case eventDrive:
@@ -220,9 +220,9 @@
 		w.drive(nodeName(happens.other), w.membersOf(happens.others), 2*time.Second)
 	case eventRestart:
 		w.start(node, p.member.Zone, p)
-	case eventForget:
-		if !w.hasLoss {
-			w.hasLoss = true
+	case eventWipe:
+		if !w.hasDataLoss {
+			w.hasDataLoss = true
 			w.start(node, p.member.Zone, nil)
 		}
 	case eventFreeze:
@@ -233,12 +233,12 @@
 }
 
 // gossip passes the open views between two nodes at a time.
-func (w *world) gossip(ctx context.Context, clients []*shard.Map) {
+func (w *modelRun) gossip(ctx context.Context, clients []*shard.Map) {
 	for ctx.Err() == nil {
 		names := w.names()
-		left := w.process(names[w.pick(len(names))]).views
-		right := w.process(names[w.pick(len(names))]).views
-		maps := append([]*shard.Map{left, right}, clients[w.pick(len(clients))])
+		left := w.process(names[w.randomInt(len(names))]).views
+		right := w.process(names[w.randomInt(len(names))]).views
+		maps := append([]*shard.Map{left, right}, clients[w.randomInt(len(clients))])
 		for _, from := range maps {
 			for _, view := range from.Views() {
 				left.Learn(view)
@@ -250,7 +250,7 @@
 }
 
 // run plays one world and returns what is wrong with it.
-func (w *world) run(events []event) error {
+func (w *modelRun) run(events []event) error {
 	var first register.View
 	first.Epoch = shard.FirstEpoch
 	for index := range modelNodes {
@@ -271,12 +271,12 @@
 	}
 	gossiping, stopGossip := context.WithCancel(context.Background())
 	w.workers.Go(func() { w.gossip(gossiping, clients) })
-	w.workers.Go(func() { w.finish(gossiping) })
+	w.workers.Go(func() { w.maintain(gossiping) })
 	for _, happens := range events {
-		w.step(happens)
+		w.applyEvent(happens)
 		time.Sleep(happens.pause)
 	}
-	w.calm()
+	w.stopFaults()
 	recovered := w.recover()
 	cancel()
 	stopGossip()
@@ -286,12 +286,12 @@
 		problem = w.verify(clients[0])
 	}
 	// Requests that nobody waits for end before the virtual time does.
-	time.Sleep(modelSettle)
+	time.Sleep(modelDrainTime)
 	return problem
 }
 
 // recover drives the shard until a set of live members serves it.
-func (w *world) recover() error {
+func (w *modelRun) recover() error {
 	for range recoveryRounds {
 		time.Sleep(time.Second)
 		if w.isHealthy() {
@@ -301,21 +301,21 @@
 		for node := range modelSetSize {
 			live = append(live, w.process(nodeName(node)).member)
 		}
-		w.drive(nodeName(w.pick(modelNodes)), live, 10*time.Second)
+		w.drive(nodeName(w.randomInt(modelNodes)), live, 10*time.Second)
 	}
 	return fmt.Errorf("the shard doesn't serve again, newest view %+v", w.newestView())
 }
 
 // verify reads every register and checks history and turns.
-func (w *world) verify(views *shard.Map) error {
+func (w *modelRun) verify(views *shard.Map) error {
 	views.Learn(w.newestView())
 	random := rand.New(rand.NewPCG(9, 9))
 	reader := register.NewClient("reader", link{w.network, "reader"}, clientViews{views}, register.SystemClock{}, random, settings())
 	for index := range modelKeys {
-		if !w.apply(context.Background(), reader, modelClients, input{key: key(index)}) {
+		if !w.apply(context.Background(), reader, modelClients, operationInput{key: key(index)}) {
 			return fmt.Errorf("register %s can't be read", key(index))
 		}
-		final := w.history[len(w.history)-1].Output.(output).value
+		final := w.history[len(w.history)-1].Output.(operationOutput).value
 		if err := w.verifyTurns(key(index), final); err != nil {
 			return err
 		}
@@ -327,7 +327,7 @@
 }
 
 // verifyTurns demands each turn that the value refers to from every majority.
-func (w *world) verifyTurns(program, value string) error {
+func (w *modelRun) verifyTurns(program, value string) error {
 	view := w.newestView()
 	for tag := range strings.SplitAfterSeq(value, ".") {
 		holders := 0
@@ -357,8 +357,8 @@
 	operations, epochs := 0, uint64(0)
 	rapid.Check(t, func(rt *rapid.T) {
 		var problem error
-		w := &world{network: newNetwork(rapid.Uint64().Draw(rt, "seed"))}
-		w.trouble = float64(rapid.IntRange(0, 10).Draw(rt, "trouble")) / 100
+		w := &modelRun{network: newNetwork(rapid.Uint64().Draw(rt, "seed"))}
+		w.faultRate = float64(rapid.IntRange(0, 10).Draw(rt, "trouble")) / 100
 		events := drawEvents(rt)
 		bubble.Test(t, func(*testing.T) { problem = w.run(events) })
 		operations += len(w.history)
--- a/coordination/shard/modelclient_test.go
+++ b/coordination/shard/modelclient_test.go
@@ -17,11 +17,11 @@
 	"github.com/marblering/marblering/state/replica"
 )
 
-// input is one operation: an append of the tag, or a read where it is empty.
-type input struct{ key, tag string }
+// operationInput is one operation: an append of the tag, or a read where it is empty.
+type operationInput struct{ key, tag string }
 
-// output is the register's value; unknown where nobody was told.
-type output struct {
+// operationOutput is the register's value; unknown where nobody was told.
+type operationOutput struct {
 	value   string
 	unknown bool
 }
@@ -31,14 +31,14 @@
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
 		parts := make([][]porcupine.Operation, modelKeys)
 		for _, operation := range history {
-			index := int(operation.Input.(input).key[1] - '0')
+			index := int(operation.Input.(operationInput).key[1] - '0')
 			parts[index] = append(parts[index], operation)
 		}
 		return parts
 	},
 	Init: func() any { return "" },
 	Step: func(state, in, out any) (bool, any) {
-		current, asked, told := state.(string), in.(input), out.(output)
+		current, asked, told := state.(string), in.(operationInput), out.(operationOutput)
 		next := current + asked.tag
 		return told.unknown || told.value == next, next
 	},
@@ -59,7 +59,7 @@
 func (clientViews) LearnConfiguration(context.Context, uint64) {}
 
 // runClient appends and reads until the run ends.
-func (w *world) runClient(ctx context.Context, number int, views *shard.Map) {
+func (w *modelRun) runClient(ctx context.Context, number int, views *shard.Map) {
 	random := rand.New(rand.NewPCG(uint64(number), 1))
 	node := fmt.Sprintf("client-%d", number)
 	chosen := settings()
@@ -79,7 +79,7 @@
 			// A restart in the same incarnation, without the ballots used before.
 			client = start()
 		}
-		asked := input{key: key(random.IntN(modelKeys))}
+		asked := operationInput{key: key(random.IntN(modelKeys))}
 		if random.IntN(3) > 0 {
 			asked.tag = fmt.Sprintf("%d-%d.", number, count)
 		}
@@ -92,12 +92,12 @@
 	}
 }
 
-func turnOf(asked input) replica.Turn {
+func turnOf(asked operationInput) replica.Turn {
 	return replica.Turn{Program: asked.key, Digest: sha256.Sum256([]byte(asked.tag)), Object: []byte(asked.tag)}
 }
 
 // putTurn stores a turn on a majority of one view, before it is referred to.
-func (w *world) putTurn(ctx context.Context, node string, views *shard.Map, turn replica.Turn) bool {
+func (w *modelRun) putTurn(ctx context.Context, node string, views *shard.Map, turn replica.Turn) bool {
 	for ctx.Err() == nil {
 		view, _ := views.View(0)
 		granted := make(chan bool, len(view.Members))
@@ -126,9 +126,9 @@
 }
 
 // apply runs one operation and notes what its caller was told.
-func (w *world) apply(ctx context.Context, client *register.Client, number int, asked input) bool {
+func (w *modelRun) apply(ctx context.Context, client *register.Client, number int, asked operationInput) bool {
 	began := time.Now()
-	var told output
+	var told operationOutput
 	value, err := client.Apply(ctx, 0, asked.key, func(current []byte) ([]byte, error) {
 		// An append that is there already is recognised by its tag.
 		if asked.tag == "" || strings.Contains(string(current), asked.tag) {
--- a/coordination/shard/network_test.go
+++ b/coordination/shard/network_test.go
@@ -42,12 +42,12 @@
 	// opened; pulledBytes counts the payload of all pulls.
 	sealedAt, openedAt time.Time
 	pulledBytes        int
-	// trouble is the share of the messages that are lost.
-	trouble   float64
+	// faultRate is the share of the messages that are lost.
+	faultRate float64
 	processes map[string]*process
 	// frozenUntil holds back requests and answers of a node.
-	frozenUntil map[string]time.Time
-	lives       int
+	frozenUntil  map[string]time.Time
+	incarnations int
 }
 
 func newNetwork(seed uint64) *network {
@@ -60,9 +60,9 @@
 
 // start begins a life of the node. With a store it keeps incarnation and data.
 func (n *network) start(node, zone string, kept *process) *process {
-	n.lives++
+	n.incarnations++
 	next := &process{
-		member: register.Member{Node: node, Incarnation: fmt.Sprintf("%s-%d", node, n.lives), Address: node, Zone: zone},
+		member: register.Member{Node: node, Incarnation: fmt.Sprintf("%s-%d", node, n.incarnations), Address: node, Zone: zone},
 		store:  replica.NewMemory(),
 		views:  shard.NewMap(1),
 	}
@@ -98,14 +98,14 @@
 	return names
 }
 
-// isDoubled tells whether the next message arrives a second time.
-func (n *network) isDoubled() bool {
+// isDuplicated tells whether the next message arrives a second time.
+func (n *network) isDuplicated() bool {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	return n.random.Float64() < n.trouble
+	return n.random.Float64() < n.faultRate
 }
 
-func (n *network) pick(count int) int {
+func (n *network) randomInt(count int) int {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	return n.random.IntN(count)
@@ -117,22 +117,22 @@
 	n.frozenUntil[node] = time.Now().Add(length)
 }
 
-// calm ends all trouble.
-func (n *network) calm() {
+// stopFaults ends all trouble.
+func (n *network) stopFaults() {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	n.trouble = 0
+	n.faultRate = 0
 	clear(n.frozenUntil)
 }
 
-// travel takes the time of one message, and longer while a node is frozen.
-func (n *network) travel(ctx context.Context, nodes ...string) error {
+// transmit takes the time of one message, and longer while a node is frozen.
+func (n *network) transmit(ctx context.Context, nodes ...string) error {
 	if n.instant {
 		return ctx.Err()
 	}
 	n.mutex.Lock()
 	delay := time.Duration(1+n.random.IntN(20_000)) * time.Microsecond
-	isLost := n.random.Float64() < n.trouble
+	isLost := n.random.Float64() < n.faultRate
 	for _, node := range nodes {
 		delay = max(delay, time.Until(n.frozenUntil[node]))
 	}
@@ -162,13 +162,13 @@
 // call carries one request and its answer.
 func call[Reply any](ctx context.Context, l link, to register.Member, handle func(context.Context, *process) Reply) (Reply, error) {
 	var none Reply
-	if err := l.network.travel(ctx, l.node, to.Node); err != nil {
+	if err := l.network.transmit(ctx, l.node, to.Node); err != nil {
 		return none, err
 	}
 	target := l.network.process(to.Address)
-	if l.network.isDoubled() {
+	if l.network.isDuplicated() {
 		go func() {
-			if l.network.travel(target.ctx, to.Node) == nil {
+			if l.network.transmit(target.ctx, to.Node) == nil {
 				handle(target.ctx, target)
 			}
 		}()
@@ -177,7 +177,7 @@
 	if target.ctx.Err() != nil {
 		return none, errLost
 	}
-	return reply, l.network.travel(ctx, l.node, to.Node)
+	return reply, l.network.transmit(ctx, l.node, to.Node)
 }
 
 func (l link) Prepare(ctx context.Context, to register.Member, request register.PrepareRequest) (register.PrepareReply, error) {
@@ -193,7 +193,7 @@
 }
 
 func (l link) Seal(ctx context.Context, to register.Member, request shard.SealRequest) (archive.Reply, error) {
-	l.network.note(&l.network.sealedAt)
+	l.network.recordFirst(&l.network.sealedAt)
 	return call(ctx, l, to, func(ctx context.Context, p *process) archive.Reply { return p.replica.Seal(ctx, request) })
 }
 
@@ -202,12 +202,12 @@
 }
 
 func (l link) Open(ctx context.Context, to register.Member, request shard.OpenRequest) (archive.Reply, error) {
-	l.network.note(&l.network.openedAt)
+	l.network.recordFirst(&l.network.openedAt)
 	return call(ctx, l, to, func(ctx context.Context, p *process) archive.Reply { return p.replica.Open(ctx, request) })
 }
 
-// note sets the time if it hasn't been set.
-func (n *network) note(moment *time.Time) {
+// recordFirst sets the time if it hasn't been set.
+func (n *network) recordFirst(moment *time.Time) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	if moment.IsZero() {
@@ -215,7 +215,7 @@
 	}
 }
 
-func (n *network) count(items []shard.PullItem) {
+func (n *network) countBytes(items []shard.PullItem) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	for _, item := range items {
@@ -246,7 +246,7 @@
 	if err = errors.Join(err, result.err); err != nil {
 		return archive.Reply{}, err
 	}
-	l.network.count(result.items)
+	l.network.countBytes(result.items)
 	for _, item := range result.items {
 		if err := visit(item); err != nil {
 			return archive.Reply{}, err
--- a/coordination/shard/plan_test.go
+++ b/coordination/shard/plan_test.go
@@ -40,7 +40,7 @@
 	return view
 }
 
-func membersOf(members []register.Member) string {
+func sortedIncarnations(members []register.Member) string {
 	var names []string
 	for _, member := range members {
 		names = append(names, member.Incarnation)
@@ -138,15 +138,15 @@
 			}
 			assert.Equal(t, len(outcome.Moves), 1)
 			assert.Equal(t, outcome.Moves[0].Reason, c.reason)
-			assert.Equal(t, membersOf(outcome.Moves[0].Members), c.want)
+			assert.Equal(t, sortedIncarnations(outcome.Moves[0].Members), c.want)
 			assert.Assert(t, outcome.Moves[0].Driver != "")
 		})
 	}
 }
 
-// TestPlanGivesWay has one more set to mend than moves are allowed: each gets its
+// TestPlanRotatesMoves has one more set to mend than moves are allowed: each gets its
 // turn although none of the moves is ever done.
-func TestPlanGivesWay(t *testing.T) {
+func TestPlanRotatesMoves(t *testing.T) {
 	nodes := planNodes()
 	nodes[0].GoneSince = planNow.Add(-time.Hour)
 	situation := shard.Situation{Now: planNow, WatchedSince: planNow, Nodes: nodes}
@@ -167,9 +167,9 @@
 	assert.Assert(t, len(drivers) > 1)
 }
 
-// TestPlanSettles applies plans over and over: they end, keep within the bound
+// TestPlanConverges applies plans over and over: they end, keep within the bound
 // and never touch a set without a majority.
-func TestPlanSettles(t *testing.T) {
+func TestPlanConverges(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		nodes := planNodes()
 		var views []register.View
@@ -248,8 +248,8 @@
 	})
 }
 
-// TestRepairBalances: the sets of a node that leaves go to several others.
-func TestRepairBalances(t *testing.T) {
+// TestPlanBalancesReplacements: the sets of a node that leaves go to several others.
+func TestPlanBalancesReplacements(t *testing.T) {
 	nodes := planNodes()
 	nodes = append(nodes, nodes[0])
 	nodes[6].Member = register.Member{Node: "n6", Incarnation: "n6-1", Address: "n6", Zone: "z0"}
--- a/coordination/shard/planmodel_test.go
+++ b/coordination/shard/planmodel_test.go
@@ -15,10 +15,10 @@
 
 const (
 	planModelEvents = 25
-	// planModelQuiet is longer than any patience of the plan.
-	planModelQuiet = 90 * time.Second
-	// planModelNotice is how long a silent node goes unnoticed.
-	planModelNotice = time.Second
+	// planModelSettleTime is longer than any patience of the plan.
+	planModelSettleTime = 90 * time.Second
+	// planModelDetectionDelay is how long a silent node goes unnoticed.
+	planModelDetectionDelay = time.Second
 )
 
 // planNode is a machine with a disk, as it really is.
@@ -26,10 +26,10 @@
 	name, zone string
 	life       int
 	started    time.Time
-	// silentSince is zero while the node answers; removed nodes never do again.
-	silentSince time.Time
-	removed     bool
-	leaving     bool
+	// unresponsiveSince is zero while the node answers; removed nodes never do again.
+	unresponsiveSince time.Time
+	removed           bool
+	leaving           bool
 	// isKnown and leavingKnown are what the others have heard through the store.
 	isKnown, leavingKnown bool
 }
@@ -38,19 +38,19 @@
 	return register.Member{Node: n.name, Incarnation: fmt.Sprintf("%s-%d", n.name, n.life), Address: n.name, Zone: n.zone}
 }
 
-func (n *planNode) answers() bool { return n.silentSince.IsZero() }
+func (n *planNode) answers() bool { return n.unresponsiveSince.IsZero() }
 
-// planWorld steps the planner through events, without threads or I/O: what a
+// planModel steps the planner through events, without threads or I/O: what a
 // plan wants is done at once where its members take part, and else not at all.
-type planWorld struct {
+type planModel struct {
 	t        *rapid.T
 	now      time.Time
 	settings shard.PlanSettings
 	zones    int
 	nodes    []*planNode
 	views    []register.View
-	// storeAway keeps new nodes and orders to leave from being heard of.
-	storeAway bool
+	// storeUnavailable keeps new nodes and orders to leave from being heard of.
+	storeUnavailable bool
 }
 
 // TestPlanModel: whatever becomes of the nodes, as long as a majority of each
@@ -59,21 +59,21 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		w := newPlanWorld(rt)
 		for range planModelEvents {
-			w.happen()
+			w.applyRandomEvent()
 			for range rapid.IntRange(0, 8).Draw(rt, "pause") {
 				w.step()
 			}
 		}
-		w.calm()
-		for end := w.now.Add(planModelQuiet); w.now.Before(end); {
+		w.endFaults()
+		for end := w.now.Add(planModelSettleTime); w.now.Before(end); {
 			w.step()
 		}
-		w.checkWhole()
+		w.checkComplete()
 	})
 }
 
-func newPlanWorld(rt *rapid.T) *planWorld {
-	w := &planWorld{t: rt, now: planNow, zones: rapid.IntRange(1, 5).Draw(rt, "zones")}
+func newPlanWorld(rt *rapid.T) *planModel {
+	w := &planModel{t: rt, now: planNow, zones: rapid.IntRange(1, 5).Draw(rt, "zones")}
 	count := rapid.IntRange(3, 9).Draw(rt, "nodes")
 	factor := 3
 	if count >= 5 && rapid.Bool().Draw(rt, "two losses") {
@@ -92,41 +92,41 @@
 	return w
 }
 
-func (w *planWorld) add() *planNode {
+func (w *planModel) add() *planNode {
 	zone := rapid.IntRange(0, w.zones-1).Draw(w.t, "zone")
-	added := &planNode{name: fmt.Sprint("n", len(w.nodes)), zone: fmt.Sprint("z", zone), started: w.now, isKnown: !w.storeAway}
+	added := &planNode{name: fmt.Sprint("n", len(w.nodes)), zone: fmt.Sprint("z", zone), started: w.now, isKnown: !w.storeUnavailable}
 	w.nodes = append(w.nodes, added)
 	return added
 }
 
-// happen makes one random event of the kinds that a deployment knows.
-func (w *planWorld) happen() {
+// applyRandomEvent makes one random event of the kinds that a deployment knows.
+func (w *planModel) applyRandomEvent() {
 	node := rapid.SampledFrom(w.nodes).Draw(w.t, "node")
 	if node.removed {
 		return
 	}
 	switch rapid.SampledFrom([]string{"leave", "stay", "freeze", "return", "wipe", "remove", "replace", "add", "store"}).Draw(w.t, "event") {
 	case "leave":
-		node.leaving, node.leavingKnown = true, !w.storeAway
+		node.leaving, node.leavingKnown = true, !w.storeUnavailable
 	case "stay":
 		node.leaving, node.leavingKnown = false, false
 	case "freeze":
-		w.silence(node)
+		w.stopAnswering(node)
 	case "return":
-		node.silentSince = time.Time{}
+		node.unresponsiveSince = time.Time{}
 	case "wipe":
 		if w.survivesWithout(node) {
 			node.life++
-			node.started, node.silentSince = w.now, time.Time{}
+			node.started, node.unresponsiveSince = w.now, time.Time{}
 		}
 	case "remove":
 		if w.survivesWithout(node) {
-			w.silence(node)
+			w.stopAnswering(node)
 			node.removed = true
 		}
 	case "replace":
 		if w.survivesWithout(node) {
-			w.silence(node)
+			w.stopAnswering(node)
 			node.removed = true
 			w.add()
 		}
@@ -135,38 +135,38 @@
 			w.add()
 		}
 	case "store":
-		w.storeAway = !w.storeAway
-		if !w.storeAway {
-			w.hear()
+		w.storeUnavailable = !w.storeUnavailable
+		if !w.storeUnavailable {
+			w.syncFromStore()
 		}
 	}
 }
 
-func (w *planWorld) silence(node *planNode) {
+func (w *planModel) stopAnswering(node *planNode) {
 	if node.answers() {
-		node.silentSince = w.now
+		node.unresponsiveSince = w.now
 	}
 }
 
-// hear lets everything be known that stands in the store.
-func (w *planWorld) hear() {
+// syncFromStore lets everything be known that stands in the store.
+func (w *planModel) syncFromStore() {
 	for _, node := range w.nodes {
 		node.isKnown, node.leavingKnown = true, node.leaving
 	}
 }
 
-// isWhole tells that the member's disk is as it was.
-func (w *planWorld) isWhole(member register.Member) bool {
+// hasData tells that the member's disk is as it was.
+func (w *planModel) hasData(member register.Member) bool {
 	return slices.ContainsFunc(w.nodes, func(n *planNode) bool { return !n.removed && n.member() == member })
 }
 
 // survivesWithout tells that each set keeps a majority of whole disks without
 // the node's.
-func (w *planWorld) survivesWithout(node *planNode) bool {
+func (w *planModel) survivesWithout(node *planNode) bool {
 	for _, view := range w.views {
 		whole := 0
 		for _, member := range view.Members {
-			if member.Node != node.name && w.isWhole(member) {
+			if member.Node != node.name && w.hasData(member) {
 				whole++
 			}
 		}
@@ -177,15 +177,15 @@
 	return true
 }
 
-func (w *planWorld) situation() shard.Situation {
+func (w *planModel) situation() shard.Situation {
 	s := shard.Situation{Now: w.now, WatchedSince: planNow, Views: w.views}
 	for _, node := range w.nodes {
 		if !node.isKnown {
 			continue
 		}
 		known := shard.Node{Member: node.member(), HasDataFolder: true, Leaving: node.leavingKnown, Started: node.started}
-		if !node.answers() && w.now.Sub(node.silentSince) >= planModelNotice {
-			known.GoneSince = node.silentSince.Add(planModelNotice)
+		if !node.answers() && w.now.Sub(node.unresponsiveSince) >= planModelDetectionDelay {
+			known.GoneSince = node.unresponsiveSince.Add(planModelDetectionDelay)
 		}
 		s.Nodes = append(s.Nodes, known)
 	}
@@ -194,7 +194,7 @@
 
 // step lets the time pass by one round of the planner, checks its plan and does
 // what can be done of it.
-func (w *planWorld) step() {
+func (w *planModel) step() {
 	w.now = w.now.Add(500 * time.Millisecond)
 	situation := w.situation()
 	outcome := shard.Plan(situation, w.settings)
@@ -211,10 +211,10 @@
 }
 
 // checkLost: a set isn't lost for good while a majority of its disks is whole.
-func (w *planWorld) checkLost(lost shard.LostSet) {
+func (w *planModel) checkLost(lost shard.LostSet) {
 	whole := 0
 	for _, member := range lost.View.Members {
-		if w.isWhole(member) {
+		if w.hasData(member) {
 			whole++
 		}
 	}
@@ -223,7 +223,7 @@
 
 // checkMove: no set names a machine twice, or a member that is known not to
 // answer.
-func (w *planWorld) checkMove(known shard.Situation, move shard.Move) {
+func (w *planModel) checkMove(known shard.Situation, move shard.Move) {
 	assert.NilError(w.t, register.View{Members: move.Members}.Validate())
 	for _, member := range move.Members {
 		index := slices.IndexFunc(known.Nodes, func(n shard.Node) bool { return n.Member == member })
@@ -235,7 +235,7 @@
 
 // isPossible tells that each wanted member and a majority of the old ones
 // answer.
-func (w *planWorld) isPossible(move shard.Move) bool {
+func (w *planModel) isPossible(move shard.Move) bool {
 	answering := func(member register.Member) bool {
 		return slices.ContainsFunc(w.nodes, func(n *planNode) bool { return n.answers() && n.member() == member })
 	}
@@ -253,20 +253,20 @@
 	return count >= move.View.Quorum()
 }
 
-// calm ends all disturbances that end by themselves.
-func (w *planWorld) calm() {
-	w.storeAway = false
-	w.hear()
+// endFaults ends all disturbances that end by themselves.
+func (w *planModel) endFaults() {
+	w.storeUnavailable = false
+	w.syncFromStore()
 	for _, node := range w.nodes {
 		if !node.removed {
-			node.silentSince = time.Time{}
+			node.unresponsiveSince = time.Time{}
 		}
 	}
 }
 
-// checkWhole: every set has as many living members as there can be, and a node
+// checkComplete: every set has as many living members as there can be, and a node
 // that is to leave only where too few others live.
-func (w *planWorld) checkWhole() {
+func (w *planModel) checkComplete() {
 	living, staying := 0, 0
 	for _, node := range w.nodes {
 		if node.removed {
@@ -280,7 +280,7 @@
 	for _, view := range w.views {
 		whole, leaving := 0, 0
 		for _, member := range view.Members {
-			if w.isWhole(member) {
+			if w.hasData(member) {
 				whole++
 			}
 			if slices.ContainsFunc(w.nodes, func(n *planNode) bool { return n.leaving && n.member() == member }) {
--- a/coordination/shard/precopy_test.go
+++ b/coordination/shard/precopy_test.go
@@ -16,16 +16,16 @@
 	"github.com/marblering/marblering/state/replica"
 )
 
-// watchedLink notes how many turns each member holds when it is sealed, and which
+// recordingLink notes how many turns each member holds when it is sealed, and which
 // incarnations are asked to install.
-type watchedLink struct {
+type recordingLink struct {
 	link
 	mutex     sync.Mutex
 	held      map[string]int
 	installed map[string]bool
 }
 
-func (w *watchedLink) Seal(ctx context.Context, to register.Member, request shard.SealRequest) (archive.Reply, error) {
+func (w *recordingLink) Seal(ctx context.Context, to register.Member, request shard.SealRequest) (archive.Reply, error) {
 	held := countTurns(w.network.process(to.Node))
 	w.mutex.Lock()
 	w.held[to.Node] = held
@@ -33,7 +33,7 @@
 	return w.link.Seal(ctx, to, request)
 }
 
-func (w *watchedLink) Install(ctx context.Context, to register.Member, request shard.InstallRequest) (archive.Reply, error) {
+func (w *recordingLink) Install(ctx context.Context, to register.Member, request shard.InstallRequest) (archive.Reply, error) {
 	w.mutex.Lock()
 	w.installed[to.Incarnation] = true
 	w.mutex.Unlock()
@@ -49,11 +49,11 @@
 	return count
 }
 
-// TestMembersThatStayCopyAhead: each turn is stored by a majority only, and yet
+// TestRemainingMembersPrecopyTurns: each turn is stored by a majority only, and yet
 // all members hold nearly all of them by the time that the set is sealed. A member
 // whose node has begun a new incarnation isn't asked under the old one, whose
 // address the new one has.
-func TestMembersThatStayCopyAhead(t *testing.T) {
+func TestRemainingMembersPrecopyTurns(t *testing.T) {
 	const turns = 300
 	n := newNetwork(1)
 	n.instant = true
@@ -75,7 +75,7 @@
 	forgetful := members[4]
 	renewed := n.start(forgetful.Node, "zone", nil)
 	renewed.views.Learn(first)
-	watched := &watchedLink{link: link{n, "driver"}, held: make(map[string]int), installed: make(map[string]bool)}
+	watched := &recordingLink{link: link{n, "driver"}, held: make(map[string]int), installed: make(map[string]bool)}
 	views := shard.NewMap(1)
 	views.Learn(first)
 	driver := shard.NewDriver("driver", watched, views, register.SystemClock{}, rand.New(rand.NewPCG(1, 1)), register.DefaultSettings(), zap.NewNop())
@@ -90,24 +90,24 @@
 	assert.Assert(t, !watched.installed[forgetful.Incarnation])
 }
 
-// gatedSource lists nothing, and waits until it is let go.
-type gatedSource struct {
-	began chan uint32
-	free  chan struct{}
+// blockingSource lists nothing, and waits until it is let go.
+type blockingSource struct {
+	started chan uint32
+	release chan struct{}
 }
 
-func (s gatedSource) Pull(_ context.Context, _ register.Member, request shard.PullRequest, _ func(shard.PullItem) error) (archive.Reply, error) {
-	s.began <- request.Fence.Shard
-	<-s.free
+func (s blockingSource) Pull(_ context.Context, _ register.Member, request shard.PullRequest, _ func(shard.PullItem) error) (archive.Reply, error) {
+	s.started <- request.Fence.Shard
+	<-s.release
 	return archive.Reply{}, nil
 }
 
-// TestOneShardIsCopiedAheadAtATime: copies yield to the turns that are served.
-func TestOneShardIsCopiedAheadAtATime(t *testing.T) {
+// TestPrecopyHandlesOneShardAtATime: copies yield to the turns that are served.
+func TestPrecopyHandlesOneShardAtATime(t *testing.T) {
 	const shards = 4
 	views := shard.NewMap(shards)
 	local := shard.NewReplica("new", replica.NewMemory(), views, func() uint64 { return 0 })
-	source := gatedSource{began: make(chan uint32, 3*shards), free: make(chan struct{})}
+	source := blockingSource{started: make(chan uint32, 3*shards), release: make(chan struct{})}
 	installer := shard.NewInstaller(local, source, zap.NewNop())
 	member := func(name string) register.Member { return register.Member{Node: name, Incarnation: name} }
 	var installs sync.WaitGroup
@@ -121,13 +121,13 @@
 	}
 	copied := make(map[uint32]bool)
 	for range shards {
-		first, second := <-source.began, <-source.began
+		first, second := <-source.started, <-source.started
 		assert.Equal(t, first, second, "two members are listed for one shard")
 		assert.Assert(t, !copied[first])
 		copied[first] = true
-		assert.Equal(t, len(source.began), 0, "another shard is copied meanwhile")
-		source.free <- struct{}{}
-		source.free <- struct{}{}
+		assert.Equal(t, len(source.started), 0, "another shard is copied meanwhile")
+		source.release <- struct{}{}
+		source.release <- struct{}{}
 	}
 	installs.Wait()
 }
--- a/coordination/shard/repeatednode_test.go
+++ b/coordination/shard/repeatednode_test.go
@@ -12,9 +12,9 @@
 	"github.com/marblering/marblering/state/replica"
 )
 
-// TestNoViewCountsANodeTwice: neither driver nor replica takes part in a view in
+// TestViewWithRepeatedNodeIsRejected: neither driver nor replica takes part in a view in
 // which a node's old and new incarnation would count as two disks.
-func TestNoViewCountsANodeTwice(t *testing.T) {
+func TestViewWithRepeatedNodeIsRejected(t *testing.T) {
 	old, begun := register.Member{Node: "a", Incarnation: "a-1"}, register.Member{Node: "a", Incarnation: "a-2"}
 	other, third := register.Member{Node: "b", Incarnation: "b-1"}, register.Member{Node: "c", Incarnation: "c-1"}
 	current := register.View{Epoch: FirstEpoch, Members: []register.Member{old, other, third}}
@@ -22,7 +22,7 @@
 	assert.ErrorIs(t, repeated.Validate(), register.ErrRepeatedMember)
 	assert.NilError(t, current.Validate())
 
-	members := &silentMembers{registers: make(map[string]replica.Register)}
+	members := &fakeMembers{registers: make(map[string]replica.Register)}
 	driver := NewDriver("driver", members, NewMap(1), register.SystemClock{}, rand.New(rand.NewPCG(1, 1)), register.DefaultSettings(), zap.NewNop())
 	_, err := driver.Drive(context.Background(), current, repeated.Members)
 	assert.ErrorIs(t, err, register.ErrRepeatedMember)
--- a/coordination/shard/replacement_test.go
+++ b/coordination/shard/replacement_test.go
@@ -10,9 +10,9 @@
 	"github.com/marblering/marblering/coordination/shard"
 )
 
-// TestNodeThatStandsIn replaces a gone member soon, in every shard: also in those
+// TestPlanReplacesSoonerIfReplacementStarted replaces a gone member soon, in every shard: also in those
 // whose turn comes after it has joined another one.
-func TestNodeThatStandsIn(t *testing.T) {
+func TestPlanReplacesSoonerIfReplacementStarted(t *testing.T) {
 	settings := planSettings()
 	settings.ReplacedAfter = time.Second
 	nodes := planNodes()[:4]
@@ -31,7 +31,7 @@
 	moves := plan()
 	assert.Equal(t, len(moves), 1)
 	assert.Equal(t, moves[0].View.Shard, uint32(1))
-	assert.Equal(t, membersOf(moves[0].Members), "[n1-1 n2-1 n3-1]")
+	assert.Equal(t, sortedIncarnations(moves[0].Members), "[n1-1 n2-1 n3-1]")
 	nodes[0].GoneSince = planNow.Add(-settings.ReplacedAfter / 2)
 	assert.Equal(t, len(plan()), 0, "a short absence moves nothing")
 }
--- a/coordination/shard/stripe_test.go
+++ b/coordination/shard/stripe_test.go
@@ -13,24 +13,24 @@
 	"github.com/marblering/marblering/test/harness"
 )
 
-// slowDisk keeps saves of registers until it is told to go on.
-type slowDisk struct {
+// blockingStore keeps saves of registers until it is told to go on.
+type blockingStore struct {
 	replica.Store
 	proceed chan struct{}
 	saves   atomic.Int64
 }
 
-func (s *slowDisk) SaveRegister(shard uint32, key string, state replica.Register) error {
+func (s *blockingStore) SaveRegister(shard uint32, key string, state replica.Register) error {
 	s.saves.Add(1)
 	<-s.proceed
 	return s.Store.SaveRegister(shard, key, state)
 }
 
-// TestRequestsThatNobodyWaitsFor leave a slow replica at once: they don't hold up
+// TestCancelledRequestsDoNotBlockSeal leave a slow replica at once: they don't hold up
 // the seal of the shard, and write nothing.
-func TestRequestsThatNobodyWaitsFor(t *testing.T) {
+func TestCancelledRequestsDoNotBlockSeal(t *testing.T) {
 	const given = 200
-	disk := &slowDisk{Store: replica.NewMemory(), proceed: make(chan struct{})}
+	disk := &blockingStore{Store: replica.NewMemory(), proceed: make(chan struct{})}
 	views := shard.NewMap(1)
 	node := shard.NewReplica("a/1", disk, views, func() uint64 { return 0 })
 	view := register.View{Epoch: shard.FirstEpoch, Members: []register.Member{{Node: "a", Incarnation: "a/1"}}}
