--- a/coordination/shard/bench_test.go
+++ b/coordination/shard/bench_test.go
@@ -16,14 +16,14 @@
 	"github.com/marblering/marblering/state/replica"
 )
 
-// A program of the benchmark: a record and some turns, compressed.
+// Compressed sizes of one program in the benchmark, which has a record and some turns.
 const (
 	recordBytes     = 2 << 10
 	turnBytes       = 4 << 10
 	turnsPerProgram = 8
 )
 
-// newRepairNetwork returns four nodes of which three hold the shard.
+// newRepairNetwork returns a network of four nodes, three of which hold the shard.
 func newRepairNetwork(b *testing.B, records int, open func() replica.Store) (*network, register.View) {
 	b.Helper()
 	n := newNetwork(1)
@@ -60,9 +60,9 @@
 	}
 }
 
-// BenchmarkRepair replaces one of three members and reports the time from the
-// first seal to the first opening, in which the shard answers nobody, and the
-// bytes that were copied. Messages take no time.
+// BenchmarkRepair replaces one of three members. It reports the time from the first seal to
+// the first opening, during which the shard is unavailable, and the bytes copied. Messages
+// take no time.
 func BenchmarkRepair(b *testing.B) {
 	stores := map[string]func(b *testing.B) replica.Store{
 		"memory": func(*testing.B) replica.Store { return replica.NewMemory() },
--- a/coordination/shard/driver_test.go
+++ b/coordination/shard/driver_test.go
@@ -18,8 +18,8 @@
 
 var errNoAnswer = errors.New("no answer")
 
-// fakeMembers grant everything, but for one that doesn't answer to the request
-// to copy ahead. They note whether a successor was proposed.
+// fakeMembers grant every request, except that the unresponsive one doesn't answer a request
+// to precopy. They record whether a successor was proposed.
 type fakeMembers struct {
 	unresponsive string
 
@@ -60,19 +60,19 @@
 	return archive.Reply{}, nil
 }
 
-// TestDriveDoesNotProposeUnresponsiveMember: a set that is decided with a member that
-// doesn't answer loses its majority with the next loss.
+// TestDriveDoesNotProposeUnresponsiveMember guards against deciding a set with a member that
+// is down: it would lose its majority with the next failure.
 func TestDriveDoesNotProposeUnresponsiveMember(t *testing.T) {
 	member := func(name string) register.Member { return register.Member{Node: name, Incarnation: name} }
 	current := register.View{Epoch: FirstEpoch, Members: []register.Member{member("a"), member("b"), member("c")}}
 	wanted := []register.Member{member("a"), member("b"), member("d")}
-	for _, silent := range []string{"a", "d"} {
-		members := &fakeMembers{unresponsive: silent, registers: make(map[string]replica.Register)}
+	for _, unresponsive := range []string{"a", "d"} {
+		members := &fakeMembers{unresponsive: unresponsive, registers: make(map[string]replica.Register)}
 		settings := register.DefaultSettings()
 		settings.RequestTimeout = 50 * time.Millisecond
 		driver := NewDriver("driver", members, NewMap(1), register.SystemClock{}, rand.New(rand.NewPCG(1, 1)), settings, zap.NewNop())
 		_, err := driver.Drive(context.Background(), current, wanted)
-		assert.ErrorIs(t, err, errNoAnswer, "%s is silent", silent)
-		assert.Assert(t, !members.proposed, "%s is silent", silent)
+		assert.ErrorIs(t, err, errNoAnswer, "with %s unresponsive", unresponsive)
+		assert.Assert(t, !members.proposed, "with %s unresponsive", unresponsive)
 	}
 }
--- a/coordination/shard/inherit_test.go
+++ b/coordination/shard/inherit_test.go
@@ -16,7 +16,7 @@
 	"github.com/marblering/marblering/state/replica"
 )
 
-// partialLink reaches only some nodes.
+// partialLink is a link that reaches only some nodes.
 type partialLink struct {
 	link
 	reached map[string]bool
@@ -43,10 +43,10 @@
 	return l.link.Pull(ctx, to, request, visit)
 }
 
-// TestInheritedValueIsAcceptedAgain has two new members copy a value that only a
-// minority of the old ones accepted, and the third a later one that isn't based
-// on it. What a reader of the first two is told must be in what a reader of the
-// others is told afterwards.
+// TestInheritedValueIsAcceptedAgain has two new members copy a value that only a minority of
+// the old ones accepted, and the third one copy a later value that isn't based on it. It
+// guards against a read from one majority that returns the first value although a later
+// read from another majority doesn't include it.
 func TestInheritedValueIsAcceptedAgain(t *testing.T) {
 	ctx := context.Background()
 	n := newNetwork(1)
@@ -78,7 +78,7 @@
 		assert.Equal(t, reply.Refusal, register.RefusalNone)
 		copied, err := p.store.LoadRegister(0, "program")
 		assert.NilError(t, err)
-		assert.Assert(t, !copied.Promised.Less(high), "%s forgot the highest promise of its sources", member.Node)
+		assert.Assert(t, !copied.Promised.Less(high), "%s does not keep the highest promise of its sources", member.Node)
 		assert.Equal(t, p.replica.Open(ctx, shard.OpenRequest{View: second}).Refusal, register.RefusalNone)
 	}
 	before := readRegister(t, second, newPartialLink(n, 3, 4))
@@ -86,8 +86,8 @@
 	assert.Equal(t, before, after)
 }
 
-// TestInstallKeepsNewerState has a new member install that holds a register at
-// a higher ballot than its sources do, from an epoch that they were told of late.
+// TestInstallKeepsNewerState guards against an installation that overwrites a register which
+// the member holds at a higher ballot than its sources.
 func TestInstallKeepsNewerState(t *testing.T) {
 	ctx := context.Background()
 	n := newNetwork(1)
@@ -139,8 +139,8 @@
 	return string(value)
 }
 
-// TestSealRefusesVotesAndTurns demands that a sealed member grants nothing of the
-// epoch and names the successor only to whoever decides about it.
+// TestSealRefusesVotesAndTurns checks that a sealed member grants nothing in the epoch, and
+// returns the successor only to a request that decides it.
 func TestSealRefusesVotesAndTurns(t *testing.T) {
 	ctx := context.Background()
 	n := newNetwork(1)
@@ -152,14 +152,14 @@
 	pull := shard.PullRequest{Fence: fence}
 	reply, err := p.replica.Pull(ctx, pull, func(shard.PullItem) error { return errors.New("nothing to send") })
 	assert.NilError(t, err)
-	assert.Equal(t, reply.Refusal, register.RefusalNotReady, "copied before the seal")
+	assert.Equal(t, reply.Refusal, register.RefusalNotReady, "registers were sent before the seal")
 	assert.Equal(t, p.replica.PutTurn(ctx, fence, replica.Turn{Program: "a"}).Refusal, register.RefusalNone)
 	assert.Equal(t, p.replica.Seal(ctx, shard.SealRequest{Fence: fence, Successor: next}).Refusal, register.RefusalNone)
 	prepare := register.PrepareRequest{Fence: fence, Key: "a", Ballot: replica.Ballot{Counter: 1, Proposer: "p"}}
 	assert.Equal(t, p.replica.Prepare(ctx, prepare).Refusal, register.RefusalSealed)
 	assert.Equal(t, p.replica.PutTurn(ctx, fence, replica.Turn{Program: "a"}).Refusal, register.RefusalSealed)
 	prepare.Key = "!successor-1"
-	told := p.replica.Prepare(ctx, prepare)
-	assert.Equal(t, told.Refusal, register.RefusalSealed)
-	assert.DeepEqual(t, told.View, &next)
+	refused := p.replica.Prepare(ctx, prepare)
+	assert.Equal(t, refused.Refusal, register.RefusalSealed)
+	assert.DeepEqual(t, refused.View, &next)
 }
--- a/coordination/shard/listing_test.go
+++ b/coordination/shard/listing_test.go
@@ -13,7 +13,7 @@
 	"github.com/marblering/marblering/coordination/shard"
 )
 
-// countingLink counts pulls that ask for a listing, and loses those from one node.
+// countingLink counts the pulls that request a listing, and fails those from one node.
 type countingLink struct {
 	link
 	lost     string
@@ -30,8 +30,8 @@
 	return c.link.Pull(ctx, to, request, visit)
 }
 
-// TestInstallListsMajority: a replica that installs asks for no more listings than it
-// needs, counts its own, and asks others where one fails.
+// TestInstallListsMajority checks that an installation requests no more listings than it
+// needs, counts its own, and asks another member if one fails.
 func TestInstallListsMajority(t *testing.T) {
 	for _, c := range []struct {
 		name      string
@@ -39,30 +39,30 @@
 		listings  int64
 	}{
 		{"a new member", 5, 3},
-		{"a member of before", 2, 2},
+		{"a remaining member", 2, 2},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			n, first, second := newSealedSet(t)
 			p := n.process(nodeName(c.installer))
-			counted := countingLink{link: link{n, "client"}, listings: &atomic.Int64{}}
-			installer := shard.NewInstaller(p.replica, counted, zap.NewNop())
+			counter := countingLink{link: link{n, "client"}, listings: &atomic.Int64{}}
+			installer := shard.NewInstaller(p.replica, counter, zap.NewNop())
 			reply := installer.Install(t.Context(), shard.InstallRequest{Previous: first, Successor: second})
 			assert.Equal(t, reply.Refusal, register.RefusalNone)
-			assert.Equal(t, counted.listings.Load(), c.listings)
+			assert.Equal(t, counter.listings.Load(), c.listings)
 		})
 	}
 	for lost := range 5 {
 		n, first, second := newSealedSet(t)
-		counted := countingLink{link: link{n, "client"}, lost: nodeName(lost), listings: &atomic.Int64{}}
-		installer := shard.NewInstaller(n.process(nodeName(5)).replica, counted, zap.NewNop())
+		counter := countingLink{link: link{n, "client"}, lost: nodeName(lost), listings: &atomic.Int64{}}
+		installer := shard.NewInstaller(n.process(nodeName(5)).replica, counter, zap.NewNop())
 		reply := installer.Install(t.Context(), shard.InstallRequest{Previous: first, Successor: second})
 		assert.Equal(t, reply.Refusal, register.RefusalNone)
-		assert.Assert(t, counted.listings.Load() <= 4, "%d listings though one member fails", counted.listings.Load())
+		assert.Assert(t, counter.listings.Load() <= 4, "%d listings with one failing member", counter.listings.Load())
 	}
 }
 
-// newSealedSet is a set of five members whose epoch has ended, and its successor,
-// in which a sixth stands for the first.
+// newSealedSet returns a set of five members whose epoch has ended, and its successor, in
+// which a sixth node replaces the first.
 func newSealedSet(t *testing.T) (n *network, first, second register.View) {
 	t.Helper()
 	n = newNetwork(1)
--- a/coordination/shard/precopy_test.go
+++ b/coordination/shard/precopy_test.go
@@ -16,7 +16,7 @@
 	"github.com/marblering/marblering/state/replica"
 )
 
-// recordingLink notes how many turns each member holds when it is sealed, and which
+// recordingLink records how many turns each member holds when it is sealed, and which
 // incarnations are asked to install.
 type recordingLink struct {
 	link
@@ -25,19 +25,19 @@
 	installed map[string]bool
 }
 
-func (w *recordingLink) Seal(ctx context.Context, to register.Member, request shard.SealRequest) (archive.Reply, error) {
-	held := countTurns(w.network.process(to.Node))
-	w.mutex.Lock()
-	w.held[to.Node] = held
-	w.mutex.Unlock()
-	return w.link.Seal(ctx, to, request)
+func (l *recordingLink) Seal(ctx context.Context, to register.Member, request shard.SealRequest) (archive.Reply, error) {
+	held := countTurns(l.network.process(to.Node))
+	l.mutex.Lock()
+	l.held[to.Node] = held
+	l.mutex.Unlock()
+	return l.link.Seal(ctx, to, request)
 }
 
-func (w *recordingLink) Install(ctx context.Context, to register.Member, request shard.InstallRequest) (archive.Reply, error) {
-	w.mutex.Lock()
-	w.installed[to.Incarnation] = true
-	w.mutex.Unlock()
-	return w.link.Install(ctx, to, request)
+func (l *recordingLink) Install(ctx context.Context, to register.Member, request shard.InstallRequest) (archive.Reply, error) {
+	l.mutex.Lock()
+	l.installed[to.Incarnation] = true
+	l.mutex.Unlock()
+	return l.link.Install(ctx, to, request)
 }
 
 func countTurns(p *process) int {
@@ -49,10 +49,9 @@
 	return count
 }
 
-// TestRemainingMembersPrecopyTurns: each turn is stored by a majority only, and yet
-// all members hold nearly all of them by the time that the set is sealed. A member
-// whose node has begun a new incarnation isn't asked under the old one, whose
-// address the new one has.
+// TestRemainingMembersPrecopyTurns guards against sealing members that still lack many turns:
+// a turn is stored by a majority only. It also checks that an ended incarnation isn't asked,
+// since its address belongs to the new incarnation.
 func TestRemainingMembersPrecopyTurns(t *testing.T) {
 	const turns = 300
 	n := newNetwork(1)
@@ -72,25 +71,25 @@
 	for _, member := range members {
 		n.process(member.Node).views.Learn(first)
 	}
-	forgetful := members[4]
-	renewed := n.start(forgetful.Node, "zone", nil)
-	renewed.views.Learn(first)
-	watched := &recordingLink{link: link{n, "driver"}, held: make(map[string]int), installed: make(map[string]bool)}
+	restarted := members[4]
+	restartedProcess := n.start(restarted.Node, "zone", nil)
+	restartedProcess.views.Learn(first)
+	recorder := &recordingLink{link: link{n, "driver"}, held: make(map[string]int), installed: make(map[string]bool)}
 	views := shard.NewMap(1)
 	views.Learn(first)
-	driver := shard.NewDriver("driver", watched, views, register.SystemClock{}, rand.New(rand.NewPCG(1, 1)), register.DefaultSettings(), zap.NewNop())
-	wanted := append(append([]register.Member(nil), members[:4]...), renewed.member)
+	driver := shard.NewDriver("driver", recorder, views, register.SystemClock{}, rand.New(rand.NewPCG(1, 1)), register.DefaultSettings(), zap.NewNop())
+	wanted := append(append([]register.Member(nil), members[:4]...), restartedProcess.member)
 	opened, err := driver.Drive(t.Context(), first, wanted)
 	assert.NilError(t, err)
 	assert.Equal(t, opened.Epoch, first.Epoch+1)
 	for _, member := range wanted[:4] {
-		assert.Equal(t, watched.held[member.Node], turns, member.Node)
+		assert.Equal(t, recorder.held[member.Node], turns, member.Node)
 	}
-	assert.Equal(t, countTurns(renewed), turns)
-	assert.Assert(t, !watched.installed[forgetful.Incarnation])
+	assert.Equal(t, countTurns(restartedProcess), turns)
+	assert.Assert(t, !recorder.installed[restarted.Incarnation])
 }
 
-// blockingSource lists nothing, and waits until it is let go.
+// blockingSource returns empty listings, each once it is released.
 type blockingSource struct {
 	started chan uint32
 	release chan struct{}
@@ -102,7 +101,8 @@
 	return archive.Reply{}, nil
 }
 
-// TestPrecopyHandlesOneShardAtATime: copies yield to the turns that are served.
+// TestPrecopyHandlesOneShardAtATime guards against precopying several shards at once, which
+// would take capacity from requests.
 func TestPrecopyHandlesOneShardAtATime(t *testing.T) {
 	const shards = 4
 	views := shard.NewMap(shards)
@@ -122,10 +122,10 @@
 	copied := make(map[uint32]bool)
 	for range shards {
 		first, second := <-source.started, <-source.started
-		assert.Equal(t, first, second, "two members are listed for one shard")
+		assert.Equal(t, first, second, "listings of two shards at the same time")
 		assert.Assert(t, !copied[first])
 		copied[first] = true
-		assert.Equal(t, len(source.started), 0, "another shard is copied meanwhile")
+		assert.Equal(t, len(source.started), 0, "another shard is copied at the same time")
 		source.release <- struct{}{}
 		source.release <- struct{}{}
 	}
