--- a/coordination/shard/repeatednode_test.go
+++ b/coordination/shard/repeatednode_test.go
@@ -12,13 +12,13 @@
 	"github.com/marblering/marblering/state/replica"
 )
 
-// TestViewWithRepeatedNodeIsRejected: neither driver nor replica takes part in a view in
-// which a node's old and new incarnation would count as two disks.
+// TestViewWithRepeatedNodeIsRejected checks that driver and replica reject a view with two
+// incarnations of one node, which would count one disk twice.
 func TestViewWithRepeatedNodeIsRejected(t *testing.T) {
-	old, begun := register.Member{Node: "a", Incarnation: "a-1"}, register.Member{Node: "a", Incarnation: "a-2"}
+	old, restarted := register.Member{Node: "a", Incarnation: "a-1"}, register.Member{Node: "a", Incarnation: "a-2"}
 	other, third := register.Member{Node: "b", Incarnation: "b-1"}, register.Member{Node: "c", Incarnation: "c-1"}
 	current := register.View{Epoch: FirstEpoch, Members: []register.Member{old, other, third}}
-	repeated := register.View{Epoch: FirstEpoch + 1, Members: []register.Member{begun, old, other}}
+	repeated := register.View{Epoch: FirstEpoch + 1, Members: []register.Member{restarted, old, other}}
 	assert.ErrorIs(t, repeated.Validate(), register.ErrRepeatedMember)
 	assert.NilError(t, current.Validate())
 
@@ -28,12 +28,12 @@
 	assert.ErrorIs(t, err, register.ErrRepeatedMember)
 	assert.Assert(t, !members.proposed)
 
-	local := NewReplica(begun.Incarnation, replica.NewMemory(), NewMap(1), func() uint64 { return 0 })
+	local := NewReplica(restarted.Incarnation, replica.NewMemory(), NewMap(1), func() uint64 { return 0 })
 	installer := NewInstaller(local, nil, zap.NewNop())
 	installed := installer.Install(context.Background(), InstallRequest{Previous: current, Successor: repeated})
 	assert.Equal(t, installed.Refusal, register.RefusalEpoch)
 	opened := local.Open(context.Background(), OpenRequest{View: repeated})
 	assert.Equal(t, opened.Refusal, register.RefusalEpoch)
-	sealed := local.Seal(context.Background(), SealRequest{Fence: fenceOf(current, begun), Successor: repeated})
+	sealed := local.Seal(context.Background(), SealRequest{Fence: fenceOf(current, restarted), Successor: repeated})
 	assert.Equal(t, sealed.Refusal, register.RefusalEpoch)
 }
--- a/coordination/shard/replacement_test.go
+++ b/coordination/shard/replacement_test.go
@@ -10,8 +10,9 @@
 	"github.com/marblering/marblering/coordination/shard"
 )
 
-// TestPlanReplacesSoonerIfReplacementStarted replaces a gone member soon, in every shard: also in those
-// whose turn comes after it has joined another one.
+// TestPlanReplacesSoonerIfReplacementStarted checks that a member that is gone is replaced
+// after ReplacedAfter in every shard, including those that the replacement joins after it
+// has joined another one.
 func TestPlanReplacesSoonerIfReplacementStarted(t *testing.T) {
 	settings := planSettings()
 	settings.ReplacedAfter = time.Second
@@ -26,12 +27,12 @@
 		situation := shard.Situation{Now: planNow, Views: []register.View{moved, waiting}, Nodes: nodes}
 		return shard.Plan(situation, settings).Moves
 	}
-	assert.Equal(t, len(plan()), 0, "a node that was there all along doesn't hurry the move")
+	assert.Equal(t, len(plan()), 0, "a node that started long before must not shorten the delay")
 	nodes[3].Started = planNow.Add(-time.Second)
 	moves := plan()
 	assert.Equal(t, len(moves), 1)
 	assert.Equal(t, moves[0].View.Shard, uint32(1))
 	assert.Equal(t, sortedIncarnations(moves[0].Members), "[n1-1 n2-1 n3-1]")
 	nodes[0].GoneSince = planNow.Add(-settings.ReplacedAfter / 2)
-	assert.Equal(t, len(plan()), 0, "a short absence moves nothing")
+	assert.Equal(t, len(plan()), 0, "a short absence must not move anything")
 }
--- a/coordination/shard/stripe_test.go
+++ b/coordination/shard/stripe_test.go
@@ -13,7 +13,7 @@
 	"github.com/marblering/marblering/test/harness"
 )
 
-// blockingStore keeps saves of registers until it is told to go on.
+// blockingStore blocks saves of registers until proceed is closed.
 type blockingStore struct {
 	replica.Store
 	proceed chan struct{}
@@ -26,13 +26,13 @@
 	return s.Store.SaveRegister(shard, key, state)
 }
 
-// TestCancelledRequestsDoNotBlockSeal leave a slow replica at once: they don't hold up
-// the seal of the shard, and write nothing.
+// TestCancelledRequestsDoNotBlockSeal guards against cancelled requests that queue behind a
+// slow disk, delay the seal of the shard and still write.
 func TestCancelledRequestsDoNotBlockSeal(t *testing.T) {
-	const given = 200
-	disk := &blockingStore{Store: replica.NewMemory(), proceed: make(chan struct{})}
+	const requests = 200
+	store := &blockingStore{Store: replica.NewMemory(), proceed: make(chan struct{})}
 	views := shard.NewMap(1)
-	node := shard.NewReplica("a/1", disk, views, func() uint64 { return 0 })
+	node := shard.NewReplica("a/1", store, views, func() uint64 { return 0 })
 	view := register.View{Epoch: shard.FirstEpoch, Members: []register.Member{{Node: "a", Incarnation: "a/1"}}}
 	views.Learn(view)
 	ask := func(ctx context.Context, counter uint64) register.Refusal {
@@ -43,22 +43,22 @@
 	}
 	first := make(chan register.Refusal, 1)
 	go func() { first <- ask(context.Background(), 1) }()
-	harness.Eventually(t, func() (bool, string) { return disk.saves.Load() == 1, "the first request isn't at the disk" })
+	harness.Eventually(t, func() (bool, string) { return store.saves.Load() == 1, "the first request has not reached the store" })
 
 	ctx, giveUp := context.WithCancel(context.Background())
-	ended := make(chan register.Refusal, given)
-	for i := range given {
+	ended := make(chan register.Refusal, requests)
+	for i := range requests {
 		go func() { ended <- ask(ctx, uint64(i)+2) }()
 	}
 	giveUp()
-	for range given {
+	for range requests {
 		assert.Equal(t, <-ended, register.RefusalNotReady)
 	}
-	close(disk.proceed)
+	close(store.proceed)
 	assert.Equal(t, <-first, register.RefusalNone)
 	sealed := node.Seal(context.Background(), shard.SealRequest{
 		Fence: register.Fence{Epoch: shard.FirstEpoch, Replica: "a/1"}, Successor: register.View{Epoch: shard.FirstEpoch + 1, Members: view.Members},
 	})
 	assert.Equal(t, sealed.Refusal, register.RefusalNone)
-	assert.Equal(t, disk.saves.Load(), int64(1), "only the first request was still waited for")
+	assert.Equal(t, store.saves.Load(), int64(1), "a cancelled request was written")
 }
