--- a/coordination/shard/model_test.go
+++ b/coordination/shard/model_test.go
@@ -24,8 +24,7 @@
 	"github.com/marblering/marblering/test/bubble"
 )
 
-// TestMain fixes the seed and the size of the property tests, which the command
-// line may override.
+// TestMain sets default flags of the property tests, which the command line may override.
 func TestMain(m *testing.M) {
 	for name, value := range map[string]string{"rapid.seed": "1", "rapid.checks": "100", "rapid.nofailfile": "true"} {
 		if err := flag.Set(name, value); err != nil {
@@ -46,15 +45,15 @@
 	modelDrainTime = 10 * time.Second
 )
 
-// modelRun is one run of the model: clients that append to registers while replica
-// sets change and nodes fail.
+// modelRun is one run of the model: clients append to registers while replica sets change and
+// nodes fail.
 type modelRun struct {
 	*network
-	// hasDataLoss is set from a loss of memory until every member holds the newest
-	// epoch again: a set survives the loss of a minority, not more.
+	// hasDataLoss is set from the wipe of a node until every member holds the newest epoch
+	// again. No other node is wiped meanwhile, since a set survives only the loss of a minority.
 	hasDataLoss bool
 	workers     sync.WaitGroup
-	// drivers counts those at work.
+	// drivers counts the running drivers.
 	drivers atomic.Int32
 
 	historyMutex sync.Mutex
@@ -62,25 +61,25 @@
 }
 
 // newestView returns the newest open view that any node knows.
-func (w *modelRun) newestView() register.View {
+func (m *modelRun) newestView() register.View {
 	var newest register.View
-	for _, name := range w.names() {
-		if view, _ := w.process(name).views.View(0); view.Epoch > newest.Epoch {
+	for _, name := range m.names() {
+		if view, _ := m.process(name).views.View(0); view.Epoch > newest.Epoch {
 			newest = view
 		}
 	}
 	return newest
 }
 
-// isHealthy tells whether every member of the newest view is alive, holds its
-// data and serves it, and no change of epoch is under way.
-func (w *modelRun) isHealthy() bool {
-	if w.drivers.Load() > 0 || slices.ContainsFunc(w.names(), w.isChanging) {
+// isHealthy reports whether every member of the newest view is alive, holds its data and
+// serves it, and no change of epoch is in progress.
+func (m *modelRun) isHealthy() bool {
+	if m.drivers.Load() > 0 || slices.ContainsFunc(m.names(), m.isChanging) {
 		return false
 	}
-	view := w.newestView()
+	view := m.newestView()
 	for _, member := range view.Members {
-		p := w.process(member.Node)
+		p := m.process(member.Node)
 		fence := register.Fence{Epoch: view.Epoch, Replica: member.Incarnation}
 		reply, err := p.replica.ReadTurns(context.Background(), fence, "none", 0, nil)
 		if err != nil || reply.Refusal != register.RefusalNone {
@@ -90,30 +89,29 @@
 	return true
 }
 
-func (w *modelRun) isChanging(node string) bool {
-	return len(w.process(node).replica.Unfinished()) > 0
+func (m *modelRun) isChanging(node string) bool {
+	return len(m.process(node).replica.Unfinished()) > 0
 }
 
-// maintain has each node do what its replica owes, as shard.Maintainer does: copy
-// shards that it missed, maintain changes of epoch, and ask for a new epoch where
-// it can't copy the shard any more.
-func (w *modelRun) maintain(ctx context.Context) {
+// maintain does the work of shard.Maintainer on each node: it copies missed shards, finishes
+// changes of epoch, and refreshes the epoch if a shard can't be copied any more.
+func (m *modelRun) maintain(ctx context.Context) {
 	unready := make(map[string]int)
 	for ctx.Err() == nil {
 		time.Sleep(300 * time.Millisecond)
-		for _, node := range w.names() {
-			p := w.process(node)
-			if w.isChanging(node) {
-				w.drive(node, nil, time.Second)
+		for _, node := range m.names() {
+			p := m.process(node)
+			if m.isChanging(node) {
+				m.drive(node, nil, time.Second)
 			}
-			w.workers.Go(func() { p.installer.CatchUp(p.ctx) })
+			m.workers.Go(func() { p.installer.CatchUp(p.ctx) })
 			if len(p.replica.Unready()) == 0 {
 				unready[node] = 0
 				continue
 			}
 			unready[node]++
 			if unready[node] > 3 {
-				w.startDriver(node, time.Second, func(ctx context.Context, driver *shard.Driver, view register.View) {
+				m.startDriver(node, time.Second, func(ctx context.Context, driver *shard.Driver, view register.View) {
 					_, _ = driver.Refresh(ctx, view)
 				})
 			}
@@ -121,50 +119,50 @@
 	}
 }
 
-// drive starts a driver at the node.
-func (w *modelRun) drive(node string, wanted []register.Member, life time.Duration) {
-	w.startDriver(node, life, func(ctx context.Context, driver *shard.Driver, view register.View) {
+// drive starts a driver on the node that proposes the wanted members.
+func (m *modelRun) drive(node string, wanted []register.Member, lifetime time.Duration) {
+	m.startDriver(node, lifetime, func(ctx context.Context, driver *shard.Driver, view register.View) {
 		_, _ = driver.Drive(ctx, view, wanted)
 	})
 }
 
-// startDriver starts a driver at the node; it dies after the given time, and with the
-// node's process.
-func (w *modelRun) startDriver(node string, life time.Duration, work func(context.Context, *shard.Driver, register.View)) {
-	p := w.process(node)
+// startDriver starts a driver on the node. The driver is stopped after the given lifetime, or
+// when the process of the node ends.
+func (m *modelRun) startDriver(node string, lifetime time.Duration, work func(context.Context, *shard.Driver, register.View)) {
+	p := m.process(node)
 	view, found := p.views.View(0)
 	if !found {
 		return
 	}
-	random := rand.New(rand.NewPCG(uint64(w.randomInt(1000)), 2))
-	driver := shard.NewDriver(p.member.Incarnation, link{w.network, node}, p.views, register.SystemClock{}, random, settings(), zap.NewNop())
-	w.drivers.Add(1)
-	w.workers.Go(func() {
-		defer w.drivers.Add(-1)
-		ctx, cancel := context.WithTimeout(p.ctx, life)
+	random := rand.New(rand.NewPCG(uint64(m.randomInt(1000)), 2))
+	driver := shard.NewDriver(p.member.Incarnation, link{m.network, node}, p.views, register.SystemClock{}, random, settings(), zap.NewNop())
+	m.drivers.Add(1)
+	m.workers.Go(func() {
+		defer m.drivers.Add(-1)
+		ctx, cancel := context.WithTimeout(p.ctx, lifetime)
 		defer cancel()
 		work(ctx, driver, view)
 	})
 }
 
-// eventKind is what happens to the system.
+// eventKind is the kind of an event in the model.
 type eventKind int
 
 const (
-	// eventDrive starts a driver that dies soon.
+	// eventDrive starts a driver that is stopped soon.
 	eventDrive eventKind = iota
-	// eventDriveTwice starts two drivers of the same epoch.
+	// eventDriveTwice starts two drivers for the same epoch.
 	eventDriveTwice
-	// eventRestart restarts a node that keeps its data.
+	// eventRestart restarts a node with its data.
 	eventRestart
-	// eventWipe restarts a node without its data, where the set survives it.
+	// eventWipe restarts a node without its data, if the set survives that.
 	eventWipe
 	eventFreeze
 	eventSweep
 	eventKinds
 )
 
-// event is one step of a run, drawn ahead of it.
+// event is one step of a run, drawn before the run starts.
 type event struct {
 	kind        eventKind
 	node, other int
@@ -196,49 +194,49 @@
 	return events
 }
 
-func (w *modelRun) membersOf(nodes []int) []register.Member {
+func (m *modelRun) membersOf(nodes []int) []register.Member {
 	var members []register.Member
 	for _, node := range nodes[:modelSetSize] {
-		members = append(members, w.process(nodeName(node)).member)
+		members = append(members, m.process(nodeName(node)).member)
 	}
 	return members
 }
 
 func nodeName(index int) string { return fmt.Sprintf("n%d", index) }
 
-func (w *modelRun) applyEvent(happens event) {
-	node := nodeName(happens.node)
-	p := w.process(node)
-	if w.isHealthy() {
-		w.hasDataLoss = false
+func (m *modelRun) applyEvent(next event) {
+	node := nodeName(next.node)
+	p := m.process(node)
+	if m.isHealthy() {
+		m.hasDataLoss = false
 	}
-	switch happens.kind {
+	switch next.kind {
 	case eventDrive:
-		w.drive(node, w.membersOf(happens.members), happens.length)
+		m.drive(node, m.membersOf(next.members), next.length)
 	case eventDriveTwice:
-		w.drive(node, w.membersOf(happens.members), 2*time.Second)
-		w.drive(nodeName(happens.other), w.membersOf(happens.others), 2*time.Second)
+		m.drive(node, m.membersOf(next.members), 2*time.Second)
+		m.drive(nodeName(next.other), m.membersOf(next.others), 2*time.Second)
 	case eventRestart:
-		w.start(node, p.member.Zone, p)
+		m.start(node, p.member.Zone, p)
 	case eventWipe:
-		if !w.hasDataLoss {
-			w.hasDataLoss = true
-			w.start(node, p.member.Zone, nil)
+		if !m.hasDataLoss {
+			m.hasDataLoss = true
+			m.start(node, p.member.Zone, nil)
 		}
 	case eventFreeze:
-		w.freeze(node, 3*happens.length)
+		m.freeze(node, 3*next.length)
 	case eventSweep:
-		w.workers.Go(func() { _ = p.installer.Sweep(p.ctx) })
+		m.workers.Go(func() { _ = p.installer.Sweep(p.ctx) })
 	}
 }
 
-// gossip passes the open views between two nodes at a time.
-func (w *modelRun) gossip(ctx context.Context, clients []*shard.Map) {
+// gossip repeatedly exchanges the open views of two random nodes and a client.
+func (m *modelRun) gossip(ctx context.Context, clients []*shard.Map) {
 	for ctx.Err() == nil {
-		names := w.names()
-		left := w.process(names[w.randomInt(len(names))]).views
-		right := w.process(names[w.randomInt(len(names))]).views
-		maps := append([]*shard.Map{left, right}, clients[w.randomInt(len(clients))])
+		names := m.names()
+		left := m.process(names[m.randomInt(len(names))]).views
+		right := m.process(names[m.randomInt(len(names))]).views
+		maps := append([]*shard.Map{left, right}, clients[m.randomInt(len(clients))])
 		for _, from := range maps {
 			for _, view := range from.Views() {
 				left.Learn(view)
@@ -249,91 +247,91 @@
 	}
 }
 
-// run plays one world and returns what is wrong with it.
-func (w *modelRun) run(events []event) error {
+// run executes one run and returns the first violation that it finds.
+func (m *modelRun) run(events []event) error {
 	var first register.View
 	first.Epoch = shard.FirstEpoch
 	for index := range modelNodes {
-		p := w.start(nodeName(index), fmt.Sprintf("z%d", index%3), nil)
+		p := m.start(nodeName(index), fmt.Sprintf("z%d", index%3), nil)
 		if index < modelSetSize {
 			first.Members = append(first.Members, p.member)
 		}
 	}
-	for _, name := range w.names() {
-		w.process(name).views.Learn(first)
+	for _, name := range m.names() {
+		m.process(name).views.Learn(first)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	clients := make([]*shard.Map, modelClients)
 	for number := range clients {
 		clients[number] = shard.NewMap(1)
 		clients[number].Learn(first)
-		w.workers.Go(func() { w.runClient(ctx, number, clients[number]) })
+		m.workers.Go(func() { m.runClient(ctx, number, clients[number]) })
 	}
 	gossiping, stopGossip := context.WithCancel(context.Background())
-	w.workers.Go(func() { w.gossip(gossiping, clients) })
-	w.workers.Go(func() { w.maintain(gossiping) })
-	for _, happens := range events {
-		w.applyEvent(happens)
-		time.Sleep(happens.pause)
+	m.workers.Go(func() { m.gossip(gossiping, clients) })
+	m.workers.Go(func() { m.maintain(gossiping) })
+	for _, next := range events {
+		m.applyEvent(next)
+		time.Sleep(next.pause)
 	}
-	w.stopFaults()
-	recovered := w.recover()
+	m.stopFaults()
+	recoveryErr := m.recover()
 	cancel()
 	stopGossip()
-	w.workers.Wait()
-	problem := recovered
-	if problem == nil {
-		problem = w.verify(clients[0])
+	m.workers.Wait()
+	violation := recoveryErr
+	if violation == nil {
+		violation = m.verify(clients[0])
 	}
-	// Requests that nobody waits for end before the virtual time does.
+	// Let abandoned requests end before the virtual time stops.
 	time.Sleep(modelDrainTime)
-	return problem
+	return violation
 }
 
 // recover drives the shard until a set of live members serves it.
-func (w *modelRun) recover() error {
+func (m *modelRun) recover() error {
 	for range recoveryRounds {
 		time.Sleep(time.Second)
-		if w.isHealthy() {
+		if m.isHealthy() {
 			return nil
 		}
 		var live []register.Member
 		for node := range modelSetSize {
-			live = append(live, w.process(nodeName(node)).member)
+			live = append(live, m.process(nodeName(node)).member)
 		}
-		w.drive(nodeName(w.randomInt(modelNodes)), live, 10*time.Second)
+		m.drive(nodeName(m.randomInt(modelNodes)), live, 10*time.Second)
 	}
-	return fmt.Errorf("the shard doesn't serve again, newest view %+v", w.newestView())
+	return fmt.Errorf("the shard does not serve requests after recovery, newest view %+v", m.newestView())
 }
 
-// verify reads every register and checks history and turns.
-func (w *modelRun) verify(views *shard.Map) error {
-	views.Learn(w.newestView())
+// verify reads every register, then checks the history and the turns.
+func (m *modelRun) verify(views *shard.Map) error {
+	views.Learn(m.newestView())
 	random := rand.New(rand.NewPCG(9, 9))
-	reader := register.NewClient("reader", link{w.network, "reader"}, clientViews{views}, register.SystemClock{}, random, settings())
+	reader := register.NewClient("reader", link{m.network, "reader"}, clientViews{views}, register.SystemClock{}, random, settings())
 	for index := range modelKeys {
-		if !w.apply(context.Background(), reader, modelClients, operationInput{key: key(index)}) {
-			return fmt.Errorf("register %s can't be read", key(index))
+		if !m.apply(context.Background(), reader, modelClients, operationInput{key: key(index)}) {
+			return fmt.Errorf("register %s can't be read after recovery", key(index))
 		}
-		final := w.history[len(w.history)-1].Output.(operationOutput).value
-		if err := w.verifyTurns(key(index), final); err != nil {
+		final := m.history[len(m.history)-1].Output.(operationOutput).value
+		if err := m.verifyTurns(key(index), final); err != nil {
 			return err
 		}
 	}
-	if result := porcupine.CheckOperationsTimeout(appendModel, w.history, time.Minute); result != porcupine.Ok {
-		return fmt.Errorf("%d operations are not linearizable: %v", len(w.history), result)
+	if result := porcupine.CheckOperationsTimeout(appendModel, m.history, time.Minute); result != porcupine.Ok {
+		return fmt.Errorf("history of %d operations is not linearizable: %v", len(m.history), result)
 	}
 	return nil
 }
 
-// verifyTurns demands each turn that the value refers to from every majority.
-func (w *modelRun) verifyTurns(program, value string) error {
-	view := w.newestView()
+// verifyTurns checks that a majority holds each turn that the value refers to.
+func (m *modelRun) verifyTurns(program, value string) error {
+	view := m.newestView()
 	for tag := range strings.SplitAfterSeq(value, ".") {
 		holders := 0
 		for _, member := range view.Members {
 			fence := register.Fence{Epoch: view.Epoch, Replica: member.Incarnation}
-			_, err := w.process(member.Node).replica.ReadTurns(context.Background(), fence, program, 0, func(turn replica.Turn) error {
+			_, err := m.process(member.Node).replica.ReadTurns(context.Background(), fence, program, 0, func(turn replica.Turn) error {
 				if string(turn.Object) == tag {
 					holders++
 				}
@@ -350,20 +348,20 @@
 	return nil
 }
 
-// TestReconfigurationModel runs clients, reconfigurations, two drivers, dying
-// drivers, lost, doubled and overtaking messages, frozen nodes and restarts with
-// and without memory, in virtual time.
+// TestReconfigurationModel checks linearizability and the durability of turns in virtual time,
+// with concurrent and interrupted drivers, lost, duplicated and reordered messages, frozen nodes,
+// and restarts with and without data.
 func TestReconfigurationModel(t *testing.T) {
 	operations, epochs := 0, uint64(0)
 	rapid.Check(t, func(rt *rapid.T) {
-		var problem error
-		w := &modelRun{network: newNetwork(rapid.Uint64().Draw(rt, "seed"))}
-		w.faultRate = float64(rapid.IntRange(0, 10).Draw(rt, "trouble")) / 100
+		var violation error
+		m := &modelRun{network: newNetwork(rapid.Uint64().Draw(rt, "seed"))}
+		m.faultRate = float64(rapid.IntRange(0, 10).Draw(rt, "fault percentage")) / 100
 		events := drawEvents(rt)
-		bubble.Test(t, func(*testing.T) { problem = w.run(events) })
-		operations += len(w.history)
-		epochs += w.newestView().Epoch - shard.FirstEpoch
-		assert.NilError(rt, problem)
+		bubble.Test(t, func(*testing.T) { violation = m.run(events) })
+		operations += len(m.history)
+		epochs += m.newestView().Epoch - shard.FirstEpoch
+		assert.NilError(rt, violation)
 	})
 	t.Logf("%d operations, %d changes of epoch", operations, epochs)
 	assert.Assert(t, operations > 0 && epochs > 0)
--- a/coordination/shard/modelclient_test.go
+++ b/coordination/shard/modelclient_test.go
@@ -17,10 +17,10 @@
 	"github.com/marblering/marblering/state/replica"
 )
 
-// operationInput is one operation: an append of the tag, or a read where it is empty.
+// operationInput is an append of the tag, or a read if the tag is empty.
 type operationInput struct{ key, tag string }
 
-// operationOutput is the register's value; unknown where nobody was told.
+// operationOutput is the value of the register, or unknown if the client got no result.
 type operationOutput struct {
 	value   string
 	unknown bool
@@ -38,9 +38,9 @@
 	},
 	Init: func() any { return "" },
 	Step: func(state, in, out any) (bool, any) {
-		current, asked, told := state.(string), in.(operationInput), out.(operationOutput)
-		next := current + asked.tag
-		return told.unknown || told.value == next, next
+		current, op, result := state.(string), in.(operationInput), out.(operationOutput)
+		next := current + op.tag
+		return result.unknown || result.value == next, next
 	},
 }
 
@@ -52,14 +52,14 @@
 	return chosen
 }
 
-// clientViews are the views of a client without a replica.
+// clientViews is the register.Views of a client without a replica.
 type clientViews struct{ *shard.Map }
 
 func (clientViews) ConfigurationVersion() uint64               { return 0 }
 func (clientViews) LearnConfiguration(context.Context, uint64) {}
 
 // runClient appends and reads until the run ends.
-func (w *modelRun) runClient(ctx context.Context, number int, views *shard.Map) {
+func (m *modelRun) runClient(ctx context.Context, number int, views *shard.Map) {
 	random := rand.New(rand.NewPCG(uint64(number), 1))
 	node := fmt.Sprintf("client-%d", number)
 	chosen := settings()
@@ -68,43 +68,43 @@
 	}
 	starts := uint64(2)
 	start := func() *register.Client {
-		// Rounds of the client before may still use its random source.
+		// Rounds of the previous client may still use its random source.
 		backoff := rand.New(rand.NewPCG(uint64(number), starts))
 		starts++
-		return register.NewClient(node, link{w.network, node}, clientViews{views}, register.SystemClock{}, backoff, chosen)
+		return register.NewClient(node, link{m.network, node}, clientViews{views}, register.SystemClock{}, backoff, chosen)
 	}
 	client := start()
 	for count := 0; ctx.Err() == nil; count++ {
 		if random.IntN(12) == 0 {
-			// A restart in the same incarnation, without the ballots used before.
+			// Restart in the same incarnation, without remembering the ballots that were used.
 			client = start()
 		}
-		asked := operationInput{key: key(random.IntN(modelKeys))}
+		op := operationInput{key: key(random.IntN(modelKeys))}
 		if random.IntN(3) > 0 {
-			asked.tag = fmt.Sprintf("%d-%d.", number, count)
+			op.tag = fmt.Sprintf("%d-%d.", number, count)
 		}
 		attempt, cancel := context.WithTimeout(ctx, 2*time.Second)
-		if asked.tag == "" || w.putTurn(attempt, node, views, turnOf(asked)) {
-			w.apply(attempt, client, number, asked)
+		if op.tag == "" || m.putTurn(attempt, node, views, turnOf(op)) {
+			m.apply(attempt, client, number, op)
 		}
 		cancel()
 		time.Sleep(time.Duration(random.IntN(30)) * time.Millisecond)
 	}
 }
 
-func turnOf(asked operationInput) replica.Turn {
-	return replica.Turn{Program: asked.key, Digest: sha256.Sum256([]byte(asked.tag)), Object: []byte(asked.tag)}
+func turnOf(op operationInput) replica.Turn {
+	return replica.Turn{Program: op.key, Digest: sha256.Sum256([]byte(op.tag)), Object: []byte(op.tag)}
 }
 
-// putTurn stores a turn on a majority of one view, before it is referred to.
-func (w *modelRun) putTurn(ctx context.Context, node string, views *shard.Map, turn replica.Turn) bool {
+// putTurn stores a turn on a majority of one view, before a register refers to it.
+func (m *modelRun) putTurn(ctx context.Context, node string, views *shard.Map, turn replica.Turn) bool {
 	for ctx.Err() == nil {
 		view, _ := views.View(0)
 		granted := make(chan bool, len(view.Members))
 		for _, member := range view.Members {
 			go func() {
 				fence := register.Fence{Epoch: view.Epoch, Replica: member.Incarnation}
-				reply, err := link{w.network, node}.PutTurn(ctx, member, fence, turn)
+				reply, err := link{m.network, node}.PutTurn(ctx, member, fence, turn)
 				if reply.View != nil {
 					views.Learn(*reply.View)
 				}
@@ -125,34 +125,34 @@
 	return false
 }
 
-// apply runs one operation and notes what its caller was told.
-func (w *modelRun) apply(ctx context.Context, client *register.Client, number int, asked operationInput) bool {
+// apply runs one operation and adds it and its result to the history.
+func (m *modelRun) apply(ctx context.Context, client *register.Client, number int, op operationInput) bool {
 	began := time.Now()
-	var told operationOutput
-	value, err := client.Apply(ctx, 0, asked.key, func(current []byte) ([]byte, error) {
-		// An append that is there already is recognised by its tag.
-		if asked.tag == "" || strings.Contains(string(current), asked.tag) {
+	var result operationOutput
+	value, err := client.Apply(ctx, 0, op.key, func(current []byte) ([]byte, error) {
+		// The tag shows that the append was applied by an earlier attempt.
+		if op.tag == "" || strings.Contains(string(current), op.tag) {
 			return current, nil
 		}
-		return append(slices.Clone(current), asked.tag...), nil
+		return append(slices.Clone(current), op.tag...), nil
 	})
 	ended := time.Now().UnixNano()
 	switch {
-	case err == nil && asked.tag == "":
-		told.value = string(value)
+	case err == nil && op.tag == "":
+		result.value = string(value)
 	case err == nil:
-		before, _, _ := strings.Cut(string(value), asked.tag)
-		told.value = before + asked.tag
+		before, _, _ := strings.Cut(string(value), op.tag)
+		result.value = before + op.tag
 	case errors.Is(err, register.ErrUnknownOutcome):
-		told.unknown = true
+		result.unknown = true
 		ended = int64(1) << 62
 	default:
 		return false
 	}
-	w.historyMutex.Lock()
-	defer w.historyMutex.Unlock()
-	w.history = append(w.history, porcupine.Operation{
-		ClientId: number, Input: asked, Output: told, Call: began.UnixNano(), Return: ended,
+	m.historyMutex.Lock()
+	defer m.historyMutex.Unlock()
+	m.history = append(m.history, porcupine.Operation{
+		ClientId: number, Input: op, Output: result, Call: began.UnixNano(), Return: ended,
 	})
-	return !told.unknown
+	return !result.unknown
 }
--- a/coordination/shard/network_test.go
+++ b/coordination/shard/network_test.go
@@ -19,33 +19,33 @@
 
 var errLost = errors.New("message lost")
 
-// process is one life of a node.
+// process is one run of a node.
 type process struct {
 	member    register.Member
 	store     replica.Store
 	views     *shard.Map
 	replica   *shard.Replica
 	installer *shard.Installer
-	// ctx ends with the process.
+	// ctx is cancelled when the process ends.
 	ctx  context.Context
 	kill context.CancelFunc
 }
 
-// network runs nodes in memory. Requests take random time, so that they
-// overtake each other, and some are lost, answered in vain or doubled.
+// network runs nodes in memory. Messages take random time, so that they overtake each other;
+// some requests and replies are lost, and some requests are duplicated.
 type network struct {
 	mutex  sync.Mutex
 	random *rand.Rand
-	// instant leaves out the time that messages take.
+	// instant makes messages take no time.
 	instant bool
-	// sealedAt is when the first member was sealed, openedAt when the first was
-	// opened; pulledBytes counts the payload of all pulls.
+	// sealedAt is when the first member was asked to seal, openedAt when the first was asked to
+	// open; pulledBytes counts the payload of all pulls.
 	sealedAt, openedAt time.Time
 	pulledBytes        int
-	// faultRate is the share of the messages that are lost.
+	// faultRate is the probability that a message is lost, and that one is duplicated.
 	faultRate float64
 	processes map[string]*process
-	// frozenUntil holds back requests and answers of a node.
+	// frozenUntil delays requests to a node and its replies until the given time.
 	frozenUntil  map[string]time.Time
 	incarnations int
 }
@@ -58,7 +58,7 @@
 	}
 }
 
-// start begins a life of the node. With a store it keeps incarnation and data.
+// start starts a process of the node. With a kept process it has the same incarnation and data.
 func (n *network) start(node, zone string, kept *process) *process {
 	n.incarnations++
 	next := &process{
@@ -98,7 +98,7 @@
 	return names
 }
 
-// isDuplicated tells whether the next message arrives a second time.
+// isDuplicated decides whether the next request arrives a second time.
 func (n *network) isDuplicated() bool {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -117,7 +117,7 @@
 	n.frozenUntil[node] = time.Now().Add(length)
 }
 
-// stopFaults ends all trouble.
+// stopFaults ends message loss, duplication and frozen nodes.
 func (n *network) stopFaults() {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -125,7 +125,7 @@
 	clear(n.frozenUntil)
 }
 
-// transmit takes the time of one message, and longer while a node is frozen.
+// transmit waits for the delay of one message, or until its nodes are no longer frozen.
 func (n *network) transmit(ctx context.Context, nodes ...string) error {
 	if n.instant {
 		return ctx.Err()
@@ -148,7 +148,7 @@
 	return nil
 }
 
-// link is the network as one node sees it.
+// link is the network as seen from one node.
 type link struct {
 	network *network
 	node    string
@@ -159,7 +159,7 @@
 	_ shard.Source  = link{}
 )
 
-// call carries one request and its answer.
+// call delivers one request and its reply.
 func call[Reply any](ctx context.Context, l link, to register.Member, handle func(context.Context, *process) Reply) (Reply, error) {
 	var none Reply
 	if err := l.network.transmit(ctx, l.node, to.Node); err != nil {
@@ -206,7 +206,7 @@
 	return call(ctx, l, to, func(ctx context.Context, p *process) archive.Reply { return p.replica.Open(ctx, request) })
 }
 
-// recordFirst sets the time if it hasn't been set.
+// recordFirst sets the time if it isn't set.
 func (n *network) recordFirst(moment *time.Time) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -228,7 +228,7 @@
 	}
 }
 
-// pullResult is everything that one pull sent.
+// pullResult is everything that one pull returned.
 type pullResult struct {
 	reply archive.Reply
 	items []shard.PullItem
