--- a/coordination/shard/maintainer.go
+++ b/coordination/shard/maintainer.go
@@ -74,7 +74,7 @@
 	previous := m.lastLost
 	m.lastLost = make(map[uint32]lostSetState, len(sets))
 	for _, lost := range sets {
-		key := lostSetState{epoch: lost.View.Epoch, gone: lost.Unreachable, forgotten: lost.Wiped}
+		key := lostSetState{epoch: lost.View.Epoch, unreachable: lost.Unreachable, wiped: lost.Wiped}
 		m.lastLost[lost.View.Shard] = key
 		if previous[lost.View.Shard] == key {
 			continue
@@ -87,8 +87,8 @@
 
 // lostSetState is the reported state of a set that has lost its majority.
 type lostSetState struct {
-	epoch           uint64
-	gone, forgotten int
+	epoch              uint64
+	unreachable, wiped int
 }
 
 func (m *Maintainer) drive(ctx context.Context, view register.View, wanted []register.Member, reason string) error {
--- a/coordination/shard/plan_test.go
+++ b/coordination/shard/plan_test.go
@@ -19,7 +19,7 @@
 	return shard.PlanSettings{Factor: 3, GoneAfter: 20 * time.Second, Moves: 2}
 }
 
-// planNodes are two nodes in each of three zones.
+// planNodes returns two nodes in each of three zones.
 func planNodes() []shard.Node {
 	var nodes []shard.Node
 	for index := range 6 {
@@ -55,66 +55,66 @@
 	cases := []struct {
 		name    string
 		members []int
-		happens func(nodes []shard.Node) []shard.Node
+		change  func(nodes []shard.Node) []shard.Node
 		reason  shard.Reason
 		want    string
 		lost    bool
 	}{
-		{name: "whole", members: []int{0, 1, 2}},
-		{name: "short cut", members: []int{0, 1, 2}, happens: func(nodes []shard.Node) []shard.Node {
+		{name: "complete", members: []int{0, 1, 2}},
+		{name: "short outage", members: []int{0, 1, 2}, change: func(nodes []shard.Node) []shard.Node {
 			nodes[0].GoneSince = justGone
 			return nodes
 		}},
-		{name: "gone", members: []int{0, 1, 2}, reason: shard.ReasonGone, want: "[n1-1 n2-1 n3-1]", happens: func(nodes []shard.Node) []shard.Node {
+		{name: "gone", members: []int{0, 1, 2}, reason: shard.ReasonGone, want: "[n1-1 n2-1 n3-1]", change: func(nodes []shard.Node) []shard.Node {
 			nodes[0].GoneSince = longGone
 			return nodes
 		}},
-		{name: "never heard of", members: []int{0, 1, 2}, reason: shard.ReasonGone, want: "[n1-1 n2-1 n3-1]", happens: func(nodes []shard.Node) []shard.Node {
+		{name: "unknown", members: []int{0, 1, 2}, reason: shard.ReasonGone, want: "[n1-1 n2-1 n3-1]", change: func(nodes []shard.Node) []shard.Node {
 			return nodes[1:]
 		}},
-		{name: "forgotten", members: []int{0, 1, 2}, reason: shard.ReasonForgotten, want: "[n0-2 n1-1 n2-1]", happens: func(nodes []shard.Node) []shard.Node {
+		{name: "new incarnation", members: []int{0, 1, 2}, reason: shard.ReasonForgotten, want: "[n0-2 n1-1 n2-1]", change: func(nodes []shard.Node) []shard.Node {
 			nodes[0].Member.Incarnation = "n0-2"
 			return nodes
 		}},
-		{name: "leaving", members: []int{0, 1, 2}, reason: shard.ReasonLeaving, want: "[n1-1 n2-1 n3-1]", happens: func(nodes []shard.Node) []shard.Node {
+		{name: "leaving", members: []int{0, 1, 2}, reason: shard.ReasonLeaving, want: "[n1-1 n2-1 n3-1]", change: func(nodes []shard.Node) []shard.Node {
 			nodes[0].Leaving = true
 			return nodes
 		}},
-		{name: "leaving without another", members: []int{0, 1, 2}, happens: func(nodes []shard.Node) []shard.Node {
+		{name: "leaving without a replacement", members: []int{0, 1, 2}, change: func(nodes []shard.Node) []shard.Node {
 			nodes[0].Leaving = true
 			return nodes[:3]
 		}},
-		{name: "leaving and gone", members: []int{0, 1, 2}, reason: shard.ReasonGone, want: "[n0-1 n2-1 n3-1]", happens: func(nodes []shard.Node) []shard.Node {
+		{name: "leaving and gone", members: []int{0, 1, 2}, reason: shard.ReasonGone, want: "[n0-1 n2-1 n3-1]", change: func(nodes []shard.Node) []shard.Node {
 			nodes[0].Leaving, nodes[1].GoneSince = true, longGone
 			return nodes[:4]
 		}},
-		{name: "gone and leaving", members: []int{0, 1, 2}, reason: shard.ReasonGone, want: "[n1-1 n2-1 n3-1]", happens: func(nodes []shard.Node) []shard.Node {
+		{name: "gone and leaving", members: []int{0, 1, 2}, reason: shard.ReasonGone, want: "[n1-1 n2-1 n3-1]", change: func(nodes []shard.Node) []shard.Node {
 			nodes[0].GoneSince, nodes[1].Leaving = longGone, true
 			return nodes[:4]
 		}},
-		{name: "forgotten and leaving", members: []int{0, 1, 2}, reason: shard.ReasonForgotten, want: "[n0-2 n1-1 n2-1]", happens: func(nodes []shard.Node) []shard.Node {
+		{name: "new incarnation and leaving", members: []int{0, 1, 2}, reason: shard.ReasonForgotten, want: "[n0-2 n1-1 n2-1]", change: func(nodes []shard.Node) []shard.Node {
 			nodes[0].Member.Incarnation, nodes[1].Leaving = "n0-2", true
 			return nodes[:3]
 		}},
-		{name: "leaving while another is silent", members: []int{0, 1, 2}, happens: func(nodes []shard.Node) []shard.Node {
+		{name: "leaving while another is unresponsive", members: []int{0, 1, 2}, change: func(nodes []shard.Node) []shard.Node {
 			nodes[0].Leaving, nodes[1].GoneSince = true, justGone
 			return nodes
 		}},
-		{name: "gone while another is silent", members: []int{0, 1, 2, 3, 4}, reason: shard.ReasonGone, want: "[n2-1 n3-1 n4-1 n5-1]", happens: func(nodes []shard.Node) []shard.Node {
+		{name: "gone while another is unresponsive", members: []int{0, 1, 2, 3, 4}, reason: shard.ReasonGone, want: "[n2-1 n3-1 n4-1 n5-1]", change: func(nodes []shard.Node) []shard.Node {
 			nodes[0].GoneSince, nodes[1].GoneSince = longGone, justGone
 			return nodes
 		}},
-		{name: "moved", members: []int{0, 1, 2}, reason: shard.ReasonAddressChanged, want: "[n0-1 n1-1 n2-1]", happens: func(nodes []shard.Node) []shard.Node {
+		{name: "address changed", members: []int{0, 1, 2}, reason: shard.ReasonAddressChanged, want: "[n0-1 n1-1 n2-1]", change: func(nodes []shard.Node) []shard.Node {
 			nodes[0].Member.Address = "elsewhere"
 			return nodes
 		}},
 		{name: "too few", members: []int{0, 1}, reason: shard.ReasonUndersized, want: "[n0-1 n1-1 n2-1]"},
 		{name: "two in a zone", members: []int{0, 1, 3}, reason: shard.ReasonZoneSpread, want: "[n1-1 n2-1 n3-1]"},
-		{name: "majority gone", members: []int{0, 1, 2}, lost: true, happens: func(nodes []shard.Node) []shard.Node {
+		{name: "majority gone", members: []int{0, 1, 2}, lost: true, change: func(nodes []shard.Node) []shard.Node {
 			nodes[0].GoneSince, nodes[1].GoneSince = longGone, justGone
 			return nodes
 		}},
-		{name: "majority forgotten", members: []int{0, 1, 2}, lost: true, happens: func(nodes []shard.Node) []shard.Node {
+		{name: "majority wiped", members: []int{0, 1, 2}, lost: true, change: func(nodes []shard.Node) []shard.Node {
 			nodes[0].Member.Incarnation, nodes[1].Member.Incarnation = "n0-2", "n1-2"
 			return nodes
 		}},
@@ -123,8 +123,8 @@
 		t.Run(c.name, func(t *testing.T) {
 			nodes := planNodes()
 			view := planView(nodes, c.members...)
-			if c.happens != nil {
-				nodes = c.happens(nodes)
+			if c.change != nil {
+				nodes = c.change(nodes)
 			}
 			settings := planSettings()
 			settings.Factor = max(settings.Factor, len(view.Members))
@@ -144,8 +144,8 @@
 	}
 }
 
-// TestPlanRotatesMoves has one more set to mend than moves are allowed: each gets its
-// turn although none of the moves is ever done.
+// TestPlanRotatesMoves plans for one set more than the limit of moves. It guards against moves
+// that never succeed and keep the others from being tried.
 func TestPlanRotatesMoves(t *testing.T) {
 	nodes := planNodes()
 	nodes[0].GoneSince = planNow.Add(-time.Hour)
@@ -167,8 +167,8 @@
 	assert.Assert(t, len(drivers) > 1)
 }
 
-// TestPlanConverges applies plans over and over: they end, keep within the bound
-// and never touch a set without a majority.
+// TestPlanConverges applies plans until no moves are left. It checks the limit of moves, and
+// that no move shrinks a set.
 func TestPlanConverges(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		nodes := planNodes()
@@ -202,13 +202,12 @@
 				views[move.View.Shard].Epoch++
 			}
 		}
-		rt.Fatalf("the plans don't end: %+v", views)
+		rt.Fatalf("the plans do not converge: %+v", views)
 	})
 }
 
-// TestAssignAllBalances: no node stands in more sets than its part, rounded up,
-// as far as the zones allow, and no zone holds a majority of a set where there
-// are three zones or more.
+// TestAssignAllBalances checks that no zone holds a majority of a set, and that no node is in
+// many more sets than its share if there are enough nodes and zones.
 func TestAssignAllBalances(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		zones := rapid.IntRange(3, 6).Draw(rt, "zones")
@@ -225,7 +224,7 @@
 			}
 		}
 		if usable < factor {
-			rt.Skip("too few nodes for the limit of a zone")
+			rt.Skip("too few nodes within the zone limit")
 		}
 		sets := map[string]int{}
 		for _, members := range shard.AssignAll(uint32(shards), factor, candidates) {
@@ -248,7 +247,7 @@
 	})
 }
 
-// TestPlanBalancesReplacements: the sets of a node that leaves go to several others.
+// TestPlanBalancesReplacements checks that several nodes take over the sets of a leaving node.
 func TestPlanBalancesReplacements(t *testing.T) {
 	nodes := planNodes()
 	nodes = append(nodes, nodes[0])
@@ -274,7 +273,7 @@
 	assert.DeepEqual(t, joined, map[string]int{"n3": 2, "n6": 2})
 }
 
-// BenchmarkPlan plans for whole sets: what every node does each second.
+// BenchmarkPlan plans for complete sets, as every node does each second.
 func BenchmarkPlan(b *testing.B) {
 	for _, size := range []struct{ nodes, shards int }{{13, 64}, {100, 512}, {350, 512}} {
 		b.Run(fmt.Sprintf("nodes=%d/shards=%d", size.nodes, size.shards), func(b *testing.B) {
@@ -293,7 +292,7 @@
 			b.ResetTimer()
 			for range b.N {
 				if outcome := shard.Plan(situation, shard.PlanSettings{Factor: 3, GoneAfter: time.Second, Moves: 8}); len(outcome.Moves) != 0 {
-					b.Fatal("whole sets need no moves")
+					b.Fatal("complete sets need no moves")
 				}
 			}
 		})
--- a/coordination/shard/planmodel_test.go
+++ b/coordination/shard/planmodel_test.go
@@ -15,33 +15,33 @@
 
 const (
 	planModelEvents = 25
-	// planModelSettleTime is longer than any patience of the plan.
+	// planModelSettleTime is longer than any delay of the planner.
 	planModelSettleTime = 90 * time.Second
-	// planModelDetectionDelay is how long a silent node goes unnoticed.
+	// planModelDetectionDelay is how long an unresponsive node stays undetected.
 	planModelDetectionDelay = time.Second
 )
 
-// planNode is a machine with a disk, as it really is.
+// planNode is the actual state of a node with a disk.
 type planNode struct {
-	name, zone string
-	life       int
-	started    time.Time
-	// unresponsiveSince is zero while the node answers; removed nodes never do again.
+	name, zone  string
+	incarnation int
+	started     time.Time
+	// unresponsiveSince is zero while the node answers; a removed node never answers again.
 	unresponsiveSince time.Time
 	removed           bool
 	leaving           bool
-	// isKnown and leavingKnown are what the others have heard through the store.
+	// isKnown and leavingKnown are what the other nodes have read from the store.
 	isKnown, leavingKnown bool
 }
 
 func (n *planNode) member() register.Member {
-	return register.Member{Node: n.name, Incarnation: fmt.Sprintf("%s-%d", n.name, n.life), Address: n.name, Zone: n.zone}
+	return register.Member{Node: n.name, Incarnation: fmt.Sprintf("%s-%d", n.name, n.incarnation), Address: n.name, Zone: n.zone}
 }
 
 func (n *planNode) answers() bool { return n.unresponsiveSince.IsZero() }
 
-// planModel steps the planner through events, without threads or I/O: what a
-// plan wants is done at once where its members take part, and else not at all.
+// planModel steps the planner through events, without concurrency or I/O. A move takes effect
+// at once if its members answer, and otherwise not at all.
 type planModel struct {
 	t        *rapid.T
 	now      time.Time
@@ -49,142 +49,142 @@
 	zones    int
 	nodes    []*planNode
 	views    []register.View
-	// storeUnavailable keeps new nodes and orders to leave from being heard of.
+	// storeUnavailable keeps new nodes and announcements of leaving nodes from becoming known.
 	storeUnavailable bool
 }
 
-// TestPlanModel: whatever becomes of the nodes, as long as a majority of each
-// set's disks is whole, the sets are whole again after quiet time.
+// TestPlanModel checks that all sets are complete again some time after the last event, as long
+// as a majority of each set's disks keeps its data.
 func TestPlanModel(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		w := newPlanWorld(rt)
+		m := newPlanWorld(rt)
 		for range planModelEvents {
-			w.applyRandomEvent()
+			m.applyRandomEvent()
 			for range rapid.IntRange(0, 8).Draw(rt, "pause") {
-				w.step()
+				m.step()
 			}
 		}
-		w.endFaults()
-		for end := w.now.Add(planModelSettleTime); w.now.Before(end); {
-			w.step()
+		m.endFaults()
+		for end := m.now.Add(planModelSettleTime); m.now.Before(end); {
+			m.step()
 		}
-		w.checkComplete()
+		m.checkComplete()
 	})
 }
 
 func newPlanWorld(rt *rapid.T) *planModel {
-	w := &planModel{t: rt, now: planNow, zones: rapid.IntRange(1, 5).Draw(rt, "zones")}
+	m := &planModel{t: rt, now: planNow, zones: rapid.IntRange(1, 5).Draw(rt, "zones")}
 	count := rapid.IntRange(3, 9).Draw(rt, "nodes")
 	factor := 3
 	if count >= 5 && rapid.Bool().Draw(rt, "two losses") {
 		factor = 5
 	}
-	w.settings = shard.PlanSettings{Factor: factor, GoneAfter: 20 * time.Second, ReplacedAfter: 500 * time.Millisecond, Moves: 8}
+	m.settings = shard.PlanSettings{Factor: factor, GoneAfter: 20 * time.Second, ReplacedAfter: 500 * time.Millisecond, Moves: 8}
 	var candidates []shard.Candidate
 	for range count {
-		added := w.add()
-		added.started, added.isKnown = w.now.Add(-time.Hour), true
+		added := m.add()
+		added.started, added.isKnown = m.now.Add(-time.Hour), true
 		candidates = append(candidates, shard.Candidate{Member: added.member(), HasDataFolder: true})
 	}
 	for number, members := range shard.AssignAll(3, factor, candidates) {
-		w.views = append(w.views, register.View{Shard: uint32(number), Epoch: shard.FirstEpoch, Members: members})
+		m.views = append(m.views, register.View{Shard: uint32(number), Epoch: shard.FirstEpoch, Members: members})
 	}
-	return w
+	return m
 }
 
-func (w *planModel) add() *planNode {
-	zone := rapid.IntRange(0, w.zones-1).Draw(w.t, "zone")
-	added := &planNode{name: fmt.Sprint("n", len(w.nodes)), zone: fmt.Sprint("z", zone), started: w.now, isKnown: !w.storeUnavailable}
-	w.nodes = append(w.nodes, added)
+func (m *planModel) add() *planNode {
+	zone := rapid.IntRange(0, m.zones-1).Draw(m.t, "zone")
+	added := &planNode{name: fmt.Sprint("n", len(m.nodes)), zone: fmt.Sprint("z", zone), started: m.now, isKnown: !m.storeUnavailable}
+	m.nodes = append(m.nodes, added)
 	return added
 }
 
-// applyRandomEvent makes one random event of the kinds that a deployment knows.
-func (w *planModel) applyRandomEvent() {
-	node := rapid.SampledFrom(w.nodes).Draw(w.t, "node")
+// applyRandomEvent applies one random event.
+func (m *planModel) applyRandomEvent() {
+	node := rapid.SampledFrom(m.nodes).Draw(m.t, "node")
 	if node.removed {
 		return
 	}
-	switch rapid.SampledFrom([]string{"leave", "stay", "freeze", "return", "wipe", "remove", "replace", "add", "store"}).Draw(w.t, "event") {
+	switch rapid.SampledFrom([]string{"leave", "stay", "freeze", "return", "wipe", "remove", "replace", "add", "store"}).Draw(m.t, "event") {
 	case "leave":
-		node.leaving, node.leavingKnown = true, !w.storeUnavailable
+		node.leaving, node.leavingKnown = true, !m.storeUnavailable
 	case "stay":
 		node.leaving, node.leavingKnown = false, false
 	case "freeze":
-		w.stopAnswering(node)
+		m.stopAnswering(node)
 	case "return":
 		node.unresponsiveSince = time.Time{}
 	case "wipe":
-		if w.survivesWithout(node) {
-			node.life++
-			node.started, node.unresponsiveSince = w.now, time.Time{}
+		if m.survivesWithout(node) {
+			node.incarnation++
+			node.started, node.unresponsiveSince = m.now, time.Time{}
 		}
 	case "remove":
-		if w.survivesWithout(node) {
-			w.stopAnswering(node)
+		if m.survivesWithout(node) {
+			m.stopAnswering(node)
 			node.removed = true
 		}
 	case "replace":
-		if w.survivesWithout(node) {
-			w.stopAnswering(node)
+		if m.survivesWithout(node) {
+			m.stopAnswering(node)
 			node.removed = true
-			w.add()
+			m.add()
 		}
 	case "add":
-		if len(w.nodes) < 14 {
-			w.add()
+		if len(m.nodes) < 14 {
+			m.add()
 		}
 	case "store":
-		w.storeUnavailable = !w.storeUnavailable
-		if !w.storeUnavailable {
-			w.syncFromStore()
+		m.storeUnavailable = !m.storeUnavailable
+		if !m.storeUnavailable {
+			m.syncFromStore()
 		}
 	}
 }
 
-func (w *planModel) stopAnswering(node *planNode) {
+func (m *planModel) stopAnswering(node *planNode) {
 	if node.answers() {
-		node.unresponsiveSince = w.now
+		node.unresponsiveSince = m.now
 	}
 }
 
-// syncFromStore lets everything be known that stands in the store.
-func (w *planModel) syncFromStore() {
-	for _, node := range w.nodes {
+// syncFromStore makes the content of the store known to all nodes.
+func (m *planModel) syncFromStore() {
+	for _, node := range m.nodes {
 		node.isKnown, node.leavingKnown = true, node.leaving
 	}
 }
 
-// hasData tells that the member's disk is as it was.
-func (w *planModel) hasData(member register.Member) bool {
-	return slices.ContainsFunc(w.nodes, func(n *planNode) bool { return !n.removed && n.member() == member })
+// hasData reports whether the member's node still has the disk of that incarnation.
+func (m *planModel) hasData(member register.Member) bool {
+	return slices.ContainsFunc(m.nodes, func(n *planNode) bool { return !n.removed && n.member() == member })
 }
 
-// survivesWithout tells that each set keeps a majority of whole disks without
-// the node's.
-func (w *planModel) survivesWithout(node *planNode) bool {
-	for _, view := range w.views {
-		whole := 0
+// survivesWithout reports whether each set keeps a majority of members with data without the
+// node.
+func (m *planModel) survivesWithout(node *planNode) bool {
+	for _, view := range m.views {
+		withData := 0
 		for _, member := range view.Members {
-			if member.Node != node.name && w.hasData(member) {
-				whole++
+			if member.Node != node.name && m.hasData(member) {
+				withData++
 			}
 		}
-		if whole < view.Quorum() {
+		if withData < view.Quorum() {
 			return false
 		}
 	}
 	return true
 }
 
-func (w *planModel) situation() shard.Situation {
-	s := shard.Situation{Now: w.now, WatchedSince: planNow, Views: w.views}
-	for _, node := range w.nodes {
+func (m *planModel) situation() shard.Situation {
+	s := shard.Situation{Now: m.now, WatchedSince: planNow, Views: m.views}
+	for _, node := range m.nodes {
 		if !node.isKnown {
 			continue
 		}
 		known := shard.Node{Member: node.member(), HasDataFolder: true, Leaving: node.leavingKnown, Started: node.started}
-		if !node.answers() && w.now.Sub(node.unresponsiveSince) >= planModelDetectionDelay {
+		if !node.answers() && m.now.Sub(node.unresponsiveSince) >= planModelDetectionDelay {
 			known.GoneSince = node.unresponsiveSince.Add(planModelDetectionDelay)
 		}
 		s.Nodes = append(s.Nodes, known)
@@ -192,52 +192,51 @@
 	return s
 }
 
-// step lets the time pass by one round of the planner, checks its plan and does
-// what can be done of it.
-func (w *planModel) step() {
-	w.now = w.now.Add(500 * time.Millisecond)
-	situation := w.situation()
-	outcome := shard.Plan(situation, w.settings)
+// step advances the time by one round of the planner, checks the plan and applies the moves
+// that are possible.
+func (m *planModel) step() {
+	m.now = m.now.Add(500 * time.Millisecond)
+	situation := m.situation()
+	outcome := shard.Plan(situation, m.settings)
 	for _, lost := range outcome.Lost {
-		w.checkLost(lost)
+		m.checkLost(lost)
 	}
 	for _, move := range outcome.Moves {
-		w.checkMove(situation, move)
-		if w.isPossible(move) {
-			w.views[move.View.Shard].Members = move.Members
-			w.views[move.View.Shard].Epoch++
+		m.checkMove(situation, move)
+		if m.isPossible(move) {
+			m.views[move.View.Shard].Members = move.Members
+			m.views[move.View.Shard].Epoch++
 		}
 	}
 }
 
-// checkLost: a set isn't lost for good while a majority of its disks is whole.
-func (w *planModel) checkLost(lost shard.LostSet) {
-	whole := 0
+// checkLost checks that no set is reported as permanently lost while a majority has its data.
+func (m *planModel) checkLost(lost shard.LostSet) {
+	withData := 0
 	for _, member := range lost.View.Members {
-		if w.hasData(member) {
-			whole++
+		if m.hasData(member) {
+			withData++
 		}
 	}
-	assert.Assert(w.t, !lost.IsPermanent() || whole < lost.View.Quorum(), "%d disks of %v are whole", whole, lost)
+	assert.Assert(m.t, !lost.IsPermanent() || withData < lost.View.Quorum(), "%d members of %v have data, but the set is reported as permanently lost", withData, lost)
 }
 
-// checkMove: no set names a machine twice, or a member that is known not to
-// answer.
-func (w *planModel) checkMove(known shard.Situation, move shard.Move) {
-	assert.NilError(w.t, register.View{Members: move.Members}.Validate())
+// checkMove checks that the new set names no node twice and no member that is known not to
+// answer, and that it can lose a member.
+func (m *planModel) checkMove(known shard.Situation, move shard.Move) {
+	assert.NilError(m.t, register.View{Members: move.Members}.Validate())
 	for _, member := range move.Members {
 		index := slices.IndexFunc(known.Nodes, func(n shard.Node) bool { return n.Member == member })
-		assert.Assert(w.t, index >= 0, "%s isn't known: %v", member.Incarnation, move)
-		assert.Assert(w.t, known.Nodes[index].GoneSince.IsZero(), "%s is gone: %v", member.Incarnation, move)
+		assert.Assert(m.t, index >= 0, "%s is unknown: %v", member.Incarnation, move)
+		assert.Assert(m.t, known.Nodes[index].GoneSince.IsZero(), "%s is gone: %v", member.Incarnation, move)
 	}
-	assert.Assert(w.t, len(move.Members) > len(move.View.Members)/2+1 || len(move.View.Members) < 3, "no reserve: %v", move)
+	assert.Assert(m.t, len(move.Members) > len(move.View.Members)/2+1 || len(move.View.Members) < 3, "the new set cannot lose a member: %v", move)
 }
 
-// isPossible tells that each wanted member and a majority of the old ones
-// answer.
-func (w *planModel) isPossible(move shard.Move) bool {
+// isPossible reports whether all new members and a majority of the old ones answer.
+func (m *planModel) isPossible(move shard.Move) bool {
 	answering := func(member register.Member) bool {
-		return slices.ContainsFunc(w.nodes, func(n *planNode) bool { return n.answers() && n.member() == member })
+		return slices.ContainsFunc(m.nodes, func(n *planNode) bool { return n.answers() && n.member() == member })
 	}
 	count := 0
 	for _, member := range move.View.Members {
@@ -253,47 +252,46 @@
 	return count >= move.View.Quorum()
 }
 
-// endFaults ends all disturbances that end by themselves.
-func (w *planModel) endFaults() {
-	w.storeUnavailable = false
-	w.syncFromStore()
-	for _, node := range w.nodes {
+// endFaults ends all temporary faults.
+func (m *planModel) endFaults() {
+	m.storeUnavailable = false
+	m.syncFromStore()
+	for _, node := range m.nodes {
 		if !node.removed {
 			node.unresponsiveSince = time.Time{}
 		}
 	}
 }
 
-// checkComplete: every set has as many living members as there can be, and a node
-// that is to leave only where too few others live.
-func (w *planModel) checkComplete() {
-	living, staying := 0, 0
-	for _, node := range w.nodes {
+// checkComplete checks that every set has as many live members as possible, and leaving
+// members only if too few other nodes are live.
+func (m *planModel) checkComplete() {
+	live, staying := 0, 0
+	for _, node := range m.nodes {
 		if node.removed {
 			continue
 		}
-		living++
+		live++
 		if !node.leaving {
 			staying++
 		}
 	}
-	for _, view := range w.views {
-		whole, leaving := 0, 0
+	for _, view := range m.views {
+		withData, leaving := 0, 0
 		for _, member := range view.Members {
-			if w.hasData(member) {
-				whole++
+			if m.hasData(member) {
+				withData++
 			}
-			if slices.ContainsFunc(w.nodes, func(n *planNode) bool { return n.leaving && n.member() == member }) {
+			if slices.ContainsFunc(m.nodes, func(n *planNode) bool { return n.leaving && n.member() == member }) {
 				leaving++
 			}
 		}
-		wanted := min(w.settings.Factor, living)
-		if staying < w.settings.Factor {
-			// Nobody joins a set to leave it: those that can stay, and the ones
-			// that were there.
-			wanted = min(max(staying, view.Quorum()), living)
+		wanted := min(m.settings.Factor, live)
+		if staying < m.settings.Factor {
+			// A leaving node doesn't join a set, but stays in one that lacks other nodes.
+			wanted = min(max(staying, view.Quorum()), live)
 		}
-		assert.Assert(w.t, whole >= wanted, "%d of %d members live, %d could: %v", whole, len(view.Members), wanted, view)
-		assert.Assert(w.t, leaving == 0 || staying < w.settings.Factor, "%d members are leaving: %v", leaving, view)
+		assert.Assert(m.t, withData >= wanted, "%d of %d members have data, want %d: %v", withData, len(view.Members), wanted, view)
+		assert.Assert(m.t, leaving == 0 || staying < m.settings.Factor, "%d members are leaving: %v", leaving, view)
 	}
 }
