--- a/coordination/shard/planmodel_test.go
+++ b/coordination/shard/planmodel_test.go
@@ -57,7 +57,7 @@
 // as a majority of each set's disks keeps its data.
 func TestPlanModel(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		m := newPlanWorld(rt)
+		m := newPlanModel(rt)
 		for range planModelEvents {
 			m.applyRandomEvent()
 			for range rapid.IntRange(0, 8).Draw(rt, "pause") {
@@ -72,7 +72,7 @@
 	})
 }
 
-func newPlanWorld(rt *rapid.T) *planModel {
+func newPlanModel(rt *rapid.T) *planModel {
 	m := &planModel{t: rt, now: planNow, zones: rapid.IntRange(1, 5).Draw(rt, "zones")}
 	count := rapid.IntRange(3, 9).Draw(rt, "nodes")
 	factor := 3
