--- a/coordination/shard/decision.go
+++ b/coordination/shard/decision.go
@@ -7,14 +7,15 @@
 	"github.com/marblering/marblering/coordination/register"
 )
 
-// decisionViews are the views of a client that decides about one epoch: the
-// members stay those of the epoch, and a newer view ends the work.
+// decisionViews is the register.Views of a client that decides the successor of one epoch.
+// It always returns the view of that epoch, and calls onNewerView once a member reports a
+// newer one.
 type decisionViews struct {
-	current register.View
-	moved   func()
+	current     register.View
+	onNewerView func()
 
-	mutex   sync.Mutex
-	learned register.View
+	mutex  sync.Mutex
+	newest register.View
 }
 
 var _ register.Views = (*decisionViews)(nil)
@@ -26,23 +27,23 @@
 func (d *decisionViews) Learn(view register.View) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	if view.Epoch <= d.current.Epoch || view.Epoch <= d.learned.Epoch {
+	if view.Epoch <= d.current.Epoch || view.Epoch <= d.newest.Epoch {
 		return
 	}
-	d.learned = view
-	d.moved()
+	d.newest = view
+	d.onNewerView()
 }
 
-// ConfigurationVersion implements register.Views; replicas don't compare it for
-// these registers.
+// ConfigurationVersion implements register.Views. Replicas ignore the version for
+// successor registers.
 func (d *decisionViews) ConfigurationVersion() uint64 { return 0 }
 
 // LearnConfiguration implements register.Views.
 func (d *decisionViews) LearnConfiguration(context.Context, uint64) {}
 
-// next returns the newest view that a member named.
-func (d *decisionViews) next() register.View {
+// newestView returns the newest view that a member reported, or the zero view.
+func (d *decisionViews) newestView() register.View {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return d.learned
+	return d.newest
 }
--- a/coordination/shard/installer.go
+++ b/coordination/shard/installer.go
@@ -15,33 +15,33 @@
 )
 
 const (
-	// parallelWrites limits the writes of one installation that wait for the
-	// medium; a disk store syncs those that wait together.
-	parallelWrites = 256
-	// wantedTurns limits the turns that one request asks for.
-	wantedTurns = 128
+	// maxParallelWrites limits the concurrent writes of one installation. A disk store groups
+	// concurrent writes into one sync.
+	maxParallelWrites = 256
+	// maxTurnsPerPull limits the turns that one pull requests.
+	maxTurnsPerPull = 128
 )
 
-// Installer copies shards to this node's replica.
+// Installer copies the data of shards from other members to this node's replica.
 type Installer struct {
 	replica *Replica
 	source  Source
 	logger  *zap.Logger
-	// ahead lets one shard be copied ahead at a time: turns that are served
-	// meanwhile need the processor, the disk and the link too.
-	ahead chan struct{}
+	// precopySlot limits precopying to one shard at a time, since it competes with requests
+	// for CPU, disk and network.
+	precopySlot chan struct{}
 }
 
-// NewInstaller makes the installer of the replica.
+// NewInstaller returns an installer for the local replica that copies from source.
 func NewInstaller(local *Replica, source Source, logger *zap.Logger) *Installer {
-	return &Installer{replica: local, source: source, logger: logger, ahead: make(chan struct{}, 1)}
+	return &Installer{replica: local, source: source, logger: logger, precopySlot: make(chan struct{}, 1)}
 }
 
-// Install copies the shard from a majority of the previous view's members and
-// returns once the copy has reached the medium. It may be repeated.
+// Install copies the shard from a majority of the members of the previous view and returns
+// once the copy is durable. It is idempotent.
 func (i *Installer) Install(ctx context.Context, request InstallRequest) archive.Reply {
 	shard := request.Successor.Shard
-	if !i.isAsked(request) {
+	if !i.isAddressed(request) {
 		return archive.Reply{Refusal: register.RefusalIncarnation, View: i.replica.openView(shard)}
 	}
 	if request.Previous.Epoch+1 != request.Successor.Epoch || request.Previous.Shard != shard {
@@ -53,50 +53,50 @@
 	}
 	defer release()
 	if request.TurnsOnly {
-		return i.copyAhead(ctx, request)
+		return i.precopyTurns(ctx, request)
 	}
-	// The previous epoch ends here at the latest. A replica that has been told
-	// of a newer view by now may still be needed as a source of this one.
-	wasFirst := request.Previous.Epoch == FirstEpoch && i.replica.isMember(request.Previous)
-	if reply := i.replica.advance(request.Successor, wasFirst); reply.Refusal != register.RefusalNone {
+	// Adopting the successor ends the previous epoch on this replica. If a newer view has been
+	// decided already, the install still goes on: that view may need this replica as a source.
+	isFirstEpochMember := request.Previous.Epoch == FirstEpoch && i.replica.isMember(request.Previous)
+	if reply := i.replica.adoptView(request.Successor, isFirstEpochMember); reply.Refusal != register.RefusalNone {
 		return reply
 	}
-	if i.replica.holds(request.Successor) {
+	if i.replica.holdsData(request.Successor) {
 		return archive.Reply{}
 	}
 	if err := i.copyShard(ctx, request); err != nil {
-		return i.report(request, err)
+		return i.replyTo(request, err)
 	}
-	return i.report(request, i.replica.finishInstall(request.Successor))
+	return i.replyTo(request, i.replica.finishInstall(request.Successor))
 }
 
-// isAsked tells whether the request is meant for this replica: a member of the successor,
-// or one of the previous view that copies turns ahead.
-func (i *Installer) isAsked(request InstallRequest) bool {
+// isAddressed reports whether the request is meant for this replica: as a member of the
+// successor, or as a member of the previous view that precopies turns.
+func (i *Installer) isAddressed(request InstallRequest) bool {
 	return i.replica.isMember(request.Successor) || request.TurnsOnly && i.replica.isMember(request.Previous)
 }
 
-// copyAhead copies turns. A member of the previous view that isn't asked to do so
-// tells whether it holds that epoch.
-func (i *Installer) copyAhead(ctx context.Context, request InstallRequest) archive.Reply {
+// precopyTurns copies turns before the previous epoch is sealed. A member of the previous
+// view that isn't asked to backfill only reports whether it holds that epoch.
+func (i *Installer) precopyTurns(ctx context.Context, request InstallRequest) archive.Reply {
 	isMember := i.replica.isMember(request.Previous)
-	if isMember && !i.replica.holds(request.Previous) {
+	if isMember && !i.replica.holdsData(request.Previous) {
 		return archive.Reply{Refusal: register.RefusalNotReady}
 	}
 	if isMember && !request.Fill {
 		return archive.Reply{}
 	}
 	select {
-	case i.ahead <- struct{}{}:
-		defer func() { <-i.ahead }()
+	case i.precopySlot <- struct{}{}:
+		defer func() { <-i.precopySlot }()
 	case <-ctx.Done():
 		return archive.Reply{Refusal: register.RefusalNotReady}
 	}
-	return i.report(request, i.copyShard(ctx, request))
+	return i.replyTo(request, i.copyShard(ctx, request))
 }
 
-// report logs and returns how an installation ended.
-func (i *Installer) report(request InstallRequest, err error) archive.Reply {
+// replyTo logs the error of an installation, if any, and returns the reply to the request.
+func (i *Installer) replyTo(request InstallRequest, err error) archive.Reply {
 	if err == nil {
 		return archive.Reply{}
 	}
@@ -105,9 +105,9 @@
 	return archive.Reply{Refusal: register.RefusalNotReady}
 }
 
-// copyShard brings over what a majority of the previous members hold.
+// copyShard copies the turns and registers that a majority of the previous members hold.
 func (i *Installer) copyShard(ctx context.Context, request InstallRequest) error {
-	listings, err := i.list(ctx, request)
+	listings, err := i.listMajority(ctx, request)
 	if err != nil {
 		return err
 	}
@@ -117,31 +117,31 @@
 	return i.replica.mergeRegisters(request.Successor.Shard, mergeListings(listings))
 }
 
-// copyTurns fetches the turns that the replica doesn't hold yet, each from a
-// member that listed it.
+// copyTurns fetches the turns that the replica lacks, each from a member that listed it.
 func (i *Installer) copyTurns(ctx context.Context, request InstallRequest, listings []*listing) error {
 	missing, err := i.replica.missingTurns(request.Successor.Shard, listings)
 	if err != nil {
 		return err
 	}
 	for _, from := range listings {
-		wanted := from.holding(missing)
-		for batch := range slices.Chunk(wanted, wantedTurns) {
-			if err := i.fetch(ctx, request, from.member, batch, missing); err != nil {
+		wanted := from.intersect(missing)
+		for batch := range slices.Chunk(wanted, maxTurnsPerPull) {
+			if err := i.fetchTurns(ctx, request, from.member, batch, missing); err != nil {
 				i.logger.Info("turns not copied", zap.String("node", from.member.Node), zap.Error(err))
 				break
 			}
 		}
 	}
 	if len(missing) > 0 {
-		return merry.Errorf("%d turns of shard %d can't be read from the members that listed them",
+		return merry.Errorf("could not fetch %d turns of shard %d from any member that listed them",
 			len(missing), request.Successor.Shard)
 	}
 	return nil
 }
 
-// fetch stores the wanted turns of one member and takes them out of missing.
-func (i *Installer) fetch(ctx context.Context, request InstallRequest, member register.Member, wanted []TurnReference, missing map[TurnReference]struct{}) error {
+// fetchTurns copies the wanted turns from one member and removes those that it received
+// from missing.
+func (i *Installer) fetchTurns(ctx context.Context, request InstallRequest, member register.Member, wanted []TurnReference, missing map[TurnReference]struct{}) error {
 	pull := PullRequest{Fence: fenceOf(request.Previous, member), TurnsOnly: request.TurnsOnly, Wanted: wanted}
 	var received []replica.Turn
 	reply, err := i.pull(ctx, member, pull, func(item PullItem) error {
@@ -150,7 +150,7 @@
 		}
 		return nil
 	})
-	if err := failure(reply, err); err != nil {
+	if err := replyError(reply, err); err != nil {
 		return err
 	}
 	err = i.replica.putTurns(request.Successor.Shard, received)
@@ -163,8 +163,8 @@
 	return nil
 }
 
-// mergeListings combines the states of each register. What a majority of sealed
-// members hold includes every decided value.
+// mergeListings merges the states of each register. The states of a majority of sealed
+// members include every decided value.
 func mergeListings(listings []*listing) map[string]replica.Register {
 	merged := make(map[string]replica.Register)
 	for _, from := range listings {
@@ -185,71 +185,71 @@
 		delete(missing, referenceOf(turn))
 		return nil
 	})
-	return missing, merry.Prepend(err, "list the turns that are here")
+	return missing, merry.Prepend(err, "list local turns")
 }
 
 func (r *Replica) putTurns(shard uint32, turns []replica.Turn) error {
 	var group errgroup.Group
-	group.SetLimit(parallelWrites)
+	group.SetLimit(maxParallelWrites)
 	for _, turn := range turns {
 		group.Go(func() error { return r.store.PutTurn(shard, turn) })
 	}
 	return merry.Prepend(group.Wait(), "store copied turns")
 }
 
-// mergeRegisters adds the copied states to what the replica holds. Highest
-// ballots win, so nothing newer is overwritten.
+// mergeRegisters merges the copied states into the stored ones. The higher ballot wins, so
+// newer local states are kept.
 func (r *Replica) mergeRegisters(shard uint32, copied map[string]replica.Register) error {
 	var group errgroup.Group
-	group.SetLimit(parallelWrites)
+	group.SetLimit(maxParallelWrites)
 	for key, state := range copied {
 		group.Go(func() error {
 			held, err := r.store.LoadRegister(shard, key)
 			if err != nil {
 				return err
 			}
-			return r.store.SaveRegister(shard, key, inherit(register.Merge(held, state), r.incarnation))
+			return r.store.SaveRegister(shard, key, markInherited(register.Merge(held, state), r.incarnation))
 		})
 	}
 	return merry.Prepend(group.Wait(), "store copied registers")
 }
 
-// beginInstall waits until no other installation of the shard runs.
+// beginInstall waits until no other installation of the shard is running.
 func (r *Replica) beginInstall(ctx context.Context, shard uint32) (release func(), err error) {
-	p, err := r.part(shard)
+	held, err := r.shardReplica(shard)
 	if err != nil {
 		return nil, err
 	}
 	select {
-	case p.install <- struct{}{}:
-		return func() { <-p.install }, nil
+	case held.installSlot <- struct{}{}:
+		return func() { <-held.installSlot }, nil
 	case <-ctx.Done():
 		return nil, merry.Prepend(context.Cause(ctx), "wait for another installation")
 	}
 }
 
-// holds tells whether the data of the view is installed here.
-func (r *Replica) holds(view register.View) bool {
-	p, err := r.current(view.Shard)
+// holdsData reports whether the data of the view is installed.
+func (r *Replica) holdsData(view register.View) bool {
+	held, err := r.acquire(view.Shard)
 	if err != nil {
 		return false
 	}
-	defer p.mutex.RUnlock()
-	return p.state.DataEpoch >= view.Epoch
+	defer held.mutex.RUnlock()
+	return held.state.DataEpoch >= view.Epoch
 }
 
-// finishInstall notes that the data of the view is held.
+// finishInstall records that the replica holds the data of the view.
 func (r *Replica) finishInstall(view register.View) error {
-	p, err := r.current(view.Shard)
+	held, err := r.acquire(view.Shard)
 	if err != nil {
 		return err
 	}
-	p.mutex.RUnlock()
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
-	next := p.state
+	held.mutex.RUnlock()
+	held.mutex.Lock()
+	defer held.mutex.Unlock()
+	next := held.state
 	next.DataEpoch = max(next.DataEpoch, view.Epoch)
-	return r.change(view.Shard, p, next)
+	return r.setState(view.Shard, held, next)
 }
 
 func referenceOf(turn replica.Turn) TurnReference {
--- a/coordination/shard/listing_test.go
+++ b/coordination/shard/listing_test.go
@@ -13,14 +13,14 @@
 	"github.com/marblering/marblering/coordination/shard"
 )
 
-// countedPulls counts pulls that ask for a listing, and loses those from one node.
-type countedPulls struct {
+// countingLink counts the pulls that request a listing, and fails those from one node.
+type countingLink struct {
 	link
 	lost     string
 	listings *atomic.Int64
 }
 
-func (c countedPulls) Pull(ctx context.Context, to register.Member, request shard.PullRequest, visit func(shard.PullItem) error) (archive.Reply, error) {
+func (c countingLink) Pull(ctx context.Context, to register.Member, request shard.PullRequest, visit func(shard.PullItem) error) (archive.Reply, error) {
 	if request.OmitObjects {
 		c.listings.Add(1)
 	}
@@ -30,40 +30,40 @@
 	return c.link.Pull(ctx, to, request, visit)
 }
 
-// TestMajorityIsListed: a replica that installs asks for no more listings than it
-// needs, counts its own, and asks others where one fails.
-func TestMajorityIsListed(t *testing.T) {
+// TestInstallListsMajority checks that an installation requests no more listings than it
+// needs, counts its own, and asks another member if one fails.
+func TestInstallListsMajority(t *testing.T) {
 	for _, c := range []struct {
 		name      string
 		installer int
 		listings  int64
 	}{
 		{"a new member", 5, 3},
-		{"a member of before", 2, 2},
+		{"a remaining member", 2, 2},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			n, first, second := sealedFive(t)
+			n, first, second := newSealedSet(t)
 			p := n.process(nodeName(c.installer))
-			counted := countedPulls{link: link{n, "client"}, listings: &atomic.Int64{}}
-			installer := shard.NewInstaller(p.replica, counted, zap.NewNop())
+			counter := countingLink{link: link{n, "client"}, listings: &atomic.Int64{}}
+			installer := shard.NewInstaller(p.replica, counter, zap.NewNop())
 			reply := installer.Install(t.Context(), shard.InstallRequest{Previous: first, Successor: second})
 			assert.Equal(t, reply.Refusal, register.RefusalNone)
-			assert.Equal(t, counted.listings.Load(), c.listings)
+			assert.Equal(t, counter.listings.Load(), c.listings)
 		})
 	}
 	for lost := range 5 {
-		n, first, second := sealedFive(t)
-		counted := countedPulls{link: link{n, "client"}, lost: nodeName(lost), listings: &atomic.Int64{}}
-		installer := shard.NewInstaller(n.process(nodeName(5)).replica, counted, zap.NewNop())
+		n, first, second := newSealedSet(t)
+		counter := countingLink{link: link{n, "client"}, lost: nodeName(lost), listings: &atomic.Int64{}}
+		installer := shard.NewInstaller(n.process(nodeName(5)).replica, counter, zap.NewNop())
 		reply := installer.Install(t.Context(), shard.InstallRequest{Previous: first, Successor: second})
 		assert.Equal(t, reply.Refusal, register.RefusalNone)
-		assert.Assert(t, counted.listings.Load() <= 4, "%d listings though one member fails", counted.listings.Load())
+		assert.Assert(t, counter.listings.Load() <= 4, "%d listings with one failing member", counter.listings.Load())
 	}
 }
 
-// sealedFive is a set of five members whose epoch has ended, and its successor,
-// in which a sixth stands for the first.
-func sealedFive(t *testing.T) (n *network, first, second register.View) {
+// newSealedSet returns a set of five members whose epoch has ended, and its successor, in
+// which a sixth node replaces the first.
+func newSealedSet(t *testing.T) (n *network, first, second register.View) {
 	t.Helper()
 	n = newNetwork(1)
 	n.instant = true
--- a/coordination/shard/state.go
+++ b/coordination/shard/state.go
@@ -11,8 +11,8 @@
 	"github.com/marblering/marblering/state/replica"
 )
 
-// nodeShard is the shard number under which a replica keeps what must outlive
-// the data of the shards. No real shard has this number.
+// nodeShard is the shard number under which a replica stores metadata that must outlive the
+// data of the shards. No actual shard has it.
 const nodeShard uint32 = math.MaxUint32
 
 const (
@@ -20,40 +20,38 @@
 	configurationVersionName = "configuration-version"
 )
 
-// state is what a replica remembers of its part in one shard. It is stored as
-// JSON.
-type state struct {
-	// View is the newest decided view that the replica was told of; the epochs
-	// before it have ended here.
+// shardState is the durable state of one shard on a replica, stored as JSON.
+type shardState struct {
+	// View is the newest decided view that the replica knows. Earlier epochs have ended on
+	// this replica.
 	View register.View
-	// Previous is the view that View followed here.
+	// Previous is the view that the replica had before View.
 	Previous register.View
-	// Opened is the newest view that the replica knew to be open.
+	// Opened is the newest open view that the replica knows.
 	Opened register.View
-	// DataEpoch is the newest epoch whose data the replica holds; zero for none.
+	// DataEpoch is the newest epoch whose data the replica holds, or zero for none.
 	DataEpoch uint64
 }
 
 // isInstalled reports whether the replica holds the data of its view.
-func (s state) isInstalled() bool {
+func (s shardState) isInstalled() bool {
 	return s.View.Epoch > 0 && s.DataEpoch == s.View.Epoch
 }
 
 // isOpen reports whether the replica may serve its view.
-func (s state) isOpen() bool {
+func (s shardState) isOpen() bool {
 	return s.isInstalled() && s.Opened.Epoch == s.View.Epoch
 }
 
-// followedBy returns the state after the decision of a newer view.
-func (s state) followedBy(view register.View) state {
+// advanceTo returns the state after a newer view was decided.
+func (s shardState) advanceTo(view register.View) shardState {
 	s.Previous = s.View
 	s.View = view
 	return s
 }
 
-// successorOf returns the view that followed the epoch, or nil where the
-// replica doesn't know it.
-func (s state) successorOf(epoch uint64) *register.View {
+// successorOf returns the view after the given epoch, or nil if the replica doesn't know it.
+func (s shardState) successorOf(epoch uint64) *register.View {
 	for _, view := range []register.View{s.View, s.Previous} {
 		if view.Epoch == epoch+1 {
 			return &view
@@ -66,7 +64,7 @@
 	return stateNamePrefix + strconv.FormatUint(uint64(shard), 10)
 }
 
-func saveState(store replica.Store, shard uint32, current state) error {
+func saveState(store replica.Store, shard uint32, current shardState) error {
 	encoded, err := json.Marshal(current)
 	if err != nil {
 		return merry.Prependf(err, "encode state of shard %d", shard)
@@ -74,8 +72,8 @@
 	return merry.Prependf(store.SaveMeta(nodeShard, stateName(shard), encoded), "save state of shard %d", shard)
 }
 
-func loadState(store replica.Store, shard uint32) (state, error) {
-	var loaded state
+func loadState(store replica.Store, shard uint32) (shardState, error) {
+	var loaded shardState
 	encoded, err := store.LoadMeta(nodeShard, stateName(shard))
 	if err != nil || encoded == nil {
 		return loaded, merry.Prependf(err, "load state of shard %d", shard)
