--- a/coordination/directory/lookup.go
+++ b/coordination/directory/lookup.go
@@ -104,7 +104,7 @@
 	if views := l.shardMap.Load(); views != nil {
 		return views.Locate(id)
 	}
-	return shard.Nowhere
+	return shard.UnknownShard
 }
 
 // Shards returns the number of shards; 0 before the sets were created.
--- a/coordination/shard/map.go
+++ b/coordination/shard/map.go
@@ -16,9 +16,9 @@
 // FirstEpoch is the epoch of the initial replica sets.
 const FirstEpoch uint64 = 1
 
-// Nowhere is the shard of every program while the number of shards is unknown. It never has
+// UnknownShard is the shard of every program while the number of shards is unknown. It never has
 // a view.
-const Nowhere uint32 = math.MaxUint32
+const UnknownShard uint32 = math.MaxUint32
 
 // Map holds the newest open view of each shard that a node knows. Reads take no lock
 // (copy-on-write); a view is only replaced by one of a later epoch.
@@ -58,7 +58,7 @@
 func (m *Map) Locate(id string) uint32 {
 	count := m.Count()
 	if count == 0 {
-		return Nowhere
+		return UnknownShard
 	}
 	return uint32(xxhash.Sum64String(program.RootOf(id)) % uint64(count))
 }
