--- a/coordination/directory/lookup.go
+++ b/coordination/directory/lookup.go
@@ -79,7 +79,7 @@
 			return false
 		}
 	}
-	views.Found(shards)
+	views.SetCount(shards)
 	l.logger.Info("number of shards known", zap.Uint32("shards", shards))
 	return true
 }
--- a/coordination/shard/locate_test.go
+++ b/coordination/shard/locate_test.go
@@ -16,7 +16,7 @@
 	const shards = 2
 	views := shard.NewMap(0)
 	located := views.Locate("p")
-	views.Found(shards)
+	views.SetCount(shards)
 	for number := range uint32(shards) {
 		views.Learn(register.View{Shard: number, Epoch: shard.FirstEpoch, Members: []register.Member{{Node: "a"}}})
 	}
--- a/coordination/shard/map.go
+++ b/coordination/shard/map.go
@@ -42,8 +42,8 @@
 // Count returns the number of shards, or zero if it is unknown.
 func (m *Map) Count() uint32 { return uint32(len(*m.views.Load())) }
 
-// Found sets the number of shards if it is unknown. The number never changes afterwards.
-func (m *Map) Found(count uint32) {
+// SetCount sets the number of shards if it is unknown. The number never changes afterwards.
+func (m *Map) SetCount(count uint32) {
 	m.writeMutex.Lock()
 	defer m.writeMutex.Unlock()
 	if m.Count() == 0 {
