--- a/coordination/repair/repair.go
+++ b/coordination/repair/repair.go
@@ -114,11 +114,11 @@
 }
 
 // Situation returns the current input of a plan, from the membership and the shard map.
-func (r *Service) Situation() shard.Situation {
+func (r *Service) Situation() shard.ClusterState {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	now := r.options.Now()
-	situation := shard.Situation{Now: now, WatchedSince: r.started, Views: r.options.Views.Views()}
+	situation := shard.ClusterState{Now: now, WatchedSince: r.started, Views: r.options.Views.Views()}
 	goneSince := make(map[string]time.Time)
 	for _, member := range r.options.Members().All() {
 		node := shard.Node{
--- a/coordination/shard/plan.go
+++ b/coordination/shard/plan.go
@@ -24,8 +24,8 @@
 	Started time.Time
 }
 
-// Situation is a snapshot of the cluster as one node knows it.
-type Situation struct {
+// ClusterState is a snapshot of the cluster as one node knows it.
+type ClusterState struct {
 	Now time.Time
 	// WatchedSince is when this node started to watch the others. A node that it has never
 	// heard of counts as gone since then.
@@ -102,7 +102,7 @@
 
 // Plan decides which replica sets need other members. It is a pure function: nodes that know
 // the same and call it at about the same time get the same plan.
-func Plan(situation Situation, settings PlanSettings) Outcome {
+func Plan(situation ClusterState, settings PlanSettings) Outcome {
 	p := planner{situation: situation, settings: settings, nodes: make(map[string]Node), sets: make(setsPerNode)}
 	for _, view := range situation.Views {
 		p.sets.update(nil, view.Members)
@@ -134,7 +134,7 @@
 }
 
 type planner struct {
-	situation Situation
+	situation ClusterState
 	settings  PlanSettings
 	nodes     map[string]Node
 	// usable holds the nodes that may become members.
--- a/coordination/shard/planmodel_test.go
+++ b/coordination/shard/planmodel_test.go
@@ -177,8 +177,8 @@
 	return true
 }
 
-func (m *planModel) situation() shard.Situation {
-	s := shard.Situation{Now: m.now, WatchedSince: planNow, Views: m.views}
+func (m *planModel) situation() shard.ClusterState {
+	s := shard.ClusterState{Now: m.now, WatchedSince: planNow, Views: m.views}
 	for _, node := range m.nodes {
 		if !node.isKnown {
 			continue
@@ -223,7 +223,7 @@
 
 // checkMove checks that the new set names no node twice and no member that is known not to
 // answer, and that it can lose a member.
-func (m *planModel) checkMove(known shard.Situation, move shard.Move) {
+func (m *planModel) checkMove(known shard.ClusterState, move shard.Move) {
 	assert.NilError(m.t, register.View{Members: move.Members}.Validate())
 	for _, member := range move.Members {
 		index := slices.IndexFunc(known.Nodes, func(n shard.Node) bool { return n.Member == member })
--- a/coordination/shard/replacement_test.go
+++ b/coordination/shard/replacement_test.go
@@ -24,7 +24,7 @@
 	moved, waiting := planView(nodes, 1, 2, 3), planView(nodes, 0, 1, 2)
 	waiting.Shard = 1
 	plan := func() []shard.Move {
-		situation := shard.Situation{Now: planNow, Views: []register.View{moved, waiting}, Nodes: nodes}
+		situation := shard.ClusterState{Now: planNow, Views: []register.View{moved, waiting}, Nodes: nodes}
 		return shard.Plan(situation, settings).Moves
 	}
 	assert.Equal(t, len(plan()), 0, "a node that started long before must not shorten the delay")
