--- a/coordination/repair/repair.go
+++ b/coordination/repair/repair.go
@@ -118,7 +118,7 @@
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	now := r.options.Now()
-	situation := shard.ClusterState{Now: now, WatchedSince: r.started, Views: r.options.Views.Views()}
+	situation := shard.ClusterState{Now: now, ObservedSince: r.started, Views: r.options.Views.Views()}
 	goneSince := make(map[string]time.Time)
 	for _, member := range r.options.Members().All() {
 		node := shard.Node{
--- a/coordination/shard/plan.go
+++ b/coordination/shard/plan.go
@@ -27,11 +27,11 @@
 // ClusterState is a snapshot of the cluster as one node knows it.
 type ClusterState struct {
 	Now time.Time
-	// WatchedSince is when this node started to watch the others. A node that it has never
+	// ObservedSince is when this node started to watch the others. A node that it has never
 	// heard of counts as gone since then.
-	WatchedSince time.Time
-	Views        []register.View
-	Nodes        []Node
+	ObservedSince time.Time
+	Views         []register.View
+	Nodes         []Node
 }
 
 // PlanSettings configures Plan.
@@ -164,7 +164,7 @@
 	node, isKnown := p.nodes[member.Node]
 	goneSince := node.GoneSince
 	if !isKnown {
-		goneSince = p.situation.WatchedSince
+		goneSince = p.situation.ObservedSince
 	}
 	status := memberStatus{member: member, answers: goneSince.IsZero()}
 	switch {
--- a/coordination/shard/plan_test.go
+++ b/coordination/shard/plan_test.go
@@ -129,7 +129,7 @@
 			settings := planSettings()
 			settings.Factor = max(settings.Factor, len(view.Members))
 			outcome := shard.Plan(shard.ClusterState{
-				Now: planNow, WatchedSince: longGone, Views: []register.View{view}, Nodes: nodes,
+				Now: planNow, ObservedSince: longGone, Views: []register.View{view}, Nodes: nodes,
 			}, settings)
 			assert.Equal(t, len(outcome.Lost) == 1, c.lost)
 			if c.want == "" {
@@ -149,7 +149,7 @@
 func TestPlanRotatesMoves(t *testing.T) {
 	nodes := planNodes()
 	nodes[0].GoneSince = planNow.Add(-time.Hour)
-	situation := shard.ClusterState{Now: planNow, WatchedSince: planNow, Nodes: nodes}
+	situation := shard.ClusterState{Now: planNow, ObservedSince: planNow, Nodes: nodes}
 	for number := range uint32(planSettings().Moves + 1) {
 		view := planView(nodes, 0, 1, 2)
 		view.Shard = number
@@ -189,7 +189,7 @@
 				nodes[index].Leaving = true
 			}
 		}
-		situation := shard.ClusterState{Now: planNow, WatchedSince: planNow, Views: views, Nodes: nodes}
+		situation := shard.ClusterState{Now: planNow, ObservedSince: planNow, Views: views, Nodes: nodes}
 		for range 40 {
 			outcome := shard.Plan(situation, planSettings())
 			assert.Assert(rt, len(outcome.Moves) <= planSettings().Moves)
@@ -254,7 +254,7 @@
 	nodes[6].Member = register.Member{Node: "n6", Incarnation: "n6-1", Address: "n6", Zone: "z0"}
 	nodes[3].HasDataFolder = true
 	nodes[0].Leaving = true
-	situation := shard.ClusterState{Now: planNow, WatchedSince: planNow, Nodes: nodes}
+	situation := shard.ClusterState{Now: planNow, ObservedSince: planNow, Nodes: nodes}
 	for number := range uint32(4) {
 		view := planView(nodes, 0, 1, 2)
 		view.Shard = number
@@ -277,7 +277,7 @@
 func BenchmarkPlan(b *testing.B) {
 	for _, size := range []struct{ nodes, shards int }{{13, 64}, {100, 512}, {350, 512}} {
 		b.Run(fmt.Sprintf("nodes=%d/shards=%d", size.nodes, size.shards), func(b *testing.B) {
-			situation := shard.ClusterState{Now: time.Unix(1000, 0), WatchedSince: time.Unix(0, 0)}
+			situation := shard.ClusterState{Now: time.Unix(1000, 0), ObservedSince: time.Unix(0, 0)}
 			var candidates []shard.Candidate
 			for index := range size.nodes {
 				member := register.Member{
--- a/coordination/shard/planmodel_test.go
+++ b/coordination/shard/planmodel_test.go
@@ -178,7 +178,7 @@
 }
 
 func (m *planModel) situation() shard.ClusterState {
-	s := shard.ClusterState{Now: m.now, WatchedSince: planNow, Views: m.views}
+	s := shard.ClusterState{Now: m.now, ObservedSince: planNow, Views: m.views}
 	for _, node := range m.nodes {
 		if !node.isKnown {
 			continue
