--- a/coordination/repair/complete_test.go
+++ b/coordination/repair/complete_test.go
@@ -10,8 +10,8 @@
 
 // TestIsComplete guards against a node that reports readiness while a set lacks a member.
 func TestIsComplete(t *testing.T) {
-	moves := func(reasons ...shard.Reason) shard.Outcome {
-		var outcome shard.Outcome
+	moves := func(reasons ...shard.Reason) shard.PlanResult {
+		var outcome shard.PlanResult
 		for _, reason := range reasons {
 			outcome.Moves = append(outcome.Moves, shard.Move{Reason: reason})
 		}
@@ -21,5 +21,5 @@
 	assert.Assert(t, isComplete(moves(shard.ReasonLeaving)), "a leaving node still holds its data")
 	assert.Assert(t, !isComplete(moves(shard.ReasonGone)))
 	assert.Assert(t, !isComplete(moves(shard.ReasonLeaving, shard.ReasonForgotten)))
-	assert.Assert(t, !isComplete(shard.Outcome{Lost: []shard.LostSet{{}}}))
+	assert.Assert(t, !isComplete(shard.PlanResult{Lost: []shard.LostSet{{}}}))
 }
--- a/coordination/repair/repair.go
+++ b/coordination/repair/repair.go
@@ -93,7 +93,7 @@
 // isComplete reports whether the plan found every set complete: none has lost its quorum,
 // and no member is to be replaced because it is gone or lost its data. Sets that change for
 // other reasons, such as a leaving node, are complete.
-func isComplete(plan shard.Outcome) bool {
+func isComplete(plan shard.PlanResult) bool {
 	if len(plan.Lost) > 0 {
 		return false
 	}
--- a/coordination/shard/plan.go
+++ b/coordination/shard/plan.go
@@ -86,8 +86,8 @@
 // IsPermanent reports whether the set lacks a majority even if all unreachable members return.
 func (l LostSet) IsPermanent() bool { return len(l.View.Members)-l.Wiped < l.View.Quorum() }
 
-// Outcome is the result of Plan.
-type Outcome struct {
+// PlanResult is the result of Plan.
+type PlanResult struct {
 	Moves []Move
 	Lost  []LostSet
 }
@@ -102,7 +102,7 @@
 
 // Plan decides which replica sets need other members. It is a pure function: nodes that know
 // the same and call it at about the same time get the same plan.
-func Plan(situation ClusterState, settings PlanSettings) Outcome {
+func Plan(situation ClusterState, settings PlanSettings) PlanResult {
 	p := planner{situation: situation, settings: settings, nodes: make(map[string]Node), sets: make(setsPerNode)}
 	for _, view := range situation.Views {
 		p.sets.update(nil, view.Members)
@@ -111,7 +111,7 @@
 		p.nodes[node.Member.Node] = node
 	}
 	p.usable = p.candidates()
-	var outcome Outcome
+	var outcome PlanResult
 	for _, view := range situation.Views {
 		statuses := p.assessMembers(view)
 		if countAnswering(statuses) < view.Quorum() {
