--- a/coordination/shard/plan.go
+++ b/coordination/shard/plan.go
@@ -36,8 +36,8 @@
 
 // PlanSettings configures Plan.
 type PlanSettings struct {
-	// Factor is the replication factor: the wanted number of members of a set.
-	Factor int
+	// ReplicationFactor is the replication factor: the wanted number of members of a set.
+	ReplicationFactor int
 	// GoneAfter is how long a node must have been gone before its replicas are replaced, so
 	// that short network outages and restarts with data move nothing.
 	GoneAfter time.Duration
@@ -243,7 +243,7 @@
 			return reason
 		}
 	}
-	if len(statuses) < p.settings.Factor {
+	if len(statuses) < p.settings.ReplicationFactor {
 		return ReasonUndersized
 	}
 	return ""
@@ -267,7 +267,7 @@
 			kept = append(kept, status.member)
 		}
 	}
-	filled := addMembers(view.Shard, p.settings.Factor-countUnresponsive(statuses), kept, p.usable, p.sets)
+	filled := addMembers(view.Shard, p.settings.ReplicationFactor-countUnresponsive(statuses), kept, p.usable, p.sets)
 	missing := max(len(view.Members)-countUnresponsive(statuses)-len(filled), 0)
 	return append(filled, leaving[:min(missing, len(leaving))]...)
 }
--- a/coordination/shard/plan_test.go
+++ b/coordination/shard/plan_test.go
@@ -16,7 +16,7 @@
 var planNow = time.Unix(1_000_000, 0)
 
 func planSettings() shard.PlanSettings {
-	return shard.PlanSettings{Factor: 3, GoneAfter: 20 * time.Second, Moves: 2}
+	return shard.PlanSettings{ReplicationFactor: 3, GoneAfter: 20 * time.Second, Moves: 2}
 }
 
 // planNodes returns two nodes in each of three zones.
@@ -127,7 +127,7 @@
 				nodes = c.change(nodes)
 			}
 			settings := planSettings()
-			settings.Factor = max(settings.Factor, len(view.Members))
+			settings.ReplicationFactor = max(settings.ReplicationFactor, len(view.Members))
 			outcome := shard.Plan(shard.ClusterState{
 				Now: planNow, ObservedSince: longGone, Views: []register.View{view}, Nodes: nodes,
 			}, settings)
@@ -291,7 +291,7 @@
 			}
 			b.ResetTimer()
 			for range b.N {
-				if outcome := shard.Plan(situation, shard.PlanSettings{Factor: 3, GoneAfter: time.Second, Moves: 8}); len(outcome.Moves) != 0 {
+				if outcome := shard.Plan(situation, shard.PlanSettings{ReplicationFactor: 3, GoneAfter: time.Second, Moves: 8}); len(outcome.Moves) != 0 {
 					b.Fatal("complete sets need no moves")
 				}
 			}
--- a/coordination/shard/planmodel_test.go
+++ b/coordination/shard/planmodel_test.go
@@ -79,7 +79,7 @@
 	if count >= 5 && rapid.Bool().Draw(rt, "two losses") {
 		factor = 5
 	}
-	m.settings = shard.PlanSettings{Factor: factor, GoneAfter: 20 * time.Second, ReplacedAfter: 500 * time.Millisecond, Moves: 8}
+	m.settings = shard.PlanSettings{ReplicationFactor: factor, GoneAfter: 20 * time.Second, ReplacedAfter: 500 * time.Millisecond, Moves: 8}
 	var candidates []shard.Candidate
 	for range count {
 		added := m.add()
@@ -286,12 +286,12 @@
 				leaving++
 			}
 		}
-		wanted := min(m.settings.Factor, live)
-		if staying < m.settings.Factor {
+		wanted := min(m.settings.ReplicationFactor, live)
+		if staying < m.settings.ReplicationFactor {
 			// A leaving node doesn't join a set, but stays in one that lacks other nodes.
 			wanted = min(max(staying, view.Quorum()), live)
 		}
 		assert.Assert(m.t, withData >= wanted, "%d of %d members have data, want %d: %v", withData, len(view.Members), wanted, view)
-		assert.Assert(m.t, leaving == 0 || staying < m.settings.Factor, "%d members are leaving: %v", leaving, view)
+		assert.Assert(m.t, leaving == 0 || staying < m.settings.ReplicationFactor, "%d members are leaving: %v", leaving, view)
 	}
 }
--- a/node/repair.go
+++ b/node/repair.go
@@ -25,9 +25,9 @@
 func (n *Node) newRepair() *repair.Service {
 	driver := shard.NewDriver(n.identity, n.peers, n.views, register.SystemClock{}, n.newRandom(), register.DefaultSettings(), n.logger)
 	settings := shard.PlanSettings{
-		Factor:    n.settings.ReplicationFactor,
-		GoneAfter: goneGrace,
-		Moves:     movesAtOnce,
+		ReplicationFactor: n.settings.ReplicationFactor,
+		GoneAfter:         goneGrace,
+		Moves:             movesAtOnce,
 	}
 	return repair.New(repair.Options{
 		Maintainer: shard.NewMaintainer(n.settings.Name, n.replica, n.installer, driver, settings, n.logger),
