--- a/coordination/repair/repair.go
+++ b/coordination/repair/repair.go
@@ -163,7 +163,7 @@
 func (r *Service) setsNeeding(incarnation string) int {
 	situation := r.Situation()
 	unlimited := r.options.Settings
-	unlimited.Moves = len(situation.Views) + 1
+	unlimited.MaxMoves = len(situation.Views) + 1
 	moving := make(map[uint32]bool)
 	for _, move := range shard.Plan(situation, unlimited).Moves {
 		moving[move.View.Shard] = true
--- a/coordination/shard/maintainer.go
+++ b/coordination/shard/maintainer.go
@@ -48,7 +48,7 @@
 	m.installer.CatchUp(ctx)
 	outcome := Plan(situation, m.settings)
 	var group errgroup.Group
-	group.SetLimit(max(1, m.settings.Moves))
+	group.SetLimit(max(1, m.settings.MaxMoves))
 	for _, view := range m.stalledChanges() {
 		group.Go(func() error { return m.drive(ctx, view, nil, "unfinished") })
 	}
--- a/coordination/shard/plan.go
+++ b/coordination/shard/plan.go
@@ -45,8 +45,8 @@
 	// that started shortly before the member stopped answering, or later, and therefore is
 	// probably its replacement. Zero disables it.
 	ReplacedAfter time.Duration
-	// Moves limits the number of moves in one plan.
-	Moves int
+	// MaxMoves limits the number of moves in one plan.
+	MaxMoves int
 }
 
 // Reason says why a replica set needs other members.
@@ -129,7 +129,7 @@
 			cmp.Compare(xxhash.Sum64String(p.slotKey(a.View)), xxhash.Sum64String(p.slotKey(b.View))),
 		)
 	})
-	outcome.Moves = outcome.Moves[:min(len(outcome.Moves), settings.Moves)]
+	outcome.Moves = outcome.Moves[:min(len(outcome.Moves), settings.MaxMoves)]
 	return outcome
 }
 
--- a/coordination/shard/plan_test.go
+++ b/coordination/shard/plan_test.go
@@ -16,7 +16,7 @@
 var planNow = time.Unix(1_000_000, 0)
 
 func planSettings() shard.PlanSettings {
-	return shard.PlanSettings{ReplicationFactor: 3, GoneAfter: 20 * time.Second, Moves: 2}
+	return shard.PlanSettings{ReplicationFactor: 3, GoneAfter: 20 * time.Second, MaxMoves: 2}
 }
 
 // planNodes returns two nodes in each of three zones.
@@ -150,7 +150,7 @@
 	nodes := planNodes()
 	nodes[0].GoneSince = planNow.Add(-time.Hour)
 	situation := shard.ClusterState{Now: planNow, ObservedSince: planNow, Nodes: nodes}
-	for number := range uint32(planSettings().Moves + 1) {
+	for number := range uint32(planSettings().MaxMoves + 1) {
 		view := planView(nodes, 0, 1, 2)
 		view.Shard = number
 		situation.Views = append(situation.Views, view)
@@ -192,7 +192,7 @@
 		situation := shard.ClusterState{Now: planNow, ObservedSince: planNow, Views: views, Nodes: nodes}
 		for range 40 {
 			outcome := shard.Plan(situation, planSettings())
-			assert.Assert(rt, len(outcome.Moves) <= planSettings().Moves)
+			assert.Assert(rt, len(outcome.Moves) <= planSettings().MaxMoves)
 			if len(outcome.Moves) == 0 {
 				return
 			}
@@ -261,7 +261,7 @@
 		situation.Views = append(situation.Views, view)
 	}
 	settings := planSettings()
-	settings.Moves = 4
+	settings.MaxMoves = 4
 	joined := map[string]int{}
 	for _, move := range shard.Plan(situation, settings).Moves {
 		for _, member := range move.Members {
@@ -291,7 +291,7 @@
 			}
 			b.ResetTimer()
 			for range b.N {
-				if outcome := shard.Plan(situation, shard.PlanSettings{ReplicationFactor: 3, GoneAfter: time.Second, Moves: 8}); len(outcome.Moves) != 0 {
+				if outcome := shard.Plan(situation, shard.PlanSettings{ReplicationFactor: 3, GoneAfter: time.Second, MaxMoves: 8}); len(outcome.Moves) != 0 {
 					b.Fatal("complete sets need no moves")
 				}
 			}
--- a/node/repair.go
+++ b/node/repair.go
@@ -27,7 +27,7 @@
 	settings := shard.PlanSettings{
 		ReplicationFactor: n.settings.ReplicationFactor,
 		GoneAfter:         goneGrace,
-		Moves:             movesAtOnce,
+		MaxMoves:          movesAtOnce,
 	}
 	return repair.New(repair.Options{
 		Maintainer: shard.NewMaintainer(n.settings.Name, n.replica, n.installer, driver, settings, n.logger),
