--- a/coordination/shard/plan.go
+++ b/coordination/shard/plan.go
@@ -38,9 +38,9 @@
 type PlanSettings struct {
 	// ReplicationFactor is the replication factor: the wanted number of members of a set.
 	ReplicationFactor int
-	// GoneAfter is how long a node must have been gone before its replicas are replaced, so
+	// ReplaceAfter is how long a node must have been gone before its replicas are replaced, so
 	// that short network outages and restarts with data move nothing.
-	GoneAfter time.Duration
+	ReplaceAfter time.Duration
 	// ReplacedAfter applies instead of GoneAfter if there is a usable node outside the set
 	// that started shortly before the member stopped answering, or later, and therefore is
 	// probably its replacement. Zero disables it.
@@ -184,7 +184,7 @@
 // replacementDelay returns how long a member of the set may be gone before it is replaced.
 func (p planner) replacementDelay(view register.View, goneSince time.Time) time.Duration {
 	if p.settings.ReplacedAfter == 0 {
-		return p.settings.GoneAfter
+		return p.settings.ReplaceAfter
 	}
 	for _, node := range p.situation.Nodes {
 		isReady := node.GoneSince.IsZero() && !node.Leaving
@@ -192,7 +192,7 @@
 			return p.settings.ReplacedAfter
 		}
 	}
-	return p.settings.GoneAfter
+	return p.settings.ReplaceAfter
 }
 
 func countAnswering(statuses []memberStatus) int {
--- a/coordination/shard/plan_test.go
+++ b/coordination/shard/plan_test.go
@@ -16,7 +16,7 @@
 var planNow = time.Unix(1_000_000, 0)
 
 func planSettings() shard.PlanSettings {
-	return shard.PlanSettings{ReplicationFactor: 3, GoneAfter: 20 * time.Second, MaxMoves: 2}
+	return shard.PlanSettings{ReplicationFactor: 3, ReplaceAfter: 20 * time.Second, MaxMoves: 2}
 }
 
 // planNodes returns two nodes in each of three zones.
@@ -291,7 +291,7 @@
 			}
 			b.ResetTimer()
 			for range b.N {
-				if outcome := shard.Plan(situation, shard.PlanSettings{ReplicationFactor: 3, GoneAfter: time.Second, MaxMoves: 8}); len(outcome.Moves) != 0 {
+				if outcome := shard.Plan(situation, shard.PlanSettings{ReplicationFactor: 3, ReplaceAfter: time.Second, MaxMoves: 8}); len(outcome.Moves) != 0 {
 					b.Fatal("complete sets need no moves")
 				}
 			}
--- a/node/repair.go
+++ b/node/repair.go
@@ -26,7 +26,7 @@
 	driver := shard.NewDriver(n.identity, n.peers, n.views, register.SystemClock{}, n.newRandom(), register.DefaultSettings(), n.logger)
 	settings := shard.PlanSettings{
 		ReplicationFactor: n.settings.ReplicationFactor,
-		GoneAfter:         goneGrace,
+		ReplaceAfter:      goneGrace,
 		MaxMoves:          movesAtOnce,
 	}
 	return repair.New(repair.Options{
