--- a/coordination/shard/plan.go
+++ b/coordination/shard/plan.go
@@ -41,10 +41,10 @@
 	// ReplaceAfter is how long a node must have been gone before its replicas are replaced, so
 	// that short network outages and restarts with data move nothing.
 	ReplaceAfter time.Duration
-	// ReplacedAfter applies instead of GoneAfter if there is a usable node outside the set
+	// ReplaceAfterStandby applies instead of GoneAfter if there is a usable node outside the set
 	// that started shortly before the member stopped answering, or later, and therefore is
 	// probably its replacement. Zero disables it.
-	ReplacedAfter time.Duration
+	ReplaceAfterStandby time.Duration
 	// MaxMoves limits the number of moves in one plan.
 	MaxMoves int
 }
@@ -183,13 +183,13 @@
 
 // replacementDelay returns how long a member of the set may be gone before it is replaced.
 func (p planner) replacementDelay(view register.View, goneSince time.Time) time.Duration {
-	if p.settings.ReplacedAfter == 0 {
+	if p.settings.ReplaceAfterStandby == 0 {
 		return p.settings.ReplaceAfter
 	}
 	for _, node := range p.situation.Nodes {
 		isReady := node.GoneSince.IsZero() && !node.Leaving
 		if isReady && !hasNode(view.Members, node.Member.Node) && node.Started.After(goneSince.Add(-replacementLead)) {
-			return p.settings.ReplacedAfter
+			return p.settings.ReplaceAfterStandby
 		}
 	}
 	return p.settings.ReplaceAfter
--- a/coordination/shard/planmodel_test.go
+++ b/coordination/shard/planmodel_test.go
@@ -79,7 +79,7 @@
 	if count >= 5 && rapid.Bool().Draw(rt, "two losses") {
 		factor = 5
 	}
-	m.settings = shard.PlanSettings{ReplicationFactor: factor, ReplaceAfter: 20 * time.Second, ReplacedAfter: 500 * time.Millisecond, MaxMoves: 8}
+	m.settings = shard.PlanSettings{ReplicationFactor: factor, ReplaceAfter: 20 * time.Second, ReplaceAfterStandby: 500 * time.Millisecond, MaxMoves: 8}
 	var candidates []shard.Candidate
 	for range count {
 		added := m.add()
--- a/coordination/shard/replacement_test.go
+++ b/coordination/shard/replacement_test.go
@@ -15,7 +15,7 @@
 // has joined another one.
 func TestPlanReplacesSoonerIfReplacementStarted(t *testing.T) {
 	settings := planSettings()
-	settings.ReplacedAfter = time.Second
+	settings.ReplaceAfterStandby = time.Second
 	nodes := planNodes()[:4]
 	for index := range nodes {
 		nodes[index].Started = planNow.Add(-time.Hour)
@@ -33,6 +33,6 @@
 	assert.Equal(t, len(moves), 1)
 	assert.Equal(t, moves[0].View.Shard, uint32(1))
 	assert.Equal(t, sortedIncarnations(moves[0].Members), "[n1-1 n2-1 n3-1]")
-	nodes[0].GoneSince = planNow.Add(-settings.ReplacedAfter / 2)
+	nodes[0].GoneSince = planNow.Add(-settings.ReplaceAfterStandby / 2)
 	assert.Equal(t, len(plan()), 0, "a short absence must not move anything")
 }
--- a/node/storage/sets.go
+++ b/node/storage/sets.go
@@ -37,7 +37,7 @@
 // buildRepair creates the service that repairs the replica sets.
 func (n *Node) buildRepair() {
 	plan := shard.PlanSettings{
-		ReplicationFactor: n.settings.ReplicationFactor(), ReplaceAfter: replaceGoneAfter, ReplacedAfter: replaceWithSpareAfter, MaxMoves: maxMovesPerPlan,
+		ReplicationFactor: n.settings.ReplicationFactor(), ReplaceAfter: replaceGoneAfter, ReplaceAfterStandby: replaceWithSpareAfter, MaxMoves: maxMovesPerPlan,
 	}
 	driver := shard.NewDriver(n.self.Incarnation+"/"+uuid.NewString(), n.peers, n.views, register.SystemClock{},
 		newRandom(), register.DefaultSettings(), n.logger)
