--- a/coordination/repair/complete_test.go
+++ b/coordination/repair/complete_test.go
@@ -20,6 +20,6 @@
 	assert.Assert(t, isComplete(moves()))
 	assert.Assert(t, isComplete(moves(shard.ReasonLeaving)), "a leaving node still holds its data")
 	assert.Assert(t, !isComplete(moves(shard.ReasonGone)))
-	assert.Assert(t, !isComplete(moves(shard.ReasonLeaving, shard.ReasonForgotten)))
+	assert.Assert(t, !isComplete(moves(shard.ReasonLeaving, shard.ReasonNewIncarnation)))
 	assert.Assert(t, !isComplete(shard.PlanResult{Lost: []shard.LostSet{{}}}))
 }
--- a/coordination/repair/repair.go
+++ b/coordination/repair/repair.go
@@ -98,7 +98,7 @@
 		return false
 	}
 	return !slices.ContainsFunc(plan.Moves, func(move shard.Move) bool {
-		return move.Reason == shard.ReasonForgotten || move.Reason == shard.ReasonGone
+		return move.Reason == shard.ReasonNewIncarnation || move.Reason == shard.ReasonGone
 	})
 }
 
--- a/coordination/shard/plan.go
+++ b/coordination/shard/plan.go
@@ -54,7 +54,7 @@
 
 // Reasons, most urgent first.
 const (
-	ReasonForgotten      Reason = "a member has begun a new incarnation"
+	ReasonNewIncarnation Reason = "a member has begun a new incarnation"
 	ReasonGone           Reason = "a member is gone"
 	ReasonLeaving        Reason = "a member is leaving"
 	ReasonAddressChanged Reason = "a member has another address"
@@ -62,7 +62,7 @@
 	ReasonZoneSpread     Reason = "the set can be spread over more zones"
 )
 
-var reasonsByUrgency = []Reason{ReasonForgotten, ReasonGone, ReasonLeaving, ReasonAddressChanged, ReasonUndersized, ReasonZoneSpread}
+var reasonsByUrgency = []Reason{ReasonNewIncarnation, ReasonGone, ReasonLeaving, ReasonAddressChanged, ReasonUndersized, ReasonZoneSpread}
 
 // Move is a planned change of the members of a replica set.
 type Move struct {
@@ -169,7 +169,7 @@
 	status := memberStatus{member: member, answers: goneSince.IsZero()}
 	switch {
 	case isKnown && node.Member.Incarnation != member.Incarnation:
-		status.reason, status.answers = ReasonForgotten, false
+		status.reason, status.answers = ReasonNewIncarnation, false
 	case !goneSince.IsZero() && p.situation.Now.Sub(goneSince) >= p.replacementDelay(view, goneSince):
 		status.reason = ReasonGone
 	case !goneSince.IsZero():
@@ -209,7 +209,7 @@
 	lost := LostSet{View: view}
 	for _, status := range statuses {
 		switch {
-		case status.reason == ReasonForgotten:
+		case status.reason == ReasonNewIncarnation:
 			lost.Wiped++
 		case !status.answers:
 			lost.Unreachable++
--- a/coordination/shard/plan_test.go
+++ b/coordination/shard/plan_test.go
@@ -72,7 +72,7 @@
 		{name: "unknown", members: []int{0, 1, 2}, reason: shard.ReasonGone, want: "[n1-1 n2-1 n3-1]", change: func(nodes []shard.Node) []shard.Node {
 			return nodes[1:]
 		}},
-		{name: "new incarnation", members: []int{0, 1, 2}, reason: shard.ReasonForgotten, want: "[n0-2 n1-1 n2-1]", change: func(nodes []shard.Node) []shard.Node {
+		{name: "new incarnation", members: []int{0, 1, 2}, reason: shard.ReasonNewIncarnation, want: "[n0-2 n1-1 n2-1]", change: func(nodes []shard.Node) []shard.Node {
 			nodes[0].Member.Incarnation = "n0-2"
 			return nodes
 		}},
@@ -92,7 +92,7 @@
 			nodes[0].GoneSince, nodes[1].Leaving = longGone, true
 			return nodes[:4]
 		}},
-		{name: "new incarnation and leaving", members: []int{0, 1, 2}, reason: shard.ReasonForgotten, want: "[n0-2 n1-1 n2-1]", change: func(nodes []shard.Node) []shard.Node {
+		{name: "new incarnation and leaving", members: []int{0, 1, 2}, reason: shard.ReasonNewIncarnation, want: "[n0-2 n1-1 n2-1]", change: func(nodes []shard.Node) []shard.Node {
 			nodes[0].Member.Incarnation, nodes[1].Leaving = "n0-2", true
 			return nodes[:3]
 		}},
