--- a/coordination/repair/repair.go
+++ b/coordination/repair/repair.go
@@ -84,7 +84,7 @@
 func (r *Service) runRound(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, roundTimeout)
 	defer cancel()
-	plan := r.options.Maintainer.Round(ctx, r.Situation())
+	plan := r.options.Maintainer.RunOnce(ctx, r.Situation())
 	if isComplete(plan) && len(r.options.Views.Views()) > 0 {
 		r.seenComplete.Store(true)
 	}
--- a/coordination/shard/maintainer.go
+++ b/coordination/shard/maintainer.go
@@ -40,11 +40,11 @@
 	}
 }
 
-// Round installs the shards that this node's replica missed, finishes changes that other
+// RunOnce installs the shards that this node's replica missed, finishes changes that other
 // drivers left unfinished, drives the planned moves that are assigned to this node, and
 // drops data that is no longer needed. It returns the plan. Call it every few seconds;
 // calls must not overlap.
-func (m *Maintainer) Round(ctx context.Context, situation ClusterState) PlanResult {
+func (m *Maintainer) RunOnce(ctx context.Context, situation ClusterState) PlanResult {
 	m.installer.CatchUp(ctx)
 	outcome := Plan(situation, m.settings)
 	var group errgroup.Group
