--- a/coordination/register/stored_test.go
+++ b/coordination/register/stored_test.go
@@ -134,7 +134,7 @@
 		writeTokenBudget(t, n)
 		writeQuotaHolder(t, n)
 		writeMirror(t, n)
-		assert.NilError(t, n.replica.HoldConfiguration())
+		assert.NilError(t, n.replica.PersistConfigurationVersion())
 		writeNextEpoch(t, n)
 		golden.Assert(t, n.dumpStore(t), "stored.golden")
 	})
--- a/coordination/shard/replica.go
+++ b/coordination/shard/replica.go
@@ -245,10 +245,10 @@
 	return r.durableVersion, nil
 }
 
-// HoldConfiguration stores the configuration version and waits for the votes that were
+// PersistConfigurationVersion stores the configuration version and waits for the votes that were
 // admitted under an older one. After it returns, the replica grants no change that was
 // decided under an older version, not even after a restart with its data.
-func (r *Replica) HoldConfiguration() error {
+func (r *Replica) PersistConfigurationVersion() error {
 	version, err := r.version()
 	if err != nil {
 		return err
--- a/node/configuration.go
+++ b/node/configuration.go
@@ -22,7 +22,7 @@
 		Holder:   n.holder,
 		Logger:   n.logger,
 		Random:   n.newRandom(),
-		Hold:     n.replica.HoldConfiguration,
+		Hold:     n.replica.PersistConfigurationVersion,
 		Settings: configuration.Settings{
 			ReadersPerZone: readersPerZone,
 			PeerTimeout:    n.settings.PeerTimeout,
