--- a/coordination/shard/maintainer.go
+++ b/coordination/shard/maintainer.go
@@ -62,7 +62,7 @@
 	}
 	// Failures are logged; the next round retries.
 	_ = group.Wait()
-	if err := m.installer.Sweep(ctx); err != nil {
+	if err := m.installer.DropUnneededShards(ctx); err != nil {
 		m.logger.Warn("shards not swept", zap.Error(err))
 	}
 	m.reportLost(outcome.Lost)
--- a/coordination/shard/model_test.go
+++ b/coordination/shard/model_test.go
@@ -226,7 +226,7 @@
 	case eventFreeze:
 		m.freeze(node, 3*next.length)
 	case eventSweep:
-		m.workers.Go(func() { _ = p.installer.Sweep(p.ctx) })
+		m.workers.Go(func() { _ = p.installer.DropUnneededShards(p.ctx) })
 	}
 }
 
--- a/coordination/shard/sweep.go
+++ b/coordination/shard/sweep.go
@@ -10,9 +10,9 @@
 // No program has this ID.
 const probeProgram = "!probe"
 
-// Sweep deletes the data of shards whose open view doesn't include this replica, once every
+// DropUnneededShards deletes the data of shards whose open view doesn't include this replica, once every
 // member of that view holds the shard. Until then the data may be needed as a source.
-func (i *Installer) Sweep(ctx context.Context) error {
+func (i *Installer) DropUnneededShards(ctx context.Context) error {
 	for _, view := range i.replica.views.Views() {
 		unneeded, err := i.replica.isUnneeded(view)
 		if err != nil {
