--- a/coordination/shard/installer.go
+++ b/coordination/shard/installer.go
@@ -83,7 +83,7 @@
 	if isMember && !i.replica.holdsData(request.Previous) {
 		return archive.Reply{Refusal: register.RefusalNotReady}
 	}
-	if isMember && !request.Fill {
+	if isMember && !request.Backfill {
 		return archive.Reply{}
 	}
 	select {
--- a/coordination/shard/message.go
+++ b/coordination/shard/message.go
@@ -52,9 +52,9 @@
 	Successor register.View
 	// TurnsOnly precopies turns before the previous epoch is sealed.
 	TurnsOnly bool
-	// Fill has a member of the previous view precopy the turns that it lacks. Without
+	// Backfill has a member of the previous view precopy the turns that it lacks. Without
 	// it, such a member only reports whether it holds the previous epoch.
-	Fill bool
+	Backfill bool
 }
 
 // OpenRequest lets a member that has installed the view serve its epoch.
--- a/coordination/shard/precopy.go
+++ b/coordination/shard/precopy.go
@@ -86,7 +86,7 @@
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	defer d.clock.AfterFunc(backfillTimeout, stop)()
-	request := InstallRequest{Previous: current, Successor: proposed, TurnsOnly: true, Fill: true}
+	request := InstallRequest{Previous: current, Successor: proposed, TurnsOnly: true, Backfill: true}
 	var fills errgroup.Group
 	for _, member := range current.Members {
 		if !slices.Contains(proposed.Members, member) {
--- a/transport/peer/reconfigure.go
+++ b/transport/peer/reconfigure.go
@@ -42,7 +42,7 @@
 		Previous:  ViewToWire(&request.Previous),
 		Successor: ViewToWire(&request.Successor),
 		TurnsOnly: request.TurnsOnly,
-		Fill:      request.Fill,
+		Fill:      request.Backfill,
 	}))
 	if err != nil {
 		return archive.Reply{}, err
@@ -197,7 +197,7 @@
 		Previous:  *previous,
 		Successor: *successor,
 		TurnsOnly: request.Msg.GetTurnsOnly(),
-		Fill:      request.Msg.GetFill(),
+		Backfill:  request.Msg.GetFill(),
 	})
 	return connect.NewResponse(&peerv1.InstallResponse{
 		Refusal: peerv1.Refusal(reply.Refusal),
