--- a/settings/bytesize.go
+++ b/settings/bytesize.go
@@ -24,12 +24,12 @@
 	size   ByteSize
 }
 
-// sizeUnits lists longer suffixes first, since "B" ends all of them.
+// sizeUnits returns the units, longer suffixes first, since every suffix ends in "B".
 func sizeUnits() []sizeUnit {
 	return []sizeUnit{{"GiB", Gibibyte}, {"MiB", Mebibyte}, {"KiB", Kibibyte}, {"B", Byte}}
 }
 
-// ParseByteSize reads a whole number followed by B, KiB, MiB or GiB.
+// ParseByteSize parses a whole number followed by B, KiB, MiB or GiB.
 func ParseByteSize(text string) (ByteSize, error) {
 	for _, unit := range sizeUnits() {
 		digits, found := strings.CutSuffix(text, unit.suffix)
@@ -48,7 +48,7 @@
 	return 0, merry.Errorf("%q isn't a size with a unit", text)
 }
 
-// String writes the size in the largest unit that divides it.
+// String formats the size in the largest unit that divides it.
 func (b ByteSize) String() string {
 	for _, unit := range sizeUnits() {
 		if b != 0 && b%unit.size == 0 {
--- a/settings/error.go
+++ b/settings/error.go
@@ -7,20 +7,21 @@
 	"unicode"
 )
 
-// Error is the one fault that kept settings from being accepted.
+// Error describes the first invalid or unreadable setting found.
 type Error struct {
-	// Source is the file, or "flag --name" where a flag gave the value.
+	// Source is the path of the file, "flag --name" if a flag set the value, or "flags" if
+	// no file was given.
 	Source string
-	// Key is the key at fault; empty where the file can't be read at all.
+	// Key is the invalid key; empty if the file or the flags can't be read.
 	Key string
-	// Problem says what is wrong.
+	// Problem describes what is wrong.
 	Problem string
-	// Allowed says what is accepted instead; empty where Problem says it.
+	// Allowed describes the accepted values; empty if Problem does.
 	Allowed string
 }
 
-// Error gives source, key, problem and what is allowed, on one line: any of
-// them may hold text of the user with line breaks or escape sequences.
+// Error formats the error as one line. Unprintable characters are escaped, since user
+// input may contain line breaks or terminal escape sequences.
 func (e *Error) Error() string {
 	text := e.Source + ": "
 	if e.Key != "" {
@@ -30,11 +31,11 @@
 	if e.Allowed != "" {
 		text += fmt.Sprintf(" (allowed: %s)", e.Allowed)
 	}
-	return escapeControls(text)
+	return escapeUnprintable(text)
 }
 
-// escapeControls writes what can't be printed as in a Go string.
-func escapeControls(text string) string {
+// escapeUnprintable replaces unprintable characters by Go escape sequences.
+func escapeUnprintable(text string) string {
 	var escaped strings.Builder
 	for _, character := range text {
 		if unicode.IsPrint(character) {
--- a/settings/option.go
+++ b/settings/option.go
@@ -2,32 +2,31 @@
 
 import "strings"
 
-// Option describes one key of a node's settings file and the flag of the same
-// name.
+// Option describes a key of a node's settings file and the corresponding flag.
 type Option = OptionOf[Settings]
 
-// OptionOf describes one key of a settings file that is read into a T.
+// OptionOf describes a key of a settings file that is loaded into a T.
 type OptionOf[T any] struct {
-	// Key is the key in the file.
+	// Key is the name in the settings file.
 	Key string
-	// Default is the value, as text, where neither file nor flag gives one.
-	// Empty means that there is none: the option may be left out or is required.
+	// Default is the textual value used if neither file nor flag sets one.
+	// If empty, the option is either required or optional without a default.
 	Default string
-	// Required is set where the option has no default and must be given.
+	// Required is true if the option has no default and must be set.
 	Required bool
-	// Allowed says which values are accepted.
+	// Allowed describes the accepted values.
 	Allowed string
-	// Usage says what the value is for.
+	// Usage describes the purpose of the option.
 	Usage string
 
-	// field returns a pointer to the option's field.
+	// field returns a pointer to the field of T that holds the value.
 	field func(*T) any
 }
 
-// Flag returns the name of the option's flag, without the leading hyphens.
+// Flag returns the name of the flag without the leading hyphens.
 func (o OptionOf[T]) Flag() string { return strings.ReplaceAll(o.Key, "_", "-") }
 
-// Texts that describe the values of several options.
+// Descriptions shared by several options.
 const (
 	allowedName      = "1 to 63 lower-case letters, digits and inner hyphens"
 	allowedLogLevel  = "debug, info, warn or error"
@@ -42,7 +41,7 @@
 	allowedSeeds     = "list of at most 64 addresses: " + allowedAddress
 )
 
-// Options lists every option in the order of the documentation.
+// Options returns the options of a node in the order of the documentation.
 func Options() []Option {
 	options := append(identityOptions(), addressOptions()...)
 	options = append(options, stateOptions()...)
@@ -55,7 +54,7 @@
 	})
 }
 
-// identityOptions say who the node is.
+// identityOptions returns the options for the node's name and zone.
 func identityOptions() []Option {
 	return []Option{
 		{
@@ -71,7 +70,7 @@
 	}
 }
 
-// addressOptions say where the node listens and whom it asks.
+// addressOptions returns the options for listen addresses, seeds and the object API.
 func addressOptions() []Option {
 	return []Option{
 		{
@@ -107,7 +106,7 @@
 	}
 }
 
-// stateOptions say what the node keeps and where.
+// stateOptions returns the options for storage and replication.
 func stateOptions() []Option {
 	return []Option{
 		{
@@ -128,7 +127,7 @@
 	}
 }
 
-// limitOptions bound the calls of the node.
+// limitOptions returns the options that limit request size and duration.
 func limitOptions() []Option {
 	return []Option{
 		{
@@ -159,7 +158,7 @@
 	}
 }
 
-// membershipOptions say how soon a peer counts as failed, and how long a stop waits.
+// membershipOptions returns the options for failure detection and draining.
 func membershipOptions() []Option {
 	return []Option{
 		{
@@ -180,7 +179,7 @@
 	}
 }
 
-// allowedDuration describes a duration between the two, both included.
-func allowedDuration(least, most string) string {
-	return "duration with unit from " + least + " to " + most + "; units ms, s, m, h"
+// allowedDuration describes the inclusive range of a duration.
+func allowedDuration(shortest, longest string) string {
+	return "duration with unit from " + shortest + " to " + longest + "; units ms, s, m, h"
 }
--- a/settings/yaml.go
+++ b/settings/yaml.go
@@ -9,11 +9,11 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// strictYAML is a koanf.Parser that, unlike koanf's own, refuses a file with
-// more than one document: the rest would be ignored in silence.
+// strictYAML is a koanf.Parser that rejects files with more than one document. The parser
+// of koanf silently ignores all but the first.
 type strictYAML struct{}
 
-// Unmarshal reads the only document; an empty file has no keys.
+// Unmarshal parses a single YAML document; an empty file yields an empty map.
 func (strictYAML) Unmarshal(content []byte) (map[string]any, error) {
 	decoder := yaml.NewDecoder(bytes.NewReader(content))
 	var values map[string]any
@@ -31,7 +31,7 @@
 	return values, nil
 }
 
-// Marshal writes the values as YAML.
+// Marshal encodes the values as YAML.
 func (strictYAML) Marshal(values map[string]any) ([]byte, error) {
 	return yaml.Marshal(values)
 }
