--- a/settings/check.go
+++ b/settings/check.go
@@ -11,11 +11,12 @@
 	"github.com/go-playground/validator/v10"
 )
 
-// failureHeartbeats is the least number of heartbeats in a failure timeout: one lost
-// packet must not be a failure.
-const failureHeartbeats = 2
+// minHeartbeatsPerFailure is the minimum number of heartbeat intervals in a failure
+// timeout, so that a single lost packet doesn't mark a peer as failed.
+const minHeartbeatsPerFailure = 2
 
-// checkFields applies the validate tags and reports the first field that fails.
+// checkFields validates the fields by their validate tags and returns an error for the
+// first invalid one.
 func (l *loader[T]) checkFields(loaded T) error {
 	validate, err := newValidator()
 	if err != nil {
@@ -24,7 +25,7 @@
 	err = validate.Struct(loaded)
 	var failures validator.ValidationErrors
 	if errors.As(err, &failures) {
-		return l.fieldFault(failures[0])
+		return l.fieldError(failures[0])
 	}
 	if err != nil {
 		return &Error{Source: l.path, Problem: err.Error()}
@@ -32,16 +33,16 @@
 	return nil
 }
 
-// fieldFault makes the error of a field that failed a check.
-func (l *loader[T]) fieldFault(failure validator.FieldError) error {
+// fieldError converts a validation failure into an *Error.
+func (l *loader[T]) fieldError(failure validator.FieldError) error {
 	option := l.option(failure.Field())
 	if failure.Tag() == "required" {
-		return l.fault(option, "missing")
+		return l.optionError(option, "missing")
 	}
-	return l.fault(option, describe(failure.Value())+" isn't allowed")
+	return l.optionError(option, formatValue(failure.Value())+" isn't allowed")
 }
 
-// option returns the option of the key.
+// option returns the option with the given key.
 func (l *loader[T]) option(key string) OptionOf[T] {
 	for _, option := range l.options {
 		if option.Key == key {
@@ -51,8 +52,8 @@
 	return OptionOf[T]{Key: key}
 }
 
-// newValidator makes a validator that knows the checks of this package and names fields
-// by their keys.
+// newValidator returns a validator with the custom checks of this package. It identifies
+// fields by their keys.
 func newValidator() (*validator.Validate, error) {
 	validate := validator.New(validator.WithRequiredStructEnabled())
 	validate.RegisterTagNameFunc(func(field reflect.StructField) string {
@@ -72,7 +73,7 @@
 	return validate, nil
 }
 
-// validName accepts a DNS label (RFC 1123 section 2.1) in lower case.
+// validName accepts a lower-case DNS label (RFC 1123, section 2.1).
 func validName() validator.Func {
 	label := regexp.MustCompile(`^[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?$`)
 	return func(field validator.FieldLevel) bool {
@@ -80,7 +81,7 @@
 	}
 }
 
-// validBaseURL accepts http with an IP number and port, and nothing after these.
+// validBaseURL accepts an http URL that consists of an IP address and a port only.
 func validBaseURL(field validator.FieldLevel) bool {
 	parsed, err := url.Parse(field.Field().String())
 	if err != nil {
@@ -98,7 +99,7 @@
 	return filepath.IsAbs(field.Field().String())
 }
 
-// validURLPath accepts a path without characters that a URL would escape.
+// validURLPath accepts an absolute path without characters that need escaping in a URL.
 func validURLPath(field validator.FieldLevel) bool {
 	text := field.Field().String()
 	parsed, err := url.Parse(text)
--- a/settings/crossfield.go
+++ b/settings/crossfield.go
@@ -5,15 +5,15 @@
 	"net/netip"
 )
 
-// listener is an address that the node opens.
+// listener is an address that the node listens on and its settings key.
 type listener struct {
 	key     string
 	address netip.AddrPort
 }
 
-// checkPairs refuses values that are allowed by themselves but contradict each
+// checkCrossFields rejects values that are valid on their own but conflict with each
 // other.
-func checkPairs(l *loader[Settings], loaded Settings) error {
+func checkCrossFields(l *loader[Settings], loaded Settings) error {
 	checks := []func(*loader[Settings], Settings) error{
 		checkAdvertise,
 		checkListeners,
@@ -27,23 +27,23 @@
 	return nil
 }
 
-// checkAdvertise makes sure that peers are told an address they can reach.
+// checkAdvertise rejects an advertised address that peers can't reach.
 func checkAdvertise(l *loader[Settings], loaded Settings) error {
 	option := l.option("peer_advertise")
 	advertised := loaded.PeerAdvertise
 	if !advertised.IsValid() {
 		if loaded.PeerListen.Addr().IsUnspecified() {
-			return l.fault(option, fmt.Sprintf("missing, while peer_listen is %v, which peers can't reach", loaded.PeerListen))
+			return l.optionError(option, fmt.Sprintf("missing, while peer_listen is %v, which peers can't reach", loaded.PeerListen))
 		}
 		return nil
 	}
 	if advertised.Addr().IsUnspecified() || advertised.Port() == 0 {
-		return l.fault(option, fmt.Sprintf("peers can't reach %v", advertised))
+		return l.optionError(option, fmt.Sprintf("peers can't reach %v", advertised))
 	}
 	return nil
 }
 
-// checkListeners refuses one address for two listeners.
+// checkListeners rejects listeners whose addresses conflict.
 func checkListeners(l *loader[Settings], loaded Settings) error {
 	listeners := []listener{
 		{"peer_listen", loaded.PeerListen},
@@ -52,18 +52,18 @@
 	}
 	for i, later := range listeners {
 		for _, earlier := range listeners[:i] {
-			if collide(earlier.address, later.address) {
-				problem := fmt.Sprintf("%v contradicts %s, which is %v", later.address, earlier.key, earlier.address)
-				return l.fault(l.option(later.key), problem)
+			if addressesConflict(earlier.address, later.address) {
+				problem := fmt.Sprintf("%v conflicts with %s, which is %v", later.address, earlier.key, earlier.address)
+				return l.optionError(l.option(later.key), problem)
 			}
 		}
 	}
 	return nil
 }
 
-// collide reports whether both addresses can't be listened on at once. Port 0
-// is replaced by a free one.
-func collide(first, second netip.AddrPort) bool {
+// addressesConflict reports whether the addresses can't be listened on at the same time.
+// Port 0 never conflicts, since the system assigns a free port.
+func addressesConflict(first, second netip.AddrPort) bool {
 	if first.Port() != second.Port() || first.Port() == 0 {
 		return false
 	}
@@ -71,13 +71,13 @@
 }
 
 func checkTimeouts(l *loader[Settings], loaded Settings) error {
-	if loaded.FailureTimeout < failureHeartbeats*loaded.HeartbeatInterval {
+	if loaded.FailureTimeout < minHeartbeatsPerFailure*loaded.HeartbeatInterval {
 		problem := fmt.Sprintf("%v is less than twice heartbeat_interval, which is %v", loaded.FailureTimeout, loaded.HeartbeatInterval)
-		return l.fault(l.option("failure_timeout"), problem)
+		return l.optionError(l.option("failure_timeout"), problem)
 	}
 	if loaded.DrainTimeout < loaded.CallTimeout {
 		problem := fmt.Sprintf("%v is less than call_timeout, which is %v", loaded.DrainTimeout, loaded.CallTimeout)
-		return l.fault(l.option("drain_timeout"), problem)
+		return l.optionError(l.option("drain_timeout"), problem)
 	}
 	return nil
 }
--- a/settings/decode.go
+++ b/settings/decode.go
@@ -9,8 +9,8 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// decode sets the field, a pointer as Option.field returns it, from a value of
-// the file or the text of a flag.
+// decode parses value, which comes from the file or a flag, into field, a pointer as
+// returned by OptionOf.field.
 func decode(field, value any) error {
 	switch target := field.(type) {
 	case *int:
@@ -22,7 +22,7 @@
 	}
 	text, isText := value.(string)
 	if !isText {
-		return merry.Errorf("%s isn't text", describe(value))
+		return merry.Errorf("%s isn't text", formatValue(value))
 	}
 	return decodeText(field, text)
 }
@@ -38,7 +38,7 @@
 	case *ByteSize:
 		*target, err = ParseByteSize(text)
 	default:
-		err = merry.Errorf("settings of type %T can't be read", field)
+		err = merry.Errorf("unsupported settings type %T", field)
 	}
 	return err
 }
@@ -55,7 +55,7 @@
 			return nil
 		}
 	}
-	return merry.Errorf("%s isn't a whole number", describe(value))
+	return merry.Errorf("%s isn't a whole number", formatValue(value))
 }
 
 func decodeFloat(target *float64, value any) error {
@@ -73,7 +73,7 @@
 			return nil
 		}
 	}
-	return merry.Errorf("%s isn't a number", describe(value))
+	return merry.Errorf("%s isn't a number", formatValue(value))
 }
 
 func decodeAddresses(target *[]netip.AddrPort, value any) error {
@@ -96,7 +96,7 @@
 	return nil
 }
 
-// listItems returns the items of a list of the file or of a flag.
+// listItems returns the items of a list from the file or a flag.
 func listItems(value any) ([]string, error) {
 	switch list := value.(type) {
 	case []string:
@@ -106,13 +106,13 @@
 		for _, item := range list {
 			text, isText := item.(string)
 			if !isText {
-				return nil, merry.Errorf("the item %s isn't text", describe(item))
+				return nil, merry.Errorf("the item %s isn't text", formatValue(item))
 			}
 			items = append(items, text)
 		}
 		return items, nil
 	}
-	return nil, merry.Errorf("%s isn't a list", describe(value))
+	return nil, merry.Errorf("%s isn't a list", formatValue(value))
 }
 
 func parseAddress(text string) (netip.AddrPort, error) {
@@ -131,13 +131,13 @@
 	return duration, nil
 }
 
-// describe writes a value for an error, text in quotes.
-func describe(value any) string {
-	switch shown := value.(type) {
+// formatValue formats a value for an error message; strings are quoted.
+func formatValue(value any) string {
+	switch typed := value.(type) {
 	case nil:
 		return "an empty value"
 	case string:
-		return strconv.Quote(shown)
+		return strconv.Quote(typed)
 	}
 	return fmt.Sprint(value)
 }
--- a/settings/document_test.go
+++ b/settings/document_test.go
@@ -19,24 +19,24 @@
 	tableEnd     = "<!-- %s: end -->\n"
 )
 
-// settingsTable renders the options as the documentation must have them.
+// settingsTable renders the options as the Markdown table of the documentation.
 func settingsTable[T any](options []settings.OptionOf[T]) string {
 	var table strings.Builder
 	table.WriteString("| key | default | allowed | for |\n| --- | --- | --- | --- |\n")
 	for _, option := range options {
-		fallback := "none"
+		defaultText := "none"
 		switch {
 		case option.Required:
-			fallback = "required"
+			defaultText = "required"
 		case option.Default != "":
-			fallback = "`" + option.Default + "`"
+			defaultText = "`" + option.Default + "`"
 		}
-		fmt.Fprintf(&table, "| `%s` | %s | %s | %s |\n", option.Key, fallback, option.Allowed, option.Usage)
+		fmt.Fprintf(&table, "| `%s` | %s | %s | %s |\n", option.Key, defaultText, option.Allowed, option.Usage)
 	}
 	return table.String()
 }
 
-func TestDocumentHoldsTheSettings(t *testing.T) {
+func TestDocumentationListsOptions(t *testing.T) {
 	tables := map[string]string{
 		"settings":         settingsTable(settings.Options()),
 		"gateway settings": settingsTable(settings.GatewayOptions()),
@@ -53,27 +53,28 @@
 	}
 }
 
-// TestExampleFile checks the example as it stands and with its commented keys
-// in force; these show the defaults, apart from the data folder.
+// TestExampleFile loads the example as it is and with its commented-out options enabled.
+// Both must yield the same settings except for the data folder, as the comments show the
+// defaults.
 func TestExampleFile(t *testing.T) {
 	loaded, err := settings.Load(examplePath, nil)
 	assert.NilError(t, err)
 	content, err := os.ReadFile(examplePath)
 	assert.NilError(t, err)
-	full, shown := uncommentKeys(string(content))
-	assert.Assert(t, shown > 0)
-	spelledOut, err := settings.Load(writeFile(t, full), nil)
+	full, uncommented := uncommentOptions(string(content))
+	assert.Assert(t, uncommented > 0)
+	explicit, err := settings.Load(writeFile(t, full), nil)
 	assert.NilError(t, err)
-	assert.Equal(t, spelledOut.DataFolder, "/var/lib/marblering")
-	spelledOut.DataFolder = ""
-	assert.Assert(t, reflect.DeepEqual(spelledOut, loaded), "got %+v, want %+v", spelledOut, loaded)
+	assert.Equal(t, explicit.DataFolder, "/var/lib/marblering")
+	explicit.DataFolder = ""
+	assert.Assert(t, reflect.DeepEqual(explicit, loaded), "got %+v, want %+v", explicit, loaded)
 	for _, option := range settings.Options() {
 		assert.Assert(t, strings.Contains(full, "\n"+option.Key+":") || option.Key == "peer_advertise", option.Key)
 	}
 }
 
-// uncommentKeys puts the commented keys in force and returns how many.
-func uncommentKeys(content string) (string, int) {
+// uncommentOptions enables the commented-out options and returns their number.
+func uncommentOptions(content string) (string, int) {
 	count := 0
 	var full strings.Builder
 	for line := range strings.Lines(content) {
--- a/settings/gateway.go
+++ b/settings/gateway.go
@@ -9,62 +9,62 @@
 	"github.com/spf13/pflag"
 )
 
-// Gateway are the settings of a gateway. LoadGateway returns them complete and
-// checked. GatewayOptions describes each key.
+// Gateway holds the settings of a gateway. [LoadGateway] returns them with defaults applied
+// and validated. [GatewayOptions] describes each key.
 type Gateway struct {
 	// Name is the node's name, unique in the deployment.
 	Name string `koanf:"name" validate:"required,name"`
-	// Zone is the zone whose failure takes this node with it.
+	// Zone is the failure domain that the node belongs to.
 	Zone string `koanf:"zone" validate:"required,name"`
-	// CallerListen serves callers.
+	// CallerListen is the address of the caller API.
 	CallerListen netip.AddrPort `koanf:"caller_listen" validate:"required"`
-	// OperatorListen serves /metrics, /healthz and readiness.
+	// OperatorListen is the address of /metrics, /healthz and the readiness check.
 	OperatorListen netip.AddrPort `koanf:"operator_listen" validate:"required"`
-	// ReadyPath answers 200 while the gateway can serve.
+	// ReadyPath is the path of the readiness check.
 	ReadyPath string `koanf:"ready_path" validate:"url_path"`
-	// StoreURL is the base URL of the store of configuration and back ends.
+	// StoreURL is the base URL of the store that holds configurations and back ends.
 	StoreURL string `koanf:"store_url" validate:"required,base_url"`
-	// Seeds are peer addresses of storage nodes, which are asked while the store
-	// is out of reach.
+	// Seeds are peer addresses of storage nodes, used as a fallback while the store is
+	// unreachable.
 	Seeds []netip.AddrPort `koanf:"seeds" validate:"max=64"`
-	// ApplyLimit is the time within which a new configuration must be in force.
+	// ApplyLimit is the time within which a new configuration must take effect.
 	ApplyLimit time.Duration `koanf:"apply_limit" validate:"min=100ms,max=1m"`
-	// UndisturbedTime is how long the store must have answered before ApplyLimit
-	// binds.
+	// UndisturbedTime is how long the store must have been responding before ApplyLimit
+	// applies.
 	UndisturbedTime time.Duration `koanf:"undisturbed_time" validate:"min=0s,max=1m"`
-	// RevokeLimit is how long after its removal a key may be taken for valid; zero for
-	// no bound beside ApplyLimit.
+	// RevokeLimit is how long a removed key may still be accepted; zero means that only
+	// ApplyLimit applies.
 	RevokeLimit time.Duration `koanf:"revoke_limit" validate:"min=0s,max=1h"`
-	// QuotaWindow is the span over which the requests of a tenant are counted.
+	// QuotaWindow is the time window over which a tenant's requests are counted.
 	QuotaWindow time.Duration `koanf:"quota_window" validate:"min=1s,max=1h"`
-	// QuotaOver is the part of its quota by which a tenant may exceed it within such a
-	// span.
+	// QuotaOver is the fraction of its quota by which a tenant may exceed it within
+	// QuotaWindow.
 	QuotaOver float64 `koanf:"quota_over" validate:"min=0,max=1"`
-	// QuotaSlack is how many requests may come on top within such a span.
+	// QuotaSlack is the number of requests allowed beyond QuotaOver within QuotaWindow.
 	QuotaSlack int `koanf:"quota_slack" validate:"min=0,max=100000"`
-	// DrainTimeout is how long a planned stop may take before the process is killed.
+	// DrainTimeout bounds a graceful shutdown; the platform kills the process after it.
 	DrainTimeout time.Duration `koanf:"drain_timeout" validate:"min=1s,max=25h"`
-	// MemoryLimit is what the process may use.
+	// MemoryLimit bounds the memory of the process.
 	MemoryLimit ByteSize `koanf:"memory_limit" validate:"min=16777216"`
-	// LogLevel is the least severe level that is logged.
+	// LogLevel is the minimum level that is logged.
 	LogLevel string `koanf:"log_level" validate:"oneof=debug info warn error"`
 }
 
-// LoadGateway reads and checks a gateway's settings as Load does those of serve.
+// LoadGateway loads and validates the settings of a gateway in the way of [Load].
 func LoadGateway(path string, flags *pflag.FlagSet) (Gateway, error) {
-	return newLoader(path, flags, GatewayOptions()).load(checkGatewayPairs)
+	return newLoader(path, flags, GatewayOptions()).load(checkGatewayListeners)
 }
 
-// checkGatewayPairs refuses one address for both listeners.
-func checkGatewayPairs(l *loader[Gateway], loaded Gateway) error {
-	if collide(loaded.CallerListen, loaded.OperatorListen) {
-		problem := fmt.Sprintf("%v contradicts caller_listen, which is %v", loaded.OperatorListen, loaded.CallerListen)
-		return l.fault(l.option("operator_listen"), problem)
+// checkGatewayListeners rejects listeners whose addresses conflict.
+func checkGatewayListeners(l *loader[Gateway], loaded Gateway) error {
+	if addressesConflict(loaded.CallerListen, loaded.OperatorListen) {
+		problem := fmt.Sprintf("%v conflicts with caller_listen, which is %v", loaded.OperatorListen, loaded.CallerListen)
+		return l.optionError(l.option("operator_listen"), problem)
 	}
 	return nil
 }
 
-// GatewayOptions lists every option in the order of the documentation.
+// GatewayOptions returns the options of a gateway in the order of the documentation.
 func GatewayOptions() []OptionOf[Gateway] {
 	return slices.Concat(
 		gatewayAddressOptions(),
@@ -73,7 +73,8 @@
 	)
 }
 
-// gatewayAddressOptions say who the gateway is, where it listens and whom it asks.
+// gatewayAddressOptions returns the options for identity, listen addresses, store and
+// seeds.
 func gatewayAddressOptions() []OptionOf[Gateway] {
 	return []OptionOf[Gateway]{
 		{
@@ -114,7 +115,8 @@
 	}
 }
 
-// gatewayLimitOptions say how soon configurations, keys and quotas have to be minded.
+// gatewayLimitOptions returns the options that bound configuration delay, key revocation
+// and quota overuse.
 func gatewayLimitOptions() []OptionOf[Gateway] {
 	return []OptionOf[Gateway]{
 		{
@@ -150,7 +152,7 @@
 	}
 }
 
-// gatewayProcessOptions are about the process itself.
+// gatewayProcessOptions returns the options for draining, memory and logging.
 func gatewayProcessOptions() []OptionOf[Gateway] {
 	return []OptionOf[Gateway]{
 		{
--- a/settings/load.go
+++ b/settings/load.go
@@ -13,24 +13,24 @@
 
 const (
 	keyDelimiter = "."
-	// flagSource is the Source of an Error where no file was given.
+	// flagSource is the Source of an Error if no file was given.
 	flagSource = "flags"
 )
 
-// AddFlags adds one flag for each option of a node.
+// AddFlags defines a flag for each option of a node.
 func AddFlags(flags *pflag.FlagSet) { addFlags(flags, Options()) }
 
-// AddGatewayFlags adds one flag for each option of a gateway.
+// AddGatewayFlags defines a flag for each option of a gateway.
 func AddGatewayFlags(flags *pflag.FlagSet) { addFlags(flags, GatewayOptions()) }
 
-// AddStorageFlags adds one flag for each option of a storage node.
+// AddStorageFlags defines a flag for each option of a storage node.
 func AddStorageFlags(flags *pflag.FlagSet) { addFlags(flags, StorageOptions()) }
 
 func addFlags[T any](flags *pflag.FlagSet, options []OptionOf[T]) {
 	for _, option := range options {
 		usage := option.Usage + "; " + option.Allowed
-		var none T
-		if _, isList := option.field(&none).(*[]netip.AddrPort); isList {
+		var zero T
+		if _, isList := option.field(&zero).(*[]netip.AddrPort); isList {
 			flags.StringSlice(option.Flag(), nil, usage)
 			continue
 		}
@@ -38,15 +38,15 @@
 	}
 }
 
-// Load reads the file and then the flags that were set, which win, and checks
-// the whole. An empty path reads flags only; nil flags read the file only.
-// Every error is an *Error.
+// Load loads the settings of a node from the file at path, overrides them by the flags
+// that were set, and validates the result. With an empty path only flags are used; with
+// nil flags only the file. Every error is an [*Error].
 func Load(path string, flags *pflag.FlagSet) (Settings, error) {
 	loader := newLoader(path, flags, Options())
-	return loader.load(checkPairs)
+	return loader.load(checkCrossFields)
 }
 
-// loader reads one settings file and flags into a T.
+// loader loads a settings file and flags into a T.
 type loader[T any] struct {
 	path    string
 	flags   *pflag.FlagSet
@@ -58,22 +58,22 @@
 	return &loader[T]{path: path, flags: flags, options: options, values: koanf.New(keyDelimiter)}
 }
 
-// load reads and checks everything; checkPairs refuses values that contradict
-// each other.
-func (l *loader[T]) load(checkPairs func(*loader[T], T) error) (T, error) {
-	var none T
+// load reads, decodes and validates the settings; checkCrossFields rejects combinations of
+// values that conflict.
+func (l *loader[T]) load(checkCrossFields func(*loader[T], T) error) (T, error) {
+	var zero T
 	if err := l.read(); err != nil {
-		return none, err
+		return zero, err
 	}
 	loaded, err := l.decode()
 	if err != nil {
-		return none, err
+		return zero, err
 	}
 	if err := l.checkFields(loaded); err != nil {
-		return none, err
+		return zero, err
 	}
-	if err := checkPairs(l, loaded); err != nil {
-		return none, err
+	if err := checkCrossFields(l, loaded); err != nil {
+		return zero, err
 	}
 	return loaded, nil
 }
@@ -85,7 +85,7 @@
 			return &Error{Source: l.path, Problem: oneLine(err.Error())}
 		}
 	}
-	if err := l.refuseUnknownKeys(); err != nil {
+	if err := l.rejectUnknownKeys(); err != nil {
 		return err
 	}
 	if l.flags == nil {
@@ -98,8 +98,8 @@
 	return nil
 }
 
-// flagValue returns the key and value of an option's flag, and an empty key
-// for flags that aren't options.
+// flagValue returns the key and value of an option's flag. The key is empty if the flag
+// doesn't belong to an option.
 func (l *loader[T]) flagValue(flag *pflag.Flag) (string, any) {
 	for _, option := range l.options {
 		if option.Flag() == flag.Name {
@@ -109,7 +109,7 @@
 	return "", nil
 }
 
-func (l *loader[T]) refuseUnknownKeys() error {
+func (l *loader[T]) rejectUnknownKeys() error {
 	known := make(map[string]bool)
 	names := make([]string, 0)
 	for _, option := range l.options {
@@ -130,8 +130,8 @@
 	var loaded T
 	for _, option := range l.options {
 		if err := l.decodeOption(&loaded, option); err != nil {
-			var none T
-			return none, err
+			var zero T
+			return zero, err
 		}
 	}
 	return loaded, nil
@@ -148,13 +148,13 @@
 		return nil
 	}
 	if err := decode(option.field(loaded), value); err != nil {
-		return l.fault(option, err.Error())
+		return l.optionError(option, err.Error())
 	}
 	return nil
 }
 
-// fault makes the error of one option and names where its value came from.
-func (l *loader[T]) fault(option OptionOf[T], problem string) *Error {
+// optionError returns an error for the option that names the source of its value.
+func (l *loader[T]) optionError(option OptionOf[T], problem string) *Error {
 	return &Error{Source: l.source(option), Key: option.Key, Problem: problem, Allowed: option.Allowed}
 }
 
--- a/settings/load_test.go
+++ b/settings/load_test.go
@@ -15,7 +15,7 @@
 	"github.com/marblering/marblering/settings"
 )
 
-const complete = `
+const validSettings = `
 name: node-1
 zone: hall-a
 peer_listen: 127.0.0.1:7100
@@ -39,8 +39,8 @@
 	return flags
 }
 
-func TestLoadFillsDefaults(t *testing.T) {
-	loaded, err := settings.Load(writeFile(t, complete), nil)
+func TestLoadAppliesDefaults(t *testing.T) {
+	loaded, err := settings.Load(writeFile(t, validSettings), nil)
 	assert.NilError(t, err)
 	assert.Equal(t, loaded.Name, "node-1")
 	assert.Equal(t, loaded.PeerAddress(), netip.MustParseAddrPort("127.0.0.1:7100"))
@@ -49,9 +49,9 @@
 	assert.Equal(t, loaded.CallTimeout, 10*time.Minute)
 }
 
-func TestFlagsWinOverFile(t *testing.T) {
+func TestFlagsOverrideFile(t *testing.T) {
 	flags := parseFlags(t, "--zone=hall-b", "--shards=8", "--seeds=127.0.0.1:1,[::1]:2", "--peer-timeout=750ms")
-	loaded, err := settings.Load(writeFile(t, complete+"shards: 16\nseeds: [127.0.0.9:9]\n"), flags)
+	loaded, err := settings.Load(writeFile(t, validSettings+"shards: 16\nseeds: [127.0.0.9:9]\n"), flags)
 	assert.NilError(t, err)
 	assert.Equal(t, loaded.Zone, "hall-b")
 	assert.Equal(t, loaded.Shards, 8)
@@ -60,7 +60,7 @@
 	assert.Equal(t, loaded.Seeds[1], netip.MustParseAddrPort("[::1]:2"))
 }
 
-func TestFlagsAlone(t *testing.T) {
+func TestLoadFromFlagsOnly(t *testing.T) {
 	flags := parseFlags(t, "--name=n", "--zone=z", "--peer-listen=127.0.0.1:0", "--caller-listen=127.0.0.1:0",
 		"--operator-listen=127.0.0.1:0", "--object-api=http://127.0.0.1:7000")
 	loaded, err := settings.Load("", flags)
@@ -68,9 +68,9 @@
 	assert.Equal(t, loaded.Name, "n")
 }
 
-// TestEachFault gives one bad thing at a time; the error must name the key,
-// the source and what is allowed.
-func TestEachFault(t *testing.T) {
+// TestInvalidSettings loads files with one invalid setting each. The error must name the
+// source, the key, the problem and the allowed values.
+func TestInvalidSettings(t *testing.T) {
 	cases := []struct {
 		name    string
 		extra   string
@@ -85,8 +85,8 @@
 		{"URL without a port", "object_api: http://127.0.0.1", "object_api", `"http://127.0.0.1" isn't allowed`},
 		{"no port", "peer_listen: 127.0.0.1", "peer_listen", `"127.0.0.1" isn't an IP number and port`},
 		{"seed with port 0", "seeds: ['127.0.0.1:0']", "seeds", `"127.0.0.1:0" has port 0`},
-		{"seed twice", "seeds: ['127.0.0.1:1', '127.0.0.1:1']", "seeds", "[127.0.0.1:1 127.0.0.1:1] isn't allowed"},
-		{"seeds aren't a list", "seeds: 127.0.0.1:1", "seeds", `"127.0.0.1:1" isn't a list`},
+		{"duplicate seed", "seeds: ['127.0.0.1:1', '127.0.0.1:1']", "seeds", "[127.0.0.1:1 127.0.0.1:1] isn't allowed"},
+		{"seeds not a list", "seeds: 127.0.0.1:1", "seeds", `"127.0.0.1:1" isn't a list`},
 		{"number without unit", "call_timeout: 30", "call_timeout", "30 isn't text"},
 		{"text without unit", "call_timeout: '30'", "call_timeout", `"30" isn't a duration with a unit`},
 		{"unknown duration unit", "call_timeout: 1d", "call_timeout", `"1d" isn't a duration with a unit`},
@@ -105,33 +105,33 @@
 		{"upper case", "zone: Hall", "zone", `"Hall" isn't allowed`},
 		{"relative path", "data_folder: data", "data_folder", `"data" isn't allowed`},
 		{"unknown level", "log_level: verbose", "log_level", `"verbose" isn't allowed`},
-		{"listeners collide", "caller_listen: 127.0.0.1:7100", "caller_listen", "127.0.0.1:7100 contradicts peer_listen, which is 127.0.0.1:7100"},
-		{"wildcard collides", "operator_listen: 0.0.0.0:7100", "operator_listen", "0.0.0.0:7100 contradicts peer_listen, which is 127.0.0.1:7100"},
-		{"peers can't reach it", "peer_listen: 0.0.0.0:7100", "peer_advertise", "missing, while peer_listen is 0.0.0.0:7100, which peers can't reach"},
+		{"listeners conflict", "caller_listen: 127.0.0.1:7100", "caller_listen", "127.0.0.1:7100 conflicts with peer_listen, which is 127.0.0.1:7100"},
+		{"wildcard listener conflicts", "operator_listen: 0.0.0.0:7100", "operator_listen", "0.0.0.0:7100 conflicts with peer_listen, which is 127.0.0.1:7100"},
+		{"unreachable peer address", "peer_listen: 0.0.0.0:7100", "peer_advertise", "missing, while peer_listen is 0.0.0.0:7100, which peers can't reach"},
 		{"advertised wildcard", "peer_advertise: '[::]:7100'", "peer_advertise", "peers can't reach [::]:7100"},
-		{"failure before heartbeat", "heartbeat_interval: 3s", "failure_timeout", "5s is less than twice heartbeat_interval, which is 3s"},
-		{"drain cuts calls", "drain_timeout: 1m", "drain_timeout", "1m0s is less than call_timeout, which is 10m0s"},
+		{"failure timeout too short", "heartbeat_interval: 3s", "failure_timeout", "5s is less than twice heartbeat_interval, which is 3s"},
+		{"drain shorter than calls", "drain_timeout: 1m", "drain_timeout", "1m0s is less than call_timeout, which is 10m0s"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			path := writeFile(t, replaceKeys(complete, c.extra))
+			path := writeFile(t, replaceKeys(validSettings, c.extra))
 			_, err := settings.Load(path, nil)
-			var fault *settings.Error
-			assert.Assert(t, errors.As(err, &fault), "got %v", err)
-			assert.Equal(t, fault.Source, path)
-			assert.Equal(t, fault.Key, c.key)
-			assert.Equal(t, fault.Problem, c.problem)
-			assert.Assert(t, fault.Allowed != "")
+			var settingsErr *settings.Error
+			assert.Assert(t, errors.As(err, &settingsErr), "got %v", err)
+			assert.Equal(t, settingsErr.Source, path)
+			assert.Equal(t, settingsErr.Key, c.key)
+			assert.Equal(t, settingsErr.Problem, c.problem)
+			assert.Assert(t, settingsErr.Allowed != "")
 		})
 	}
 }
 
 func TestRequiredOptions(t *testing.T) {
 	for _, option := range settings.Options() {
-		_, err := settings.Load(writeFile(t, replaceKeys(complete, option.Key+":")), nil)
+		_, err := settings.Load(writeFile(t, replaceKeys(validSettings, option.Key+":")), nil)
 		assert.ErrorContains(t, err, option.Key+": an empty value")
 
-		_, err = settings.Load(writeFile(t, withoutKey(complete, option.Key)), nil)
+		_, err = settings.Load(writeFile(t, removeKey(validSettings, option.Key)), nil)
 		if option.Required {
 			assert.ErrorContains(t, err, option.Key+": missing")
 			continue
@@ -144,35 +144,35 @@
 	cases := map[string]string{
 		"broken YAML":   "name: [",
 		"not a mapping": "- name",
-		"key twice":     "name: a\nname: b",
-		"two documents": complete + "---\nname: other\n",
+		"duplicate key": "name: a\nname: b",
+		"two documents": validSettings + "---\nname: other\n",
 	}
 	for name, content := range cases {
 		t.Run(name, func(t *testing.T) {
 			_, err := settings.Load(writeFile(t, content), nil)
-			var fault *settings.Error
-			assert.Assert(t, errors.As(err, &fault), "got %v", err)
-			assert.Equal(t, fault.Key, "")
+			var settingsErr *settings.Error
+			assert.Assert(t, errors.As(err, &settingsErr), "got %v", err)
+			assert.Equal(t, settingsErr.Key, "")
 		})
 	}
 	_, err := settings.Load(filepath.Join(t.TempDir(), "absent.yaml"), nil)
 	assert.ErrorContains(t, err, "no such file")
 }
 
-func TestFaultNamesFlag(t *testing.T) {
-	_, err := settings.Load(writeFile(t, complete), parseFlags(t, "--peer-listen=hall-a:1"))
+func TestErrorNamesFlag(t *testing.T) {
+	_, err := settings.Load(writeFile(t, validSettings), parseFlags(t, "--peer-listen=hall-a:1"))
 	assert.Error(t, err, `flag --peer-listen: peer_listen: "hall-a:1" isn't an IP number and port`+
 		` (allowed: IP number and port such as 10.0.0.5:7100 or [fd00::5]:7100, no host name)`)
 }
 
-// replaceKeys returns the content without the line whose key the extra content
-// sets, followed by the extra content.
+// replaceKeys removes the line of the key that extra sets from the content and appends
+// extra.
 func replaceKeys(content, extra string) string {
 	key, _, _ := strings.Cut(extra, ":")
-	return withoutKey(content, key) + extra + "\n"
+	return removeKey(content, key) + extra + "\n"
 }
 
-func withoutKey(content, key string) string {
+func removeKey(content, key string) string {
 	kept := make([]string, 0)
 	for line := range strings.Lines(content) {
 		if !strings.HasPrefix(line, key+":") {
--- a/settings/property_test.go
+++ b/settings/property_test.go
@@ -15,19 +15,19 @@
 	"github.com/marblering/marblering/settings"
 )
 
-// seed makes the property searches give the same verdict every time.
-const seed = "20260"
+// rapidSeed is the fixed seed of the property tests, which makes them reproducible.
+const rapidSeed = "20260"
 
 func TestMain(m *testing.M) {
-	if err := flag.Set("rapid.seed", seed); err != nil {
+	if err := flag.Set("rapid.seed", rapidSeed); err != nil {
 		panic(err)
 	}
 	os.Exit(m.Run())
 }
 
-// TestArbitraryValue puts arbitrary text under any key. Load either takes it or
-// gives one line that names the key, or a key that contradicts it.
-func TestArbitraryValue(t *testing.T) {
+// TestLoadArbitraryValue sets a key to arbitrary text. Load must accept it or return a
+// one-line error that names the key, also if another key conflicts with it.
+func TestLoadArbitraryValue(t *testing.T) {
 	folder := t.TempDir()
 	keys := make([]string, 0)
 	for _, option := range settings.Options() {
@@ -43,25 +43,25 @@
 		line, err := yaml.Marshal(map[string]string{key: value})
 		assert.NilError(t, err)
 		path := filepath.Join(folder, "node.yaml")
-		assert.NilError(t, os.WriteFile(path, []byte(withoutKey(complete, key)+string(line)), 0o600))
+		assert.NilError(t, os.WriteFile(path, []byte(removeKey(validSettings, key)+string(line)), 0o600))
 
 		loaded, err := settings.Load(path, nil)
 		if err == nil {
 			return
 		}
-		assert.Equal(t, loaded.Name, "", "settings came with an error")
-		var fault *settings.Error
-		assert.Assert(t, errors.As(err, &fault), "%v", err)
-		assert.Equal(t, fault.Source, path)
-		assert.Assert(t, fault.Allowed != "")
+		assert.Equal(t, loaded.Name, "", "settings returned together with an error")
+		var settingsErr *settings.Error
+		assert.Assert(t, errors.As(err, &settingsErr), "%v", err)
+		assert.Equal(t, settingsErr.Source, path)
+		assert.Assert(t, settingsErr.Allowed != "")
 		assert.Assert(t, !strings.ContainsAny(err.Error(), "\n\r"), "%q", err.Error())
-		assert.Assert(t, fault.Key == key || strings.Contains(fault.Problem, key), "%v", err)
+		assert.Assert(t, settingsErr.Key == key || strings.Contains(settingsErr.Problem, key), "%v", err)
 	})
 }
 
-// FuzzLoad reads arbitrary files: never a panic, and settings or an error.
+// FuzzLoad loads arbitrary files, which must yield either settings or a one-line error.
 func FuzzLoad(f *testing.F) {
-	f.Add(complete)
+	f.Add(validSettings)
 	f.Add("name: [")
 	f.Add("a: &a [*a]")
 	f.Add("1: 2\n? [x]\n: y")
@@ -75,8 +75,8 @@
 			assert.Assert(t, loaded.Name != "" && loaded.PeerAddress().IsValid())
 			return
 		}
-		var fault *settings.Error
-		assert.Assert(t, errors.As(err, &fault), "%v", err)
+		var settingsErr *settings.Error
+		assert.Assert(t, errors.As(err, &settingsErr), "%v", err)
 		assert.Assert(t, !strings.ContainsAny(err.Error(), "\n\r"), "%q", err.Error())
 	})
 }
--- a/settings/storage.go
+++ b/settings/storage.go
@@ -9,58 +9,60 @@
 	"github.com/spf13/pflag"
 )
 
-// Storage are the settings of a storage node. LoadStorage returns them complete
-// and checked. StorageOptions describes each key.
+// Storage holds the settings of a storage node. [LoadStorage] returns them with defaults
+// applied and validated. [StorageOptions] describes each key.
 type Storage struct {
 	// Name is the node's name, unique in the deployment.
 	Name string `koanf:"name" validate:"required,name"`
-	// Zone is the zone whose failure takes this node with it.
+	// Zone is the failure domain that the node belongs to.
 	Zone string `koanf:"zone" validate:"required,name"`
-	// PeerListen is where gateways and other storage nodes reach this one.
+	// PeerListen is the address that serves gateways and other storage nodes.
 	PeerListen netip.AddrPort `koanf:"peer_listen" validate:"required"`
-	// OperatorListen serves /metrics, /healthz and /readyz.
+	// OperatorListen is the address of /metrics, /healthz and /readyz.
 	OperatorListen netip.AddrPort `koanf:"operator_listen" validate:"required"`
-	// StoreURL is the base URL of the store of the directory.
+	// StoreURL is the base URL of the store that holds the directory of storage nodes.
 	StoreURL string `koanf:"store_url" validate:"required,base_url"`
-	// Seeds are peer addresses of other storage nodes.
+	// Seeds are peer addresses of other storage nodes, used as a fallback while the store
+	// is unreachable.
 	Seeds []netip.AddrPort `koanf:"seeds" validate:"max=64"`
-	// ApplyLimit is the time within which a new configuration must be in force at
+	// ApplyLimit is the time within which a new configuration must take effect at
 	// gateways.
 	ApplyLimit time.Duration `koanf:"apply_limit" validate:"min=100ms,max=1m"`
-	// RevokeLimit is how long after its removal gateways may take a key for valid;
-	// zero for no bound beside ApplyLimit.
+	// RevokeLimit is how long gateways may still accept a removed key; zero means that
+	// only ApplyLimit applies.
 	RevokeLimit time.Duration `koanf:"revoke_limit" validate:"min=0s,max=1h"`
-	// Losses is how many storage nodes may be lost at once.
+	// Losses is the number of simultaneous storage node failures to tolerate.
 	Losses int `koanf:"losses" validate:"min=0,max=3"`
-	// Shards is the number of shards; it counts when the sets are founded.
+	// Shards is the minimum number of shards; it is used only when the replica sets are
+	// created.
 	Shards int `koanf:"shards" validate:"min=1,max=4096"`
-	// DataFolder keeps the node's replica state.
+	// DataFolder stores the node's replica state.
 	DataFolder string `koanf:"data_folder" validate:"required,absolute_path"`
-	// MemoryLimit is what the process may use.
+	// MemoryLimit bounds the memory of the process.
 	MemoryLimit ByteSize `koanf:"memory_limit" validate:"min=16777216"`
-	// LogLevel is the least severe level that is logged.
+	// LogLevel is the minimum level that is logged.
 	LogLevel string `koanf:"log_level" validate:"oneof=debug info warn error"`
 }
 
-// ReplicationFactor is the number of members of a replica set: a majority must
-// be left after the losses.
+// ReplicationFactor returns the number of members of a replica set, which keeps a majority
+// after the tolerated losses.
 func (s Storage) ReplicationFactor() int { return 2*s.Losses + 1 }
 
-// LoadStorage reads and checks a storage node's settings as Load does those of serve.
+// LoadStorage loads and validates the settings of a storage node in the way of [Load].
 func LoadStorage(path string, flags *pflag.FlagSet) (Storage, error) {
-	return newLoader(path, flags, StorageOptions()).load(checkStoragePairs)
+	return newLoader(path, flags, StorageOptions()).load(checkStorageListeners)
 }
 
-// checkStoragePairs refuses one address for both listeners.
-func checkStoragePairs(l *loader[Storage], loaded Storage) error {
-	if collide(loaded.PeerListen, loaded.OperatorListen) {
-		problem := fmt.Sprintf("%v contradicts peer_listen, which is %v", loaded.OperatorListen, loaded.PeerListen)
-		return l.fault(l.option("operator_listen"), problem)
+// checkStorageListeners rejects listeners whose addresses conflict.
+func checkStorageListeners(l *loader[Storage], loaded Storage) error {
+	if addressesConflict(loaded.PeerListen, loaded.OperatorListen) {
+		problem := fmt.Sprintf("%v conflicts with peer_listen, which is %v", loaded.OperatorListen, loaded.PeerListen)
+		return l.optionError(l.option("operator_listen"), problem)
 	}
 	return nil
 }
 
-// StorageOptions lists every option in the order of the documentation.
+// StorageOptions returns the options of a storage node in the order of the documentation.
 func StorageOptions() []OptionOf[Storage] {
 	return slices.Concat(
 		storageAddressOptions(),
@@ -69,7 +71,8 @@
 	)
 }
 
-// storageAddressOptions say who the storage node is, where it listens and whom it asks.
+// storageAddressOptions returns the options for identity, listen addresses, store and
+// seeds.
 func storageAddressOptions() []OptionOf[Storage] {
 	return []OptionOf[Storage]{
 		{
@@ -103,7 +106,8 @@
 	}
 }
 
-// storageLimitOptions say how soon configurations have to be passed on, and what may be lost.
+// storageLimitOptions returns the options for configuration delay, key revocation,
+// tolerated losses and sharding.
 func storageLimitOptions() []OptionOf[Storage] {
 	return []OptionOf[Storage]{
 		{
@@ -129,7 +133,7 @@
 	}
 }
 
-// storageProcessOptions are about the process itself.
+// storageProcessOptions returns the options for the data folder, memory and logging.
 func storageProcessOptions() []OptionOf[Storage] {
 	return []OptionOf[Storage]{
 		{
