--- a/cmd/marblering-lab/command.go
+++ b/cmd/marblering-lab/command.go
@@ -19,21 +19,20 @@
 const (
 	exitOK      = 0
 	exitFailure = 1
-	// exitUsage is that of a command line that wasn't accepted; nothing was
-	// started.
+	// exitUsage reports an invalid command line.
 	exitUsage = 2
 )
 
-// usageError is a command line that can't be used.
+// usageError marks an invalid command line.
 type usageError struct {
 	cause error
 }
 
-// Error says what can't be used.
+// Error returns the message of the cause.
 func (e *usageError) Error() string { return e.cause.Error() }
 
-// execute runs the command line and returns the exit code. Every failure is one
-// line on the standard error stream.
+// execute runs the command line and returns the exit code. An error is printed as one line
+// to the standard error stream.
 func execute(ctx context.Context, root *cobra.Command, arguments []string) int {
 	root.SetArgs(arguments)
 	err := root.ExecuteContext(ctx)
@@ -41,8 +40,8 @@
 		return exitOK
 	}
 	fmt.Fprintln(root.ErrOrStderr(), "marblering-lab:", err)
-	var usageFault *usageError
-	if errors.As(err, &usageFault) {
+	var usageErr *usageError
+	if errors.As(err, &usageErr) {
 		return exitUsage
 	}
 	return exitFailure
@@ -72,13 +71,13 @@
 	return root
 }
 
-// noArguments refuses positional arguments, such as a misspelt command.
+// noArguments rejects positional arguments, such as a misspelled command.
 func noArguments(command *cobra.Command, arguments []string) error {
-	return usage(cobra.NoArgs)(command, arguments)
+	return wrapArgsError(cobra.NoArgs)(command, arguments)
 }
 
-// usage marks what the check of positional arguments reports.
-func usage(check cobra.PositionalArgs) cobra.PositionalArgs {
+// wrapArgsError returns a check that reports errors of positional arguments as usageError.
+func wrapArgsError(check cobra.PositionalArgs) cobra.PositionalArgs {
 	return func(command *cobra.Command, arguments []string) error {
 		if err := check(command, arguments); err != nil {
 			return &usageError{cause: merry.Appendf(err, "see %s --help", command.CommandPath())}
@@ -109,6 +108,6 @@
 
 func newExperimentCommand() *cobra.Command {
 	command := experiment.Command()
-	command.Args = usage(command.Args)
+	command.Args = wrapArgsError(command.Args)
 	return command
 }
--- a/cmd/marblering-lab/command_test.go
+++ b/cmd/marblering-lab/command_test.go
@@ -13,7 +13,7 @@
 	"gotest.tools/v3/golden"
 )
 
-// run executes a command line to its end.
+// run executes a command line and returns its exit code and output.
 func run(t *testing.T, arguments ...string) (exit int, out, log string) {
 	t.Helper()
 	var outBuffer, logBuffer bytes.Buffer
@@ -24,8 +24,8 @@
 	return exit, outBuffer.String(), logBuffer.String()
 }
 
-// TestHelp holds the help of every command to testdata/help.golden; go test
-// ./cmd/marblering-lab -update writes it.
+// TestHelp compares the help of every command with testdata/help.golden, which
+// go test ./cmd/marblering-lab -update rewrites.
 func TestHelp(t *testing.T) {
 	var pages strings.Builder
 	var visit func(command *cobra.Command)
@@ -34,15 +34,16 @@
 		exit, out, log := run(t, arguments...)
 		assert.Equal(t, exit, exitOK, log)
 		pages.WriteString("$ marblering-lab " + strings.Join(arguments, " ") + "\n" + out + "\n")
-		for _, below := range command.Commands() {
-			visit(below)
+		for _, subcommand := range command.Commands() {
+			visit(subcommand)
 		}
 	}
 	visit(newRootCommand())
 	golden.Assert(t, pages.String(), "help.golden")
 }
 
-// TestBadCommandLine gets one line and starts nothing.
+// TestBadCommandLine checks that an invalid command line is reported as one line and
+// starts nothing.
 func TestBadCommandLine(t *testing.T) {
 	cases := []struct {
 		arguments string
@@ -76,8 +77,9 @@
 	}
 }
 
-// TestStandInsServeUntilStopped starts each stand-in on a free port.
-func TestStandInsServeUntilStopped(t *testing.T) {
+// TestStandInsServeUntilCanceled starts each stand-in on a free port, sends it a request
+// and stops it by canceling its context.
+func TestStandInsServeUntilCanceled(t *testing.T) {
 	cases := []struct {
 		arguments, path string
 	}{
--- a/cmd/marblering-lab/main.go
+++ b/cmd/marblering-lab/main.go
@@ -1,5 +1,5 @@
-// Command marblering-lab runs the stand-ins of the outside systems, the demo
-// and the experiments.
+// Command marblering-lab runs stand-ins for the external systems, the demo and the
+// experiments.
 package main
 
 import (
@@ -13,8 +13,8 @@
 	os.Exit(runUntilSignal())
 }
 
-// runUntilSignal cancels the command at the first SIGTERM or SIGINT; a second
-// one ends the process at once.
+// runUntilSignal runs the command and cancels its context on the first SIGTERM or SIGINT.
+// A second signal terminates the process immediately.
 func runUntilSignal() int {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
--- a/cmd/marblering-lab/standin.go
+++ b/cmd/marblering-lab/standin.go
@@ -21,20 +21,23 @@
 )
 
 const (
-	// stopTimeout bounds how long a stand-in waits for open requests at its end.
-	stopTimeout = 2 * time.Second
-	// defaultWeightsSize is the size of a version in the weight store, in bytes.
+	// serverTimeout bounds reading the header of a request, and waiting for open requests
+	// during shutdown.
+	serverTimeout = 2 * time.Second
+	// defaultWeightsSize is the default size of a version in the weight store, in bytes.
 	defaultWeightsSize = 64 << 20
 )
 
-// standIn is a command that serves one outside system until it is stopped.
+// standIn describes a command that serves a stand-in for an external system until its
+// context is canceled.
 type standIn struct {
 	use   string
 	short string
-	// check returns what is wrong with the options; nil checks nothing.
+	// check validates the options; it may be nil.
 	check func() error
-	// open makes the handler, and what ends it once its server has stopped.
-	open func() (handler http.Handler, end func())
+	// newHandler returns the handler, and a function that closes it after the server has
+	// stopped.
+	newHandler func() (handler http.Handler, closeHandler func())
 }
 
 func (s standIn) command() *cobra.Command {
@@ -66,25 +69,25 @@
 	return nil
 }
 
-// serve prints where it listens and serves until the command's context ends.
+// serve prints the listen address and serves until the command's context is canceled.
 func (s standIn) serve(command *cobra.Command, address string) error {
-	socket, err := net.Listen("tcp", address)
+	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return err
 	}
-	handler, end := s.open()
-	defer end()
-	fmt.Fprintf(command.OutOrStdout(), "listening address=%s\n", socket.Addr())
-	server := &http.Server{Handler: handler, ReadHeaderTimeout: stopTimeout}
+	handler, closeHandler := s.newHandler()
+	defer closeHandler()
+	fmt.Fprintf(command.OutOrStdout(), "listening address=%s\n", listener.Addr())
+	server := &http.Server{Handler: handler, ReadHeaderTimeout: serverTimeout}
 	stop := context.AfterFunc(command.Context(), func() {
-		ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
+		ctx, cancel := context.WithTimeout(context.Background(), serverTimeout)
 		defer cancel()
 		if server.Shutdown(ctx) != nil {
 			_ = server.Close()
 		}
 	})
 	defer stop()
-	if err := server.Serve(socket); !errors.Is(err, http.ErrServerClosed) {
+	if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
 		return err
 	}
 	return nil
@@ -96,9 +99,9 @@
 		use:   "engine",
 		short: "Run a stand-in of a model engine",
 		check: func() error { return checkEngine(options) },
-		open: func() (http.Handler, func()) {
-			stand := engine.New(options)
-			return stand, stand.Close
+		newHandler: func() (http.Handler, func()) {
+			handler := engine.New(options)
+			return handler, handler.Close
 		},
 	}.command()
 	flags := command.Flags()
@@ -144,7 +147,7 @@
 			}
 			return nil
 		},
-		open: func() (http.Handler, func()) { return objectstore.New(options), func() {} },
+		newHandler: func() (http.Handler, func()) { return objectstore.New(options), func() {} },
 	}.command()
 	flags := command.Flags()
 	flags.Uint64Var(&options.Seed, "seed", 0, "seed of the spread of delays")
@@ -157,9 +160,9 @@
 	return standIn{
 		use:   "tool",
 		short: "Run a stand-in of a tool service",
-		open: func() (http.Handler, func()) {
-			service := tool.New()
-			return service, service.Close
+		newHandler: func() (http.Handler, func()) {
+			handler := tool.New()
+			return handler, handler.Close
 		},
 	}.command()
 }
@@ -175,7 +178,7 @@
 			}
 			return nil
 		},
-		open: func() (http.Handler, func()) { return weightstore.New(options), func() {} },
+		newHandler: func() (http.Handler, func()) { return weightstore.New(options), func() {} },
 	}.command()
 	flags := command.Flags()
 	flags.Int64Var(&options.Size, "size", defaultWeightsSize, "size of each version in bytes")
