--- a/cmd/marblering/command.go
+++ b/cmd/marblering/command.go
@@ -18,21 +18,22 @@
 
 // Exit codes of the process.
 const (
-	exitOK       = 0
-	exitFailure  = 1
-	exitSettings = 2
+	exitOK      = 0
+	exitFailure = 1
+	// exitUsage reports an invalid command line or invalid settings.
+	exitUsage = 2
 )
 
-// usageError is a command line that can't be understood.
+// usageError marks an invalid command line.
 type usageError struct {
 	cause error
 }
 
-// Error says what wasn't understood.
+// Error returns the message of the cause.
 func (e *usageError) Error() string { return e.cause.Error() }
 
-// execute runs the command line and returns the exit code. Every failure is
-// one line on the standard error stream.
+// execute runs the command line and returns the exit code. An error is printed as one line
+// to the standard error stream.
 func execute(ctx context.Context, root *cobra.Command, arguments []string) int {
 	root.SetArgs(arguments)
 	err := root.ExecuteContext(ctx)
@@ -44,19 +45,19 @@
 }
 
 func exitCode(err error) int {
-	var settingsFault *settings.Error
-	var usageFault *usageError
-	if errors.As(err, &settingsFault) || errors.As(err, &usageFault) {
-		return exitSettings
+	var settingsErr *settings.Error
+	var usageErr *usageError
+	if errors.As(err, &settingsErr) || errors.As(err, &usageErr) {
+		return exitUsage
 	}
 	return exitFailure
 }
 
-func newRootCommand(run runNode) *cobra.Command {
+func newRootCommand(run nodeRunner) *cobra.Command {
 	root := &cobra.Command{
 		Use:           "marblering",
 		Short:         "Scheduler for agent programs",
-		Args:          usage(cobra.NoArgs),
+		Args:          wrapArgsError(cobra.NoArgs),
 		SilenceErrors: true,
 		SilenceUsage:  true,
 		RunE:          func(command *cobra.Command, _ []string) error { return command.Help() },
@@ -69,12 +70,12 @@
 	return root
 }
 
-func newServeCommand(run runNode) *cobra.Command {
+func newServeCommand(run nodeRunner) *cobra.Command {
 	var path string
 	command := &cobra.Command{
 		Use:   "serve",
 		Short: "Run this machine's node until SIGTERM or SIGINT",
-		Args:  usage(cobra.NoArgs),
+		Args:  wrapArgsError(cobra.NoArgs),
 		RunE: func(command *cobra.Command, _ []string) error {
 			loaded, err := settings.Load(path, command.Flags())
 			if err != nil {
@@ -83,12 +84,12 @@
 			return serve(command, run, loaded)
 		},
 	}
-	command.Flags().StringVar(&path, "settings", "", "settings file; flags win over it")
+	command.Flags().StringVar(&path, "settings", "", "settings file; flags override it")
 	settings.AddFlags(command.Flags())
 	return command
 }
 
-func serve(command *cobra.Command, run runNode, loaded settings.Settings) error {
+func serve(command *cobra.Command, run nodeRunner, loaded settings.Settings) error {
 	level, err := zapcore.ParseLevel(loaded.LogLevel)
 	if err != nil {
 		return err
@@ -102,14 +103,14 @@
 	group := &cobra.Command{
 		Use:   "config",
 		Short: "Work with settings files",
-		Args:  usage(cobra.NoArgs),
+		Args:  wrapArgsError(cobra.NoArgs),
 		RunE:  func(command *cobra.Command, _ []string) error { return command.Help() },
 	}
 	var role string
 	check := &cobra.Command{
 		Use:   "check FILE",
-		Short: "Check a settings file and start nothing",
-		Args:  usage(cobra.ExactArgs(1)),
+		Short: "Check a settings file without starting a daemon",
+		Args:  wrapArgsError(cobra.ExactArgs(1)),
 		RunE: func(command *cobra.Command, arguments []string) error {
 			if err := checkSettings(role, arguments[0]); err != nil {
 				return err
@@ -118,12 +119,12 @@
 			return nil
 		},
 	}
-	check.Flags().StringVar(&role, "role", roleNode, "whose settings these are: node, gateway or storage")
+	check.Flags().StringVar(&role, "role", roleNode, "role that the settings are for: node, gateway or storage")
 	group.AddCommand(check)
 	return group
 }
 
-// Roles whose settings can be checked.
+// Roles accepted by config check.
 const (
 	roleNode    = "node"
 	roleGateway = "gateway"
@@ -148,14 +149,14 @@
 	return &cobra.Command{
 		Use:   "version",
 		Short: "Print the version of this build",
-		Args:  usage(cobra.NoArgs),
+		Args:  wrapArgsError(cobra.NoArgs),
 		Run: func(command *cobra.Command, _ []string) {
 			fmt.Fprintln(command.OutOrStdout(), "marblering", version())
 		},
 	}
 }
 
-// version returns the module's version as the Go tool recorded it.
+// version returns the module version and the Go version from the build information.
 func version() string {
 	info, found := debug.ReadBuildInfo()
 	if !found {
@@ -164,17 +165,17 @@
 	return fmt.Sprintf("%s (%s)", info.Main.Version, info.GoVersion)
 }
 
-// operatorCommands ask a running node.
+// operatorCommands returns the commands that query a running node.
 func operatorCommands() []*cobra.Command {
 	commands := operator.Commands()
 	for _, command := range commands {
-		command.Args = usage(command.Args)
+		command.Args = wrapArgsError(command.Args)
 	}
 	return commands
 }
 
-// usage marks what the check of positional arguments reports.
-func usage(check cobra.PositionalArgs) cobra.PositionalArgs {
+// wrapArgsError returns a check that reports errors of positional arguments as usageError.
+func wrapArgsError(check cobra.PositionalArgs) cobra.PositionalArgs {
 	return func(command *cobra.Command, arguments []string) error {
 		if err := check(command, arguments); err != nil {
 			return &usageError{cause: err}
--- a/cmd/marblering/explain.go
+++ b/cmd/marblering/explain.go
@@ -16,21 +16,21 @@
 	"github.com/marblering/marblering/telemetry/logfile"
 )
 
-// explainWindow is how long before a request other decisions of its nodes are
+// defaultExplainWindow is how long before a request the other decisions of its nodes are
 // shown.
-const explainWindow = 2 * time.Second
+const defaultExplainWindow = 2 * time.Second
 
 func newExplainCommand() *cobra.Command {
 	var window time.Duration
 	var starts, tries bool
 	command := &cobra.Command{
 		Use:   "explain LOGFILE... ID",
-		Short: "Tell from logs what became of a request, a program or an instance",
-		Long: "Collects the lines that name ID from the logs of several processes, in the order of time, with\n" +
-			"what the same nodes decided meanwhile, and adds up where the time of its requests went. With\n" +
-			"--starts and no ID, tells when each process that started had what it depends on; with --tries and\n" +
-			"no ID, how the tries of callers ended. A LOGFILE of - is standard input.",
-		Args: usage(func(command *cobra.Command, arguments []string) error {
+		Short: "Explain from logs what happened to a request, a program or an instance",
+		Long: "Prints the log lines that contain ID from the logs of several processes in chronological order,\n" +
+			"the other decisions of the same nodes in that period, and a breakdown of the time spent on its\n" +
+			"requests. With --starts and no ID, prints when each started process reached its dependencies; with\n" +
+			"--tries and no ID, how the callers' tries ended. A LOGFILE of - is standard input.",
+		Args: wrapArgsError(func(command *cobra.Command, arguments []string) error {
 			if starts || tries {
 				return cobra.MinimumNArgs(1)(command, arguments)
 			}
@@ -49,31 +49,31 @@
 			})
 		},
 	}
-	command.Flags().DurationVar(&window, "window", explainWindow, "how long before the request other decisions are shown")
-	command.Flags().BoolVar(&starts, "starts", false, "tell of the starts of processes")
-	command.Flags().BoolVar(&tries, "tries", false, "tell how the tries of callers ended, by route and cause")
+	command.Flags().DurationVar(&window, "window", defaultExplainWindow, "time before the request from which other decisions are shown")
+	command.Flags().BoolVar(&starts, "starts", false, "summarize the starts of processes")
+	command.Flags().BoolVar(&tries, "tries", false, "summarize how the tries of callers ended, by route and cause")
 	return command
 }
 
-// withLogs opens the files, has the function read them, and closes them.
-func withLogs(command *cobra.Command, paths []string, tell func(logs []io.Reader, out io.Writer) error) error {
+// withLogs opens the log files, calls report with them and closes them.
+func withLogs(command *cobra.Command, paths []string, report func(logs []io.Reader, out io.Writer) error) error {
 	logs, closeLogs, err := openLogs(command, paths)
 	if err != nil {
 		return err
 	}
 	defer closeLogs()
-	return tell(logs, command.OutOrStdout())
+	return report(logs, command.OutOrStdout())
 }
 
 func explain(logs []io.Reader, id string, window time.Duration, out io.Writer) error {
-	story, err := logfile.Find(logs, id, window)
+	timeline, err := logfile.Find(logs, id, window)
 	if err != nil {
 		return err
 	}
-	if len(story.Lines) == 0 {
-		return merry.Errorf("no line names %q", id)
+	if len(timeline.Lines) == 0 {
+		return merry.Errorf("no log line contains the ID %q", id)
 	}
-	printStory(out, story)
+	printTimeline(out, timeline)
 	return nil
 }
 
@@ -104,15 +104,15 @@
 	}
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "route\tstatus\tcode\theld by\ttries\tmean s\tlongest s\tthen served\tthen failed\tthen none")
-	for _, one := range tries {
-		mean := one.HeldFor / time.Duration(one.Count)
-		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%d\t%.3f\t%.3f\t%d\t%d\t%d\n", one.Route, one.Status, codeName(one.Code), one.Held,
-			one.Count, mean.Seconds(), one.Longest.Seconds(), one.ThenServed, one.ThenFailed, one.ThenNone)
+	for _, group := range tries {
+		mean := group.HeldFor / time.Duration(group.Count)
+		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%d\t%.3f\t%.3f\t%d\t%d\t%d\n", group.Route, group.Status, codeName(group.Code), group.Held,
+			group.Count, mean.Seconds(), group.Longest.Seconds(), group.ThenServed, group.ThenFailed, group.ThenNone)
 	}
 	return table.Flush()
 }
 
-// codeName adds its name to the number of a result code.
+// codeName formats a result code as its number and name.
 func codeName(code string) string {
 	number, err := strconv.ParseUint(code, 10, 32)
 	if err != nil {
@@ -121,7 +121,7 @@
 	return code + " " + result.Code(number).Info().Name
 }
 
-// openLogs opens the files, and standard input for a path of -.
+// openLogs opens the log files; the path - stands for standard input.
 func openLogs(command *cobra.Command, paths []string) (logs []io.Reader, closeAll func(), err error) {
 	var files []*os.File
 	closeAll = func() {
@@ -145,22 +145,22 @@
 	return logs, closeAll, nil
 }
 
-// printStory writes the story, with times relative to its first line, and the meaning
-// of its result code.
-func printStory(w io.Writer, story logfile.Story) {
-	start := story.Lines[0].Time
-	for _, l := range story.Lines {
+// printTimeline prints the log lines of the timeline, with times relative to its first
+// line, followed by the time breakdown and the meaning of the result code.
+func printTimeline(w io.Writer, timeline logfile.Story) {
+	start := timeline.Lines[0].Time
+	for _, l := range timeline.Lines {
 		printLine(w, start, l)
 	}
-	if len(story.Context) > 0 {
+	if len(timeline.Context) > 0 {
 		fmt.Fprintln(w, "\nmeanwhile, at the same nodes:")
 	}
-	for _, l := range story.Context {
+	for _, l := range timeline.Context {
 		printLine(w, start, l)
 	}
-	printTimes(w, story.Times())
-	end := story.Lines[len(story.Lines)-1]
-	number, err := strconv.ParseUint(end.Get("code"), 10, 32)
+	printTimes(w, timeline.Times())
+	last := timeline.Lines[len(timeline.Lines)-1]
+	number, err := strconv.ParseUint(last.Get("code"), 10, 32)
 	if err != nil || number == 0 {
 		return
 	}
@@ -168,15 +168,15 @@
 	fmt.Fprintf(w, "\ncode %d, %s: execution %s, repeat %s (docs/RESULT-CODES.md)\n", number, info.Name, info.Execution, info.Repeat)
 }
 
-// printTimes says where the time went, for more than one request.
+// printTimes prints a breakdown of the time spent if there is more than one request.
 func printTimes(w io.Writer, times logfile.Times) {
 	if times.Answered+times.Failed < 2 {
 		return
 	}
 	fmt.Fprintf(w, "\n%d requests answered and %d not, within %.3fs\n", times.Answered, times.Failed, times.Whole.Seconds())
 	for _, part := range []struct {
-		name string
-		took time.Duration
+		name     string
+		duration time.Duration
 	}{
 		{"history and budget", times.Preparing},
 		{"until the first byte", times.Waiting},
@@ -185,7 +185,7 @@
 		{"requests not answered", times.Failing},
 		{"no request under way", times.Between},
 	} {
-		fmt.Fprintf(w, "%10.3fs  %s\n", part.took.Seconds(), part.name)
+		fmt.Fprintf(w, "%10.3fs  %s\n", part.duration.Seconds(), part.name)
 	}
 }
 
--- a/cmd/marblering/explain_test.go
+++ b/cmd/marblering/explain_test.go
@@ -13,8 +13,9 @@
 	"github.com/marblering/marblering/telemetry/logfile"
 )
 
-// TestReadsWhatTheLoggerWrites, whatever stands in a value.
-func TestReadsWhatTheLoggerWrites(t *testing.T) {
+// TestLogfileParsesLoggerOutput writes log fields with arbitrary printable values, which
+// must be parsed back unchanged.
+func TestLogfileParsesLoggerOutput(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		value := rapid.StringMatching(`[ -~]{1,40}`).Draw(t, "value")
 		var log strings.Builder
@@ -31,8 +32,8 @@
 time=2026-05-22T10:00:02.000000Z level=info msg="not answered" node=edge-1 request=t2 key=p prepared=0.1 took=0.1 code=2004 reason=late
 `
 
-// explained runs the command over the log.
-func explained(t *testing.T, log string, arguments ...string) (string, error) {
+// runExplain runs the explain command with the log as standard input.
+func runExplain(t *testing.T, log string, arguments ...string) (string, error) {
 	t.Helper()
 	var out strings.Builder
 	command := newExplainCommand()
@@ -44,8 +45,8 @@
 	return out.String(), err
 }
 
-func TestExplainAddsUpAProgram(t *testing.T) {
-	out, err := explained(t, programLog, "-", "p")
+func TestExplainSumsProgramTimes(t *testing.T) {
+	out, err := runExplain(t, programLog, "-", "p")
 	assert.NilError(t, err)
 	for _, want := range []string{"1 requests answered and 1 not, within 0.900s", "0.100s  history and budget", "0.500s  no request under way", "code 2004"} {
 		assert.Assert(t, strings.Contains(out, want), "%q is missing:\n%s", want, out)
@@ -53,21 +54,21 @@
 }
 
 func TestExplainTries(t *testing.T) {
-	out, err := explained(t, programLog, "--tries", "-")
+	out, err := runExplain(t, programLog, "--tries", "-")
 	assert.NilError(t, err)
 	assert.Assert(t, strings.Contains(out, "2004 no_quorum"), out)
-	_, err = explained(t, "", "--tries", "-")
+	_, err = runExplain(t, "", "--tries", "-")
 	assert.ErrorContains(t, err, "no request ended")
 }
 
 func TestExplainStarts(t *testing.T) {
-	out, err := explained(t, programLog, "--starts", "-")
+	out, err := runExplain(t, programLog, "--starts", "-")
 	assert.NilError(t, err)
 	assert.Equal(t, out, "2026-05-22T10:00:01Z  edge-1 started\n      +0.400s  answered\n")
-	_, err = explained(t, "", "--starts", "-")
+	_, err = runExplain(t, "", "--starts", "-")
 	assert.ErrorContains(t, err, "no process started")
-	_, err = explained(t, programLog, "-")
+	_, err = runExplain(t, programLog, "-")
 	assert.ErrorContains(t, err, "requires at least 2 arg")
-	_, err = explained(t, programLog, "missing.log", "p")
+	_, err = runExplain(t, programLog, "missing.log", "p")
 	assert.ErrorContains(t, err, "missing.log")
 }
--- a/cmd/marblering/main.go
+++ b/cmd/marblering/main.go
@@ -1,5 +1,5 @@
-// Command marblering is the daemon that every machine runs, and the tool that
-// checks its settings.
+// Command marblering runs the daemons of the deployment, checks their settings files and
+// provides the operator commands.
 package main
 
 import (
@@ -14,17 +14,17 @@
 	"github.com/marblering/marblering/settings"
 )
 
-// runNode runs one node until ctx ends and its work is handed over.
-type runNode func(ctx context.Context, loaded settings.Settings, logger *zap.Logger) error
+// nodeRunner runs a node until ctx is canceled and the node has shut down.
+type nodeRunner func(ctx context.Context, loaded settings.Settings, logger *zap.Logger) error
 
 func main() {
 	os.Exit(runUntilSignal(node.Run))
 }
 
-// runUntilSignal cancels the command at the first SIGTERM or SIGINT. Further
-// SIGTERMs change nothing, since a drain is under way; a further SIGINT ends the
-// process at once.
-func runUntilSignal(run runNode) int {
+// runUntilSignal runs the command and cancels its context on the first SIGTERM or SIGINT.
+// Later SIGTERMs are ignored, so that they don't interrupt a drain; a later SIGINT exits
+// immediately.
+func runUntilSignal(run nodeRunner) int {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	signals := make(chan os.Signal, 1)
--- a/cmd/marblering/main_test.go
+++ b/cmd/marblering/main_test.go
@@ -19,51 +19,51 @@
 	"github.com/marblering/marblering/settings"
 )
 
-// runAsMain makes the test binary behave as the command: that is the process
-// the tests start, without building a second one.
-const runAsMain = "MARBLERING_TEST_MAIN"
+// testModeEnv is the environment variable that makes the test binary run as the command,
+// so that the tests need no second binary.
+const testModeEnv = "MARBLERING_TEST_MAIN"
 
 func TestMain(m *testing.M) {
-	switch os.Getenv(runAsMain) {
+	switch os.Getenv(testModeEnv) {
 	case "":
 		os.Exit(m.Run())
 	case "main":
 		main()
 	default:
-		os.Exit(runUntilSignal(announceAndWait))
+		os.Exit(runUntilSignal(logAndWait))
 	}
 }
 
-// announceAndWait stands for a node that runs until it is told to stop.
-func announceAndWait(ctx context.Context, _ settings.Settings, logger *zap.Logger) error {
+// logAndWait is a nodeRunner that logs its start and stop and waits for cancellation.
+func logAndWait(ctx context.Context, _ settings.Settings, logger *zap.Logger) error {
 	logger.Info("started")
 	<-ctx.Done()
 	logger.Info("stopped")
 	return nil
 }
 
-func command(mode string, arguments ...string) *exec.Cmd {
+func newProcess(mode string, arguments ...string) *exec.Cmd {
 	process := exec.Command(os.Args[0], arguments...)
-	process.Env = append(os.Environ(), runAsMain+"="+mode)
+	process.Env = append(os.Environ(), testModeEnv+"="+mode)
 	return process
 }
 
-// outcome is what a finished process left.
-type outcome struct {
+// processResult is the exit code and output of a finished process.
+type processResult struct {
 	exit     int
 	out, log string
 }
 
-func runToEnd(t *testing.T, arguments ...string) outcome {
+func runToEnd(t *testing.T, arguments ...string) processResult {
 	t.Helper()
-	process := command("main", arguments...)
+	process := newProcess("main", arguments...)
 	var out, log bytes.Buffer
 	process.Stdout, process.Stderr = &out, &log
 	if err := process.Run(); err != nil {
 		var exited *exec.ExitError
 		assert.Assert(t, errors.As(err, &exited), "%v", err)
 	}
-	return outcome{process.ProcessState.ExitCode(), out.String(), log.String()}
+	return processResult{process.ProcessState.ExitCode(), out.String(), log.String()}
 }
 
 func TestCommandLine(t *testing.T) {
@@ -81,20 +81,20 @@
 		out, log  string
 	}{
 		{"explain", []string{"explain", log, log, "r1"}, exitOK, `not answered  request="r1" code="1008" reason="why" took="0.5"`, ""},
-		{"explain an unknown id", []string{"explain", log, "r2"}, exitFailure, "", `no line names "r2"`},
-		{"explain without a log", []string{"explain", "r2"}, exitSettings, "", "requires at least 2 arg(s)"},
+		{"explain an unknown id", []string{"explain", log, "r2"}, exitFailure, "", `no log line contains the ID "r2"`},
+		{"explain without a log", []string{"explain", "r2"}, exitUsage, "", "requires at least 2 arg(s)"},
 		{"explain a missing log", []string{"explain", filepath.Join(folder, "none.log"), "r2"}, exitFailure, "", "no such file"},
 		{"example", []string{"config", "check", example}, exitOK, example + ": ok\n", ""},
 		{"version", []string{"version"}, exitOK, "marblering ", ""},
 		{"help", nil, exitOK, "Usage:", ""},
-		{"unknown key", []string{"config", "check", unknown}, exitSettings, "", unknown + ": zoen: unknown key (allowed: name, zone,"},
-		{"no file", []string{"config", "check", filepath.Join(folder, "none.yaml")}, exitSettings, "", "no such file"},
-		{"no argument", []string{"config", "check"}, exitSettings, "", "accepts 1 arg(s)"},
-		{"unknown command", []string{"sevre"}, exitSettings, "", `unknown command "sevre"`},
-		{"unknown flag", []string{"serve", "--zoen=b"}, exitSettings, "", "unknown flag: --zoen: see marblering serve --help"},
-		{"serve with a bad file", []string{"serve", "--settings", unknown}, exitSettings, "", "zoen: unknown key"},
-		{"serve with a bad flag", []string{"serve", "--settings", example, "--peer-timeout=2"}, exitSettings, "", "flag --peer-timeout: peer_timeout: "},
-		{"serve without settings", []string{"serve"}, exitSettings, "", "flags: name: missing"},
+		{"unknown key", []string{"config", "check", unknown}, exitUsage, "", unknown + ": zoen: unknown key (allowed: name, zone,"},
+		{"no file", []string{"config", "check", filepath.Join(folder, "none.yaml")}, exitUsage, "", "no such file"},
+		{"no argument", []string{"config", "check"}, exitUsage, "", "accepts 1 arg(s)"},
+		{"unknown command", []string{"sevre"}, exitUsage, "", `unknown command "sevre"`},
+		{"unknown flag", []string{"serve", "--zoen=b"}, exitUsage, "", "unknown flag: --zoen: see marblering serve --help"},
+		{"serve with a bad file", []string{"serve", "--settings", unknown}, exitUsage, "", "zoen: unknown key"},
+		{"serve with a bad flag", []string{"serve", "--settings", example, "--peer-timeout=2"}, exitUsage, "", "flag --peer-timeout: peer_timeout: "},
+		{"serve without settings", []string{"serve"}, exitUsage, "", "flags: name: missing"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -110,10 +110,10 @@
 	}
 }
 
-// TestSignalStopsServe starts a process that serves until it is told to stop.
+// TestSignalStopsServe checks that SIGTERM and SIGINT each stop serve cleanly.
 func TestSignalStopsServe(t *testing.T) {
 	for _, stop := range []os.Signal{syscall.SIGTERM, os.Interrupt} {
-		process := command("wait", "serve", "--settings", filepath.Join("..", "..", "docs", "examples", "node.yaml"))
+		process := newProcess("wait", "serve", "--settings", filepath.Join("..", "..", "docs", "examples", "node.yaml"))
 		log, err := process.StderrPipe()
 		assert.NilError(t, err)
 		assert.NilError(t, process.Start())
@@ -132,9 +132,9 @@
 		err  error
 		want int
 	}{
-		{&settings.Error{Source: "f"}, exitSettings},
-		{merry.Prepend(&settings.Error{Source: "f"}, "starting"), exitSettings},
-		{&usageError{cause: merry.New("x")}, exitSettings},
+		{&settings.Error{Source: "f"}, exitUsage},
+		{merry.Prepend(&settings.Error{Source: "f"}, "starting"), exitUsage},
+		{&usageError{cause: merry.New("x")}, exitUsage},
 		{merry.New("the port is taken"), exitFailure},
 	}
 	for _, c := range cases {
@@ -142,28 +142,28 @@
 	}
 }
 
-// TestSignalsDuringADrainDontEndIt sends a gateway that is draining the signals
-// that a platform may still send.
-func TestSignalsDuringADrainDontEndIt(t *testing.T) {
+// TestSignalsDuringDrainAreIgnored sends SIGHUP and SIGTERM to a draining gateway, which
+// must finish the drain and exit cleanly.
+func TestSignalsDuringDrainAreIgnored(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "gateway.yaml")
 	content := "name: edge-1\nzone: a\ncaller_listen: 127.0.0.1:0\noperator_listen: 127.0.0.1:0\n" +
 		"store_url: http://127.0.0.1:1\ndrain_timeout: 1s\n"
 	assert.NilError(t, os.WriteFile(file, []byte(content), 0o600))
-	process := command("main", "gateway", "--settings", file)
+	process := newProcess("main", "gateway", "--settings", file)
 	log, err := process.StdoutPipe()
 	assert.NilError(t, err)
 	assert.NilError(t, process.Start())
 	lines := bufio.NewScanner(log)
-	scanTo(t, lines, "msg=started")
+	scanUntil(t, lines, "msg=started")
 	assert.NilError(t, process.Process.Signal(syscall.SIGTERM))
-	scanTo(t, lines, "msg=draining")
+	scanUntil(t, lines, "msg=draining")
 	assert.NilError(t, process.Process.Signal(syscall.SIGHUP))
 	assert.NilError(t, process.Process.Signal(syscall.SIGTERM))
-	scanTo(t, lines, "msg=stopped")
+	scanUntil(t, lines, "msg=stopped")
 	assert.NilError(t, process.Wait())
 }
 
-func scanTo(t *testing.T, lines *bufio.Scanner, text string) {
+func scanUntil(t *testing.T, lines *bufio.Scanner, text string) {
 	t.Helper()
 	for lines.Scan() {
 		if strings.Contains(lines.Text(), text) {
--- a/cmd/marblering/reload.go
+++ b/cmd/marblering/reload.go
@@ -10,22 +10,23 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// settingsVariable names the settings file where no flag does.
-const settingsVariable = "MARBLERING_SETTINGS"
+// settingsEnv is the environment variable with the path of the settings file, used if the
+// flag isn't set.
+const settingsEnv = "MARBLERING_SETTINGS"
 
-// reloader reads the settings again at each SIGHUP. The log level takes effect
-// at once; everything else at the next start, which the line says.
+// reloader reloads the settings on SIGHUP. The log level takes effect immediately. Other
+// changes require a restart, which the log line reports.
 type reloader[T any] struct {
 	load func() (T, error)
-	// logLevel points to the level in the settings.
+	// logLevel returns a pointer to the log level in the settings.
 	logLevel func(*T) *string
 	current  T
 	level    zap.AtomicLevel
 	logger   *zap.Logger
 }
 
-// run never returns: a SIGHUP during a drain must not end the process, which is
-// what the signal does where nobody waits for it.
+// run handles SIGHUP and never returns. Without a handler, a SIGHUP during a drain would
+// terminate the process.
 func (r *reloader[T]) run() {
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
@@ -34,16 +35,17 @@
 	}
 }
 
-// reload keeps the old settings where the new ones can't be used.
+// reload applies the log level of the reloaded settings, or keeps the current settings if
+// the new ones are invalid.
 func (r *reloader[T]) reload() {
 	loaded, err := r.load()
 	if err != nil {
-		r.logger.Error("settings refused, the old ones stay", zap.Error(err))
+		r.logger.Error("settings rejected, keeping the current ones", zap.Error(err))
 		return
 	}
 	level, err := zapcore.ParseLevel(*r.logLevel(&loaded))
 	if err != nil {
-		r.logger.Error("settings refused, the old ones stay", zap.Error(err))
+		r.logger.Error("settings rejected, keeping the current ones", zap.Error(err))
 		return
 	}
 	r.level.SetLevel(level)
--- a/cmd/marblering/role.go
+++ b/cmd/marblering/role.go
@@ -16,18 +16,18 @@
 	"github.com/marblering/marblering/telemetry"
 )
 
-// logRoom is how many log lines may wait to be written.
-const logRoom = 2048
+// maxQueuedLogLines bounds the log lines waiting to be written.
+const maxQueuedLogLines = 2048
 
-// role is a daemon with settings of its own.
+// role describes a daemon with its own settings type.
 type role[T any] struct {
 	name     string
 	short    string
 	addFlags func(flags *pflag.FlagSet)
 	load     func(path string, flags *pflag.FlagSet) (T, error)
-	// identity returns the node's name and zone.
+	// identity returns the name and zone of the node.
 	identity func(loaded T) (name, zone string)
-	// logLevel points to the level in the settings.
+	// logLevel returns a pointer to the log level in the settings.
 	logLevel func(loaded *T) *string
 	run      func(ctx context.Context, loaded T, logger *zap.Logger) error
 }
@@ -60,25 +60,25 @@
 	})
 }
 
-func newRoleCommand[T any](wanted role[T]) *cobra.Command {
+func newRoleCommand[T any](r role[T]) *cobra.Command {
 	var path string
 	command := &cobra.Command{
-		Use:   wanted.name,
-		Short: wanted.short,
-		Args:  usage(cobra.NoArgs),
+		Use:   r.name,
+		Short: r.short,
+		Args:  wrapArgsError(cobra.NoArgs),
 		RunE: func(command *cobra.Command, _ []string) error {
 			if path == "" {
-				path = os.Getenv(settingsVariable)
+				path = os.Getenv(settingsEnv)
 			}
-			return wanted.start(command, path)
+			return r.start(command, path)
 		},
 	}
-	command.Flags().StringVar(&path, "settings", "", "settings file (default: $"+settingsVariable+"); flags win over it")
-	wanted.addFlags(command.Flags())
+	command.Flags().StringVar(&path, "settings", "", "settings file (default: $"+settingsEnv+"); flags override it")
+	r.addFlags(command.Flags())
 	return command
 }
 
-// start reads the settings, and again at each SIGHUP, and runs the daemon.
+// start loads the settings, reloads them on SIGHUP and runs the daemon.
 func (r role[T]) start(command *cobra.Command, path string) error {
 	load := func() (T, error) { return r.load(path, command.Flags()) }
 	loaded, err := load()
@@ -89,12 +89,12 @@
 	if err != nil {
 		return err
 	}
-	adjustable := zap.NewAtomicLevelAt(level)
-	lines := telemetry.NewAsyncWriter(command.OutOrStdout(), logRoom)
-	defer lines.Close()
+	atomicLevel := zap.NewAtomicLevelAt(level)
+	logWriter := telemetry.NewAsyncWriter(command.OutOrStdout(), maxQueuedLogLines)
+	defer logWriter.Close()
 	name, zone := r.identity(loaded)
-	logger := telemetry.NewLogger(lines, adjustable, zap.String("node", name), zap.String("zone", zone))
-	reload := reloader[T]{load: load, logLevel: r.logLevel, current: loaded, level: adjustable, logger: logger}
-	go reload.run()
+	logger := telemetry.NewLogger(logWriter, atomicLevel, zap.String("node", name), zap.String("zone", zone))
+	settingsReloader := reloader[T]{load: load, logLevel: r.logLevel, current: loaded, level: atomicLevel, logger: logger}
+	go settingsReloader.run()
 	return r.run(command.Context(), loaded, logger)
 }
