--- a/settings/gateway.go
+++ b/settings/gateway.go
@@ -42,7 +42,7 @@
 	QuotaOver float64 `koanf:"quota_over" validate:"min=0,max=1"`
 	// QuotaSlack is the number of requests allowed beyond QuotaOver within QuotaWindow.
 	QuotaSlack int `koanf:"quota_slack" validate:"min=0,max=100000"`
-	// DrainTimeout bounds a graceful shutdown; the platform kills the process after it.
+	// DrainTimeout bounds a graceful shutdown, after which the process is killed.
 	DrainTimeout time.Duration `koanf:"drain_timeout" validate:"min=1s,max=25h"`
 	// MemoryLimit bounds the memory of the process.
 	MemoryLimit ByteSize `koanf:"memory_limit" validate:"min=16777216"`
@@ -50,7 +50,7 @@
 	LogLevel string `koanf:"log_level" validate:"oneof=debug info warn error"`
 }
 
-// LoadGateway loads and validates the settings of a gateway in the way of [Load].
+// LoadGateway loads and validates the settings of a gateway like [Load] those of a node.
 func LoadGateway(path string, flags *pflag.FlagSet) (Gateway, error) {
 	return newLoader(path, flags, GatewayOptions()).load(checkGatewayListeners)
 }
--- a/settings/storage.go
+++ b/settings/storage.go
@@ -48,7 +48,7 @@
 // after the tolerated losses.
 func (s Storage) ReplicationFactor() int { return 2*s.Losses + 1 }
 
-// LoadStorage loads and validates the settings of a storage node in the way of [Load].
+// LoadStorage loads and validates the settings of a storage node like [Load] those of a node.
 func LoadStorage(path string, flags *pflag.FlagSet) (Storage, error) {
 	return newLoader(path, flags, StorageOptions()).load(checkStorageListeners)
 }
