--- a/telemetry/bounded.go
+++ b/telemetry/bounded.go
@@ -11,11 +11,11 @@
 	"golang.org/x/time/rate"
 )
 
-// closeTimeout bounds Close where nobody reads the log (chosen, not measured).
+// closeTimeout limits how long Close waits for a target that doesn't accept writes.
 const closeTimeout = time.Second
 
-// AsyncWriter writes lines in a goroutine of its own, so that a reader that is
-// slow holds up nobody. Lines that find no room are dropped and counted.
+// AsyncWriter writes lines from a background goroutine, so that a slow target doesn't
+// block callers. Lines that don't fit into the queue are dropped and counted.
 type AsyncWriter struct {
 	lines   chan []byte
 	dropped atomic.Uint64
@@ -24,30 +24,30 @@
 	once    sync.Once
 }
 
-// NewAsyncWriter makes a writer to the target with room for so many lines that wait.
-func NewAsyncWriter(target io.Writer, room int) *AsyncWriter {
-	w := &AsyncWriter{lines: make(chan []byte, room), closing: make(chan struct{}), done: make(chan struct{})}
+// NewAsyncWriter starts a writer to target that queues up to capacity lines.
+func NewAsyncWriter(target io.Writer, capacity int) *AsyncWriter {
+	w := &AsyncWriter{lines: make(chan []byte, capacity), closing: make(chan struct{}), done: make(chan struct{})}
 	go w.run(target)
 	return w
 }
 
-// run writes lines until Close.
+// run writes queued lines until Close is called.
 func (w *AsyncWriter) run(target io.Writer) {
 	defer close(w.done)
 	for {
 		select {
 		case line := <-w.lines:
-			// Nobody can be told that the log can't be written.
+			// A failure to write the log can't be logged.
 			_, _ = target.Write(line)
 		case <-w.closing:
-			w.writeRest(target)
+			w.drain(target)
 			return
 		}
 	}
 }
 
-// writeRest writes what waits now.
-func (w *AsyncWriter) writeRest(target io.Writer) {
+// drain writes the lines that are queued at present.
+func (w *AsyncWriter) drain(target io.Writer) {
 	for {
 		select {
 		case line := <-w.lines:
@@ -58,7 +58,7 @@
 	}
 }
 
-// Write implements io.Writer. It never blocks; lines after Close are lost.
+// Write implements io.Writer. It never blocks. Lines written after Close are lost.
 func (w *AsyncWriter) Write(line []byte) (int, error) {
 	copied := append([]byte(nil), line...)
 	select {
@@ -69,10 +69,10 @@
 	return len(line), nil
 }
 
-// Dropped is how many lines found no room.
+// Dropped returns the number of lines dropped because the queue was full.
 func (w *AsyncWriter) Dropped() uint64 { return w.dropped.Load() }
 
-// Close writes what waits, for closeTimeout at most.
+// Close writes the queued lines and returns after closeTimeout at the latest.
 func (w *AsyncWriter) Close() {
 	w.once.Do(func() { close(w.closing) })
 	select {
@@ -81,47 +81,48 @@
 	}
 }
 
-// Limited returns a logger that writes at most so many lines a second, and after a quiet
-// time a burst at once. Further lines are dropped; the next one that is written says how
-// many these were.
+// Limited returns a logger that writes at most perSecond lines per second, with bursts of up
+// to burst lines. Lines above the limit are dropped, and the next line written has their
+// number in the field dropped_before.
 func Limited(logger *zap.Logger, perSecond float64, burst int) *zap.Logger {
 	limiter := &lineLimiter{limiter: rate.NewLimiter(rate.Limit(perSecond), burst)}
 	return logger.WithOptions(zap.WrapCore(func(core zapcore.Core) zapcore.Core {
-		return limitedCore{Core: core, shared: limiter}
+		return rateLimitedCore{Core: core, shared: limiter}
 	}))
 }
 
-// followLines bounds the lines a second about the ways by which a node follows the store,
-// and followBurst is what may be saved up: while the store is away each follower tries
-// other holders several times a second (both chosen, not measured).
+// Limits of the logger that Following returns. While the store is unreachable, each follower
+// tries other holders several times a second.
 const (
-	followLines = 10
-	followBurst = 50
+	followerLogRate  = 10 // lines per second
+	followerLogBurst = 50 // lines
 )
 
-// Following returns the logger for the ways by which a node follows the store, and for
-// slots of quotas and their holders, which fail as often.
-func Following(logger *zap.Logger) *zap.Logger { return Limited(logger, followLines, followBurst) }
+// Following returns a rate-limited logger for components that follow the store and for
+// quota slots and their holders, which can fail just as often.
+func Following(logger *zap.Logger) *zap.Logger {
+	return Limited(logger, followerLogRate, followerLogBurst)
+}
 
-// lineLimiter is what the loggers that were made of one limited logger share.
+// lineLimiter is the state that a limited logger shares with the loggers derived from it.
 type lineLimiter struct {
 	limiter *rate.Limiter
 	dropped atomic.Uint64
 }
 
-// limitedCore applies a limit to a logger.
-type limitedCore struct {
+// rateLimitedCore drops entries above the rate of its lineLimiter.
+type rateLimitedCore struct {
 	zapcore.Core
 	shared *lineLimiter
 }
 
 // With implements zapcore.Core.
-func (c limitedCore) With(fields []zapcore.Field) zapcore.Core {
-	return limitedCore{Core: c.Core.With(fields), shared: c.shared}
+func (c rateLimitedCore) With(fields []zapcore.Field) zapcore.Core {
+	return rateLimitedCore{Core: c.Core.With(fields), shared: c.shared}
 }
 
 // Check implements zapcore.Core.
-func (c limitedCore) Check(entry zapcore.Entry, checked *zapcore.CheckedEntry) *zapcore.CheckedEntry {
+func (c rateLimitedCore) Check(entry zapcore.Entry, checked *zapcore.CheckedEntry) *zapcore.CheckedEntry {
 	if !c.Enabled(entry.Level) {
 		return checked
 	}
@@ -133,7 +134,7 @@
 }
 
 // Write implements zapcore.Core.
-func (c limitedCore) Write(entry zapcore.Entry, fields []zapcore.Field) error {
+func (c rateLimitedCore) Write(entry zapcore.Entry, fields []zapcore.Field) error {
 	if dropped := c.shared.dropped.Swap(0); dropped > 0 {
 		fields = append(fields, zap.Uint64("dropped_before", dropped))
 	}
--- a/telemetry/bounded_test.go
+++ b/telemetry/bounded_test.go
@@ -13,31 +13,31 @@
 	"github.com/marblering/marblering/telemetry"
 )
 
-// stuckWriter takes nothing until it is let go.
-type stuckWriter struct {
-	free  chan struct{}
-	mutex sync.Mutex
-	text  bytes.Buffer
+// blockedWriter blocks every write until unblock is closed.
+type blockedWriter struct {
+	unblock chan struct{}
+	mutex   sync.Mutex
+	text    bytes.Buffer
 }
 
-func (w *stuckWriter) Write(line []byte) (int, error) {
-	<-w.free
+func (w *blockedWriter) Write(line []byte) (int, error) {
+	<-w.unblock
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return w.text.Write(line)
 }
 
-// TestAsyncWriterNeverBlocks: lines beyond its room are dropped and counted, the
-// others are written in order.
+// Writing to a blocked target must not block the caller: lines that don't fit into the
+// queue are dropped and counted, and all others are written.
 func TestAsyncWriterNeverBlocks(t *testing.T) {
-	target := &stuckWriter{free: make(chan struct{})}
+	target := &blockedWriter{unblock: make(chan struct{})}
 	writer := telemetry.NewAsyncWriter(target, 3)
 	for range 10 {
 		_, err := writer.Write([]byte("line\n"))
 		assert.NilError(t, err)
 	}
 	assert.Assert(t, writer.Dropped() >= 6, "%d dropped", writer.Dropped())
-	close(target.free)
+	close(target.unblock)
 	writer.Close()
 	_, err := writer.Write([]byte("too late"))
 	assert.NilError(t, err)
@@ -45,8 +45,9 @@
 	assert.Equal(t, uint64(written)+writer.Dropped(), uint64(10))
 }
 
-// TestLimitedTellsWhatItDropped, and leaves other loggers alone.
-func TestLimitedTellsWhatItDropped(t *testing.T) {
+// A limited logger drops lines above its limit and doesn't affect the logger that it was
+// made from.
+func TestLimitedDropsLinesAboveLimit(t *testing.T) {
 	var text bytes.Buffer
 	logger := telemetry.NewLogger(&text, zapcore.InfoLevel)
 	limited := telemetry.Limited(logger, 0.000001, 2).With(zap.String("part", "a"))
