--- a/telemetry/handler.go
+++ b/telemetry/handler.go
@@ -11,31 +11,31 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 )
 
-// Paths that the handler serves.
+// Paths served by the handler.
 const (
 	MetricsPath = "/metrics"
 	HealthPath  = "/healthz"
 	ReadyPath   = "/readyz"
 )
 
-// readyTimeout bounds the checks of one readiness request (chosen, not measured).
+// readyTimeout limits the time of all checks of one readiness request.
 const readyTimeout = 2 * time.Second
 
-// NewHandler serves the metrics, the liveness and the readiness of a node.
+// NewHandler returns a handler for the metrics, liveness and readiness of a node.
 //
-//   - /metrics: the gathered metrics in Prometheus' text format;
-//   - /healthz: 200 as long as the process answers;
-//   - /readyz: 200 when every check passes, otherwise 503; one line a check.
+//   - /metrics: the gathered metrics in the Prometheus text format;
+//   - /healthz: 200 while the process responds;
+//   - /readyz: 200 if every check passes, otherwise 503, with one line per check.
 func NewHandler(metrics prometheus.Gatherer, readiness *Readiness) http.Handler {
 	return NewHandlerAt(ReadyPath, metrics, readiness)
 }
 
-// NewHandlerAt is NewHandler with another path for the readiness.
+// NewHandlerAt is like NewHandler but serves readiness at readyPath.
 func NewHandlerAt(readyPath string, metrics prometheus.Gatherer, readiness *Readiness) http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("GET "+MetricsPath, promhttp.HandlerFor(metrics, promhttp.HandlerOpts{}))
 	mux.HandleFunc("GET "+HealthPath, serveHealth)
-	mux.Handle("GET "+readyPath, readyHandler{readiness: readiness})
+	mux.Handle("GET "+readyPath, readinessHandler{readiness: readiness})
 	return mux
 }
 
@@ -43,13 +43,13 @@
 	writeText(w, http.StatusOK, "ok\n")
 }
 
-// readyHandler answers whether the node is ready.
-type readyHandler struct {
+// readinessHandler serves the readiness of a node.
+type readinessHandler struct {
 	readiness *Readiness
 }
 
-// ServeHTTP implements http.Handler: it runs the checks and reports one line each.
-func (h readyHandler) ServeHTTP(w http.ResponseWriter, request *http.Request) {
+// ServeHTTP implements http.Handler. It runs all checks and writes one line per check.
+func (h readinessHandler) ServeHTTP(w http.ResponseWriter, request *http.Request) {
 	ctx, cancel := context.WithTimeout(request.Context(), readyTimeout)
 	defer cancel()
 	status := http.StatusOK
@@ -68,6 +68,6 @@
 func writeText(w http.ResponseWriter, status int, text string) {
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 	w.WriteHeader(status)
-	// A failed write means that the client left; nobody is there to be told.
+	// A failed write means that the client has disconnected.
 	_, _ = w.Write([]byte(text))
 }
--- a/telemetry/logger.go
+++ b/telemetry/logger.go
@@ -1,9 +1,9 @@
-// Package telemetry holds what a daemon tells its operators: log lines of key=value
-// pairs, metrics for Prometheus, liveness and readiness.
+// Package telemetry provides logging in logfmt, Prometheus metrics, and liveness and
+// readiness endpoints for the daemons.
 //
-// It owns the form of the lines and the paths on the operators' address. What is logged,
-// counted and checked is up to the parts that use it. It relies on zap and on the client
-// library of Prometheus.
+// It defines the format of log lines and the HTTP paths for operators. The packages that
+// use it decide what is logged, counted and checked. It builds on zap and on the Prometheus
+// client library.
 package telemetry
 
 import (
@@ -14,7 +14,7 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// Keys that every log line has.
+// Keys of the standard fields of a log line.
 const (
 	timeKey    = "time"
 	levelKey   = "level"
@@ -22,9 +22,9 @@
 	nameKey    = "logger"
 )
 
-// NewLogger returns a logger that writes one line of key=value pairs an event,
-// with the fields on every line. Times are in UTC, durations in seconds.
-// Writes are serialized, so that w need not be safe for concurrent use.
+// NewLogger returns a logger that writes each entry as one line of key=value pairs and
+// adds fields to every line. Times are in UTC, durations in seconds. Writes are
+// serialized, so w need not be safe for concurrent use.
 func NewLogger(w io.Writer, level zapcore.LevelEnabler, fields ...zap.Field) *zap.Logger {
 	config := zapcore.EncoderConfig{
 		TimeKey:        timeKey,
@@ -36,23 +36,23 @@
 		EncodeDuration: zapcore.SecondsDurationEncoder,
 	}
 	sink := zapcore.Lock(zapcore.AddSync(w))
-	core := plainErrors{zapcore.NewCore(zaplogfmt.NewEncoder(config), sink, level)}
+	core := errorTextCore{zapcore.NewCore(zaplogfmt.NewEncoder(config), sink, level)}
 	return zap.New(core).With(fields...)
 }
 
-// plainErrors writes errors by their text alone. zap would add a field with the
-// stack for errors that have one, which makes lines of several kilobytes.
-type plainErrors struct {
+// errorTextCore logs errors by their message only. For errors with a stack trace, zap would
+// add a second field with the trace, which makes lines several kilobytes long.
+type errorTextCore struct {
 	zapcore.Core
 }
 
 // With implements zapcore.Core.
-func (p plainErrors) With(fields []zapcore.Field) zapcore.Core {
-	return plainErrors{p.Core.With(withoutStacks(fields))}
+func (p errorTextCore) With(fields []zapcore.Field) zapcore.Core {
+	return errorTextCore{p.Core.With(withoutStacks(fields))}
 }
 
 // Check implements zapcore.Core.
-func (p plainErrors) Check(entry zapcore.Entry, checked *zapcore.CheckedEntry) *zapcore.CheckedEntry {
+func (p errorTextCore) Check(entry zapcore.Entry, checked *zapcore.CheckedEntry) *zapcore.CheckedEntry {
 	if p.Enabled(entry.Level) {
 		return checked.AddCore(entry, p)
 	}
@@ -60,11 +60,11 @@
 }
 
 // Write implements zapcore.Core.
-func (p plainErrors) Write(entry zapcore.Entry, fields []zapcore.Field) error {
+func (p errorTextCore) Write(entry zapcore.Entry, fields []zapcore.Field) error {
 	return p.Core.Write(entry, withoutStacks(fields))
 }
 
-// withoutStacks replaces errors by their texts.
+// withoutStacks replaces error fields by string fields with the error's message.
 func withoutStacks(fields []zapcore.Field) []zapcore.Field {
 	plain := make([]zapcore.Field, len(fields))
 	for index, field := range fields {
--- a/telemetry/readiness.go
+++ b/telemetry/readiness.go
@@ -5,11 +5,11 @@
 	"sync"
 )
 
-// Check returns nil while the part it stands for can serve requests, and
-// otherwise what it waits for. It must return soon after ctx ends.
+// Check returns nil if a component can serve requests, and otherwise an error that says
+// what is missing. It must return soon after ctx is done.
 type Check func(ctx context.Context) error
 
-// Readiness is a set of named checks. It is safe for concurrent use.
+// Readiness is a list of named checks. It is safe for concurrent use.
 type Readiness struct {
 	mutex  sync.Mutex
 	checks []namedCheck
@@ -23,21 +23,21 @@
 // CheckResult is the outcome of one check.
 type CheckResult struct {
 	Name string
-	// Err is nil where the check passed.
+	// Err is nil if the check passed.
 	Err error
 }
 
-// NewReadiness returns a set without checks, which counts as ready.
+// NewReadiness returns a Readiness without checks, which counts as ready.
 func NewReadiness() *Readiness { return &Readiness{} }
 
-// Add adds a check. Checks are run and reported in the order they were added.
+// Add adds a check. Checks run and are reported in the order of their addition.
 func (r *Readiness) Add(name string, check Check) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.checks = append(r.checks, namedCheck{name: name, check: check})
 }
 
-// Run runs every check, one after the other.
+// Run runs all checks one after the other and returns their results.
 func (r *Readiness) Run(ctx context.Context) []CheckResult {
 	r.mutex.Lock()
 	checks := append([]namedCheck(nil), r.checks...)
--- a/telemetry/registry.go
+++ b/telemetry/registry.go
@@ -5,8 +5,9 @@
 	"github.com/prometheus/client_golang/prometheus/collectors"
 )
 
-// NewRegistry returns a registry with the metrics of the Go runtime and of the
-// process. Names end in their unit, such as _seconds, _bytes or _total.
+// NewRegistry returns a registry with collectors for the Go runtime, the process and the
+// build information. Metric names end in their unit or kind, such as _seconds, _bytes or
+// _total.
 func NewRegistry() *prometheus.Registry {
 	registry := prometheus.NewRegistry()
 	registry.MustRegister(
@@ -17,11 +18,11 @@
 	return registry
 }
 
-// StoreCalls is the counter of the calls that a process makes to the store itself,
-// by kind of objects.
+// StoreCalls is the name of the counter of list and watch calls that a process makes
+// directly to the store, labelled by the kind of objects.
 const StoreCalls = "marblering_store_calls_total"
 
-// NewStoreCalls makes the counter StoreCalls. It isn't registered yet.
+// NewStoreCalls returns the counter named StoreCalls. The caller registers it.
 func NewStoreCalls() *prometheus.CounterVec {
 	return prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: StoreCalls, Help: "Listings and watches that the store itself was asked for, by kind of objects.",
--- a/telemetry/telemetry_test.go
+++ b/telemetry/telemetry_test.go
@@ -17,7 +17,7 @@
 	"github.com/marblering/marblering/telemetry"
 )
 
-func TestLoggerWritesOneLineAnEvent(t *testing.T) {
+func TestLoggerWritesOneLinePerEntry(t *testing.T) {
 	cases := []struct {
 		name   string
 		fields []zap.Field
@@ -62,7 +62,7 @@
 	assert.Equal(t, get(t, handler, "/other").Code, http.StatusNotFound)
 }
 
-func TestReadinessFollowsChecks(t *testing.T) {
+func TestReadinessReflectsChecks(t *testing.T) {
 	readiness := telemetry.NewReadiness()
 	handler := telemetry.NewHandler(telemetry.NewRegistry(), readiness)
 	assert.Equal(t, get(t, handler, telemetry.ReadyPath).Code, http.StatusOK)
