--- a/telemetry/workload.go
+++ b/telemetry/workload.go
@@ -13,36 +13,34 @@
 	"go.uber.org/zap"
 )
 
-// WorkloadInterval is the pause between two lines about a node's work: short enough to
-// tell the seconds of a failure apart, long enough to cost next to nothing (chosen, not
-// measured).
+// WorkloadInterval is the time between two workload lines: short enough to follow a failure
+// closely, long enough to cost almost nothing.
 const WorkloadInterval = 2 * time.Second
 
-// allocatedBytes and collections are names of runtime/metrics.
+// Names of metrics in runtime/metrics.
 const (
-	allocatedBytes = "/gc/heap/allocs:bytes"
-	collections    = "/gc/cycles/total:gc-cycles"
+	heapAllocsMetric = "/gc/heap/allocs:bytes"
+	gcCyclesMetric   = "/gc/cycles/total:gc-cycles"
 )
 
-// Workload logs what a node did since the last such line: processor time, memory
-// allocated, and how much each of the named counters grew. Logs are often all that is
-// left of a failure, and without these lines an overloaded node can't be told from one
-// that waits. It is a suture service.
+// Workload periodically logs what the process did since its previous line: CPU time used,
+// memory allocated, and the increase of each selected counter. These lines let a reader of
+// the logs tell an overloaded node from one that waits. It is a suture service.
 type Workload struct {
 	registry prometheus.Gatherer
-	// counters are the names of the counters that are logged, with the field
-	// that stands for each of them.
+	// counters maps the names of the logged counters to the prefixes of their fields.
 	counters map[string]string
 	logger   *zap.Logger
 }
 
-// NewWorkload makes the service. Counters maps names of the registry's counters to the
-// prefix of their fields, which the values of the counter's labels follow.
+// NewWorkload returns a Workload that reads its counters from registry. The keys of counters
+// are names of counters; the values are the prefixes of their log fields, to which the label
+// values are appended.
 func NewWorkload(registry prometheus.Gatherer, counters map[string]string, logger *zap.Logger) *Workload {
 	return &Workload{registry: registry, counters: counters, logger: logger}
 }
 
-// String names the service in the supervisor's messages.
+// String returns the service name that the supervisor logs.
 func (w *Workload) String() string { return "workload" }
 
 // Serve implements suture.Service.
@@ -56,34 +54,34 @@
 			return ctx.Err()
 		case <-ticker.C:
 			now := w.sample()
-			w.logger.Info("workload", now.since(before)...)
+			w.logger.Info("workload", now.fieldsSince(before)...)
 			before = now
 		}
 	}
 }
 
-// workSample is what a process had done at one moment.
-type workSample struct {
-	at          time.Time
-	processor   time.Duration
-	allocated   uint64
-	collections uint64
-	counted     map[string]float64
+// workloadSample holds the process's cumulative figures at one time.
+type workloadSample struct {
+	at         time.Time
+	cpuTime    time.Duration
+	heapAllocs uint64
+	gcCycles   uint64
+	counters   map[string]float64
 }
 
-// sample reads what the process has done up to now.
-func (w *Workload) sample() workSample {
-	readings := []metrics.Sample{{Name: allocatedBytes}, {Name: collections}}
-	metrics.Read(readings)
-	return workSample{
-		at: time.Now(), processor: ProcessorTime(), allocated: readings[0].Value.Uint64(),
-		collections: readings[1].Value.Uint64(), counted: w.count(),
+// sample reads the current figures.
+func (w *Workload) sample() workloadSample {
+	samples := []metrics.Sample{{Name: heapAllocsMetric}, {Name: gcCyclesMetric}}
+	metrics.Read(samples)
+	return workloadSample{
+		at: time.Now(), cpuTime: CPUTime(), heapAllocs: samples[0].Value.Uint64(),
+		gcCycles: samples[1].Value.Uint64(), counters: w.readCounters(),
 	}
 }
 
-// ProcessorTime is the time that the process has used of all cores; zero where the system
-// doesn't tell.
-func ProcessorTime() time.Duration {
+// CPUTime returns the user and system CPU time that the process has used on all cores, or
+// zero if the system doesn't report it.
+func CPUTime() time.Duration {
 	var usage syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &usage) != nil {
 		return 0
@@ -91,28 +89,29 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// count reads the named counters. What can't be gathered is left out of the line.
-func (w *Workload) count() map[string]float64 {
+// readCounters returns the values of the selected counters by field name. Counters that
+// can't be gathered are left out.
+func (w *Workload) readCounters() map[string]float64 {
 	families, err := w.registry.Gather()
 	if err != nil {
-		w.logger.Info("workload counted in part", zap.Error(err))
+		w.logger.Info("workload counters incomplete", zap.Error(err))
 	}
-	counted := make(map[string]float64)
+	counters := make(map[string]float64)
 	for _, family := range families {
 		prefix, wanted := w.counters[family.GetName()]
 		if !wanted {
 			continue
 		}
 		for _, metric := range family.GetMetric() {
-			counted[fieldOf(prefix, metric.GetLabel())] += metric.GetCounter().GetValue()
+			counters[fieldName(prefix, metric.GetLabel())] += metric.GetCounter().GetValue()
 		}
 	}
-	return counted
+	return counters
 }
 
-// fieldOf joins the prefix and the values of the labels. Of a path only the last
-// part is taken: procedures are named by paths.
-func fieldOf(prefix string, labels []*dto.LabelPair) string {
+// fieldName joins the prefix and the label values with underscores. Of a value that is a
+// path, such as the name of a procedure, it uses the last segment only.
+func fieldName(prefix string, labels []*dto.LabelPair) string {
 	parts := []string{prefix}
 	for _, label := range labels {
 		value := label.GetValue()
@@ -121,19 +120,20 @@
 	return strings.Join(parts, "_")
 }
 
-// since are the fields of the line; counters that didn't grow are left out.
-func (s workSample) since(before workSample) []zap.Field {
+// fieldsSince returns the log fields with the changes since before. Counters that didn't
+// increase are left out.
+func (s workloadSample) fieldsSince(before workloadSample) []zap.Field {
 	const mebibyte = 1 << 20
-	processor := s.processor - before.processor
+	cpuTime := s.cpuTime - before.cpuTime
 	fields := []zap.Field{
-		zap.Duration("processor", processor),
-		zap.Float64("cores", math.Round(1000*processor.Seconds()/s.at.Sub(before.at).Seconds())/1000),
-		zap.Uint64("allocated_mib", (s.allocated-before.allocated)/mebibyte),
-		zap.Uint64("collections", s.collections-before.collections),
+		zap.Duration("processor", cpuTime),
+		zap.Float64("cores", math.Round(1000*cpuTime.Seconds()/s.at.Sub(before.at).Seconds())/1000),
+		zap.Uint64("allocated_mib", (s.heapAllocs-before.heapAllocs)/mebibyte),
+		zap.Uint64("collections", s.gcCycles-before.gcCycles),
 	}
-	for name, value := range s.counted {
-		if grown := value - before.counted[name]; grown > 0 {
-			fields = append(fields, zap.Float64(name, grown))
+	for name, value := range s.counters {
+		if increase := value - before.counters[name]; increase > 0 {
+			fields = append(fields, zap.Float64(name, increase))
 		}
 	}
 	return fields
--- a/telemetry/workload_test.go
+++ b/telemetry/workload_test.go
@@ -15,9 +15,9 @@
 	"github.com/marblering/marblering/test/bubble"
 )
 
-// TestWorkloadTellsWhatGrew: a line says how much the named counters grew since
-// the line before, and nothing of others.
-func TestWorkloadTellsWhatGrew(t *testing.T) {
+// Each line must have the increase of the selected counters since the previous line, and
+// must leave out all other counters.
+func TestWorkloadLogsCounterIncreases(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		registry := prometheus.NewRegistry()
 		requests := prometheus.NewCounterVec(prometheus.CounterOpts{Name: "requests_total"}, []string{"procedure", "side"})
