--- a/telemetry/logger.go
+++ b/telemetry/logger.go
@@ -47,21 +47,21 @@
 }
 
 // With implements zapcore.Core.
-func (p errorTextCore) With(fields []zapcore.Field) zapcore.Core {
-	return errorTextCore{p.Core.With(withoutStacks(fields))}
+func (c errorTextCore) With(fields []zapcore.Field) zapcore.Core {
+	return errorTextCore{c.Core.With(withoutStacks(fields))}
 }
 
 // Check implements zapcore.Core.
-func (p errorTextCore) Check(entry zapcore.Entry, checked *zapcore.CheckedEntry) *zapcore.CheckedEntry {
-	if p.Enabled(entry.Level) {
-		return checked.AddCore(entry, p)
+func (c errorTextCore) Check(entry zapcore.Entry, checked *zapcore.CheckedEntry) *zapcore.CheckedEntry {
+	if c.Enabled(entry.Level) {
+		return checked.AddCore(entry, c)
 	}
 	return checked
 }
 
 // Write implements zapcore.Core.
-func (p errorTextCore) Write(entry zapcore.Entry, fields []zapcore.Field) error {
-	return p.Core.Write(entry, withoutStacks(fields))
+func (c errorTextCore) Write(entry zapcore.Entry, fields []zapcore.Field) error {
+	return c.Core.Write(entry, withoutStacks(fields))
 }
 
 // withoutStacks replaces error fields by string fields with the error's message.
