--- a/telemetry/logfile/logfile.go
+++ b/telemetry/logfile/logfile.go
@@ -1,10 +1,8 @@
-// Package logfile reads the key=value logs of several processes back and collects, in the
-// order of time, what they say of one request, of the starts of processes, and of the
-// tries of callers.
+// Package logfile parses the key=value logs of several processes and extracts the lines of
+// one request, the starts of processes, and the outcomes of callers' requests.
 //
-// It keeps nothing between calls. It relies on the form of the lines that package
-// telemetry writes, and on the messages and fields of the lines about requests, which
-// package transport/relay writes.
+// It keeps no state between calls. It depends on the line format of package telemetry and on
+// the messages and fields that package transport/relay logs about requests.
 package logfile
 
 import (
@@ -18,21 +16,21 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// maxLineBytes bounds one line; processes write far shorter ones (chosen, not measured).
+// maxLineBytes limits the length of a line. A longer line makes reading the log fail.
 const maxLineBytes = 1 << 20
 
-// Field is one key=value pair, with the value unquoted.
+// Field is a key=value pair with the value unquoted.
 type Field struct {
 	Key, Value string
 }
 
-// Line is one line of a log.
+// Line is a parsed log line.
 type Line struct {
 	Time   time.Time
 	Fields []Field
 }
 
-// Get returns the value of the key, empty where there is none.
+// Get returns the value of the key, or an empty string if there is none.
 func (l Line) Get(key string) string {
 	for _, f := range l.Fields {
 		if f.Key == key {
@@ -42,8 +40,8 @@
 	return ""
 }
 
-// Parse reads one line, and tells whether it is one. What stands before its time is left
-// out, so that logs may have passed through a collector that writes a prefix.
+// Parse parses a log line and reports whether text is one. It ignores text before the time
+// field, such as the prefix of a log collector.
 func Parse(text string) (Line, bool) {
 	start := strings.Index(text, "time=")
 	if start < 0 || start > 0 && text[start-1] != ' ' {
@@ -67,11 +65,11 @@
 	return line, err == nil
 }
 
-// cutValue takes a plain or quoted value off the text.
+// cutValue splits text after a leading plain or quoted value and unquotes the value.
 func cutValue(text string) (value, rest string, ok bool) {
 	if !strings.HasPrefix(text, `"`) {
 		value, rest, _ = strings.Cut(text, " ")
-		// The encoder escapes backslashes in plain values as well.
+		// The encoder also escapes backslashes in unquoted values.
 		if plain, err := strconv.Unquote(`"` + value + `"`); err == nil {
 			value = plain
 		}
@@ -85,27 +83,26 @@
 	return value, text[len(quoted):], err == nil
 }
 
-// Story is what logs say of one request.
+// Story holds the log lines about a request, a program or an instance.
 type Story struct {
-	// Lines name the request, oldest first.
+	// Lines are the lines that have the ID as a value, oldest first.
 	Lines []Line
-	// Context are other decisions of the same nodes within the time of the
-	// request and the window before it, oldest first.
+	// Context holds the lines of the same nodes that belong to no request, from the
+	// window before the first request arrived to the last of Lines, oldest first.
 	Context []Line
 }
 
-// Find reads the logs and returns the story of the request, program or instance with the
-// id; an empty one where no line names it. Lines of other requests aren't part of it. It
-// fails where a log can't be read.
+// Find reads the logs and returns the lines about the request, program or instance with the
+// ID. The result is empty if no line has the ID. It fails if a log can't be read.
 func Find(logs []io.Reader, id string, window time.Duration) (Story, error) {
-	all, err := readAll(logs)
+	all, err := readLogs(logs)
 	if err != nil {
 		return Story{}, err
 	}
 	var story Story
 	nodes := make(map[string]bool)
 	for _, l := range all {
-		if l.names(id) {
+		if l.hasValue(id) {
 			story.Lines = append(story.Lines, l)
 			nodes[l.Get("node")] = true
 		}
@@ -113,19 +110,19 @@
 	if len(story.Lines) == 0 {
 		return story, nil
 	}
-	first, last := story.span(window)
+	first, last := story.contextPeriod(window)
 	for _, l := range all {
-		isBeside := nodes[l.Get("node")] && !l.isOfRequest() && !l.names(id)
-		if isBeside && !l.Time.Before(first) && !l.Time.After(last) {
+		isContext := nodes[l.Get("node")] && !l.belongsToRequest() && !l.hasValue(id)
+		if isContext && !l.Time.Before(first) && !l.Time.After(last) {
 			story.Context = append(story.Context, l)
 		}
 	}
 	return story, nil
 }
 
-// span is the time in which other decisions may have mattered: from the window
-// before the request arrived to its last line.
-func (s Story) span(window time.Duration) (first, last time.Time) {
+// contextPeriod returns the period from which context lines are taken: from the window before
+// the request arrived to its last line.
+func (s Story) contextPeriod(window time.Duration) (first, last time.Time) {
 	first, last = s.Lines[0].Time, s.Lines[len(s.Lines)-1].Time
 	for _, l := range s.Lines {
 		if arrived := l.Time.Add(-l.duration("took")); arrived.Before(first) {
@@ -135,11 +132,11 @@
 	return first.Add(-window), last
 }
 
-// readAll returns the lines of all logs in the order of time.
-func readAll(logs []io.Reader) ([]Line, error) {
+// readLogs returns the lines of all logs, sorted by time.
+func readLogs(logs []io.Reader) ([]Line, error) {
 	var all []Line
 	for _, log := range logs {
-		lines, err := read(log)
+		lines, err := readLog(log)
 		if err != nil {
 			return nil, err
 		}
@@ -149,8 +146,8 @@
 	return all, nil
 }
 
-// read returns the lines of one log; what isn't such a line is passed over.
-func read(log io.Reader) ([]Line, error) {
+// readLog returns the lines of one log and skips text that isn't a log line.
+func readLog(log io.Reader) ([]Line, error) {
 	var lines []Line
 	scanner := bufio.NewScanner(log)
 	scanner.Buffer(nil, maxLineBytes)
@@ -159,13 +156,13 @@
 			lines = append(lines, l)
 		}
 	}
-	return lines, merry.Prepend(scanner.Err(), "read a log")
+	return lines, merry.Prepend(scanner.Err(), "read log")
 }
 
-// names tells whether one of the line's values is the id.
-func (l Line) names(id string) bool {
+// hasValue reports whether a field of the line has the value id.
+func (l Line) hasValue(id string) bool {
 	return slices.ContainsFunc(l.Fields, func(f Field) bool { return f.Value == id })
 }
 
-// isOfRequest tells whether the line belongs to some request.
-func (l Line) isOfRequest() bool { return l.Get("request") != "" || l.Get("turn") != "" }
+// belongsToRequest reports whether the line has the ID of a request or turn.
+func (l Line) belongsToRequest() bool { return l.Get("request") != "" || l.Get("turn") != "" }
--- a/telemetry/logfile/logfile_test.go
+++ b/telemetry/logfile/logfile_test.go
@@ -30,17 +30,17 @@
 		fmt.Println(strings.TrimSpace(l.Get("node") + " " + l.Get("msg") + " " + l.Get("reason")))
 	}
 	for _, l := range story.Context {
-		fmt.Println("beside:", l.Get("node"), l.Get("msg"))
+		fmt.Println("context:", l.Get("node"), l.Get("msg"))
 	}
 	// Output:
 	// edge-1 trying another back end
 	// storage-1 budget refused
 	// edge-1 not answered a "quoted" reason
-	// beside: edge-1 store lost
-	// beside: storage-1 replica set not changed
+	// context: edge-1 store lost
+	// context: storage-1 replica set not changed
 }
 
-func TestUnknownID(t *testing.T) {
+func TestFindUnknownID(t *testing.T) {
 	story, err := logfile.Find([]io.Reader{strings.NewReader(gatewayLog)}, "r3", time.Second)
 	assert.NilError(t, err)
 	assert.Equal(t, len(story.Lines)+len(story.Context), 0)
--- a/telemetry/logfile/starts.go
+++ b/telemetry/logfile/starts.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// startedMessage is the first line of a process.
+// startedMessage is the first log message of a process.
 const startedMessage = "started"
 
-// milestones are the lines that a process logs when it has what it depends on.
+// milestones returns the messages that mark the progress of a start.
 func milestones() []string {
 	return []string{
 		"mirrored objects taken", "configuration in force", "instances changed", "replica sets learned",
@@ -21,44 +21,44 @@
 type Start struct {
 	Node string
 	At   time.Time
-	// Reached are the milestones in the order of time, each once.
+	// Reached holds the milestones in the order of time, each once.
 	Reached []Milestone
 }
 
-// Milestone is when something was there for the first time after a start.
+// Milestone is the first occurrence of a message after a start.
 type Milestone struct {
 	Message string
-	// After is counted from the start's line.
+	// After is the time since the start.
 	After time.Duration
 }
 
-// Starts finds the starts of processes in the logs, oldest first, and when each process
-// had what it depends on. It fails where a log can't be read.
+// Starts returns the process starts in the logs, oldest first, with the milestones that
+// each process reached. It fails if a log can't be read.
 func Starts(logs []io.Reader) ([]Start, error) {
-	all, err := readAll(logs)
+	all, err := readLogs(logs)
 	if err != nil {
 		return nil, err
 	}
 	var starts []Start
-	newest := make(map[string]int)
+	latest := make(map[string]int)
 	for _, l := range all {
 		node, message := l.Get("node"), l.Get("msg")
 		if message == startedMessage {
-			newest[node] = len(starts)
+			latest[node] = len(starts)
 			starts = append(starts, Start{Node: node, At: l.Time})
 			continue
 		}
-		if index, found := newest[node]; found && slices.Contains(milestones(), message) {
-			starts[index].reach(message, l.Time)
+		if index, found := latest[node]; found && slices.Contains(milestones(), message) {
+			starts[index].addMilestone(message, l.Time)
 		}
 	}
 	return starts, nil
 }
 
-// reach notes a milestone, unless it was reached before.
-func (s *Start) reach(message string, at time.Time) {
-	isKnown := slices.ContainsFunc(s.Reached, func(known Milestone) bool { return known.Message == message })
-	if !isKnown {
+// addMilestone records a milestone unless it was reached before.
+func (s *Start) addMilestone(message string, at time.Time) {
+	isRecorded := slices.ContainsFunc(s.Reached, func(reached Milestone) bool { return reached.Message == message })
+	if !isRecorded {
 		s.Reached = append(s.Reached, Milestone{Message: message, After: at.Sub(s.At)})
 	}
 }
--- a/telemetry/logfile/times.go
+++ b/telemetry/logfile/times.go
@@ -6,41 +6,40 @@
 	"time"
 )
 
-// Messages of the gateway that end a request.
+// Log messages of the gateway at the end of a request.
 const (
 	answeredMessage = "answered"
 	failedMessage   = "not answered"
 )
 
-// Times say where the time of a program went, by the lines of its requests. Requests that
-// ran side by side count one by one, so that the parts may come to more than the whole.
+// Times is a breakdown of the time that the requests of a program took. Concurrent requests
+// are counted separately, so the parts may add up to more than Whole.
 type Times struct {
-	// Answered and Failed are how many of its requests were and weren't answered.
+	// Answered and Failed are the numbers of answered and failed requests.
 	Answered, Failed int
-	// Whole is the time from the arrival of the first request to the end of the
-	// last.
+	// Whole is the time from the arrival of the first request to the end of the last.
 	Whole time.Duration
-	// Preparing went to reading the bodies, and for turns to reserving the budget and
-	// reading the turns before.
+	// Preparing is the time spent on reading request bodies and, for turns, on reserving
+	// the budget and reading the previous turns.
 	Preparing time.Duration
-	// Waiting is the time until the first byte of the answers: connection, queue
-	// and prefill at the back end.
+	// Waiting is the time until the first byte of the responses: connecting, and queueing
+	// and prefill at the backend.
 	Waiting time.Duration
 	// Answering is the time from the first byte to the last event.
 	Answering time.Duration
-	// Storing went to keeping ended turns.
+	// Storing is the time spent on storing finished turns.
 	Storing time.Duration
-	// Failing is the time of the requests that weren't answered.
+	// Failing is the total duration of the failed requests.
 	Failing time.Duration
-	// Between is the time in which no request was under way here: pauses of the
-	// client, and requests that the lines don't tell of.
+	// Between is the time without any request in progress: pauses of the client, and
+	// requests that aren't in the logs.
 	Between time.Duration
 }
 
-// interval is the time of one request.
+// interval is the time from the arrival of a request to its end.
 type interval struct{ from, to time.Time }
 
-// Times adds up the requests of the story. It is empty where none has ended.
+// Times adds up the requests of the story. It is zero if no request has ended.
 func (s Story) Times() Times {
 	var times Times
 	var requests []interval
@@ -56,14 +55,14 @@
 			times.Failing += took
 			continue
 		}
-		times.add(l, took)
+		times.addAnswered(l, took)
 	}
-	times.Whole, times.Between = span(requests)
+	times.Whole, times.Between = totalAndUncovered(requests)
 	return times
 }
 
-// add counts one answered request.
-func (t *Times) add(l Line, took time.Duration) {
+// addAnswered adds an answered request.
+func (t *Times) addAnswered(l Line, took time.Duration) {
 	t.Answered++
 	prepared := min(l.duration("prepared"), took)
 	firstByte := min(max(l.duration("first_byte"), prepared), took)
@@ -74,9 +73,9 @@
 	t.Storing += stored
 }
 
-// span returns the time from the first beginning to the last end, and how much of
-// it no interval covers.
-func span(intervals []interval) (whole, uncovered time.Duration) {
+// totalAndUncovered returns the time from the earliest start to the latest end, and the part
+// of it that no interval covers.
+func totalAndUncovered(intervals []interval) (total, uncovered time.Duration) {
 	if len(intervals) == 0 {
 		return 0, 0
 	}
@@ -93,7 +92,8 @@
 	return covered.Sub(intervals[0].from), uncovered
 }
 
-// duration reads a number of seconds; zero where there is none.
+// duration returns the value of the key in seconds, or zero if it is missing, malformed or
+// negative.
 func (l Line) duration(key string) time.Duration {
 	seconds, err := strconv.ParseFloat(l.Get(key), 64)
 	if err != nil || seconds < 0 {
--- a/telemetry/logfile/times_test.go
+++ b/telemetry/logfile/times_test.go
@@ -13,8 +13,8 @@
 	"github.com/marblering/marblering/telemetry/logfile"
 )
 
-// programLog is a program p of four requests at two gateways: a turn, a tool's
-// call, a turn that was refused after a pause, and the same turn again.
+// programLog has four requests of a program p at two gateways: a turn, a tool call, a turn
+// that is refused after a pause, and its retry.
 const programLog = `time=2026-05-22T10:00:01.000000Z level=info msg=answered node=edge-1 request=t1 key=p prepared=0.1 first_byte=0.3 stored=0.05 took=1
 time=2026-05-22T10:00:01.300000Z level=info msg=answered node=edge-1 request=c1 key=p prepared=0.01 first_byte=0.2 stored=0 took=0.2
 time=2026-05-22T10:00:02.100000Z level=info msg="not answered" node=edge-2 request=t2 key=p prepared=0.1 first_byte=0 stored=0 took=0.1 reason=full
@@ -22,41 +22,42 @@
 time=2026-05-22T10:00:03.300000Z level=info msg=answered node=edge-2 request=t2b key=p prepared=0.2 first_byte=0.4 stored=0.1 took=1
 `
 
-func storyOf(t *testing.T, log, id string) logfile.Story {
+func findStory(t *testing.T, log, id string) logfile.Story {
 	t.Helper()
 	story, err := logfile.Find([]io.Reader{strings.NewReader(log)}, id, time.Second)
 	assert.NilError(t, err)
 	return story
 }
 
-func TestTimesOfAProgram(t *testing.T) {
+func TestTimesOfProgram(t *testing.T) {
 	const ms = time.Millisecond
-	assert.DeepEqual(t, storyOf(t, programLog, "p").Times(), logfile.Times{
+	assert.DeepEqual(t, findStory(t, programLog, "p").Times(), logfile.Times{
 		Answered: 3, Failed: 1, Whole: 3300 * ms,
 		Preparing: 310 * ms, Waiting: 590 * ms, Answering: 1150 * ms, Storing: 150 * ms,
 		Failing: 100 * ms,
-		// From 1.0 to 1.1, 1.3 to 2.0 and 2.1 to 2.3.
+		// 1.0s to 1.1s, 1.3s to 2.0s, and 2.1s to 2.3s.
 		Between: 1000 * ms,
 	})
 }
 
-// TestTimesOfDamagedLines never come to more than the requests took.
-func TestTimesOfDamagedLines(t *testing.T) {
+// Missing, malformed or contradictory durations must not make the parts negative or exceed
+// the duration of the request.
+func TestTimesOfMalformedDurations(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		number := rapid.SampledFrom([]string{"", "-1", "x", "0", "0.5", "2", "100"})
+		duration := rapid.SampledFrom([]string{"", "-1", "x", "0", "0.5", "2", "100"})
 		line := "time=2026-05-22T10:00:05.000000Z msg=answered key=p"
 		for _, key := range []string{"prepared", "first_byte", "stored", "took"} {
-			line += fmt.Sprintf(" %s=%s", key, number.Draw(rt, key))
+			line += fmt.Sprintf(" %s=%s", key, duration.Draw(rt, key))
 		}
-		times := storyOf(t, line+"\n", "p").Times()
+		times := findStory(t, line+"\n", "p").Times()
 		assert.Equal(rt, times.Answered, 1)
 		assert.Equal(rt, times.Preparing+times.Waiting+times.Answering+times.Storing, times.Whole)
 		assert.Assert(rt, min(times.Preparing, times.Waiting, times.Answering, times.Storing, times.Between) >= 0, "%+v", times)
 	})
 }
 
-func TestNoRequestNoTimes(t *testing.T) {
-	assert.Equal(t, storyOf(t, programLog, "q").Times(), logfile.Times{})
+func TestTimesWithoutRequests(t *testing.T) {
+	assert.Equal(t, findStory(t, programLog, "q").Times(), logfile.Times{})
 }
 
 const startLog = `time=2026-05-22T10:00:00.000000Z msg="instances changed" node=edge-1 known=3
@@ -69,8 +70,9 @@
 time=2026-05-22T10:00:02.050000Z msg=answered node=edge-1 request=r1 took=0.01
 `
 
-// TestStartsOfAProcess are told apart, and of each milestone only the first.
-func TestStartsOfAProcess(t *testing.T) {
+// Two starts of one process must be reported separately, and each milestone only once per
+// start.
+func TestStartsReportsFirstMilestones(t *testing.T) {
 	starts, err := logfile.Starts([]io.Reader{strings.NewReader(startLog)})
 	assert.NilError(t, err)
 	assert.Equal(t, len(starts), 2)
--- a/telemetry/logfile/tries.go
+++ b/telemetry/logfile/tries.go
@@ -7,126 +7,128 @@
 	"time"
 )
 
-// followWindow is how long after a try that wasn't served another one of the same program
-// on the same route counts as its repeat: longer than any Retry-After and the time that a
-// request has (chosen, not measured).
-const followWindow = 5 * time.Second
+// retryWindow is the time after a failed request within which the next request of the same
+// program and route counts as its retry. It exceeds any Retry-After and request timeout.
+const retryWindow = 5 * time.Second
 
-// Held says what a gateway waited for before it ended a try.
-type Held string
+// WaitCause is what a gateway waited for before it ended a request.
+type WaitCause string
 
-// What a try may have been held by.
+// Causes of waiting, as printed by the explain command.
 const (
-	// HeldByNothing: answered, or refused at once.
-	HeldByNothing Held = ""
-	// HeldByState: the line of turns was read and the budget reserved.
-	HeldByState Held = "history and budget"
-	// HeldByDials: back ends were chosen and couldn't be reached.
-	HeldByDials Held = "connecting"
-	// HeldByBackend: a back end had the request.
-	HeldByBackend Held = "back end"
+	// WaitNone: the request was answered, or refused at once.
+	WaitNone WaitCause = ""
+	// WaitHistoryAndBudget: reading the previous turns and reserving the budget.
+	WaitHistoryAndBudget WaitCause = "history and budget"
+	// WaitConnect: connecting to backends, none of which could be reached.
+	WaitConnect WaitCause = "connecting"
+	// WaitBackend: the request had been sent to a backend.
+	WaitBackend WaitCause = "back end"
 )
 
-// heldAtLeast is the shortest time that counts as having been held (chosen, not measured).
-const heldAtLeast = 10 * time.Millisecond
+// minWait is the shortest time that counts as waiting.
+const minWait = 10 * time.Millisecond
 
-// Tries are the tries of one route that ended alike.
-type Tries struct {
+// RequestSummary sums up the requests of one route with the same outcome and wait cause.
+type RequestSummary struct {
 	Route string
-	// Status and Code are those of the answer.
+	// Status and Code are the HTTP status and the result code of the response.
 	Status, Code string
-	Held         Held
+	Held         WaitCause
 	Count        int
-	// HeldFor sums up how long these tries took, Longest is the longest of them.
+	// HeldFor is the total duration of the requests, Longest that of the longest one.
 	HeldFor, Longest time.Duration
-	// ThenServed, ThenFailed and ThenNone say what the next try of the same program
-	// and route came to. Lines of turns that run side by side aren't told apart.
+	// ThenServed, ThenFailed and ThenNone count the failed requests by the outcome of
+	// the next request of the same program and route: answered, failed, or none within
+	// retryWindow. Concurrent requests of one program aren't told apart.
 	ThenServed, ThenFailed, ThenNone int
 }
 
-// triesKey is what the tries of one Tries have in common.
-type triesKey struct {
+// summaryKey identifies the RequestSummary to which a request belongs.
+type summaryKey struct {
 	route, status, code string
-	held                Held
+	waitCause           WaitCause
 }
 
-// SummarizeTries reads the logs of gateways and sums up how the tries of their callers
-// ended, the most frequent first within each route. Gateways bound their lines a second,
-// so that answered tries may be missing under load. It fails where a log can't be read.
-func SummarizeTries(logs []io.Reader) ([]Tries, error) {
-	all, err := readAll(logs)
+// SummarizeTries reads the logs of gateways and summarizes the outcomes of the callers'
+// requests by route, the most frequent outcome first. Gateways limit the rate of their log
+// lines, so answered requests may be missing under load. It fails if a log can't be read.
+func SummarizeTries(logs []io.Reader) ([]RequestSummary, error) {
+	all, err := readLogs(logs)
 	if err != nil {
 		return nil, err
 	}
-	found := make(map[triesKey]*Tries)
-	following := make(map[[2]string]Line)
-	// From the last line back, so that the next try of each program is known.
+	summaries := make(map[summaryKey]*RequestSummary)
+	nextRequests := make(map[[2]string]Line)
+	// Iterates backward, so that the next request of each program is known.
 	for _, l := range slices.Backward(all) {
-		if !l.isTry() {
+		if !l.endsRequest() {
 			continue
 		}
-		key := triesKey{route: l.Get("route"), status: l.Get("status"), code: l.Get("code"), held: l.held()}
-		if found[key] == nil {
-			found[key] = &Tries{Route: key.route, Status: key.status, Code: key.code, Held: key.held}
+		key := summaryKey{route: l.Get("route"), status: l.Get("status"), code: l.Get("code"), waitCause: l.waitCause()}
+		if summaries[key] == nil {
+			summaries[key] = &RequestSummary{Route: key.route, Status: key.status, Code: key.code, Held: key.waitCause}
 		}
-		pair := [2]string{l.Get("key"), l.Get("route")}
-		next, followed := following[pair]
-		found[key].add(l, next, followed && pair[0] != "")
-		following[pair] = l
+		programRoute := [2]string{l.Get("key"), l.Get("route")}
+		next, hasNext := nextRequests[programRoute]
+		summaries[key].addRequest(l, next, hasNext && programRoute[0] != "")
+		nextRequests[programRoute] = l
 	}
-	return sortTries(found), nil
+	return sortSummaries(summaries), nil
 }
 
-// sortTries returns the sums by route, and within a route the most frequent first.
-func sortTries(found map[triesKey]*Tries) []Tries {
-	sorted := make([]Tries, 0, len(found))
-	for _, one := range found {
-		sorted = append(sorted, *one)
+// sortSummaries returns the summaries sorted by route, then by descending count.
+func sortSummaries(summaries map[summaryKey]*RequestSummary) []RequestSummary {
+	sorted := make([]RequestSummary, 0, len(summaries))
+	for _, summary := range summaries {
+		sorted = append(sorted, *summary)
 	}
-	slices.SortFunc(sorted, func(a, b Tries) int {
+	slices.SortFunc(sorted, func(a, b RequestSummary) int {
 		return cmp.Or(cmp.Compare(a.Route, b.Route), cmp.Compare(b.Count, a.Count),
 			cmp.Compare(a.Code, b.Code), cmp.Compare(a.Held, b.Held))
 	})
 	return sorted
 }
 
-// add counts a try, with the next one of the same program and route if there is one.
-func (t *Tries) add(l, next Line, followed bool) {
+// addRequest adds a request. If hasNext is set, next is the following request of the same
+// program and route.
+func (s *RequestSummary) addRequest(l, next Line, hasNext bool) {
 	took := l.duration("took")
-	t.Count++
-	t.HeldFor += took
-	t.Longest = max(t.Longest, took)
-	if l.isServed() {
+	s.Count++
+	s.HeldFor += took
+	s.Longest = max(s.Longest, took)
+	if l.isAnswered() {
 		return
 	}
 	switch {
-	case !followed || next.Time.Sub(l.Time) > followWindow:
-		t.ThenNone++
-	case next.isServed():
-		t.ThenServed++
+	case !hasNext || next.Time.Sub(l.Time) > retryWindow:
+		s.ThenNone++
+	case next.isAnswered():
+		s.ThenServed++
 	default:
-		t.ThenFailed++
+		s.ThenFailed++
 	}
 }
 
-// isTry tells whether the line ends a request of a caller.
-func (l Line) isTry() bool {
+// endsRequest reports whether the line is the last one of a caller's request.
+func (l Line) endsRequest() bool {
 	message := l.Get("msg")
 	return message == answeredMessage || message == failedMessage
 }
 
-// isServed tells whether the request was answered.
-func (l Line) isServed() bool { return l.Get("msg") == answeredMessage }
+// isAnswered reports whether the line says that the request was answered.
+func (l Line) isAnswered() bool { return l.Get("msg") == answeredMessage }
 
-// held says what the gateway waited for, by the times and sends in the line.
-func (l Line) held() Held {
+// waitCause derives the cause of waiting from the durations and the number of sends in the
+// line.
+func (l Line) waitCause() WaitCause {
 	switch took := l.duration("took"); {
-	case l.isServed() || took < heldAtLeast:
-		return HeldByNothing
+	case l.isAnswered() || took < minWait:
+		return WaitNone
 	case l.Get("sends") != "0":
-		return HeldByBackend
-	case took-l.duration("prepared") < heldAtLeast:
-		return HeldByState
+		return WaitBackend
+	case took-l.duration("prepared") < minWait:
+		return WaitHistoryAndBudget
 	}
-	return HeldByDials
+	return WaitConnect
 }
--- a/telemetry/logfile/tries_test.go
+++ b/telemetry/logfile/tries_test.go
@@ -11,9 +11,9 @@
 	"github.com/marblering/marblering/telemetry/logfile"
 )
 
-// TestTriesAreSummedUpByHowTheyEnded: by route, code and what they were held by,
-// with what the next try of the same program came to.
-func TestTriesAreSummedUpByHowTheyEnded(t *testing.T) {
+// Requests must be grouped by route, status, code and wait cause, and counted by the outcome
+// of the next request of the same program.
+func TestSummarizeTriesGroupsByOutcome(t *testing.T) {
 	const log = `
 time=2026-01-01T00:00:01Z msg="not answered" node=a key=p1 route=chat status=503 code=2004 sends=0 prepared=0.7 took=0.701
 time=2026-01-01T00:00:02Z msg=answered node=b key=p1 route=chat status=200 code=0 sends=1 prepared=0.01 took=0.5
@@ -26,14 +26,14 @@
 `
 	tries, err := logfile.SummarizeTries([]io.Reader{strings.NewReader(log)})
 	assert.NilError(t, err)
-	assert.DeepEqual(t, tries, []logfile.Tries{
+	assert.DeepEqual(t, tries, []logfile.RequestSummary{
 		{Route: "chat", Status: "200", Code: "0", Count: 2, HeldFor: 600 * time.Millisecond, Longest: 500 * time.Millisecond},
 		{
-			Route: "chat", Status: "503", Code: "2004", Held: logfile.HeldByState, Count: 2,
+			Route: "chat", Status: "503", Code: "2004", Held: logfile.WaitHistoryAndBudget, Count: 2,
 			HeldFor: 1001 * time.Millisecond, Longest: 701 * time.Millisecond, ThenServed: 1, ThenFailed: 1,
 		},
-		{Route: "chat", Status: "503", Code: "2009", Held: logfile.HeldByDials, Count: 1, HeldFor: 900 * time.Millisecond, Longest: 900 * time.Millisecond, ThenNone: 1},
-		{Route: "chat", Status: "504", Code: "3006", Held: logfile.HeldByBackend, Count: 1, HeldFor: 3 * time.Second, Longest: 3 * time.Second, ThenNone: 1},
+		{Route: "chat", Status: "503", Code: "2009", Held: logfile.WaitConnect, Count: 1, HeldFor: 900 * time.Millisecond, Longest: 900 * time.Millisecond, ThenNone: 1},
+		{Route: "chat", Status: "504", Code: "3006", Held: logfile.WaitBackend, Count: 1, HeldFor: 3 * time.Second, Longest: 3 * time.Second, ThenNone: 1},
 		{Route: "pay", Status: "503", Code: "2005", Count: 1, HeldFor: time.Millisecond, Longest: time.Millisecond, ThenNone: 1},
 	})
 }
