--- a/coordination/recent/recent_test.go
+++ b/coordination/recent/recent_test.go
@@ -20,16 +20,16 @@
 	// Output: 2
 }
 
-// TestNamesThatComeAndGo: however many names there ever were, few are held, and
-// one that stays in use keeps its value.
-func TestNamesThatComeAndGo(t *testing.T) {
+// The map must stay small however many keys it has seen, and a key that stays in use must
+// keep its value.
+func TestMapDropsIdleKeys(t *testing.T) {
 	counts := recent.New(time.Minute, func(time.Time) int { return 0 })
 	now := start
 	for i := range 10_000 {
 		now = now.Add(time.Second)
 		*counts.Get("stays", now)++
 		counts.Get(fmt.Sprint(i), now)
-		assert.Assert(t, counts.Len() <= 200, "%d names are held", counts.Len())
+		assert.Assert(t, counts.Len() <= 200, "%d entries", counts.Len())
 	}
 	assert.Equal(t, *counts.Get("stays", now), 10_000)
 	assert.Assert(t, counts.Has("stays"))
