--- a/telemetry/logfile/times.go
+++ b/telemetry/logfile/times.go
@@ -80,16 +80,16 @@
 		return 0, 0
 	}
 	slices.SortFunc(intervals, func(a, b interval) int { return a.from.Compare(b.from) })
-	covered := intervals[0].from
+	coveredUntil := intervals[0].from
 	for _, next := range intervals {
-		if gap := next.from.Sub(covered); gap > 0 {
+		if gap := next.from.Sub(coveredUntil); gap > 0 {
 			uncovered += gap
 		}
-		if next.to.After(covered) {
-			covered = next.to
+		if next.to.After(coveredUntil) {
+			coveredUntil = next.to
 		}
 	}
-	return covered.Sub(intervals[0].from), uncovered
+	return coveredUntil.Sub(intervals[0].from), uncovered
 }
 
 // duration returns the value of the key in seconds, or zero if it is missing, malformed or
--- a/telemetry/workload.go
+++ b/telemetry/workload.go
@@ -47,15 +47,15 @@
 func (w *Workload) Serve(ctx context.Context) error {
 	ticker := time.NewTicker(WorkloadInterval)
 	defer ticker.Stop()
-	before := w.sample()
+	previous := w.sample()
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-ticker.C:
-			now := w.sample()
-			w.logger.Info("workload", now.fieldsSince(before)...)
-			before = now
+			current := w.sample()
+			w.logger.Info("workload", current.fieldsSince(previous)...)
+			previous = current
 		}
 	}
 }
@@ -120,19 +120,19 @@
 	return strings.Join(parts, "_")
 }
 
-// fieldsSince returns the log fields with the changes since before. Counters that didn't
+// fieldsSince returns the log fields with the changes since previous. Counters that didn't
 // increase are left out.
-func (s workloadSample) fieldsSince(before workloadSample) []zap.Field {
+func (s workloadSample) fieldsSince(previous workloadSample) []zap.Field {
 	const mebibyte = 1 << 20
-	cpuTime := s.cpuTime - before.cpuTime
+	cpuTime := s.cpuTime - previous.cpuTime
 	fields := []zap.Field{
 		zap.Duration("processor", cpuTime),
-		zap.Float64("cores", math.Round(1000*cpuTime.Seconds()/s.at.Sub(before.at).Seconds())/1000),
-		zap.Uint64("allocated_mib", (s.heapAllocs-before.heapAllocs)/mebibyte),
-		zap.Uint64("collections", s.gcCycles-before.gcCycles),
+		zap.Float64("cores", math.Round(1000*cpuTime.Seconds()/s.at.Sub(previous.at).Seconds())/1000),
+		zap.Uint64("allocated_mib", (s.heapAllocs-previous.heapAllocs)/mebibyte),
+		zap.Uint64("collections", s.gcCycles-previous.gcCycles),
 	}
 	for name, value := range s.counters {
-		if increase := value - before.counters[name]; increase > 0 {
+		if increase := value - previous.counters[name]; increase > 0 {
 			fields = append(fields, zap.Float64(name, increase))
 		}
 	}
