--- a/node/gateway/gateway.go
+++ b/node/gateway/gateway.go
@@ -168,7 +168,7 @@
 		counter: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "marblering_gateway_refused_entries_total", Help: "Entries of instances that can't be read, once a change of each.",
 		}),
-		logger: telemetry.Limited(g.logger, invalidEntryLogRate, logBurst),
+		logger: telemetry.RateLimited(g.logger, invalidEntryLogRate, logBurst),
 	}
 	g.backends = backend.NewPool(backend.EjectionPolicy(), time.Now)
 	g.backends.OnEjected(g.onInstanceEjected)
@@ -187,8 +187,8 @@
 		IsUnready: g.isUnready, MaxInFlight: maxInFlight, OnInstanceGone: g.onInstanceGone,
 		Retries: limit.NewRetryBudget(relay.RetryPolicy(), time.Now()),
 		Metrics: relay.NewMetrics(g.metrics), Now: time.Now,
-		Logger:       telemetry.Limited(g.logger, failureLogRate, logBurst),
-		AccessLogger: telemetry.Limited(g.logger, accessLogRate, logBurst),
+		Logger:       telemetry.RateLimited(g.logger, failureLogRate, logBurst),
+		AccessLogger: telemetry.RateLimited(g.logger, accessLogRate, logBurst),
 	})
 }
 
--- a/telemetry/bounded.go
+++ b/telemetry/bounded.go
@@ -81,10 +81,10 @@
 	}
 }
 
-// Limited returns a logger that writes at most perSecond lines per second, with bursts of up
+// RateLimited returns a logger that writes at most perSecond lines per second, with bursts of up
 // to burst lines. Lines above the limit are dropped, and the next line written has their
 // number in the field dropped_before.
-func Limited(logger *zap.Logger, perSecond float64, burst int) *zap.Logger {
+func RateLimited(logger *zap.Logger, perSecond float64, burst int) *zap.Logger {
 	limiter := &lineLimiter{limiter: rate.NewLimiter(rate.Limit(perSecond), burst)}
 	return logger.WithOptions(zap.WrapCore(func(core zapcore.Core) zapcore.Core {
 		return rateLimitedCore{Core: core, shared: limiter}
@@ -101,7 +101,7 @@
 // Following returns a rate-limited logger for components that follow the store and for
 // quota slots and their holders, which can fail just as often.
 func Following(logger *zap.Logger) *zap.Logger {
-	return Limited(logger, followerLogRate, followerLogBurst)
+	return RateLimited(logger, followerLogRate, followerLogBurst)
 }
 
 // lineLimiter is the state that a limited logger shares with the loggers derived from it.
--- a/telemetry/bounded_test.go
+++ b/telemetry/bounded_test.go
@@ -50,7 +50,7 @@
 func TestLimitedDropsLinesAboveLimit(t *testing.T) {
 	var text bytes.Buffer
 	logger := telemetry.NewLogger(&text, zapcore.InfoLevel)
-	limited := telemetry.Limited(logger, 0.000001, 2).With(zap.String("part", "a"))
+	limited := telemetry.RateLimited(logger, 0.000001, 2).With(zap.String("part", "a"))
 	for range 5 {
 		limited.Info("often")
 	}
@@ -58,7 +58,7 @@
 	assert.Equal(t, strings.Count(text.String(), "msg=often"), 2)
 	assert.Equal(t, strings.Count(text.String(), "msg=rare"), 1)
 	text.Reset()
-	quick := telemetry.Limited(logger, 1e9, 1)
+	quick := telemetry.RateLimited(logger, 1e9, 1)
 	for range 1000 {
 		quick.Info("often")
 	}
