--- a/node/gateway/followers.go
+++ b/node/gateway/followers.go
@@ -32,7 +32,7 @@
 	f := &g.followers
 	f.holders = mirror.NewHolderSelector(g.orderedHolders, time.Now)
 	f.storeCalls = telemetry.NewStoreCalls()
-	f.logger = telemetry.Following(g.logger)
+	f.logger = telemetry.RateLimitedForFollowers(g.logger)
 	f.configuration, f.configurationSource = g.newFollower(mirror.KindConfiguration, g.parts.Configuration, g.applyConfiguration)
 	f.instances, _ = g.newFollower(mirror.KindInstances, g.parts.Instances, g.applyInstances)
 	f.replicaSets, _ = g.newFollower(mirror.KindReplicaSets, g.parts.ReplicaSets, g.storage.lookup.Apply)
--- a/node/gateway/storage.go
+++ b/node/gateway/storage.go
@@ -59,6 +59,6 @@
 		conversations: conversation.New(turns, budgets, tracker.IsCutOff, time.Now, rand.Uint64, logger),
 		quotas: quota.NewClient(peers, lookup, tracker, quota.Tolerance{
 			Window: loaded.QuotaWindow, Fraction: loaded.QuotaOver, Slack: loaded.QuotaSlack,
-		}, quota.NewMetrics(metrics), time.Now, telemetry.Following(logger)),
+		}, quota.NewMetrics(metrics), time.Now, telemetry.RateLimitedForFollowers(logger)),
 	}, nil
 }
--- a/node/storage/run.go
+++ b/node/storage/run.go
@@ -62,7 +62,7 @@
 	n := &Node{
 		settings: loaded, parts: parts, logger: logger, disk: disk,
 		metrics: telemetry.NewRegistry(), storeCalls: telemetry.NewStoreCalls(),
-		limitedLogger: telemetry.Following(logger),
+		limitedLogger: telemetry.RateLimitedForFollowers(logger),
 	}
 	services, err := n.build()
 	if err != nil {
--- a/telemetry/bounded.go
+++ b/telemetry/bounded.go
@@ -98,9 +98,9 @@
 	followerLogBurst = 50 // lines
 )
 
-// Following returns a rate-limited logger for components that follow the store and for
+// RateLimitedForFollowers returns a rate-limited logger for components that follow the store and for
 // quota slots and their holders, which can fail just as often.
-func Following(logger *zap.Logger) *zap.Logger {
+func RateLimitedForFollowers(logger *zap.Logger) *zap.Logger {
 	return RateLimited(logger, followerLogRate, followerLogBurst)
 }
 
