--- a/node/gateway/readiness.go
+++ b/node/gateway/readiness.go
@@ -25,7 +25,7 @@
 	readiness.Add("storage", g.checkStorage)
 	readiness.Add("proof", g.checkProof)
 	readiness.Add("serving", g.checkServing)
-	return telemetry.NewHandlerAt(g.settings.ReadyPath, g.metrics, readiness)
+	return telemetry.NewHandlerWithReadyPath(g.settings.ReadyPath, g.metrics, readiness)
 }
 
 func (g *Gateway) checkConfiguration(context.Context) error {
--- a/telemetry/handler.go
+++ b/telemetry/handler.go
@@ -27,11 +27,11 @@
 //   - /healthz: 200 while the process responds;
 //   - /readyz: 200 if every check passes, otherwise 503, with one line per check.
 func NewHandler(metrics prometheus.Gatherer, readiness *Readiness) http.Handler {
-	return NewHandlerAt(ReadyPath, metrics, readiness)
+	return NewHandlerWithReadyPath(ReadyPath, metrics, readiness)
 }
 
-// NewHandlerAt is like NewHandler but serves readiness at readyPath.
-func NewHandlerAt(readyPath string, metrics prometheus.Gatherer, readiness *Readiness) http.Handler {
+// NewHandlerWithReadyPath is like NewHandler but serves readiness at readyPath.
+func NewHandlerWithReadyPath(readyPath string, metrics prometheus.Gatherer, readiness *Readiness) http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("GET "+MetricsPath, promhttp.HandlerFor(metrics, promhttp.HandlerOpts{}))
 	mux.HandleFunc("GET "+HealthPath, serveHealth)
