--- a/node/storage/workload.go
+++ b/node/storage/workload.go
@@ -18,7 +18,7 @@
 	"marblering_peer_requests_total": "requests",
 	writtenMetric:                    "written",
 	commitsMetric:                    "commits",
-	telemetry.StoreCalls:             "store_calls",
+	telemetry.StoreCallsMetric:       "store_calls",
 }
 
 // registerDiskCounters registers the metrics of the disk.
--- a/telemetry/registry.go
+++ b/telemetry/registry.go
@@ -18,13 +18,13 @@
 	return registry
 }
 
-// StoreCalls is the name of the counter of list and watch calls that a process makes
+// StoreCallsMetric is the name of the counter of list and watch calls that a process makes
 // directly to the store, labelled by the kind of objects.
-const StoreCalls = "marblering_store_calls_total"
+const StoreCallsMetric = "marblering_store_calls_total"
 
 // NewStoreCalls returns the counter named StoreCalls. The caller registers it.
 func NewStoreCalls() *prometheus.CounterVec {
 	return prometheus.NewCounterVec(prometheus.CounterOpts{
-		Name: StoreCalls, Help: "Listings and watches that the store itself was asked for, by kind of objects.",
+		Name: StoreCallsMetric, Help: "Listings and watches that the store itself was asked for, by kind of objects.",
 	}, []string{"objects"})
 }
