--- a/node/gateway/followers.go
+++ b/node/gateway/followers.go
@@ -31,7 +31,7 @@
 func (g *Gateway) createFollowers() {
 	f := &g.followers
 	f.holders = mirror.NewHolderSelector(g.orderedHolders, time.Now)
-	f.storeCalls = telemetry.NewStoreCalls()
+	f.storeCalls = telemetry.NewStoreCallsCounter()
 	f.logger = telemetry.RateLimitedForFollowers(g.logger)
 	f.configuration, f.configurationSource = g.newFollower(mirror.KindConfiguration, g.parts.Configuration, g.applyConfiguration)
 	f.instances, _ = g.newFollower(mirror.KindInstances, g.parts.Instances, g.applyInstances)
--- a/node/storage/run.go
+++ b/node/storage/run.go
@@ -61,7 +61,7 @@
 	}
 	n := &Node{
 		settings: loaded, parts: parts, logger: logger, disk: disk,
-		metrics: telemetry.NewRegistry(), storeCalls: telemetry.NewStoreCalls(),
+		metrics: telemetry.NewRegistry(), storeCalls: telemetry.NewStoreCallsCounter(),
 		limitedLogger: telemetry.RateLimitedForFollowers(logger),
 	}
 	services, err := n.build()
--- a/test/golden/metrics_test.go
+++ b/test/golden/metrics_test.go
@@ -164,7 +164,7 @@
 	peer.NewMetrics(registry)
 	relay.NewMetrics(registry)
 	quota.NewMetrics(registry)
-	registry.MustRegister(telemetry.NewStoreCalls())
+	registry.MustRegister(telemetry.NewStoreCallsCounter())
 	found := forms{}
 	found.addRegistered(t, registry)
 	found.addGathered(t, metricsPage(t, started.OperatorAddress()))
@@ -196,7 +196,7 @@
 	})
 	registry := prometheus.NewRegistry()
 	peer.NewMetrics(registry)
-	registry.MustRegister(telemetry.NewStoreCalls())
+	registry.MustRegister(telemetry.NewStoreCallsCounter())
 	found := forms{}
 	found.addRegistered(t, registry)
 	found.addGathered(t, metricsPage(t, addresses[1].String()))
