--- a/cmd/marblering/explain.go
+++ b/cmd/marblering/explain.go
@@ -147,7 +147,7 @@
 
 // printTimeline prints the log lines of the timeline, with times relative to its first
 // line, followed by the time breakdown and the meaning of the result code.
-func printTimeline(w io.Writer, timeline logfile.Story) {
+func printTimeline(w io.Writer, timeline logfile.Excerpt) {
 	start := timeline.Lines[0].Time
 	for _, l := range timeline.Lines {
 		printLine(w, start, l)
--- a/telemetry/logfile/logfile.go
+++ b/telemetry/logfile/logfile.go
@@ -83,8 +83,8 @@
 	return value, text[len(quoted):], err == nil
 }
 
-// Story holds the log lines about a request, a program or an instance.
-type Story struct {
+// Excerpt holds the log lines about a request, a program or an instance.
+type Excerpt struct {
 	// Lines are the lines that have the ID as a value, oldest first.
 	Lines []Line
 	// Context holds the lines of the same nodes that belong to no request, from the
@@ -94,12 +94,12 @@
 
 // Find reads the logs and returns the lines about the request, program or instance with the
 // ID. The result is empty if no line has the ID. It fails if a log can't be read.
-func Find(logs []io.Reader, id string, window time.Duration) (Story, error) {
+func Find(logs []io.Reader, id string, window time.Duration) (Excerpt, error) {
 	all, err := readLogs(logs)
 	if err != nil {
-		return Story{}, err
+		return Excerpt{}, err
 	}
-	var story Story
+	var story Excerpt
 	nodes := make(map[string]bool)
 	for _, l := range all {
 		if l.hasValue(id) {
@@ -122,7 +122,7 @@
 
 // contextPeriod returns the period from which context lines are taken: from the window before
 // the request arrived to its last line.
-func (s Story) contextPeriod(window time.Duration) (first, last time.Time) {
+func (s Excerpt) contextPeriod(window time.Duration) (first, last time.Time) {
 	first, last = s.Lines[0].Time, s.Lines[len(s.Lines)-1].Time
 	for _, l := range s.Lines {
 		if arrived := l.Time.Add(-l.duration("took")); arrived.Before(first) {
--- a/telemetry/logfile/times.go
+++ b/telemetry/logfile/times.go
@@ -40,7 +40,7 @@
 type interval struct{ from, to time.Time }
 
 // Times adds up the requests of the story. It is zero if no request has ended.
-func (s Story) Times() Times {
+func (s Excerpt) Times() Times {
 	var times Times
 	var requests []interval
 	for _, l := range s.Lines {
--- a/telemetry/logfile/times_test.go
+++ b/telemetry/logfile/times_test.go
@@ -22,7 +22,7 @@
 time=2026-05-22T10:00:03.300000Z level=info msg=answered node=edge-2 request=t2b key=p prepared=0.2 first_byte=0.4 stored=0.1 took=1
 `
 
-func findStory(t *testing.T, log, id string) logfile.Story {
+func findStory(t *testing.T, log, id string) logfile.Excerpt {
 	t.Helper()
 	story, err := logfile.Find([]io.Reader{strings.NewReader(log)}, id, time.Second)
 	assert.NilError(t, err)
