--- a/cmd/marblering/explain.go
+++ b/cmd/marblering/explain.go
@@ -66,7 +66,7 @@
 }
 
 func explain(logs []io.Reader, id string, window time.Duration, out io.Writer) error {
-	timeline, err := logfile.Find(logs, id, window)
+	timeline, err := logfile.FindExcerpt(logs, id, window)
 	if err != nil {
 		return err
 	}
--- a/telemetry/logfile/logfile.go
+++ b/telemetry/logfile/logfile.go
@@ -92,9 +92,9 @@
 	Context []Line
 }
 
-// Find reads the logs and returns the lines about the request, program or instance with the
+// FindExcerpt reads the logs and returns the lines about the request, program or instance with the
 // ID. The result is empty if no line has the ID. It fails if a log can't be read.
-func Find(logs []io.Reader, id string, window time.Duration) (Excerpt, error) {
+func FindExcerpt(logs []io.Reader, id string, window time.Duration) (Excerpt, error) {
 	all, err := readLogs(logs)
 	if err != nil {
 		return Excerpt{}, err
--- a/telemetry/logfile/logfile_test.go
+++ b/telemetry/logfile/logfile_test.go
@@ -25,7 +25,7 @@
 `
 
 func Example() {
-	story, _ := logfile.Find([]io.Reader{strings.NewReader(gatewayLog), strings.NewReader(storageLog)}, "r1", time.Second)
+	story, _ := logfile.FindExcerpt([]io.Reader{strings.NewReader(gatewayLog), strings.NewReader(storageLog)}, "r1", time.Second)
 	for _, l := range story.Lines {
 		fmt.Println(strings.TrimSpace(l.Get("node") + " " + l.Get("msg") + " " + l.Get("reason")))
 	}
@@ -41,7 +41,7 @@
 }
 
 func TestFindUnknownID(t *testing.T) {
-	story, err := logfile.Find([]io.Reader{strings.NewReader(gatewayLog)}, "r3", time.Second)
+	story, err := logfile.FindExcerpt([]io.Reader{strings.NewReader(gatewayLog)}, "r3", time.Second)
 	assert.NilError(t, err)
 	assert.Equal(t, len(story.Lines)+len(story.Context), 0)
 }
--- a/telemetry/logfile/times_test.go
+++ b/telemetry/logfile/times_test.go
@@ -24,7 +24,7 @@
 
 func findStory(t *testing.T, log, id string) logfile.Excerpt {
 	t.Helper()
-	story, err := logfile.Find([]io.Reader{strings.NewReader(log)}, id, time.Second)
+	story, err := logfile.FindExcerpt([]io.Reader{strings.NewReader(log)}, id, time.Second)
 	assert.NilError(t, err)
 	return story
 }
