--- a/cmd/marblering/explain.go
+++ b/cmd/marblering/explain.go
@@ -169,7 +169,7 @@
 }
 
 // printTimes prints a breakdown of the time spent if there is more than one request.
-func printTimes(w io.Writer, times logfile.Times) {
+func printTimes(w io.Writer, times logfile.TimeBreakdown) {
 	if times.Answered+times.Failed < 2 {
 		return
 	}
--- a/telemetry/logfile/times.go
+++ b/telemetry/logfile/times.go
@@ -12,9 +12,9 @@
 	failedMessage   = "not answered"
 )
 
-// Times is a breakdown of the time that the requests of a program took. Concurrent requests
+// TimeBreakdown is a breakdown of the time that the requests of a program took. Concurrent requests
 // are counted separately, so the parts may add up to more than Whole.
-type Times struct {
+type TimeBreakdown struct {
 	// Answered and Failed are the numbers of answered and failed requests.
 	Answered, Failed int
 	// Whole is the time from the arrival of the first request to the end of the last.
@@ -40,8 +40,8 @@
 type interval struct{ from, to time.Time }
 
 // Times adds up the requests of the story. It is zero if no request has ended.
-func (s Excerpt) Times() Times {
-	var times Times
+func (s Excerpt) Times() TimeBreakdown {
+	var times TimeBreakdown
 	var requests []interval
 	for _, l := range s.Lines {
 		message := l.Get("msg")
@@ -62,7 +62,7 @@
 }
 
 // addAnswered adds an answered request.
-func (t *Times) addAnswered(l Line, took time.Duration) {
+func (t *TimeBreakdown) addAnswered(l Line, took time.Duration) {
 	t.Answered++
 	prepared := min(l.duration("prepared"), took)
 	firstByte := min(max(l.duration("first_byte"), prepared), took)
--- a/telemetry/logfile/times_test.go
+++ b/telemetry/logfile/times_test.go
@@ -31,7 +31,7 @@
 
 func TestTimesOfProgram(t *testing.T) {
 	const ms = time.Millisecond
-	assert.DeepEqual(t, findStory(t, programLog, "p").Times(), logfile.Times{
+	assert.DeepEqual(t, findStory(t, programLog, "p").Times(), logfile.TimeBreakdown{
 		Answered: 3, Failed: 1, Whole: 3300 * ms,
 		Preparing: 310 * ms, Waiting: 590 * ms, Answering: 1150 * ms, Storing: 150 * ms,
 		Failing: 100 * ms,
@@ -57,7 +57,7 @@
 }
 
 func TestTimesWithoutRequests(t *testing.T) {
-	assert.Equal(t, findStory(t, programLog, "q").Times(), logfile.Times{})
+	assert.Equal(t, findStory(t, programLog, "q").Times(), logfile.TimeBreakdown{})
 }
 
 const startLog = `time=2026-05-22T10:00:00.000000Z msg="instances changed" node=edge-1 known=3
