--- a/cmd/marblering/explain.go
+++ b/cmd/marblering/explain.go
@@ -158,7 +158,7 @@
 	for _, l := range timeline.Context {
 		printLine(w, start, l)
 	}
-	printTimes(w, timeline.Times())
+	printTimes(w, timeline.TimeBreakdown())
 	last := timeline.Lines[len(timeline.Lines)-1]
 	number, err := strconv.ParseUint(last.Get("code"), 10, 32)
 	if err != nil || number == 0 {
--- a/telemetry/logfile/times.go
+++ b/telemetry/logfile/times.go
@@ -39,8 +39,8 @@
 // interval is the time from the arrival of a request to its end.
 type interval struct{ from, to time.Time }
 
-// Times adds up the requests of the story. It is zero if no request has ended.
-func (s Excerpt) Times() TimeBreakdown {
+// TimeBreakdown adds up the requests of the story. It is zero if no request has ended.
+func (s Excerpt) TimeBreakdown() TimeBreakdown {
 	var times TimeBreakdown
 	var requests []interval
 	for _, l := range s.Lines {
--- a/telemetry/logfile/times_test.go
+++ b/telemetry/logfile/times_test.go
@@ -31,7 +31,7 @@
 
 func TestTimesOfProgram(t *testing.T) {
 	const ms = time.Millisecond
-	assert.DeepEqual(t, findStory(t, programLog, "p").Times(), logfile.TimeBreakdown{
+	assert.DeepEqual(t, findStory(t, programLog, "p").TimeBreakdown(), logfile.TimeBreakdown{
 		Answered: 3, Failed: 1, Whole: 3300 * ms,
 		Preparing: 310 * ms, Waiting: 590 * ms, Answering: 1150 * ms, Storing: 150 * ms,
 		Failing: 100 * ms,
@@ -49,7 +49,7 @@
 		for _, key := range []string{"prepared", "first_byte", "stored", "took"} {
 			line += fmt.Sprintf(" %s=%s", key, duration.Draw(rt, key))
 		}
-		times := findStory(t, line+"\n", "p").Times()
+		times := findStory(t, line+"\n", "p").TimeBreakdown()
 		assert.Equal(rt, times.Answered, 1)
 		assert.Equal(rt, times.Preparing+times.Waiting+times.Answering+times.Storing, times.Whole)
 		assert.Assert(rt, min(times.Preparing, times.Waiting, times.Answering, times.Storing, times.Between) >= 0, "%+v", times)
@@ -57,7 +57,7 @@
 }
 
 func TestTimesWithoutRequests(t *testing.T) {
-	assert.Equal(t, findStory(t, programLog, "q").Times(), logfile.TimeBreakdown{})
+	assert.Equal(t, findStory(t, programLog, "q").TimeBreakdown(), logfile.TimeBreakdown{})
 }
 
 const startLog = `time=2026-05-22T10:00:00.000000Z msg="instances changed" node=edge-1 known=3
