--- a/cmd/marblering/explain.go
+++ b/cmd/marblering/explain.go
@@ -173,7 +173,7 @@
 	if times.Answered+times.Failed < 2 {
 		return
 	}
-	fmt.Fprintf(w, "\n%d requests answered and %d not, within %.3fs\n", times.Answered, times.Failed, times.Whole.Seconds())
+	fmt.Fprintf(w, "\n%d requests answered and %d not, within %.3fs\n", times.Answered, times.Failed, times.Total.Seconds())
 	for _, part := range []struct {
 		name     string
 		duration time.Duration
--- a/telemetry/logfile/times.go
+++ b/telemetry/logfile/times.go
@@ -17,8 +17,8 @@
 type TimeBreakdown struct {
 	// Answered and Failed are the numbers of answered and failed requests.
 	Answered, Failed int
-	// Whole is the time from the arrival of the first request to the end of the last.
-	Whole time.Duration
+	// Total is the time from the arrival of the first request to the end of the last.
+	Total time.Duration
 	// Preparing is the time spent on reading request bodies and, for turns, on reserving
 	// the budget and reading the previous turns.
 	Preparing time.Duration
@@ -57,7 +57,7 @@
 		}
 		times.addAnswered(l, took)
 	}
-	times.Whole, times.Between = totalAndUncovered(requests)
+	times.Total, times.Between = totalAndUncovered(requests)
 	return times
 }
 
--- a/telemetry/logfile/times_test.go
+++ b/telemetry/logfile/times_test.go
@@ -32,7 +32,7 @@
 func TestTimesOfProgram(t *testing.T) {
 	const ms = time.Millisecond
 	assert.DeepEqual(t, findStory(t, programLog, "p").TimeBreakdown(), logfile.TimeBreakdown{
-		Answered: 3, Failed: 1, Whole: 3300 * ms,
+		Answered: 3, Failed: 1, Total: 3300 * ms,
 		Preparing: 310 * ms, Waiting: 590 * ms, Answering: 1150 * ms, Storing: 150 * ms,
 		Failing: 100 * ms,
 		// 1.0s to 1.1s, 1.3s to 2.0s, and 2.1s to 2.3s.
@@ -51,7 +51,7 @@
 		}
 		times := findStory(t, line+"\n", "p").TimeBreakdown()
 		assert.Equal(rt, times.Answered, 1)
-		assert.Equal(rt, times.Preparing+times.Waiting+times.Answering+times.Storing, times.Whole)
+		assert.Equal(rt, times.Preparing+times.Waiting+times.Answering+times.Storing, times.Total)
 		assert.Assert(rt, min(times.Preparing, times.Waiting, times.Answering, times.Storing, times.Between) >= 0, "%+v", times)
 	})
 }
