--- a/cmd/marblering/explain.go
+++ b/cmd/marblering/explain.go
@@ -183,7 +183,7 @@
 		{"until the last event", times.Answering},
 		{"keeping ended turns", times.Storing},
 		{"requests not answered", times.Failing},
-		{"no request under way", times.Between},
+		{"no request under way", times.Idle},
 	} {
 		fmt.Fprintf(w, "%10.3fs  %s\n", part.duration.Seconds(), part.name)
 	}
--- a/telemetry/logfile/times.go
+++ b/telemetry/logfile/times.go
@@ -31,9 +31,9 @@
 	Storing time.Duration
 	// Failing is the total duration of the failed requests.
 	Failing time.Duration
-	// Between is the time without any request in progress: pauses of the client, and
+	// Idle is the time without any request in progress: pauses of the client, and
 	// requests that aren't in the logs.
-	Between time.Duration
+	Idle time.Duration
 }
 
 // interval is the time from the arrival of a request to its end.
@@ -57,7 +57,7 @@
 		}
 		times.addAnswered(l, took)
 	}
-	times.Total, times.Between = totalAndUncovered(requests)
+	times.Total, times.Idle = totalAndUncovered(requests)
 	return times
 }
 
--- a/telemetry/logfile/times_test.go
+++ b/telemetry/logfile/times_test.go
@@ -36,7 +36,7 @@
 		Preparing: 310 * ms, Waiting: 590 * ms, Answering: 1150 * ms, Storing: 150 * ms,
 		Failing: 100 * ms,
 		// 1.0s to 1.1s, 1.3s to 2.0s, and 2.1s to 2.3s.
-		Between: 1000 * ms,
+		Idle: 1000 * ms,
 	})
 }
 
@@ -52,7 +52,7 @@
 		times := findStory(t, line+"\n", "p").TimeBreakdown()
 		assert.Equal(rt, times.Answered, 1)
 		assert.Equal(rt, times.Preparing+times.Waiting+times.Answering+times.Storing, times.Total)
-		assert.Assert(rt, min(times.Preparing, times.Waiting, times.Answering, times.Storing, times.Between) >= 0, "%+v", times)
+		assert.Assert(rt, min(times.Preparing, times.Waiting, times.Answering, times.Storing, times.Idle) >= 0, "%+v", times)
 	})
 }
 
