--- a/cmd/marblering/explain.go
+++ b/cmd/marblering/explain.go
@@ -78,7 +78,7 @@
 }
 
 func explainStarts(logs []io.Reader, out io.Writer) error {
-	starts, err := logfile.Starts(logs)
+	starts, err := logfile.FindStarts(logs)
 	if err != nil {
 		return err
 	}
--- a/telemetry/logfile/starts.go
+++ b/telemetry/logfile/starts.go
@@ -32,9 +32,9 @@
 	After time.Duration
 }
 
-// Starts returns the process starts in the logs, oldest first, with the milestones that
+// FindStarts returns the process starts in the logs, oldest first, with the milestones that
 // each process reached. It fails if a log can't be read.
-func Starts(logs []io.Reader) ([]Start, error) {
+func FindStarts(logs []io.Reader) ([]Start, error) {
 	all, err := readLogs(logs)
 	if err != nil {
 		return nil, err
--- a/telemetry/logfile/times_test.go
+++ b/telemetry/logfile/times_test.go
@@ -73,7 +73,7 @@
 // Two starts of one process must be reported separately, and each milestone only once per
 // start.
 func TestStartsReportsFirstMilestones(t *testing.T) {
-	starts, err := logfile.Starts([]io.Reader{strings.NewReader(startLog)})
+	starts, err := logfile.FindStarts([]io.Reader{strings.NewReader(startLog)})
 	assert.NilError(t, err)
 	assert.Equal(t, len(starts), 2)
 	assert.DeepEqual(t, starts[0].Reached, []logfile.Milestone{
