--- a/cmd/marblering/explain.go
+++ b/cmd/marblering/explain.go
@@ -87,7 +87,7 @@
 	}
 	for _, start := range starts {
 		fmt.Fprintf(out, "%s  %s started\n", start.At.Format(time.RFC3339Nano), start.Node)
-		for _, reached := range start.Reached {
+		for _, reached := range start.Milestones {
 			fmt.Fprintf(out, "%+12.3fs  %s\n", reached.After.Seconds(), reached.Message)
 		}
 	}
--- a/telemetry/logfile/starts.go
+++ b/telemetry/logfile/starts.go
@@ -21,8 +21,8 @@
 type Start struct {
 	Node string
 	At   time.Time
-	// Reached holds the milestones in the order of time, each once.
-	Reached []Milestone
+	// Milestones holds the milestones in the order of time, each once.
+	Milestones []Milestone
 }
 
 // Milestone is the first occurrence of a message after a start.
@@ -57,8 +57,8 @@
 
 // addMilestone records a milestone unless it was reached before.
 func (s *Start) addMilestone(message string, at time.Time) {
-	isRecorded := slices.ContainsFunc(s.Reached, func(reached Milestone) bool { return reached.Message == message })
+	isRecorded := slices.ContainsFunc(s.Milestones, func(reached Milestone) bool { return reached.Message == message })
 	if !isRecorded {
-		s.Reached = append(s.Reached, Milestone{Message: message, After: at.Sub(s.At)})
+		s.Milestones = append(s.Milestones, Milestone{Message: message, After: at.Sub(s.At)})
 	}
 }
--- a/telemetry/logfile/times_test.go
+++ b/telemetry/logfile/times_test.go
@@ -76,9 +76,9 @@
 	starts, err := logfile.FindStarts([]io.Reader{strings.NewReader(startLog)})
 	assert.NilError(t, err)
 	assert.Equal(t, len(starts), 2)
-	assert.DeepEqual(t, starts[0].Reached, []logfile.Milestone{
+	assert.DeepEqual(t, starts[0].Milestones, []logfile.Milestone{
 		{Message: "configuration in force", After: 200 * time.Millisecond},
 		{Message: "instances changed", After: 500 * time.Millisecond},
 	})
-	assert.DeepEqual(t, starts[1].Reached, []logfile.Milestone{{Message: "answered", After: 50 * time.Millisecond}})
+	assert.DeepEqual(t, starts[1].Milestones, []logfile.Milestone{{Message: "answered", After: 50 * time.Millisecond}})
 }
