--- a/cmd/marblering/explain.go
+++ b/cmd/marblering/explain.go
@@ -95,7 +95,7 @@
 }
 
 func explainTries(logs []io.Reader, out io.Writer) error {
-	tries, err := logfile.SummarizeTries(logs)
+	tries, err := logfile.SummarizeRequests(logs)
 	if err != nil {
 		return err
 	}
--- a/telemetry/logfile/tries.go
+++ b/telemetry/logfile/tries.go
@@ -50,10 +50,10 @@
 	waitCause           WaitCause
 }
 
-// SummarizeTries reads the logs of gateways and summarizes the outcomes of the callers'
+// SummarizeRequests reads the logs of gateways and summarizes the outcomes of the callers'
 // requests by route, the most frequent outcome first. Gateways limit the rate of their log
 // lines, so answered requests may be missing under load. It fails if a log can't be read.
-func SummarizeTries(logs []io.Reader) ([]RequestSummary, error) {
+func SummarizeRequests(logs []io.Reader) ([]RequestSummary, error) {
 	all, err := readLogs(logs)
 	if err != nil {
 		return nil, err
--- a/telemetry/logfile/tries_test.go
+++ b/telemetry/logfile/tries_test.go
@@ -24,7 +24,7 @@
 time=2026-01-01T00:00:07Z msg="trying another back end" node=a key=p2 route=chat
 time=2026-01-01T00:00:20Z msg=answered node=b key=p2 route=chat status=200 code=0 sends=1 prepared=0.01 took=0.1
 `
-	tries, err := logfile.SummarizeTries([]io.Reader{strings.NewReader(log)})
+	tries, err := logfile.SummarizeRequests([]io.Reader{strings.NewReader(log)})
 	assert.NilError(t, err)
 	assert.DeepEqual(t, tries, []logfile.RequestSummary{
 		{Route: "chat", Status: "200", Code: "0", Count: 2, HeldFor: 600 * time.Millisecond, Longest: 500 * time.Millisecond},
