--- a/telemetry/logfile/tries.go
+++ b/telemetry/logfile/tries.go
@@ -34,7 +34,7 @@
 	Route string
 	// Status and Code are the HTTP status and the result code of the response.
 	Status, Code string
-	Held         WaitCause
+	WaitCause    WaitCause
 	Count        int
 	// HeldFor is the total duration of the requests, Longest that of the longest one.
 	HeldFor, Longest time.Duration
@@ -67,7 +67,7 @@
 		}
 		key := summaryKey{route: l.Get("route"), status: l.Get("status"), code: l.Get("code"), waitCause: l.waitCause()}
 		if summaries[key] == nil {
-			summaries[key] = &RequestSummary{Route: key.route, Status: key.status, Code: key.code, Held: key.waitCause}
+			summaries[key] = &RequestSummary{Route: key.route, Status: key.status, Code: key.code, WaitCause: key.waitCause}
 		}
 		programRoute := [2]string{l.Get("key"), l.Get("route")}
 		next, hasNext := nextRequests[programRoute]
@@ -85,7 +85,7 @@
 	}
 	slices.SortFunc(sorted, func(a, b RequestSummary) int {
 		return cmp.Or(cmp.Compare(a.Route, b.Route), cmp.Compare(b.Count, a.Count),
-			cmp.Compare(a.Code, b.Code), cmp.Compare(a.Held, b.Held))
+			cmp.Compare(a.Code, b.Code), cmp.Compare(a.WaitCause, b.WaitCause))
 	})
 	return sorted
 }
