--- a/cmd/marblering/explain.go
+++ b/cmd/marblering/explain.go
@@ -105,7 +105,7 @@
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "route\tstatus\tcode\theld by\ttries\tmean s\tlongest s\tthen served\tthen failed\tthen none")
 	for _, group := range tries {
-		mean := group.HeldFor / time.Duration(group.Count)
+		mean := group.TotalTime / time.Duration(group.Count)
 		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%d\t%.3f\t%.3f\t%d\t%d\t%d\n", group.Route, group.Status, codeName(group.Code), group.WaitCause,
 			group.Count, mean.Seconds(), group.Longest.Seconds(), group.ThenServed, group.ThenFailed, group.ThenNone)
 	}
--- a/telemetry/logfile/tries.go
+++ b/telemetry/logfile/tries.go
@@ -36,8 +36,8 @@
 	Status, Code string
 	WaitCause    WaitCause
 	Count        int
-	// HeldFor is the total duration of the requests, Longest that of the longest one.
-	HeldFor, Longest time.Duration
+	// TotalTime is the total duration of the requests, Longest that of the longest one.
+	TotalTime, Longest time.Duration
 	// ThenServed, ThenFailed and ThenNone count the failed requests by the outcome of
 	// the next request of the same program and route: answered, failed, or none within
 	// retryWindow. Concurrent requests of one program aren't told apart.
@@ -95,7 +95,7 @@
 func (s *RequestSummary) addRequest(l, next Line, hasNext bool) {
 	took := l.duration("took")
 	s.Count++
-	s.HeldFor += took
+	s.TotalTime += took
 	s.Longest = max(s.Longest, took)
 	if l.isAnswered() {
 		return
