--- a/telemetry/logfile/tries.go
+++ b/telemetry/logfile/tries.go
@@ -38,10 +38,10 @@
 	Count        int
 	// TotalTime is the total duration of the requests, Longest that of the longest one.
 	TotalTime, Longest time.Duration
-	// ThenServed, ThenFailed and ThenNone count the failed requests by the outcome of
+	// RetriesAnswered, ThenFailed and ThenNone count the failed requests by the outcome of
 	// the next request of the same program and route: answered, failed, or none within
 	// retryWindow. Concurrent requests of one program aren't told apart.
-	ThenServed, ThenFailed, ThenNone int
+	RetriesAnswered, ThenFailed, ThenNone int
 }
 
 // summaryKey identifies the RequestSummary to which a request belongs.
@@ -104,7 +104,7 @@
 	case !hasNext || next.Time.Sub(l.Time) > retryWindow:
 		s.ThenNone++
 	case next.isAnswered():
-		s.ThenServed++
+		s.RetriesAnswered++
 	default:
 		s.ThenFailed++
 	}
