--- a/telemetry/logfile/tries.go
+++ b/telemetry/logfile/tries.go
@@ -38,10 +38,10 @@
 	Count        int
 	// TotalTime is the total duration of the requests, Longest that of the longest one.
 	TotalTime, Longest time.Duration
-	// RetriesAnswered, ThenFailed and ThenNone count the failed requests by the outcome of
+	// RetriesAnswered, RetriesFailed and ThenNone count the failed requests by the outcome of
 	// the next request of the same program and route: answered, failed, or none within
 	// retryWindow. Concurrent requests of one program aren't told apart.
-	RetriesAnswered, ThenFailed, ThenNone int
+	RetriesAnswered, RetriesFailed, ThenNone int
 }
 
 // summaryKey identifies the RequestSummary to which a request belongs.
@@ -106,7 +106,7 @@
 	case next.isAnswered():
 		s.RetriesAnswered++
 	default:
-		s.ThenFailed++
+		s.RetriesFailed++
 	}
 }
 
