--- a/cmd/marblering/explain.go
+++ b/cmd/marblering/explain.go
@@ -107,7 +107,7 @@
 	for _, group := range tries {
 		mean := group.TotalTime / time.Duration(group.Count)
 		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%d\t%.3f\t%.3f\t%d\t%d\t%d\n", group.Route, group.Status, codeName(group.Code), group.WaitCause,
-			group.Count, mean.Seconds(), group.Longest.Seconds(), group.RetriesAnswered, group.RetriesFailed, group.ThenNone)
+			group.Count, mean.Seconds(), group.Longest.Seconds(), group.RetriesAnswered, group.RetriesFailed, group.NotRetried)
 	}
 	return table.Flush()
 }
--- a/telemetry/logfile/tries.go
+++ b/telemetry/logfile/tries.go
@@ -38,10 +38,10 @@
 	Count        int
 	// TotalTime is the total duration of the requests, Longest that of the longest one.
 	TotalTime, Longest time.Duration
-	// RetriesAnswered, RetriesFailed and ThenNone count the failed requests by the outcome of
+	// RetriesAnswered, RetriesFailed and NotRetried count the failed requests by the outcome of
 	// the next request of the same program and route: answered, failed, or none within
 	// retryWindow. Concurrent requests of one program aren't told apart.
-	RetriesAnswered, RetriesFailed, ThenNone int
+	RetriesAnswered, RetriesFailed, NotRetried int
 }
 
 // summaryKey identifies the RequestSummary to which a request belongs.
@@ -102,7 +102,7 @@
 	}
 	switch {
 	case !hasNext || next.Time.Sub(l.Time) > retryWindow:
-		s.ThenNone++
+		s.NotRetried++
 	case next.isAnswered():
 		s.RetriesAnswered++
 	default:
--- a/telemetry/logfile/tries_test.go
+++ b/telemetry/logfile/tries_test.go
@@ -32,8 +32,8 @@
 			Route: "chat", Status: "503", Code: "2004", WaitCause: logfile.WaitHistoryAndBudget, Count: 2,
 			TotalTime: 1001 * time.Millisecond, Longest: 701 * time.Millisecond, RetriesAnswered: 1, RetriesFailed: 1,
 		},
-		{Route: "chat", Status: "503", Code: "2009", WaitCause: logfile.WaitConnect, Count: 1, TotalTime: 900 * time.Millisecond, Longest: 900 * time.Millisecond, ThenNone: 1},
-		{Route: "chat", Status: "504", Code: "3006", WaitCause: logfile.WaitBackend, Count: 1, TotalTime: 3 * time.Second, Longest: 3 * time.Second, ThenNone: 1},
-		{Route: "pay", Status: "503", Code: "2005", Count: 1, TotalTime: time.Millisecond, Longest: time.Millisecond, ThenNone: 1},
+		{Route: "chat", Status: "503", Code: "2009", WaitCause: logfile.WaitConnect, Count: 1, TotalTime: 900 * time.Millisecond, Longest: 900 * time.Millisecond, NotRetried: 1},
+		{Route: "chat", Status: "504", Code: "3006", WaitCause: logfile.WaitBackend, Count: 1, TotalTime: 3 * time.Second, Longest: 3 * time.Second, NotRetried: 1},
+		{Route: "pay", Status: "503", Code: "2005", Count: 1, TotalTime: time.Millisecond, Longest: time.Millisecond, NotRetried: 1},
 	})
 }
