--- a/node/gateway/storage.go
+++ b/node/gateway/storage.go
@@ -58,7 +58,7 @@
 		lookup: lookup, peers: peers, reachability: tracker, budgets: budgets,
 		conversations: conversation.New(turns, budgets, tracker.IsCutOff, time.Now, rand.Uint64, logger),
 		quotas: quota.NewClient(peers, lookup, tracker, quota.Tolerance{
-			Window: loaded.QuotaWindow, Fraction: loaded.QuotaOverage, Slack: loaded.QuotaSlack,
+			Window: loaded.QuotaWindow, Fraction: loaded.QuotaOver, Slack: loaded.QuotaSlack,
 		}, quota.NewMetrics(metrics), time.Now, telemetry.RateLimitedForFollowers(logger)),
 	}, nil
 }
--- a/settings/gateway.go
+++ b/settings/gateway.go
@@ -37,9 +37,9 @@
 	RevokeLimit time.Duration `koanf:"revoke_limit" validate:"min=0s,max=1h"`
 	// QuotaWindow is the time window over which a tenant's requests are counted.
 	QuotaWindow time.Duration `koanf:"quota_window" validate:"min=1s,max=1h"`
-	// QuotaOverage is the fraction of its quota by which a tenant may exceed it within
+	// QuotaOver is the fraction of its quota by which a tenant may exceed it within
 	// QuotaWindow.
-	QuotaOverage float64 `koanf:"quota_over" validate:"min=0,max=1"`
+	QuotaOver float64 `koanf:"quota_over" validate:"min=0,max=1"`
 	// QuotaSlack is the number of requests allowed beyond QuotaOver within QuotaWindow.
 	QuotaSlack int `koanf:"quota_slack" validate:"min=0,max=100000"`
 	// DrainTimeout bounds a graceful shutdown, after which the process is killed.
@@ -142,7 +142,7 @@
 		{
 			Key: "quota_over", Default: "0.1", Allowed: "number from 0 to 1",
 			Usage: "part of its quota by which a tenant may exceed it within quota_window",
-			field: func(s *Gateway) any { return &s.QuotaOverage },
+			field: func(s *Gateway) any { return &s.QuotaOver },
 		},
 		{
 			Key: "quota_slack", Default: "20", Allowed: "whole number from 0 to 100000",
--- a/settings/roles_test.go
+++ b/settings/roles_test.go
@@ -75,7 +75,7 @@
 	assert.NilError(t, err)
 	assert.Equal(t, gateway.RevokeLimit, 4*time.Second)
 	assert.Equal(t, gateway.QuotaWindow, 6*time.Second)
-	assert.Equal(t, gateway.QuotaOverage, 0.2)
+	assert.Equal(t, gateway.QuotaOver, 0.2)
 	assert.Equal(t, gateway.QuotaSlack, 30)
 	storage, err := settings.LoadStorage(writeFile(t, renderTemplate(t, "../deploy/storage.yaml")), nil)
 	assert.NilError(t, err)
