--- a/settings/storage.go
+++ b/settings/storage.go
@@ -31,8 +31,8 @@
 	// RevokeLimit is how long gateways may still accept a removed key; zero means that
 	// only ApplyLimit applies.
 	RevokeLimit time.Duration `koanf:"revoke_limit" validate:"min=0s,max=1h"`
-	// ToleratedLosses is the number of simultaneous storage node failures to tolerate.
-	ToleratedLosses int `koanf:"losses" validate:"min=0,max=3"`
+	// Losses is the number of simultaneous storage node failures to tolerate.
+	Losses int `koanf:"losses" validate:"min=0,max=3"`
 	// Shards is the minimum number of shards; it is used only when the replica sets are
 	// created.
 	Shards int `koanf:"shards" validate:"min=1,max=4096"`
@@ -46,7 +46,7 @@
 
 // ReplicationFactor returns the number of members of a replica set, which keeps a majority
 // after the tolerated losses.
-func (s Storage) ReplicationFactor() int { return 2*s.ToleratedLosses + 1 }
+func (s Storage) ReplicationFactor() int { return 2*s.Losses + 1 }
 
 // LoadStorage loads and validates the settings of a storage node like [Load] those of a node.
 func LoadStorage(path string, flags *pflag.FlagSet) (Storage, error) {
@@ -123,7 +123,7 @@
 		{
 			Key: "losses", Default: "1", Allowed: "whole number from 0 to 3",
 			Usage: "how many storage nodes may be lost at once; a replica set has twice as many members and one",
-			field: func(s *Storage) any { return &s.ToleratedLosses },
+			field: func(s *Storage) any { return &s.Losses },
 		},
 		{
 			Key: "shards", Default: "4", Allowed: "whole number from 1 to 4096",
--- a/test/golden/metrics_test.go
+++ b/test/golden/metrics_test.go
@@ -179,7 +179,7 @@
 	go func() {
 		ended <- storage.Run(ctx, settings.Storage{
 			Name: "storage-1", Zone: "zone-1", PeerListen: addresses[0], OperatorListen: addresses[1],
-			StoreURL: unreachable, ApplyLimit: time.Second, RevokeLimit: time.Second, ToleratedLosses: 1, Shards: 1,
+			StoreURL: unreachable, ApplyLimit: time.Second, RevokeLimit: time.Second, Losses: 1, Shards: 1,
 			DataFolder: t.TempDir(), MemoryLimit: settings.Gibibyte,
 		}, platform.StorageParts(unreachable), zap.NewNop())
 	}()
