--- a/cmd/marblering/role.go
+++ b/cmd/marblering/role.go
@@ -41,7 +41,7 @@
 		identity: func(loaded settings.Gateway) (string, string) { return loaded.Name, loaded.Zone },
 		logLevel: func(loaded *settings.Gateway) *string { return &loaded.LogLevel },
 		run: func(ctx context.Context, loaded settings.Gateway, logger *zap.Logger) error {
-			return gateway.Run(ctx, loaded, platform.GatewayParts(loaded.StoreURL), logger)
+			return gateway.Run(ctx, loaded, platform.GatewayDependencies(loaded.StoreURL), logger)
 		},
 	})
 }
--- a/test/golden/metrics_test.go
+++ b/test/golden/metrics_test.go
@@ -157,7 +157,7 @@
 		Name: "edge-1", Zone: "zone-1", CallerListen: loopback(), OperatorListen: loopback(), ReadyPath: "/ready",
 		StoreURL: unreachable, ApplyLimit: time.Second, UndisturbedTime: time.Second, RevokeLimit: time.Second,
 		QuotaWindow: time.Second, DrainTimeout: time.Millisecond, MemoryLimit: settings.Gibibyte,
-	}, platform.GatewayParts(unreachable), zap.NewNop())
+	}, platform.GatewayDependencies(unreachable), zap.NewNop())
 	assert.NilError(t, err)
 	defer started.Drain()
 	registry := prometheus.NewRegistry()
