--- a/cmd/marblering/role.go
+++ b/cmd/marblering/role.go
@@ -55,7 +55,7 @@
 		identity: func(loaded settings.Storage) (string, string) { return loaded.Name, loaded.Zone },
 		logLevel: func(loaded *settings.Storage) *string { return &loaded.LogLevel },
 		run: func(ctx context.Context, loaded settings.Storage, logger *zap.Logger) error {
-			return storage.Run(ctx, loaded, platform.StorageParts(loaded.StoreURL), logger)
+			return storage.Run(ctx, loaded, platform.StorageDependencies(loaded.StoreURL), logger)
 		},
 	})
 }
--- a/test/golden/metrics_test.go
+++ b/test/golden/metrics_test.go
@@ -181,7 +181,7 @@
 			Name: "storage-1", Zone: "zone-1", PeerListen: addresses[0], OperatorListen: addresses[1],
 			StoreURL: unreachable, ApplyLimit: time.Second, RevokeLimit: time.Second, Losses: 1, Shards: 1,
 			DataFolder: t.TempDir(), MemoryLimit: settings.Gibibyte,
-		}, platform.StorageParts(unreachable), zap.NewNop())
+		}, platform.StorageDependencies(unreachable), zap.NewNop())
 	}()
 	defer func() {
 		cancel()
