--- a/coordination/backend/eligibility.go
+++ b/coordination/backend/eligibility.go
@@ -44,7 +44,7 @@
 		return ineligible
 	case input.addressLost || input.health == limit.Ejected:
 		return lastResort
-	case input.health == limit.Probed:
+	case input.health == limit.Probing:
 		return probed
 	}
 	return eligible
@@ -61,7 +61,7 @@
 		case eligible:
 			healthy = append(healthy, m.candidate(key))
 		case probed:
-			if s.health.ejector.Probe(m.ID, probeTimeout, now) {
+			if s.health.ejector.ClaimProbe(m.ID, probeTimeout, now) {
 				return []candidate{m.candidate(key)}
 			}
 			fallback = append(fallback, m.candidate(key))
--- a/coordination/backend/health.go
+++ b/coordination/backend/health.go
@@ -81,19 +81,19 @@
 // observe records how a request of the route ended and returns the instance's health
 // afterwards. Errors of the instance count as failures. Waits, including those of
 // abandoned requests, are compared with the baseline of the route.
-func (h *serviceHealth) observe(instance, route string, ending Ending, now time.Time) limit.EngineHealth {
+func (h *serviceHealth) observe(instance, route string, ending Outcome, now time.Time) limit.EngineHealth {
 	switch e := ending.(type) {
-	case Answered:
-		outcome := limit.Outcome{Failed: e.Faulty, Took: e.Wait}
-		if !e.Faulty {
+	case Completed:
+		outcome := limit.Outcome{Failed: e.ServerError, Duration: e.Wait}
+		if !e.ServerError {
 			outcome.Expected = h.recordWait(route, e.Wait, now)
 		}
 		return h.ejector.Observe(instance, outcome, now)
-	case Broken:
+	case Failed:
 		return h.ejector.Observe(instance, limit.Outcome{Failed: true}, now)
-	case Waited:
+	case NoResponse:
 		return h.observeAbandoned(instance, route, e.Wait, now)
-	case Unjudged:
+	case Inconclusive:
 	}
 	return h.ejector.Health(instance, now)
 }
@@ -106,5 +106,5 @@
 		return h.ejector.Health(instance, now)
 	}
 	expected := h.recordWait(route, wait, now)
-	return h.ejector.Observe(instance, limit.Outcome{Expected: expected, Took: wait}, now)
+	return h.ejector.Observe(instance, limit.Outcome{Expected: expected, Duration: wait}, now)
 }
--- a/coordination/backend/health_test.go
+++ b/coordination/backend/health_test.go
@@ -12,7 +12,7 @@
 )
 
 // serve completes requests at all instances in turn, each with the result of end.
-func serve(t *testing.T, pool *backend.Pool, instances, rounds int, end func(instance string, round int) backend.Ending) {
+func serve(t *testing.T, pool *backend.Pool, instances, rounds int, end func(instance string, round int) backend.Outcome) {
 	t.Helper()
 	for round := range rounds {
 		for i := range instances {
@@ -23,7 +23,7 @@
 }
 
 // acquireAt acquires a request at the instance by marking all others as tried.
-func acquireAt(t *testing.T, pool *backend.Pool, id string, instances int) *backend.Choice {
+func acquireAt(t *testing.T, pool *backend.Pool, id string, instances int) *backend.Assignment {
 	t.Helper()
 	var others []string
 	for i := range instances {
@@ -44,28 +44,28 @@
 		c, err := pool.Acquire(backend.Query{Service: "app", Route: "turns", Key: fmt.Sprint("program", i)})
 		assert.NilError(t, err)
 		counts[c.Instance.ID]++
-		c.Release(backend.Unjudged{})
+		c.Release(backend.Inconclusive{})
 	}
 	return counts
 }
 
-func respondFast(string, int) backend.Ending { return backend.Answered{Wait: 50 * time.Millisecond} }
+func respondFast(string, int) backend.Outcome { return backend.Completed{Wait: 50 * time.Millisecond} }
 
 // TestOutlierIsEjected covers instances that are slow, hang or fail while the others of
 // their service don't.
 func TestOutlierIsEjected(t *testing.T) {
-	for name, ending := range map[string]backend.Ending{
-		"slow":   backend.Answered{Wait: 500 * time.Millisecond},
-		"hangs":  backend.Waited{Wait: 3 * time.Second},
-		"faulty": backend.Answered{Wait: 20 * time.Millisecond, Faulty: true},
+	for name, ending := range map[string]backend.Outcome{
+		"slow":   backend.Completed{Wait: 500 * time.Millisecond},
+		"hangs":  backend.NoResponse{Wait: 3 * time.Second},
+		"faulty": backend.Completed{Wait: 20 * time.Millisecond, ServerError: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			pool := newPool(newClock(), 4)
 			var ejected []string
-			pool.OnEjected(func(instance backend.Instance, _ backend.Ending) { ejected = append(ejected, instance.ID) })
+			pool.OnEjected(func(instance backend.Instance, _ backend.Outcome) { ejected = append(ejected, instance.ID) })
 			serve(t, pool, 4, 10, respondFast)
 			assert.Assert(t, distribution(t, pool)["i2"] > 0)
-			serve(t, pool, 4, 5, func(instance string, round int) backend.Ending {
+			serve(t, pool, 4, 5, func(instance string, round int) backend.Outcome {
 				if instance == "i2" {
 					return ending
 				}
@@ -82,7 +82,7 @@
 func TestSingleSlowResponseDoesNotEject(t *testing.T) {
 	pool := newPool(newClock(), 4)
 	serve(t, pool, 4, 10, respondFast)
-	acquireAt(t, pool, "i2", 4).Release(backend.Answered{Wait: 30 * time.Second})
+	acquireAt(t, pool, "i2", 4).Release(backend.Completed{Wait: 30 * time.Second})
 	assert.Assert(t, distribution(t, pool)["i2"] > 0)
 }
 
@@ -91,8 +91,8 @@
 func TestIntermittentFailuresEject(t *testing.T) {
 	pool := newPool(newClock(), 4)
 	serve(t, pool, 4, 10, respondFast)
-	serve(t, pool, 4, 12, func(instance string, round int) backend.Ending {
-		return backend.Answered{Wait: 50 * time.Millisecond, Faulty: instance == "i2" && round%2 == 0}
+	serve(t, pool, 4, 12, func(instance string, round int) backend.Outcome {
+		return backend.Completed{Wait: 50 * time.Millisecond, ServerError: instance == "i2" && round%2 == 0}
 	})
 	assert.Equal(t, distribution(t, pool)["i2"], 0)
 }
@@ -100,18 +100,18 @@
 // TestOverloadEjectsNothing guards against ejections if all instances of a service are
 // slow or time out.
 func TestOverloadEjectsNothing(t *testing.T) {
-	for name, ending := range map[string]backend.Ending{
-		"slow":    backend.Answered{Wait: 2 * time.Second},
-		"timeout": backend.Waited{Wait: 3 * time.Second},
+	for name, ending := range map[string]backend.Outcome{
+		"slow":    backend.Completed{Wait: 2 * time.Second},
+		"timeout": backend.NoResponse{Wait: 3 * time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
 			pool := newPool(newClock(), 4)
 			serve(t, pool, 4, 10, respondFast)
 			for range 40 {
-				serve(t, pool, 4, 1, func(string, int) backend.Ending { return ending })
+				serve(t, pool, 4, 1, func(string, int) backend.Outcome { return ending })
 				for i := range 4 {
 					c := acquireAt(t, pool, fmt.Sprint("i", i), 4)
-					assert.Equal(t, c.Release(backend.Unjudged{}), limit.Healthy)
+					assert.Equal(t, c.Release(backend.Inconclusive{}), limit.Healthy)
 				}
 			}
 		})
@@ -129,7 +129,7 @@
 	assert.Assert(t, distribution(t, pool)["i2"] > 0, "a long prompt may take this long")
 	clk.now = clk.now.Add(20 * time.Millisecond)
 	assert.Equal(t, distribution(t, pool)["i2"], 0)
-	waiting.Heard()
+	waiting.RecordActivity()
 	assert.Assert(t, distribution(t, pool)["i2"] > 0)
 }
 
@@ -164,12 +164,12 @@
 	pool.Replace(instances)
 	for range 3 {
 		for i := range 3 {
-			acquireAt(t, pool, fmt.Sprint("i", i), 3).Release(backend.Broken{})
+			acquireAt(t, pool, fmt.Sprint("i", i), 3).Release(backend.Failed{})
 		}
 	}
 	ejected := 0
 	for i := range 3 {
-		if acquireAt(t, pool, fmt.Sprint("i", i), 3).Release(backend.Unjudged{}) == limit.Ejected {
+		if acquireAt(t, pool, fmt.Sprint("i", i), 3).Release(backend.Inconclusive{}) == limit.Ejected {
 			ejected++
 		}
 	}
@@ -181,7 +181,7 @@
 func TestStallTimeoutFollowsBaseline(t *testing.T) {
 	clk := newClock()
 	pool := newPool(clk, 4)
-	serve(t, pool, 4, 100, func(string, int) backend.Ending { return backend.Answered{Wait: 400 * time.Millisecond} })
+	serve(t, pool, 4, 100, func(string, int) backend.Outcome { return backend.Completed{Wait: 400 * time.Millisecond} })
 	acquireAt(t, pool, "i2", 4)
 	clk.now = clk.now.Add(1500 * time.Millisecond)
 	assert.Assert(t, distribution(t, pool)["i2"] > 0)
--- a/coordination/backend/life_test.go
+++ b/coordination/backend/life_test.go
@@ -34,7 +34,7 @@
 }
 
 // acquire acquires a request at the instance by marking the others as tried.
-func (f *restartFixture) acquire(t *testing.T, id string) *backend.Choice {
+func (f *restartFixture) acquire(t *testing.T, id string) *backend.Assignment {
 	t.Helper()
 	tried := map[string][]string{"i0": {"i1", "i2"}, "i1": {"i0", "i2"}, "i2": {"i0", "i1"}}[id]
 	choice, err := f.Acquire(backend.Query{Service: "app", Route: "r", Tried: tried})
@@ -68,26 +68,26 @@
 			first := f.acquire(t, "i0")
 			second := f.acquire(t, "i0")
 			for range 3 {
-				f.acquire(t, "i0").Release(backend.Broken{})
+				f.acquire(t, "i0").Release(backend.Failed{})
 			}
 			assert.Equal(t, len(f.list(c.next)), 0)
 			assert.Equal(t, len(f.restarted), map[bool]int{true: 1}[c.isNew])
 			if c.isNew {
 				assert.DeepEqual(t, f.restarted[0], backend.Restart{
-					Was: backend.Life{ID: "i0", Started: c.known}, Is: backend.Life{ID: "i0", Started: c.next}, UnderWay: 2,
+					Previous: backend.Incarnation{ID: "i0", Started: c.known}, Current: backend.Incarnation{ID: "i0", Started: c.next}, InFlight: 2,
 				})
 			}
 			wantHealth := map[bool]limit.EngineHealth{true: limit.Healthy, false: limit.Ejected}[c.isNew]
 			next := f.acquire(t, "i0")
 			assert.Assert(t, next.Instance.Started.Equal(c.want), "%s", next.Instance.Started)
 			assert.Equal(t, next.Outstanding, map[bool]int64{true: 0, false: 2}[c.isNew])
-			assert.Equal(t, next.Release(backend.Unjudged{}), wantHealth)
+			assert.Equal(t, next.Release(backend.Inconclusive{}), wantHealth)
 			// Requests of the earlier incarnation don't affect the next one.
 			for range 5 {
-				first.Release(backend.Broken{})
-				second.Release(backend.Broken{})
+				first.Release(backend.Failed{})
+				second.Release(backend.Failed{})
 			}
-			assert.Equal(t, f.acquire(t, "i0").Release(backend.Unjudged{}), wantHealth)
+			assert.Equal(t, f.acquire(t, "i0").Release(backend.Inconclusive{}), wantHealth)
 		})
 	}
 }
@@ -125,7 +125,7 @@
 	f.list(startOf(100))
 	before := f.acquire(t, "i0")
 	f.list(startOf(200))
-	f.Gone(before.Instance.Life())
+	f.MarkAddressLost(before.Instance.Incarnation())
 	count := 0
 	for range 50 {
 		choice, err := f.Acquire(backend.Query{Service: "app", Route: "r"})
@@ -133,14 +133,14 @@
 		if choice.Instance.ID == "i0" {
 			count++
 		}
-		choice.Release(backend.Unjudged{})
+		choice.Release(backend.Inconclusive{})
 	}
 	assert.Assert(t, count > 0)
-	f.Gone(backend.Life{ID: "i0", Started: startOf(200)})
+	f.MarkAddressLost(backend.Incarnation{ID: "i0", Started: startOf(200)})
 	for range 50 {
 		choice, err := f.Acquire(backend.Query{Service: "app", Route: "r"})
 		assert.NilError(t, err)
 		assert.Assert(t, choice.Instance.ID != "i0")
-		choice.Release(backend.Unjudged{})
+		choice.Release(backend.Inconclusive{})
 	}
 }
--- a/coordination/backend/pool.go
+++ b/coordination/backend/pool.go
@@ -20,7 +20,7 @@
 	now    func() time.Time
 	policy limit.EjectionPolicy
 	// onEjected is called for each ejected instance, with the ending that caused it.
-	onEjected func(Instance, Ending)
+	onEjected func(Instance, Outcome)
 	// onRestarted is called for each instance that was restarted under its ID.
 	onRestarted func(Restart)
 
@@ -37,7 +37,7 @@
 func NewPool(policy limit.EjectionPolicy, now func() time.Time) *Pool {
 	pool := &Pool{
 		now: now, policy: policy, ended: make(map[string]endedIncarnation),
-		onEjected: func(Instance, Ending) {}, onRestarted: func(Restart) {},
+		onEjected: func(Instance, Outcome) {}, onRestarted: func(Restart) {},
 	}
 	pool.current.Store(newSnapshot(nil, nil, policy))
 	return pool
@@ -81,8 +81,8 @@
 			removed = append(removed, id)
 		case current.load != old.load:
 			p.endIncarnation(previous, old)
-			next.services[current.Service].health.ejector.Know(id)
-			restarts = append(restarts, Restart{Was: old.Life(), Is: current.Life(), UnderWay: old.load.outstanding.Load()})
+			next.services[current.Service].health.ejector.Add(id)
+			restarts = append(restarts, Restart{Previous: old.Incarnation(), Current: current.Incarnation(), InFlight: old.load.outstanding.Load()})
 		}
 	}
 	p.current.Store(next)
@@ -95,13 +95,13 @@
 // endIncarnation marks an incarnation as ended and drops its health.
 func (p *Pool) endIncarnation(previous *snapshot, old *member) {
 	old.load.ended.Store(true)
-	previous.services[old.Service].health.ejector.Forget(old.ID)
+	previous.services[old.Service].health.ejector.Remove(old.ID)
 }
 
-// Gone records that another instance was found at the address of this incarnation, which
+// MarkAddressLost records that another instance was found at the address of this incarnation, which
 // from then on gets requests only as a last resort.
-func (p *Pool) Gone(life Life) {
-	if known, found := p.current.Load().byID[life.ID]; found && known.Life().isSame(life) {
+func (p *Pool) MarkAddressLost(life Incarnation) {
+	if known, found := p.current.Load().byID[life.ID]; found && known.Incarnation().isSame(life) {
 		known.load.addressLost.Store(true)
 	}
 }
@@ -112,10 +112,10 @@
 
 // OnEjected sets the function that is called for each ejected instance, with the ending
 // that caused it. It must be called before the pool is used.
-func (p *Pool) OnEjected(callback func(Instance, Ending)) { p.onEjected = callback }
+func (p *Pool) OnEjected(callback func(Instance, Outcome)) { p.onEjected = callback }
 
-// Known returns the instance with the ID.
-func (p *Pool) Known(id string) (Instance, bool) {
+// Lookup returns the instance with the ID.
+func (p *Pool) Lookup(id string) (Instance, bool) {
 	known, found := p.current.Load().byID[id]
 	if !found {
 		return Instance{}, false
@@ -146,8 +146,8 @@
 	Tried []string
 }
 
-// Choice is the assignment of a request to an instance until Release.
-type Choice struct {
+// Assignment is the assignment of a request to an instance until Release.
+type Assignment struct {
 	Instance Instance
 	// Preferred is set if the instance ranks first for the key.
 	Preferred bool
@@ -167,7 +167,7 @@
 
 // Acquire chooses an instance and counts the request there until Release. It returns
 // ErrNoInstance if no instance of the service can take the request.
-func (p *Pool) Acquire(query Query) (*Choice, error) {
+func (p *Pool) Acquire(query Query) (*Assignment, error) {
 	now := p.now()
 	svc, ok := p.current.Load().services[query.Service]
 	if !ok {
@@ -183,7 +183,7 @@
 		isStalled:  func(c candidate) bool { return c.member.load.isStalled(now) },
 		random:     rand.IntN,
 	})
-	c := &Choice{
+	c := &Assignment{
 		Instance: chosen.member.Instance, Preferred: preferred, Outstanding: chosen.outstanding,
 		pool: p, load: chosen.member.load, health: svc.health,
 		route: query.Route, stallTimeout: svc.health.stallTimeout(query.Route, now),
@@ -193,12 +193,12 @@
 	return c, nil
 }
 
-// Heard records that a part of the response arrived.
-func (c *Choice) Heard() { c.lastActivity.Store(c.pool.now().UnixNano()) }
+// RecordActivity records that a part of the response arrived.
+func (c *Assignment) RecordActivity() { c.lastActivity.Store(c.pool.now().UnixNano()) }
 
 // Release ends the assignment and returns the instance's health afterwards. Only the first
 // call has an effect.
-func (c *Choice) Release(ending Ending) limit.EngineHealth {
+func (c *Assignment) Release(ending Outcome) limit.EngineHealth {
 	now := c.pool.now()
 	if c.released.Swap(true) {
 		return c.health.ejector.Health(c.Instance.ID, now)
--- a/coordination/backend/pool_test.go
+++ b/coordination/backend/pool_test.go
@@ -30,7 +30,7 @@
 func Example() {
 	pool := newPool(newClock(), 3)
 	first, _ := pool.Acquire(backend.Query{Service: "app", Key: "program"})
-	first.Release(backend.Answered{})
+	first.Release(backend.Completed{})
 	second, _ := pool.Acquire(backend.Query{Service: "app", Key: "program"})
 	fmt.Println(first.Instance.ID == second.Instance.ID, second.Preferred)
 	// Output: true true
@@ -99,7 +99,7 @@
 	fail := func() {
 		choice, err := pool.Acquire(backend.Query{Service: "app", Tried: []string{"i1", "i2"}})
 		assert.NilError(t, err)
-		choice.Release(backend.Broken{})
+		choice.Release(backend.Failed{})
 	}
 	for range 3 {
 		fail()
@@ -108,7 +108,7 @@
 		choice, err := pool.Acquire(backend.Query{Service: "app"})
 		assert.NilError(t, err)
 		assert.Assert(t, choice.Instance.ID != "i0")
-		choice.Release(backend.Answered{})
+		choice.Release(backend.Completed{})
 	}
 	clk.now = clk.now.Add(1100 * time.Millisecond)
 	probe, err := pool.Acquire(backend.Query{Service: "app"})
@@ -117,7 +117,7 @@
 	other, err := pool.Acquire(backend.Query{Service: "app"})
 	assert.NilError(t, err)
 	assert.Assert(t, other.Instance.ID != "i0", "one probe at a time")
-	assert.Equal(t, probe.Release(backend.Answered{}), limit.Probed)
+	assert.Equal(t, probe.Release(backend.Completed{}), limit.Probing)
 }
 
 // TestAllEjected checks that failing instances are used if there are no others.
@@ -126,7 +126,7 @@
 	for range 5 {
 		choice, err := pool.Acquire(backend.Query{Service: "app"})
 		assert.NilError(t, err)
-		choice.Release(backend.Broken{})
+		choice.Release(backend.Failed{})
 	}
 }
 
@@ -134,8 +134,8 @@
 	pool := newPool(newClock(), 1)
 	choice, err := pool.Acquire(backend.Query{Service: "app"})
 	assert.NilError(t, err)
-	choice.Release(backend.Unjudged{})
-	choice.Release(backend.Unjudged{})
+	choice.Release(backend.Inconclusive{})
+	choice.Release(backend.Inconclusive{})
 	next, err := pool.Acquire(backend.Query{Service: "app"})
 	assert.NilError(t, err)
 	assert.Equal(t, next.Outstanding, int64(0))
@@ -145,8 +145,8 @@
 // only if no other instance is left.
 func TestInstanceWithoutAddress(t *testing.T) {
 	pool := newPool(newClock(), 2)
-	pool.Gone(backend.Life{ID: "i0"})
-	pool.Gone(backend.Life{ID: "unknown"})
+	pool.MarkAddressLost(backend.Incarnation{ID: "i0"})
+	pool.MarkAddressLost(backend.Incarnation{ID: "unknown"})
 	for i := range 50 {
 		c, err := pool.Acquire(backend.Query{Service: "app", Key: fmt.Sprint(i)})
 		assert.NilError(t, err)
--- a/coordination/backend/zones_test.go
+++ b/coordination/backend/zones_test.go
@@ -13,7 +13,7 @@
 
 // inFlight is a request at a simulated instance.
 type inFlight struct {
-	choice *backend.Choice
+	choice *backend.Assignment
 	ends   time.Time
 	waited time.Duration
 }
@@ -62,7 +62,7 @@
 					remaining = append(remaining, request)
 					continue
 				}
-				request.choice.Release(backend.Answered{Wait: request.waited})
+				request.choice.Release(backend.Completed{Wait: request.waited})
 			}
 			atInstance[id] = remaining
 		}
--- a/coordination/conversation/budget_simulation_test.go
+++ b/coordination/conversation/budget_simulation_test.go
@@ -58,7 +58,7 @@
 	var view register.View
 	for index := range 3 {
 		name := fmt.Sprint("host", index)
-		ledger := tokenbudget.New(name+"/life", s, s.Locate, tokenbudget.DefaultSettings(), time.Now, zap.NewNop())
+		ledger := tokenbudget.NewLedger(name+"/life", s, s.Locate, tokenbudget.DefaultSettings(), time.Now, zap.NewNop())
 		host := tokenbudget.NewHost(ledger, time.Now)
 		go func() { _ = host.Serve(ctx) }()
 		s.hosts[name], s.ledgers = host, append(s.ledgers, ledger)
@@ -146,7 +146,7 @@
 
 // Reserve implements tokenbudget.Hosts. The host continues with an abandoned request until
 // it learns of that, which takes as long as any message.
-func (s *simulation) Reserve(ctx context.Context, address string, wanted tokenbudget.Reservation, ended []tokenbudget.Ended) error {
+func (s *simulation) Reserve(ctx context.Context, address string, wanted tokenbudget.Reservation, ended []tokenbudget.EndedTurn) error {
 	answer := make(chan error, 1)
 	serving, stop := context.WithCancel(context.Background())
 	requestDelay, answerDelay, cancelDelay := s.delay(), s.delay(), s.delay()
@@ -168,7 +168,7 @@
 }
 
 // End implements tokenbudget.Hosts.
-func (s *simulation) End(ctx context.Context, address string, ended []tokenbudget.Ended) error {
+func (s *simulation) End(ctx context.Context, address string, ended []tokenbudget.EndedTurn) error {
 	answer := make(chan struct{})
 	requestDelay := s.delay()
 	go func() {
@@ -195,7 +195,7 @@
 	}
 	number := s.beginAttempt()
 	turn, refusal := s.gateways[s.draw(len(s.gateways))].Begin(ctx, conversation.Request{
-		ID: id, Program: "p", Budget: programBudget, Most: maxTurnTokens, TokensPerEvent: tokensPerEvent, Timeout: 10 * time.Second,
+		ID: id, Program: "p", Budget: programBudget, MaxTokens: maxTurnTokens, TokensPerEvent: tokensPerEvent, Timeout: 10 * time.Second,
 	})
 	if refusal != nil {
 		s.endAttempt(number)
--- a/coordination/conversation/conversation.go
+++ b/coordination/conversation/conversation.go
@@ -24,13 +24,13 @@
 // Turns stores whole turns. turnstore.Store implements it.
 type Turns interface {
 	Put(ctx context.Context, program string, whole *statev1.RetainedTurn) error
-	Line(ctx context.Context, program, id string) ([]*statev1.RetainedTurn, error)
+	History(ctx context.Context, program, id string) ([]*statev1.RetainedTurn, error)
 }
 
 // Budgets counts tokens. tokenbudget.Client implements it.
 type Budgets interface {
 	Reserve(ctx context.Context, wanted tokenbudget.Reservation) error
-	End(ended tokenbudget.Ended)
+	End(ended tokenbudget.EndedTurn)
 }
 
 const (
@@ -76,8 +76,8 @@
 	// Budget is the number of tokens that all turns of the program may generate together,
 	// zero for no limit.
 	Budget uint64
-	// Most is the maximum number of tokens that this turn may generate.
-	Most uint64
+	// MaxTokens is the maximum number of tokens that this turn may generate.
+	MaxTokens uint64
 	// TokensPerEvent is the number of tokens in one event of the answer.
 	TokensPerEvent uint64
 	// Retained is set if the turn is stored for Retention and the earlier turns are
@@ -134,8 +134,8 @@
 
 // readHistory reads the earlier turns. It refuses a turn of another tenant.
 func (t *Turn) readHistory(ctx context.Context) *result.Error {
-	history, err := t.service.turns.Line(ctx, t.request.Program, t.request.Previous)
-	if errors.Is(err, turnstore.ErrUnknown) {
+	history, err := t.service.turns.History(ctx, t.request.Program, t.request.Previous)
+	if errors.Is(err, turnstore.ErrTurnNotFound) {
 		t.service.logger.Info("turn unknown", zap.String("request", t.request.ID),
 			zap.String("program", t.request.Program), zap.String("previous", t.request.Previous), zap.Error(err))
 		return unknownTurn(t.request.Previous)
@@ -165,11 +165,11 @@
 	}
 	name := t.service.reservationName(t.request.ID)
 	err := t.service.budgets.Reserve(ctx, tokenbudget.Reservation{
-		Program: t.request.Program, Name: name, Limit: t.request.Budget,
-		Most: t.request.Most, Lifetime: t.request.Timeout, Running: t.request.Previous != "",
+		Program: t.request.Program, Name: name, ProgramLimit: t.request.Budget,
+		MaxTokens: t.request.MaxTokens, Lifetime: t.request.Timeout, ProgramRunning: t.request.Previous != "",
 	})
 	switch {
-	case errors.Is(err, budget.ErrSpent):
+	case errors.Is(err, budget.ErrExhausted):
 		return result.Errorf(result.BudgetExhausted, "%v", err)
 	case errors.Is(err, budget.ErrReserved):
 		return result.Errorf(result.BudgetReserved, "%v", err).After(reservedRetryAfter)
@@ -236,8 +236,8 @@
 	if t.reservation == "" {
 		return
 	}
-	t.service.budgets.End(tokenbudget.Ended{
-		Program: t.request.Program, Reservation: t.reservation, HandedOut: t.events * t.request.TokensPerEvent,
+	t.service.budgets.End(tokenbudget.EndedTurn{
+		Program: t.request.Program, Reservation: t.reservation, TokensUsed: t.events * t.request.TokensPerEvent,
 	})
 	t.reservation = ""
 }
--- a/coordination/conversation/reservation_test.go
+++ b/coordination/conversation/reservation_test.go
@@ -31,7 +31,7 @@
 type delayedEnds struct {
 	host      *tokenbudget.Host
 	grantLost bool
-	pending   []tokenbudget.Ended
+	pending   []tokenbudget.EndedTurn
 }
 
 func (d *delayedEnds) Reserve(ctx context.Context, wanted tokenbudget.Reservation) error {
@@ -39,13 +39,13 @@
 	if !d.grantLost {
 		d.grantLost = true
 		// The gateway gives up on the host, which is told later that the attempt has ended.
-		d.pending = append(d.pending, tokenbudget.Ended{Program: wanted.Program, Reservation: wanted.Name})
+		d.pending = append(d.pending, tokenbudget.EndedTurn{Program: wanted.Program, Reservation: wanted.Name})
 		return tokenbudget.ErrUnavailable
 	}
 	return err
 }
 
-func (d *delayedEnds) End(ended tokenbudget.Ended) { d.pending = append(d.pending, ended) }
+func (d *delayedEnds) End(ended tokenbudget.EndedTurn) { d.pending = append(d.pending, ended) }
 
 func (d *delayedEnds) deliver() {
 	d.host.End(d.pending)
@@ -56,16 +56,16 @@
 // retry under the same id, whose tokens would then be uncounted.
 func TestLateEndKeepsNextAttempt(t *testing.T) {
 	record := &memoryRegister{}
-	settings := tokenbudget.Settings{
-		IdleTime: time.Hour, ReleaseTimeout: time.Second, ReleasePause: time.Millisecond, ReleaseTries: 1,
-		Draws: limit.DefaultAdaptivePolicy(), Crowd: limit.DefaultAdaptivePolicy(),
+	settings := tokenbudget.LedgerSettings{
+		IdleTimeout: time.Hour, ReleaseTimeout: time.Second, ReleasePause: time.Millisecond, MaxReleaseAttempts: 1,
+		AllChanges: limit.DefaultAdaptivePolicy(), LowPriorityChanges: limit.DefaultAdaptivePolicy(),
 	}
-	ledger := tokenbudget.New("host", record, func(string) uint32 { return 0 }, settings, time.Now, zap.NewNop())
+	ledger := tokenbudget.NewLedger("host", record, func(string) uint32 { return 0 }, settings, time.Now, zap.NewNop())
 	budgets := &delayedEnds{host: tokenbudget.NewHost(ledger, time.Now)}
 	number := uint64(0)
 	nextNumber := func() uint64 { number++; return number }
 	service := conversation.New(nil, budgets, func() bool { return false }, time.Now, nextNumber, zap.NewNop())
-	request := conversation.Request{ID: "t", Program: "p", Budget: 1000, Most: 100, TokensPerEvent: 25, Timeout: time.Minute}
+	request := conversation.Request{ID: "t", Program: "p", Budget: 1000, MaxTokens: 100, TokensPerEvent: 25, Timeout: time.Minute}
 
 	_, refusal := service.Begin(t.Context(), request)
 	assert.Assert(t, refusal != nil, "the first attempt was granted")
--- a/coordination/directory/plan.go
+++ b/coordination/directory/plan.go
@@ -31,12 +31,12 @@
 	Shards uint32
 	// Factor is the replication factor.
 	Factor int
-	// Settle is how long the announced nodes must be unchanged before the sets are
+	// StableFor is how long the announced nodes must be unchanged before the sets are
 	// created.
-	Settle time.Duration
-	// Patience is how long the announced nodes must be unchanged before the sets are
+	StableFor time.Duration
+	// DegradedAfter is how long the announced nodes must be unchanged before the sets are
 	// created with fewer than Factor nodes.
-	Patience time.Duration
+	DegradedAfter time.Duration
 }
 
 // Action is the next write of a storage node.
@@ -75,8 +75,8 @@
 		return planPublish(input)
 	}
 	stableFor := input.Now.Sub(input.NodesChangedAt)
-	isEnough := len(input.Nodes) >= settings.Factor && stableFor >= settings.Settle
-	if isEnough || len(input.Nodes) > 0 && stableFor >= settings.Patience {
+	isEnough := len(input.Nodes) >= settings.Factor && stableFor >= settings.StableFor
+	if isEnough || len(input.Nodes) > 0 && stableFor >= settings.DegradedAfter {
 		return Bootstrap, initialSets(input.Nodes, settings)
 	}
 	return None, Sets{}
--- a/coordination/directory/plan_test.go
+++ b/coordination/directory/plan_test.go
@@ -60,7 +60,7 @@
 func publishedSnapshot(t *testing.T, sets Sets) follow.Snapshot {
 	t.Helper()
 	store := &sharedStore{}
-	keeper := &Keeper{}
+	keeper := &Writer{}
 	assert.NilError(t, keeper.encodeAndWrite(sets, func(spec []byte) error { store.spec = spec; return nil }))
 	return follow.Snapshot{At: 1, Objects: []follow.Object{{Name: SetsName, Revision: 1, Spec: store.spec}}}
 }
@@ -73,7 +73,7 @@
 	lookup := NewLookup(views, zap.NewNop())
 	storeErr := errors.New("the disk is full")
 	var stored []uint32
-	lookup.OnFounded(func(shards uint32) error { stored = append(stored, shards); return storeErr })
+	lookup.OnShardCount(func(shards uint32) error { stored = append(stored, shards); return storeErr })
 	sets := Sets{Shards: 6, Views: []register.View{{Shard: 5, Epoch: shard.FirstEpoch, Members: nodes}}}
 	lookup.Apply(publishedSnapshot(t, sets))
 	assert.Equal(t, views.Count(), uint32(0))
--- a/coordination/expiry/collector.go
+++ b/coordination/expiry/collector.go
@@ -95,7 +95,7 @@
 	}
 	shardOf := make(map[string]uint32)
 	for shard := range c.options.Shards() {
-		err := replica.EachTurnName(c.options.Store, shard, func(stored replica.Turn) error {
+		err := replica.EachTurnKey(c.options.Store, shard, func(stored replica.Turn) error {
 			shardOf[stored.Program] = shard
 			return ctx.Err()
 		})
@@ -163,7 +163,7 @@
 		if !entry.isExpired(now) {
 			continue
 		}
-		if err := c.options.Store.DropProgram(shardOf[id], id); err != nil {
+		if err := c.options.Store.DeleteTurns(shardOf[id], id); err != nil {
 			return err
 		}
 		delete(c.usages, id)
--- a/coordination/fleet/fleet.go
+++ b/coordination/fleet/fleet.go
@@ -170,7 +170,7 @@
 	f.ledger.Forget(engine)
 	f.locality.ForgetEngine(engine)
 	f.speeds.Forget(engine)
-	f.ejector.Forget(engine)
+	f.ejector.Remove(engine)
 }
 
 // MarkLeaving takes in what membership says of the engine: that it takes no more
@@ -314,8 +314,8 @@
 	now := f.Now()
 	for index := range states {
 		state := &states[index]
-		if state.Ejected && f.ejector.Health(state.Name, now) == limit.Probed {
-			state.Ejected = !f.ejector.Probe(state.Name, probeTimeout, now)
+		if state.Ejected && f.ejector.Health(state.Name, now) == limit.Probing {
+			state.Ejected = !f.ejector.ClaimProbe(state.Name, probeTimeout, now)
 		}
 	}
 	return states
--- a/coordination/follow/follower.go
+++ b/coordination/follow/follower.go
@@ -19,8 +19,8 @@
 	Name     string
 	Source   Source
 	Settings Settings
-	// Lost is called when the store becomes unavailable; it may be nil.
-	Lost func()
+	// OnLost is called when the store becomes unavailable; it may be nil.
+	OnLost func()
 	// Apply is called with the complete view after each change. Calls don't overlap.
 	Apply  func(Snapshot)
 	Logger *zap.Logger
@@ -56,18 +56,18 @@
 // Serve follows the objects until the context ends, with exponential backoff after
 // failed calls.
 func (f *Follower) Serve(ctx context.Context) error {
-	pause := f.options.Settings.MinPause
+	pause := f.options.Settings.MinBackoff
 	for ctx.Err() == nil {
 		err := f.step(ctx)
 		if err == nil {
-			pause = f.options.Settings.MinPause
+			pause = f.options.Settings.MinBackoff
 			continue
 		}
 		f.recordFailure(err)
 		if sleep.For(ctx, sleep.Jitter(pause)) != nil {
 			break
 		}
-		pause = min(2*pause, f.options.Settings.MaxPause)
+		pause = min(2*pause, f.options.Settings.MaxBackoff)
 	}
 	return ctx.Err()
 }
@@ -89,13 +89,13 @@
 		return err
 	}
 	f.recordAnswer(f.options.Now().Add(-snapshot.Age))
-	f.logUnreadable(snapshot.Unreadable, snapshot.At)
+	f.logUnreadable(snapshot.Unnamed, snapshot.At)
 	if !f.replaceView(snapshot) {
 		f.options.Logger.Warn("outdated listing ignored", zap.String("objects", f.options.Name),
 			zap.Int64("revision", snapshot.At), zap.Int64("known_revision", f.revision()))
 		return fmt.Errorf("listing has revision %d, older than the known revision %d", snapshot.At, f.revision())
 	}
-	f.recordProof(snapshot.Proved)
+	f.recordProof(snapshot.FreshAt)
 	f.relist = false
 	f.options.Logger.Info("objects listed", zap.String("objects", f.options.Name),
 		zap.Int64("revision", snapshot.At), zap.Int("count", len(snapshot.Objects)))
@@ -114,9 +114,9 @@
 	return true
 }
 
-// Offer replaces the view with a snapshot that another node got from the store if it is
+// ApplyIfNewer replaces the view with a snapshot that another node got from the store if it is
 // newer, and reports whether it did. This proves nothing about how current the view is.
-func (f *Follower) Offer(snapshot Snapshot) bool {
+func (f *Follower) ApplyIfNewer(snapshot Snapshot) bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	if f.view.initialized && snapshot.At <= f.view.revision {
@@ -147,10 +147,10 @@
 // watch waits for changes and applies them.
 func (f *Follower) watch(ctx context.Context) error {
 	settings := f.options.Settings
-	bounded, cancel := context.WithTimeout(ctx, settings.WatchWait+settings.WatchSlack)
+	bounded, cancel := context.WithTimeout(ctx, settings.WatchWait+settings.WatchGrace)
 	defer cancel()
 	changes, err := f.options.Source.Watch(bounded, f.revision(), settings.WatchWait)
-	if errors.Is(err, ErrHistoryGone) {
+	if errors.Is(err, ErrHistoryCompacted) {
 		f.options.Logger.Info("change history gone, listing again", zap.String("objects", f.options.Name), zap.Int64("revision", f.revision()))
 		f.relist = true
 		return nil
@@ -159,11 +159,11 @@
 		return err
 	}
 	f.recordAnswer(f.options.Now().Add(-changes.Age))
-	f.logUnreadable(changes.Unreadable, changes.At)
+	f.logUnreadable(changes.Unnamed, changes.At)
 	changed := f.applyChanges(changes)
-	f.recordProof(changes.Proved)
+	f.recordProof(changes.FreshAt)
 	if changed {
-		_ = sleep.For(ctx, settings.Gather)
+		_ = sleep.For(ctx, settings.BatchDelay)
 	}
 	return nil
 }
@@ -188,8 +188,8 @@
 	}
 	f.options.Logger.Warn("store lost", zap.String("objects", f.options.Name),
 		zap.Int64("revision", f.revision()), zap.Error(err))
-	if f.options.Lost != nil {
-		f.options.Lost()
+	if f.options.OnLost != nil {
+		f.options.OnLost()
 	}
 }
 
@@ -198,7 +198,7 @@
 // a listing while its revision is older than the known one, which is common even when it
 // misses no change, since the revision covers all kinds of objects; listing would then
 // always end at the store itself.
-func needsListing(err error) bool { return !errors.Is(err, ErrNobodyAsked) }
+func needsListing(err error) bool { return !errors.Is(err, ErrNotQueried) }
 
 // logUnreadable logs how many objects were skipped because they have no name.
 func (f *Follower) logUnreadable(count int, revision int64) {
--- a/coordination/follow/follower_test.go
+++ b/coordination/follow/follower_test.go
@@ -59,7 +59,7 @@
 func runScript(steps ...func() (Snapshot, Changes, error)) (calls []string, applied [][]string) {
 	source := &scriptedSource{steps: steps}
 	ctx, cancel := context.WithCancel(context.Background())
-	settings := Settings{ListTimeout: time.Minute, WatchWait: time.Minute, WatchSlack: time.Minute, MinPause: 1, MaxPause: 1}
+	settings := Settings{ListTimeout: time.Minute, WatchWait: time.Minute, WatchGrace: time.Minute, MinBackoff: 1, MaxBackoff: 1}
 	follower := New(Options{
 		Name: "things", Source: source, Settings: settings, Logger: zap.NewNop(), Now: time.Now,
 		Apply: func(snapshot Snapshot) {
@@ -86,7 +86,7 @@
 	calls, applied := runScript(
 		listStep(5, object("a", 3)),
 		changeStep(7, Event{Object: object("b", 7)}),
-		changeStep(9, Event{Object: object("a", 9), Gone: true}),
+		changeStep(9, Event{Object: object("a", 9), Deleted: true}),
 	)
 	fmt.Println(calls)
 	fmt.Println(applied)
@@ -97,7 +97,7 @@
 
 // TestFailedWatchListsAgain guards against changes lost with a failed response.
 func TestFailedWatchListsAgain(t *testing.T) {
-	for name, err := range map[string]error{"cut": errors.New("cut"), "history gone": ErrHistoryGone} {
+	for name, err := range map[string]error{"cut": errors.New("cut"), "history gone": ErrHistoryCompacted} {
 		calls, applied := runScript(listStep(5, object("a", 3)), errorStep(err), listStep(9, object("b", 8)), changeStep(10))
 		assert.DeepEqual(t, calls, []string{"list", "watch 5", "list", "watch 9"})
 		assert.Assert(t, slices.EqualFunc(applied, [][]string{{"a3"}, {"b8"}}, slices.Equal), "%s: %v", name, applied)
@@ -114,8 +114,8 @@
 // objects, and against needless Apply calls.
 func TestOldOrRepeatedEventChangesNothing(t *testing.T) {
 	_, applied := runScript(listStep(5, object("a", 5)),
-		changeStep(6, Event{Object: object("a", 4)}, Event{Object: object("a", 5)}, Event{Object: object("a", 4), Gone: true}),
-		changeStep(7, Event{Object: object("none", 7), Gone: true}),
+		changeStep(6, Event{Object: object("a", 4)}, Event{Object: object("a", 5)}, Event{Object: object("a", 4), Deleted: true}),
+		changeStep(7, Event{Object: object("none", 7), Deleted: true}),
 		changeStep(8, Event{Object: object("a", 8)}))
 	assert.DeepEqual(t, applied, [][]string{{"a5"}, {"a8"}})
 }
@@ -125,7 +125,7 @@
 	source := &scriptedSource{steps: []func() (Snapshot, Changes, error){listStep(5)}}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	settings := Settings{ListTimeout: 1, WatchWait: 1, WatchSlack: 1, MinPause: 1, MaxPause: 1}
+	settings := Settings{ListTimeout: 1, WatchWait: 1, WatchGrace: 1, MinBackoff: 1, MaxBackoff: 1}
 	follower := New(Options{Source: source, Settings: settings, Logger: zap.NewNop(), Now: time.Now, Apply: func(Snapshot) {}})
 	assert.NilError(t, follower.step(ctx))
 	assert.ErrorIs(t, follower.step(ctx), context.DeadlineExceeded)
@@ -145,7 +145,7 @@
 			name := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "name")
 			_, exists := state[name]
 			gone := exists && rapid.Bool().Draw(t, "gone")
-			history = append(history, Event{Object: object(name, revision), Gone: gone})
+			history = append(history, Event{Object: object(name, revision), Deleted: gone})
 			state[name] = object(name, revision)
 			if gone {
 				delete(state, name)
@@ -178,7 +178,7 @@
 // don't list, and that older ones are ignored.
 func TestWholeChangesReplaceTheView(t *testing.T) {
 	whole := func(at int64, objects ...Object) func() (Snapshot, Changes, error) {
-		changes := Changes{At: at, IsWhole: true}
+		changes := Changes{At: at, IsFull: true}
 		for _, one := range objects {
 			changes.Events = append(changes.Events, Event{Object: one})
 		}
@@ -192,7 +192,7 @@
 // TestNoListingWithoutQuery checks that ErrNobodyAsked causes no new listing, while any
 // other failure does.
 func TestNoListingWithoutQuery(t *testing.T) {
-	calls, _ := runScript(listStep(7), errorStep(fmt.Errorf("no holder: %w", ErrNobodyAsked)), changeStep(9), errorStep(errors.New("cut")), listStep(9))
+	calls, _ := runScript(listStep(7), errorStep(fmt.Errorf("no holder: %w", ErrNotQueried)), changeStep(9), errorStep(errors.New("cut")), listStep(9))
 	assert.DeepEqual(t, calls[:5], []string{"list", "watch 7", "watch 7", "watch 9", "list"})
 }
 
@@ -217,7 +217,7 @@
 func TestPolledSourceProvesRequestTime(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		const interval = 500 * time.Millisecond
-		source := Polled(&firstCallHangs{}, interval, time.Now)
+		source := NewPollingSource(&firstCallHangs{}, interval, time.Now)
 		start := time.Now()
 		_, err := source.List(t.Context())
 		assert.ErrorIs(t, err, context.DeadlineExceeded)
@@ -225,11 +225,11 @@
 		requested := time.Now()
 		snapshot, err := source.List(t.Context())
 		assert.NilError(t, err)
-		assert.Assert(t, snapshot.Proved.Equal(requested))
+		assert.Assert(t, snapshot.FreshAt.Equal(requested))
 		time.Sleep(interval / 5)
 		changes, err := source.Watch(t.Context(), 1, time.Hour)
 		assert.NilError(t, err)
-		assert.Assert(t, changes.Proved.Equal(requested.Add(interval)))
-		assert.Assert(t, changes.IsWhole)
+		assert.Assert(t, changes.FreshAt.Equal(requested.Add(interval)))
+		assert.Assert(t, changes.IsFull)
 	})
 }
--- a/coordination/follow/settings.go
+++ b/coordination/follow/settings.go
@@ -8,15 +8,15 @@
 	ListTimeout time.Duration
 	// WatchWait is how long the store may hold a watch request without changes.
 	WatchWait time.Duration
-	// WatchSlack is how much longer than WatchWait the response may take. An
+	// WatchGrace is how much longer than WatchWait the response may take. An
 	// unresponsive store is detected after the sum of both.
-	WatchSlack time.Duration
-	// Gather is the pause after changes, so that further changes shortly afterwards
+	WatchGrace time.Duration
+	// BatchDelay is the pause after changes, so that further changes shortly afterwards
 	// arrive in one response.
-	Gather time.Duration
-	// MinPause and MaxPause limit the exponential backoff after failed calls.
-	MinPause time.Duration
-	MaxPause time.Duration
+	BatchDelay time.Duration
+	// MinBackoff and MaxPause limit the exponential backoff after failed calls.
+	MinBackoff time.Duration
+	MaxBackoff time.Duration
 }
 
 // DefaultSettings returns settings that detect an unresponsive store within three seconds.
@@ -24,9 +24,9 @@
 	return Settings{
 		ListTimeout: 1500 * time.Millisecond,
 		WatchWait:   2 * time.Second,
-		WatchSlack:  700 * time.Millisecond,
-		Gather:      150 * time.Millisecond,
-		MinPause:    50 * time.Millisecond,
-		MaxPause:    400 * time.Millisecond,
+		WatchGrace:  700 * time.Millisecond,
+		BatchDelay:  150 * time.Millisecond,
+		MinBackoff:  50 * time.Millisecond,
+		MaxBackoff:  400 * time.Millisecond,
 	}
 }
--- a/coordination/follow/view.go
+++ b/coordination/follow/view.go
@@ -22,21 +22,21 @@
 	Objects []Object
 	// At is the revision of the store.
 	At int64
-	// Unreadable counts the objects that were left out because they have no name.
-	Unreadable int `json:"-"`
+	// Unnamed counts the objects that were left out because they have no name.
+	Unnamed int `json:"-"`
 	// Age is the time since the store's answer when the snapshot was received from
 	// another node; zero for a direct answer of the store.
 	Age time.Duration `json:"-"`
-	// Proved is a time before which the store had nothing newer, by this node's
+	// FreshAt is a time before which the store had nothing newer, by this node's
 	// monotonic clock; zero if no such time is known.
-	Proved time.Time `json:"-"`
+	FreshAt time.Time `json:"-"`
 }
 
 // Event is the change of one object.
 type Event struct {
 	Object Object
-	// Gone is set if the object was deleted.
-	Gone bool
+	// Deleted is set if the object was deleted.
+	Deleted bool
 }
 
 // Changes holds the events between two revisions.
@@ -44,15 +44,15 @@
 	Events []Event
 	// At is the revision to watch from next.
 	At int64
-	// Unreadable counts the events that were left out because their objects have no
+	// Unnamed counts the events that were left out because their objects have no
 	// name.
-	Unreadable int
-	// IsWhole is set if the events list all existing objects, so that any other object
+	Unnamed int
+	// IsFull is set if the events list all existing objects, so that any other object
 	// was deleted.
-	IsWhole bool
+	IsFull bool
 	// Age and Proved have the same meaning as in Snapshot.
-	Age    time.Duration
-	Proved time.Time
+	Age     time.Duration
+	FreshAt time.Time
 }
 
 // view is the copy of the objects at one revision, which never decreases. It isn't safe
@@ -80,7 +80,7 @@
 
 // applyChanges updates the view and reports whether any object changed.
 func (v *view) applyChanges(changes Changes) bool {
-	if changes.IsWhole {
+	if changes.IsFull {
 		return !v.confirmUnchanged(changes) && v.replace(changes.Snapshot())
 	}
 	changed := false
@@ -109,7 +109,7 @@
 
 // Snapshot converts whole changes to a snapshot.
 func (c Changes) Snapshot() Snapshot {
-	snapshot := Snapshot{At: c.At, Age: c.Age, Proved: c.Proved, Objects: make([]Object, 0, len(c.Events))}
+	snapshot := Snapshot{At: c.At, Age: c.Age, FreshAt: c.FreshAt, Objects: make([]Object, 0, len(c.Events))}
 	for _, event := range c.Events {
 		snapshot.Objects = append(snapshot.Objects, event.Object)
 	}
@@ -118,7 +118,7 @@
 
 // Changes converts the snapshot to whole changes.
 func (s Snapshot) Changes() Changes {
-	changes := Changes{At: s.At, IsWhole: true, Age: s.Age, Proved: s.Proved}
+	changes := Changes{At: s.At, IsFull: true, Age: s.Age, FreshAt: s.FreshAt}
 	for _, object := range s.Objects {
 		changes.Events = append(changes.Events, Event{Object: object})
 	}
@@ -132,7 +132,7 @@
 	if exists && event.Object.Revision < known.Revision {
 		return false
 	}
-	if event.Gone {
+	if event.Deleted {
 		delete(v.objects, event.Object.Name)
 		return exists
 	}
--- a/coordination/limit/adaptive_test.go
+++ b/coordination/limit/adaptive_test.go
@@ -13,7 +13,7 @@
 // operations in flight.
 type processor struct {
 	now      time.Time
-	adaptive *limit.Adaptive
+	adaptive *limit.AdaptiveLimit
 	// inFlight holds the admitted operations that haven't ended.
 	inFlight  []operation
 	completed int
@@ -33,7 +33,7 @@
 )
 
 func (s *processor) offer() {
-	if !s.adaptive.Begin() {
+	if !s.adaptive.TryAcquire() {
 		s.rejected++
 		return
 	}
@@ -52,10 +52,10 @@
 		switch {
 		case o.remaining <= 0:
 			s.completed++
-			s.adaptive.End(false)
+			s.adaptive.Release(false)
 		case s.now.After(o.deadline):
 			s.timedOut++
-			s.adaptive.End(true)
+			s.adaptive.Release(true)
 		default:
 			rest = append(rest, o)
 		}
@@ -74,12 +74,12 @@
 	}
 }
 
-// TestOverloadFinishesWhatItBegins checks that at four times the capacity most of the
+// TestAdaptiveLimitKeepsGoodputUnderOverload checks that at four times the capacity most of the
 // capacity still goes to operations that complete in time, and that nothing is rejected
 // once the overload is over.
-func TestOverloadFinishesWhatItBegins(t *testing.T) {
+func TestAdaptiveLimitKeepsGoodputUnderOverload(t *testing.T) {
 	s := &processor{now: time.Unix(1_000_000, 0)}
-	s.adaptive = limit.NewAdaptive(limit.DefaultAdaptivePolicy(), func() time.Time { return s.now })
+	s.adaptive = limit.NewAdaptiveLimit(limit.DefaultAdaptivePolicy(), func() time.Time { return s.now })
 	s.run(20_000, 1)
 	assert.Assert(t, s.completed >= 4000, "%d of 5000 possible operations completed, %d timed out, %d were rejected", s.completed, s.timedOut, s.rejected)
 	s.run(1000, 0)
@@ -91,21 +91,21 @@
 // TestLimitIsBounded checks that the limit stays between Min and Max.
 func TestLimitIsBounded(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
-	adaptive := limit.NewAdaptive(limit.DefaultAdaptivePolicy(), func() time.Time { return now })
+	adaptive := limit.NewAdaptiveLimit(limit.DefaultAdaptivePolicy(), func() time.Time { return now })
 	for range 100 {
 		now = now.Add(time.Second)
-		assert.Assert(t, adaptive.Begin())
-		adaptive.End(true)
+		assert.Assert(t, adaptive.TryAcquire())
+		adaptive.Release(true)
 	}
 	assert.Equal(t, adaptive.Limit(), 4)
 	for range 1000 {
 		begun := 0
-		for adaptive.Begin() {
+		for adaptive.TryAcquire() {
 			begun++
 		}
 		assert.Assert(t, begun <= 256)
 		for range begun {
-			adaptive.End(false)
+			adaptive.Release(false)
 		}
 	}
 	assert.Equal(t, adaptive.Limit(), 256)
--- a/coordination/limit/ejection.go
+++ b/coordination/limit/ejection.go
@@ -12,38 +12,38 @@
 	// which the engine is ejected. Slowness is the moving average of the ratio of a call's
 	// time to its expected time.
 	SlowFactor float64
-	// Failures is the number of consecutive failed calls after which an engine is ejected.
-	Failures int
-	// FaultShare is the moving average of the fraction of failed calls at which an engine
+	// ConsecutiveFailures is the number of consecutive failed calls after which an engine is ejected.
+	ConsecutiveFailures int
+	// FailureRate is the moving average of the fraction of failed calls at which an engine
 	// is ejected. Zero disables this rule.
-	FaultShare float64
+	FailureRate float64
 	// MinSamples is the number of calls required before SlowFactor and FaultShare apply to
 	// an engine.
 	MinSamples int
-	// BaseTime is the duration of a first ejection. It doubles with each ejection that
+	// BaseEjectionTime is the duration of a first ejection. It doubles with each ejection that
 	// follows within MaxTime of the engine's return, up to MaxTime.
-	BaseTime time.Duration
-	MaxTime  time.Duration
-	// MaxFraction is the fraction of the engines that may be ejected or probed at once,
+	BaseEjectionTime time.Duration
+	MaxEjectionTime  time.Duration
+	// MaxEjectedFraction is the fraction of the engines that may be ejected or probed at once,
 	// rounded down, but at least one engine if there are two or more. A fleet in which most
 	// engines are slow is overloaded, and ejecting engines would increase the load on the
 	// others.
-	MaxFraction float64
-	// Probes is the number of probe calls, one at a time, that must succeed before an engine
+	MaxEjectedFraction float64
+	// RequiredProbes is the number of probe calls, one at a time, that must succeed before an engine
 	// returns.
-	Probes int
+	RequiredProbes int
 }
 
 // DefaultEjectionPolicy suits fleets of ten or more engines.
 func DefaultEjectionPolicy() EjectionPolicy {
 	return EjectionPolicy{
-		SlowFactor:  3,
-		Failures:    5,
-		MinSamples:  8,
-		BaseTime:    10 * time.Second,
-		MaxTime:     5 * time.Minute,
-		MaxFraction: 0.3,
-		Probes:      3,
+		SlowFactor:          3,
+		ConsecutiveFailures: 5,
+		MinSamples:          8,
+		BaseEjectionTime:    10 * time.Second,
+		MaxEjectionTime:     5 * time.Minute,
+		MaxEjectedFraction:  0.3,
+		RequiredProbes:      3,
 	}
 }
 
@@ -56,8 +56,8 @@
 	Healthy EngineHealth = iota
 	// Ejected engines receive no calls.
 	Ejected
-	// Probed engines receive one call at a time.
-	Probed
+	// Probing engines receive one call at a time.
+	Probing
 )
 
 // Outcome is the result of a call to an engine.
@@ -67,8 +67,8 @@
 	// Expected is the time that a healthy engine of the same kind would have needed with
 	// the same queue; zero if unknown.
 	Expected time.Duration
-	// Took is the time that the call took.
-	Took time.Duration
+	// Duration is the time that the call took.
+	Duration time.Duration
 }
 
 // movingAverageWeight is the weight of a new sample in an engine's moving averages.
@@ -117,7 +117,7 @@
 	record := e.getOrCreate(engine)
 	record.advance(now)
 	record.observe(outcome, e.policy.SlowFactor)
-	if record.health == Probed {
+	if record.health == Probing {
 		e.recordProbe(record, outcome, now)
 		return record.health
 	}
@@ -140,9 +140,9 @@
 	return record.health
 }
 
-// Probe claims the single call that a Probed engine may receive, and reports whether it
+// ClaimProbe claims the single call that a Probed engine may receive, and reports whether it
 // succeeded. Observe or the timeout ends the claim.
-func (e *Ejector) Probe(engine string, timeout time.Duration, now time.Time) bool {
+func (e *Ejector) ClaimProbe(engine string, timeout time.Duration, now time.Time) bool {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	record, known := e.engines[engine]
@@ -150,7 +150,7 @@
 		return false
 	}
 	record.advance(now)
-	if record.health != Probed || (record.probeInFlight && now.Before(record.probeDeadline)) {
+	if record.health != Probing || (record.probeInFlight && now.Before(record.probeDeadline)) {
 		return false
 	}
 	record.probeInFlight = true
@@ -158,16 +158,16 @@
 	return true
 }
 
-// Know adds an engine before any of its calls has ended, so that MaxFraction refers to the
+// Add adds an engine before any of its calls has ended, so that MaxFraction refers to the
 // whole fleet.
-func (e *Ejector) Know(engine string) {
+func (e *Ejector) Add(engine string) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	e.getOrCreate(engine)
 }
 
-// Forget removes an engine.
-func (e *Ejector) Forget(engine string) {
+// Remove removes an engine.
+func (e *Ejector) Remove(engine string) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	delete(e.engines, engine)
@@ -184,10 +184,10 @@
 
 // isOutlier reports whether an engine qualifies for ejection.
 func (e *Ejector) isOutlier(record *engineRecord) bool {
-	if record.consecutiveFailures >= e.policy.Failures {
+	if record.consecutiveFailures >= e.policy.ConsecutiveFailures {
 		return true
 	}
-	if e.policy.FaultShare > 0 && record.calls >= e.policy.MinSamples && record.failureRate >= e.policy.FaultShare {
+	if e.policy.FailureRate > 0 && record.calls >= e.policy.MinSamples && record.failureRate >= e.policy.FailureRate {
 		return true
 	}
 	if record.samples < e.policy.MinSamples {
@@ -220,7 +220,7 @@
 			ejected++
 		}
 	}
-	allowed := int(e.policy.MaxFraction * float64(len(e.engines)))
+	allowed := int(e.policy.MaxEjectedFraction * float64(len(e.engines)))
 	if len(e.engines) > 1 {
 		allowed = max(allowed, 1)
 	}
@@ -229,9 +229,9 @@
 
 // eject ejects the engine and resets its statistics.
 func (e *Ejector) eject(record *engineRecord, now time.Time) {
-	duration := e.policy.BaseTime
+	duration := e.policy.BaseEjectionTime
 	for range record.recentEjections {
-		duration = min(2*duration, e.policy.MaxTime)
+		duration = min(2*duration, e.policy.MaxEjectionTime)
 	}
 	*record = engineRecord{health: Ejected, until: now.Add(duration), recentEjections: record.recentEjections + 1}
 }
@@ -240,14 +240,14 @@
 // again, for longer.
 func (e *Ejector) recordProbe(record *engineRecord, outcome Outcome, now time.Time) {
 	record.probeInFlight = false
-	slow := outcome.Expected > 0 && outcome.Took.Seconds() > e.policy.SlowFactor*outcome.Expected.Seconds()
+	slow := outcome.Expected > 0 && outcome.Duration.Seconds() > e.policy.SlowFactor*outcome.Expected.Seconds()
 	if outcome.Failed || slow {
 		e.eject(record, now)
 		return
 	}
 	record.successfulProbes++
-	if record.successfulProbes >= e.policy.Probes {
-		*record = engineRecord{recentEjections: record.recentEjections, until: now.Add(e.policy.MaxTime)}
+	if record.successfulProbes >= e.policy.RequiredProbes {
+		*record = engineRecord{recentEjections: record.recentEjections, until: now.Add(e.policy.MaxEjectionTime)}
 	}
 }
 
@@ -259,7 +259,7 @@
 	}
 	switch r.health {
 	case Ejected:
-		r.health = Probed
+		r.health = Probing
 	case Healthy:
 		r.recentEjections = 0
 	}
@@ -279,7 +279,7 @@
 	if outcome.Expected <= 0 {
 		return
 	}
-	ratio := min(outcome.Took.Seconds()/outcome.Expected.Seconds(), 2*slowFactor)
+	ratio := min(outcome.Duration.Seconds()/outcome.Expected.Seconds(), 2*slowFactor)
 	r.samples++
 	if r.samples == 1 {
 		r.slowness = ratio
--- a/coordination/limit/limit_test.go
+++ b/coordination/limit/limit_test.go
@@ -19,9 +19,9 @@
 	retries := map[string]int{}
 	for i := range 1000 {
 		tenant := []string{"broken", "other"}[i%2]
-		budget.Attempted(tenant, testTime)
+		budget.RecordAttempt(tenant, testTime)
 		for range 3 {
-			if budget.Retry(tenant, testTime) {
+			if budget.TryRetry(tenant, testTime) {
 				retries[tenant]++
 			}
 		}
@@ -35,7 +35,7 @@
 	ejector := limit.NewEjector(policy)
 	now := testTime
 	observe := func(engine string, factor int) limit.EngineHealth {
-		return ejector.Observe(engine, limit.Outcome{Expected: time.Second, Took: time.Duration(factor) * time.Second}, now)
+		return ejector.Observe(engine, limit.Outcome{Expected: time.Second, Duration: time.Duration(factor) * time.Second}, now)
 	}
 	for range 10 {
 		for i := range 9 {
@@ -46,16 +46,16 @@
 	assert.Equal(t, ejector.Health("slow", now), limit.Ejected)
 	assert.Equal(t, ejector.Health("good-0", now), limit.Healthy)
 
-	now = now.Add(policy.BaseTime)
-	assert.Equal(t, ejector.Health("slow", now), limit.Probed)
-	assert.Assert(t, ejector.Probe("slow", time.Minute, now))
-	assert.Assert(t, !ejector.Probe("slow", time.Minute, now), "only one probe may be in flight")
+	now = now.Add(policy.BaseEjectionTime)
+	assert.Equal(t, ejector.Health("slow", now), limit.Probing)
+	assert.Assert(t, ejector.ClaimProbe("slow", time.Minute, now))
+	assert.Assert(t, !ejector.ClaimProbe("slow", time.Minute, now), "only one probe may be in flight")
 	assert.Equal(t, observe("slow", 5), limit.Ejected)
-	now = now.Add(policy.BaseTime)
+	now = now.Add(policy.BaseEjectionTime)
 	assert.Equal(t, ejector.Health("slow", now), limit.Ejected, "the second ejection lasts longer")
-	now = now.Add(policy.BaseTime)
-	for range policy.Probes {
-		assert.Assert(t, ejector.Probe("slow", time.Minute, now))
+	now = now.Add(policy.BaseEjectionTime)
+	for range policy.RequiredProbes {
+		assert.Assert(t, ejector.ClaimProbe("slow", time.Minute, now))
 		observe("slow", 1)
 	}
 	assert.Equal(t, ejector.Health("slow", now), limit.Healthy)
@@ -76,7 +76,7 @@
 				ejected++
 			}
 		}
-		allowed := int(policy.MaxFraction * float64(count))
+		allowed := int(policy.MaxEjectedFraction * float64(count))
 		if count > 1 {
 			allowed = max(allowed, 1)
 		}
--- a/coordination/limit/retry.go
+++ b/coordination/limit/retry.go
@@ -16,8 +16,8 @@
 	MinPerSecond float64
 	// Burst is the maximum number of unused retries in the budget.
 	Burst float64
-	// Saved is the number of retries in the budget at the start.
-	Saved float64
+	// InitialRetries is the number of retries in the budget at the start.
+	InitialRetries float64
 }
 
 // DefaultRetryPolicy allows retries to add a tenth to the load, as recommended in "Site
@@ -26,11 +26,11 @@
 	return RetryPolicy{Ratio: 0.1, MinPerSecond: 0.5, Burst: 20}
 }
 
-// HedgePolicy allows hedges (requests to further members when others are late) to add a
+// DefaultHedgePolicy allows hedges (requests to further members when others are late) to add a
 // tenth to the load, and a few per second under low traffic. Members that are late
 // together are overloaded, and unbounded hedging would add to their load.
-func HedgePolicy() RetryPolicy {
-	return RetryPolicy{Ratio: 0.1, MinPerSecond: 4, Burst: 20, Saved: 8}
+func DefaultHedgePolicy() RetryPolicy {
+	return RetryPolicy{Ratio: 0.1, MinPerSecond: 4, Burst: 20, InitialRetries: 8}
 }
 
 // RetryBudget bounds the retries of a node and of each of its tenants, so that a failure
@@ -59,27 +59,27 @@
 		node:   NewBucket(policy.MinPerSecond, policy.Burst, now),
 	}
 	budget.tenants = recent.New(tenantIdleTimeout, budget.newTenant)
-	budget.node.Add(policy.Saved)
+	budget.node.Add(policy.InitialRetries)
 	return budget
 }
 
 func (r *RetryBudget) newTenant(now time.Time) Bucket {
 	bucket := NewBucket(r.policy.MinPerSecond*tenantFraction, r.policy.Burst*tenantFraction, now)
-	bucket.Add(r.policy.Saved)
+	bucket.Add(r.policy.InitialRetries)
 	return bucket
 }
 
-// Attempted records a first attempt, which adds Ratio retries to the budget.
-func (r *RetryBudget) Attempted(tenant string, now time.Time) {
+// RecordAttempt records a first attempt, which adds Ratio retries to the budget.
+func (r *RetryBudget) RecordAttempt(tenant string, now time.Time) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.node.Add(r.policy.Ratio)
 	r.tenants.Get(tenant, now).Add(r.policy.Ratio)
 }
 
-// Retry takes a retry from the budget and reports whether one was available. If not, the
+// TryRetry takes a retry from the budget and reports whether one was available. If not, the
 // caller must not retry.
-func (r *RetryBudget) Retry(tenant string, now time.Time) bool {
+func (r *RetryBudget) TryRetry(tenant string, now time.Time) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	bucket := r.tenants.Get(tenant, now)
--- a/coordination/membership/evidence.go
+++ b/coordination/membership/evidence.go
@@ -9,16 +9,15 @@
 	peerv1 "github.com/marblering/marblering/api/peer/v1"
 )
 
-// Evidence about an engine is kept by engine and observer; the highest version
-// wins, and of equal versions the one that says leaving. Two observers aren't
-// nodes: what the engine says itself and what the platform's machine list says
-// is the same whoever read it, so all nodes share one entry for each. Node
-// names must not begin with "@".
+// Observers that aren't nodes. Evidence is keyed by engine and observer; the
+// highest version wins, and among equal versions the one with the leaving mark.
+// All nodes share one entry for the engine's own state and one for the
+// platform's machine list. Node names must not begin with "@".
 const (
-	// ObserverEngine stands for the engine's own word: an answer 503 or its
-	// state.
+	// ObserverEngine is the observer of what the engine reports itself: a 503
+	// response or its state.
 	ObserverEngine = "@engine"
-	// ObserverMachineList stands for the platform's machine list.
+	// ObserverMachineList is the observer of the platform's machine list.
 	ObserverMachineList = "@machines"
 )
 
@@ -27,93 +26,96 @@
 	observer string
 }
 
-// shared reports whether all nodes write the same entry.
+// shared reports whether all nodes write to the same entry.
 func (k evidenceKey) shared() bool {
 	return k.observer == ObserverEngine || k.observer == ObserverMachineList
 }
 
 type evidence struct {
-	fact  *peerv1.EngineEvidence
-	heard time.Time
+	fact       *peerv1.EngineEvidence
+	receivedAt time.Time
 }
 
-// Machine is one line of the platform's machine list.
+// Machine is one entry of the platform's machine list.
 type Machine struct {
 	Name    string
 	Leaving bool
 }
 
-// EngineReport is what this node saw of an engine itself.
+// EngineReport is the state of an engine as this node learned it from the engine.
 type EngineReport struct {
 	Engine string
-	// Leaving is the engine's own word: it answered 503, or its state says so.
+	// Leaving is set when the engine responded with 503 or reported that it is
+	// leaving.
 	Leaving bool
-	// Asked is when the question was sent that the engine answered. A report
-	// that an engine isn't leaving only counts against older evidence.
-	Asked time.Time
+	// RequestedAt is when the request was sent that the engine responded to. A report
+	// that the engine isn't leaving overrides only evidence from before RequestedAt.
+	RequestedAt time.Time
 }
 
-// ObserveMachines takes in a reading of the platform's machine list. The list
-// lags, so that it can withdraw only what it said itself.
+// ObserveMachines applies a reading of the platform's machine list. As readings
+// may be outdated, one clears a leaving mark only if this node's previous reading
+// had it or the mark is older than Settings.MachineListLag.
 func (g *Gossip) ObserveMachines(now time.Time, machines []Machine) {
 	for _, machine := range machines {
 		g.observeMachine(now, machine)
 	}
-	g.finish()
+	g.publishIfStale()
 }
 
 func (g *Gossip) observeMachine(now time.Time, machine Machine) {
 	key := evidenceKey{engine: machine.Name, observer: ObserverMachineList}
-	sawLeaving := g.sawLeaving[machine.Name]
-	g.noteMachine(machine)
+	sawLeaving := g.listedLeaving[machine.Name]
+	g.recordListing(machine)
 	known := g.evidence[key].fact
 	if machine.Leaving == known.GetLeaving() {
 		return
 	}
 	if machine.Leaving && !sawLeaving {
-		g.state(now, key, true, false)
+		g.writeEvidence(now, key, true, false)
 		return
 	}
-	outdated := now.Sub(g.evidence[key].heard) > g.settings.MachineListLag
+	outdated := now.Sub(g.evidence[key].receivedAt) > g.settings.MachineListLag
 	if !machine.Leaving && (sawLeaving || outdated) {
-		g.state(now, key, false, false)
+		g.writeEvidence(now, key, false, false)
 	}
 }
 
-func (g *Gossip) noteMachine(machine Machine) {
+func (g *Gossip) recordListing(machine Machine) {
 	if machine.Leaving {
-		g.sawLeaving[machine.Name] = true
+		g.listedLeaving[machine.Name] = true
 		return
 	}
-	delete(g.sawLeaving, machine.Name)
+	delete(g.listedLeaving, machine.Name)
 }
 
-// ObserveEngine takes in what this node saw of an engine.
+// ObserveEngine applies what this node learned from an engine.
 func (g *Gossip) ObserveEngine(now time.Time, report EngineReport) {
 	key := evidenceKey{engine: report.Engine, observer: ObserverEngine}
 	known := g.evidence[key]
 	if report.Leaving == known.fact.GetLeaving() {
 		return
 	}
-	if !report.Leaving && !report.Asked.After(known.heard) {
+	if !report.Leaving && !report.RequestedAt.After(known.receivedAt) {
 		return
 	}
-	g.state(now, key, report.Leaving, false)
-	g.finish()
+	g.writeEvidence(now, key, report.Leaving, false)
+	g.publishIfStale()
 }
 
-// ObserveEjection says whether this node sends the engine no work.
+// ObserveEjection records whether this node has stopped sending work to the
+// engine.
 func (g *Gossip) ObserveEjection(now time.Time, engine string, ejected bool) {
 	key := evidenceKey{engine: engine, observer: g.self.identity.Node}
 	if g.evidence[key].fact.GetEjected() == ejected {
 		return
 	}
-	g.state(now, key, false, ejected)
-	g.finish()
+	g.writeEvidence(now, key, false, ejected)
+	g.publishIfStale()
 }
 
-// state writes the next version of an entry.
-func (g *Gossip) state(now time.Time, key evidenceKey, leaving, ejected bool) {
+// writeEvidence creates the next version of an entry.
+func (g *Gossip) writeEvidence(now time.Time, key evidenceKey, leaving, ejected bool) {
 	g.mergeEvidence(now, &peerv1.EngineEvidence{
 		Engine:   key.engine,
 		Observer: key.observer,
@@ -135,17 +137,17 @@
 	if !found && !g.hasRoomForEvidence(fact) {
 		return
 	}
-	g.evidence[key] = evidence{fact: fact, heard: now}
-	g.stale = true
+	g.evidence[key] = evidence{fact: fact, receivedAt: now}
+	g.snapshotStale = true
 	g.digest = 0
 	if fact.GetLeaving() != known.fact.GetLeaving() {
-		g.record(Event{Kind: EngineChanged, Engine: key.engine, EngineLeaving: fact.GetLeaving()})
+		g.recordEvent(Event{Kind: EngineChanged, Engine: key.engine, EngineLeaving: fact.GetLeaving()})
 	}
-	g.spreadEvidence(key, fact)
+	g.disseminateEvidence(key, fact)
 }
 
-// hasRoomForEvidence keeps a part of the room for leaving engines: a cut makes
-// every node eject half of the engines.
+// hasRoomForEvidence reserves most of the table for leaving engines: during a
+// network partition every node ejects the engines that it can't reach.
 func (g *Gossip) hasRoomForEvidence(fact *peerv1.EngineEvidence) bool {
 	if fact.GetLeaving() {
 		return len(g.evidence) < maximumEvidence
@@ -153,16 +155,16 @@
 	return len(g.evidence) < maximumEvidence/4
 }
 
-func (g *Gossip) spreadEvidence(key evidenceKey, fact *peerv1.EngineEvidence) {
+func (g *Gossip) disseminateEvidence(key evidenceKey, fact *peerv1.EngineEvidence) {
 	level := priorityEjected
 	if key.shared() {
 		level = priorityLeaving
 	}
 	if fact.GetLeaving() {
-		g.hurry()
+		g.queueUrgent()
 	}
 	about := subject{engine: key.engine, observer: key.observer}
-	g.queue.add(about, level, sendsFor(len(g.records)+1))
+	g.queue.add(about, level, transmissionLimit(len(g.records)+1))
 }
 
 func evidenceSupersedes(candidate, known *peerv1.EngineEvidence) bool {
@@ -183,7 +185,7 @@
 		view := views[key.engine]
 		view.leaving = view.leaving || entry.fact.GetLeaving()
 		if entry.fact.GetEjected() {
-			view.ejectedFor++
+			view.ejections++
 		}
 		views[key.engine] = view
 	}
@@ -207,10 +209,10 @@
 
 func (g *Gossip) pruneEvidence(oldest time.Time) {
 	for key, entry := range g.evidence {
-		over := !entry.fact.GetLeaving() && !entry.fact.GetEjected()
-		if over && entry.heard.Before(oldest) {
+		withdrawn := !entry.fact.GetLeaving() && !entry.fact.GetEjected()
+		if withdrawn && entry.receivedAt.Before(oldest) {
 			delete(g.evidence, key)
-			g.stale = true
+			g.snapshotStale = true
 		}
 	}
 }
--- a/coordination/membership/step.go
+++ b/coordination/membership/step.go
@@ -7,18 +7,18 @@
 	"time"
 )
 
-// Step advances the protocol to now and returns the exchanges to send. It
-// should be called several times a second, and at once when Hurried says so.
+// Step advances the protocol to now and returns the exchanges to send. Call it
+// several times a second, and immediately when HasUrgent becomes true.
 func (g *Gossip) Step(now time.Time) []Exchange {
 	if g.self.gone {
 		return nil
 	}
-	g.self.beat(now)
-	g.forgiveStall(now)
+	g.self.updateHeartbeat(now)
+	g.restartSuspicionsAfterStall(now)
 	g.expireInFlight(now)
 	g.expireSuspicions(now)
 	g.prune(now)
-	g.settle(now)
+	g.updateSettled(now)
 	g.refreshPeers()
 
 	var exchanges []Exchange
@@ -27,26 +27,26 @@
 			exchanges = append(exchanges, g.compose(now, target))
 		}
 	}
-	g.stepRegular(now, send)
+	g.stepPeriodic(now, send)
 	g.stepUrgent(now, send)
 	g.stepProbes(now, send)
-	g.stepQuestions(now, send)
-	g.stepContacts(now, send)
-	g.finish()
+	g.stepIndirectProbes(now, send)
+	g.stepRejoin(now, send)
+	g.publishIfStale()
 	return exchanges
 }
 
-// Hurried reports whether Step has urgent exchanges to send.
-func (g *Gossip) Hurried() bool { return len(g.urgent) > 0 }
+// HasUrgent reports whether urgent exchanges are waiting for Step.
+func (g *Gossip) HasUrgent() bool { return len(g.urgent) > 0 }
 
-// stepRegular probes the peers in turn.
-func (g *Gossip) stepRegular(now time.Time, send func(Target)) {
-	if now.Before(g.nextRegular) {
+// stepPeriodic probes the next peer in round-robin order.
+func (g *Gossip) stepPeriodic(now time.Time, send func(Target)) {
+	if now.Before(g.nextPeriodicProbe) {
 		return
 	}
-	g.nextRegular = g.nextRegular.Add(g.settings.ExchangeInterval)
-	if g.nextRegular.Before(now) {
-		g.nextRegular = now.Add(g.settings.ExchangeInterval)
+	g.nextPeriodicProbe = g.nextPeriodicProbe.Add(g.settings.ExchangeInterval)
+	if g.nextPeriodicProbe.Before(now) {
+		g.nextPeriodicProbe = now.Add(g.settings.ExchangeInterval)
 	}
 	if len(g.peers) == 0 {
 		return
@@ -55,7 +55,7 @@
 	send(g.records[g.peers[g.peerCursor]].target())
 }
 
-// stepUrgent passes urgent news to all peers without waiting for their turn.
+// stepUrgent sends urgent changes to all peers without waiting for their turn.
 func (g *Gossip) stepUrgent(now time.Time, send func(Target)) {
 	for len(g.urgent) > 0 {
 		known := g.records[g.urgent[0]]
@@ -69,28 +69,28 @@
 	}
 }
 
-// hurry has the peers told at once.
-func (g *Gossip) hurry() {
+// queueUrgent queues an immediate exchange with every peer.
+func (g *Gossip) queueUrgent() {
 	g.refreshPeers()
 	g.urgent = slices.Clone(g.peers)
 }
 
-// stepProbes looks directly at suspects and at nodes that others doubt.
+// stepProbes probes the suspects directly, and the nodes from requestProbe.
 func (g *Gossip) stepProbes(now time.Time, send func(Target)) {
 	for _, name := range sortedNames(g.suspects) {
 		known := g.suspects[name]
 		if now.Before(known.suspicion.nextProbe) || !g.extraExchanges.AllowN(now, 1) {
 			continue
 		}
-		known.suspicion.nextProbe = now.Add(g.settings.AskInterval)
+		known.suspicion.nextProbe = now.Add(g.settings.SuspectProbeInterval)
 		known.lastProbe = now
 		send(known.target())
 	}
-	wanted := g.wantedProbes
-	g.wantedProbes = nil
-	for _, name := range wanted {
+	requested := g.requestedProbes
+	g.requestedProbes = nil
+	for _, name := range requested {
 		known := g.records[name]
-		if known == nil || known.gone() || now.Sub(known.lastProbe) < probeSpacing {
+		if known == nil || known.gone() || now.Sub(known.lastProbe) < minimumProbeInterval {
 			continue
 		}
 		if g.extraExchanges.AllowN(now, 1) {
@@ -100,23 +100,23 @@
 	}
 }
 
-// requestProbe asks for a direct probe at the next step.
+// requestProbe queues a direct probe for the next step.
 func (g *Gossip) requestProbe(node string) {
-	if !slices.Contains(g.wantedProbes, node) {
-		g.wantedProbes = append(g.wantedProbes, node)
+	if !slices.Contains(g.requestedProbes, node) {
+		g.requestedProbes = append(g.requestedProbes, node)
 	}
 }
 
-// stepQuestions asks the helpers about the suspects.
-func (g *Gossip) stepQuestions(now time.Time, send func(Target)) {
+// stepIndirectProbes sends the queries about the suspects to the helpers.
+func (g *Gossip) stepIndirectProbes(now time.Time, send func(Target)) {
 	if len(g.suspects) == 0 {
 		g.helpers = nil
 		return
 	}
-	if now.Before(g.nextAsk) {
+	if now.Before(g.nextIndirectProbe) {
 		return
 	}
-	g.nextAsk = now.Add(g.settings.AskInterval)
+	g.nextIndirectProbe = now.Add(g.settings.SuspectProbeInterval)
 	if g.helpersOutdated() {
 		g.chooseHelpers()
 	}
@@ -137,32 +137,32 @@
 	})
 }
 
-// stepContacts tries seeds and nodes believed gone, so that a new node finds
-// the fleet and the sides of a healed cut find each other.
-func (g *Gossip) stepContacts(now time.Time, send func(Target)) {
-	if now.Before(g.nextContact) {
+// stepRejoin contacts seeds and gone nodes, so that a new node joins the cluster
+// and the sides of a healed partition merge.
+func (g *Gossip) stepRejoin(now time.Time, send func(Target)) {
+	if now.Before(g.nextRejoin) {
 		return
 	}
-	pause := g.settings.ContactInterval
+	pause := g.settings.RejoinInterval
 	if len(g.peers) == 0 {
-		pause = loneContactPause
+		pause = isolatedRejoinInterval
 	}
-	g.nextContact = now.Add(pause/2 + g.jitter(pause))
-	candidates := g.contactCandidates()
+	g.nextRejoin = now.Add(pause/2 + g.jitter(pause))
+	candidates := g.rejoinCandidates()
 	if len(candidates) == 0 {
 		return
 	}
-	g.contactCursor++
+	g.rejoinCursor++
 	if len(g.peers) == 0 {
-		send(candidates[g.contactCursor%len(candidates)])
+		send(candidates[g.rejoinCursor%len(candidates)])
 		return
 	}
 	send(candidates[g.random.IntN(len(candidates))])
 }
 
-// contactCandidates are the seeds at whose address no live node is known, and
-// the gone nodes.
-func (g *Gossip) contactCandidates() []Target {
+// rejoinCandidates returns the gone nodes and the seeds whose address isn't that
+// of a known live node.
+func (g *Gossip) rejoinCandidates() []Target {
 	var candidates []Target
 	live := map[string]struct{}{}
 	for _, name := range sortedNames(g.records) {
@@ -195,7 +195,7 @@
 	return found
 }
 
-// expireInFlight forgets exchanges whose outcome never came.
+// expireInFlight removes exchanges whose outcome was never reported.
 func (g *Gossip) expireInFlight(now time.Time) {
 	for address, started := range g.inFlight {
 		if now.Sub(started) > 2*g.settings.ExchangeTimeout {
@@ -204,7 +204,7 @@
 	}
 }
 
-// sortedNames makes the order of a map's keys the same at every run.
+// sortedNames returns the sorted keys of a map, for a deterministic order.
 func sortedNames[K cmp.Ordered, V any](values map[K]V) []K {
 	return slices.Sorted(maps.Keys(values))
 }
--- a/coordination/mirror/attempts.go
+++ b/coordination/mirror/attempts.go
@@ -18,19 +18,19 @@
 
 // errNoHolder is returned if no holder gives a usable answer and the store may not be asked
 // yet.
-var errNoHolder = fmt.Errorf("no holder answers: %w", follow.ErrNobodyAsked)
+var errNoHolder = fmt.Errorf("no holder answers: %w", follow.ErrNotQueried)
 
 // usableChanges returns the changes of a holder's answer, or the reason why it can't be used.
 // The holder must follow the kind and be in contact with the store, which must have confirmed
 // the data within maxAge. Otherwise recent changes may be missing.
-func usableChanges(answer Answer, maxAge time.Duration) (follow.Changes, error) {
+func usableChanges(answer WatchAnswer, maxAge time.Duration) (follow.Changes, error) {
 	switch answer := answer.(type) {
-	case Current:
+	case Changed:
 		if answer.Changes.Age > maxAge {
 			return follow.Changes{}, errHolderStale
 		}
 		return answer.Changes, nil
-	case Lost:
+	case StoreLost:
 		return follow.Changes{}, errHolderLost
 	}
 	return follow.Changes{}, errHolderNotFollowing
--- a/coordination/mirror/changes.go
+++ b/coordination/mirror/changes.go
@@ -23,23 +23,23 @@
 	revision int64
 }
 
-// Answer is a holder's answer to a watch call: Current, Lost or Missed.
-type Answer interface{ isAnswer() }
+// WatchAnswer is a holder's answer to a watch call: Current, Lost or Missed.
+type WatchAnswer interface{ isAnswer() }
 
-// Current carries the changes since the revision that was asked for.
-type Current struct {
+// Changed carries the changes since the revision that was asked for.
+type Changed struct {
 	Changes follow.Changes
 }
 
-// Lost means that the holder has no contact with the store.
-type Lost struct{}
+// StoreLost means that the holder has no contact with the store.
+type StoreLost struct{}
 
-// Missed means that the holder doesn't follow the kind.
-type Missed struct{}
+// NotFollowed means that the holder doesn't follow the kind.
+type NotFollowed struct{}
 
-func (Current) isAnswer() {}
-func (Lost) isAnswer()    {}
-func (Missed) isAnswer()  {}
+func (Changed) isAnswer()     {}
+func (StoreLost) isAnswer()   {}
+func (NotFollowed) isAnswer() {}
 
 // Upstream is the state of the follower that feeds the holder. follow.Follower implements
 // it.
@@ -47,9 +47,9 @@
 	// Age returns the time since the store last answered; ok is false before its first
 	// answer.
 	Age() (age time.Duration, ok bool)
-	// Proved returns the latest time at which the store is known to have had nothing newer
+	// FreshAt returns the latest time at which the store is known to have had nothing newer
 	// than the kept snapshot; zero for none.
-	Proved() time.Time
+	FreshAt() time.Time
 	// IsLost reports whether the last call failed.
 	IsLost() bool
 }
@@ -82,7 +82,7 @@
 
 // update replaces the snapshot by a newer one and records which objects were removed.
 func (s *kindState) update(snapshot follow.Snapshot, receivedAt time.Time) {
-	if !s.latest.Heard.IsZero() {
+	if !s.latest.ReceivedAt.IsZero() {
 		// The revision of a copy loaded from disk isn't in revisions: no caller is sent the
 		// changes since then, so removals since then needn't be known.
 		s.recordRemovals(snapshot)
@@ -91,7 +91,7 @@
 		s.revisions = append(s.revisions, snapshot.At)
 	}
 	s.trimHistory()
-	s.latest.Snapshot, s.latest.Heard = snapshot, receivedAt
+	s.latest.Snapshot, s.latest.ReceivedAt = snapshot, receivedAt
 	s.notify()
 }
 
@@ -143,7 +143,7 @@
 	for _, removed := range s.removals {
 		if removed.revision > revision {
 			object := follow.Object{Name: removed.name, Revision: removed.revision}
-			changes.Events = append(changes.Events, follow.Event{Object: object, Gone: true})
+			changes.Events = append(changes.Events, follow.Event{Object: object, Deleted: true})
 		}
 	}
 	return changes
@@ -151,24 +151,24 @@
 
 // currentAnswer returns the present answer to a call that watches from the revision; done is
 // false if nothing has changed, so that the call may wait.
-func (s *kindState) currentAnswer(revision int64) (answer Answer, done bool) {
+func (s *kindState) currentAnswer(revision int64) (answer WatchAnswer, done bool) {
 	if s.upstream == nil || s.upstream.IsLost() {
-		return Lost{}, true
+		return StoreLost{}, true
 	}
 	age, heard := s.upstream.Age()
 	if !heard {
-		return Lost{}, true
+		return StoreLost{}, true
 	}
 	// The time is read before the changes, so that these are at least as new.
-	proved := s.upstream.Proved()
+	proved := s.upstream.FreshAt()
 	changes := s.changesSince(revision)
-	changes.Age, changes.Proved = age, proved
-	return Current{Changes: changes}, changes.IsWhole || len(changes.Events) > 0
+	changes.Age, changes.FreshAt = age, proved
+	return Changed{Changes: changes}, changes.IsFull || len(changes.Events) > 0
 }
 
 // Watch returns as soon as the kind has changed after the revision or this holder has lost
 // the store. After the wait it returns an answer without changes.
-func (h *Holder) Watch(ctx context.Context, kind string, revision int64, wait time.Duration) Answer {
+func (h *Holder) Watch(ctx context.Context, kind string, revision int64, wait time.Duration) WatchAnswer {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	for timedOut := false; ; {
@@ -176,7 +176,7 @@
 		state := h.states[kind]
 		if state == nil {
 			h.mutex.Unlock()
-			return Missed{}
+			return NotFollowed{}
 		}
 		answer, done := state.currentAnswer(revision)
 		changed := state.changed
@@ -195,15 +195,15 @@
 	}
 }
 
-// Through sets the upstream that feeds the kind.
-func (h *Holder) Through(kind string, upstream Upstream) {
+// SetUpstream sets the upstream that feeds the kind.
+func (h *Holder) SetUpstream(kind string, upstream Upstream) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	h.state(kind).upstream = upstream
 }
 
-// Lost wakes the calls that watch the kind, so that they report the lost store.
-func (h *Holder) Lost(kind string) {
+// NotifyLost wakes the calls that watch the kind, so that they report the lost store.
+func (h *Holder) NotifyLost(kind string) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	h.state(kind).notify()
--- a/coordination/mirror/changes_test.go
+++ b/coordination/mirror/changes_test.go
@@ -41,7 +41,7 @@
 
 func (u *fakeUpstream) Age() (time.Duration, bool) { return u.age, true }
 func (u *fakeUpstream) IsLost() bool               { return u.lost }
-func (u *fakeUpstream) Proved() time.Time          { return u.proved }
+func (u *fakeUpstream) FreshAt() time.Time         { return u.proved }
 
 // history holds the state of the store at each revision: the names of the objects with the
 // revisions of their last changes.
@@ -78,7 +78,7 @@
 		revision, exists := known[event.Object.Name]
 		switch {
 		case exists && event.Object.Revision < revision:
-		case event.Gone:
+		case event.Deleted:
 			delete(known, event.Object.Name)
 		default:
 			known[event.Object.Name] = event.Object.Revision
@@ -93,22 +93,22 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		states := drawHistory(rt)
 		last := int64(len(states) - 1)
-		holder, err := mirror.NewHolder(mirror.Kinds(), replica.NewMemory(), time.Now, zap.NewNop())
+		holder, err := mirror.NewHolder(mirror.PersistedKinds(), replica.NewMemory(), time.Now, zap.NewNop())
 		assert.NilError(rt, err)
-		holder.Through(mirror.KindInstances, &fakeUpstream{})
+		holder.SetUpstream(mirror.KindInstances, &fakeUpstream{})
 		at := rapid.Int64Range(0, last).Draw(rt, "first revision of the holder")
-		holder.Keep(mirror.KindInstances, states.snapshot(at))
+		holder.Update(mirror.KindInstances, states.snapshot(at))
 		revisions := []int64{at}
 		for range rapid.IntRange(0, 10).Draw(rt, "updates") {
 			at = rapid.Int64Range(at, last).Draw(rt, "next revision of the holder")
-			holder.Keep(mirror.KindInstances, states.snapshot(at))
+			holder.Update(mirror.KindInstances, states.snapshot(at))
 			revisions = append(revisions, at)
 		}
 		from := rapid.Int64Range(0, last).Draw(rt, "known revision")
 		known := maps.Clone(states[from])
 		switch answer := holder.Watch(context.Background(), mirror.KindInstances, from, 0).(type) {
-		case mirror.Current:
-			if answer.Changes.IsWhole {
+		case mirror.Changed:
+			if answer.Changes.IsFull {
 				assert.Assert(rt, from < at && !slices.Contains(revisions, from), "unexpected whole snapshot for revision %d; the holder had %v", from, revisions)
 				clear(known)
 			}
@@ -125,18 +125,18 @@
 // removal is sent the whole snapshot.
 func TestOldRemovalsAreForgotten(t *testing.T) {
 	holder := newHolder(t, replica.NewMemory())
-	holder.Through(mirror.KindInstances, &fakeUpstream{})
+	holder.SetUpstream(mirror.KindInstances, &fakeUpstream{})
 	const removals = 600
 	for at := int64(1); at <= removals+1; at++ {
-		holder.Keep(mirror.KindInstances, follow.Snapshot{At: at, Objects: []follow.Object{{Name: fmt.Sprint(at), Revision: at}}})
+		holder.Update(mirror.KindInstances, follow.Snapshot{At: at, Objects: []follow.Object{{Name: fmt.Sprint(at), Revision: at}}})
 	}
-	watch := func(from int64) mirror.Answer {
+	watch := func(from int64) mirror.WatchAnswer {
 		return holder.Watch(context.Background(), mirror.KindInstances, from, 0)
 	}
-	early, isCurrent := watch(10).(mirror.Current)
-	assert.Assert(t, isCurrent && early.Changes.IsWhole)
-	recent, isCurrent := watch(removals - 10).(mirror.Current)
-	assert.Assert(t, isCurrent && !recent.Changes.IsWhole)
+	early, isCurrent := watch(10).(mirror.Changed)
+	assert.Assert(t, isCurrent && early.Changes.IsFull)
+	recent, isCurrent := watch(removals - 10).(mirror.Changed)
+	assert.Assert(t, isCurrent && !recent.Changes.IsFull)
 	assert.Equal(t, len(recent.Changes.Events), 12)
 }
 
@@ -144,12 +144,12 @@
 func TestLossIsReportedAtOnce(t *testing.T) {
 	holder := newHolder(t, replica.NewMemory())
 	upstream := &fakeUpstream{}
-	holder.Through(mirror.KindConfiguration, upstream)
-	holder.Keep(mirror.KindConfiguration, snapshot(5))
-	answers := make(chan mirror.Answer, 1)
+	holder.SetUpstream(mirror.KindConfiguration, upstream)
+	holder.Update(mirror.KindConfiguration, snapshot(5))
+	answers := make(chan mirror.WatchAnswer, 1)
 	go func() { answers <- holder.Watch(context.Background(), mirror.KindConfiguration, 5, time.Hour) }()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		holder.Lost(mirror.KindConfiguration)
+		holder.NotifyLost(mirror.KindConfiguration)
 		return poll.Success()
 	})
 	// A wake-up without a loss doesn't end the call.
@@ -159,8 +159,8 @@
 	case <-time.After(20 * time.Millisecond):
 	}
 	lostUpstream := &fakeUpstream{lost: true}
-	holder.Through(mirror.KindConfiguration, lostUpstream)
-	holder.Lost(mirror.KindConfiguration)
-	_, isLost := (<-answers).(mirror.Lost)
+	holder.SetUpstream(mirror.KindConfiguration, lostUpstream)
+	holder.NotifyLost(mirror.KindConfiguration)
+	_, isLost := (<-answers).(mirror.StoreLost)
 	assert.Assert(t, isLost)
 }
--- a/coordination/mirror/gate.go
+++ b/coordination/mirror/gate.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// Patience holds the delays before a source that hears from no holder asks the store.
+// FallbackDelays holds the delays before a source that hears from no holder asks the store.
 // Without a delay the load on the store would grow with the number of nodes whenever holders
 // fail or all nodes start. The zero value asks at once.
-type Patience struct {
-	// Unreached applies while holders can't be reached or their answers are stale, counted
+type FallbackDelays struct {
+	// HoldersUnreachable applies while holders can't be reached or their answers are stale, counted
 	// from the last usable answer.
-	Unreached time.Duration
-	// Lost applies while holders answer that they have lost the store, counted from the last
+	HoldersUnreachable time.Duration
+	// StoreLost applies while holders answer that they have lost the store, counted from the last
 	// usable answer. The store is then probably unavailable to this node too.
-	Lost time.Duration
+	StoreLost time.Duration
 }
 
 // maxStoreFailures is the number of consecutive failed calls after which a store that
@@ -35,7 +35,7 @@
 //
 // Only the goroutine of the source's follower uses it.
 type storeGate struct {
-	delays Patience
+	delays FallbackDelays
 	// jitterFactor, from 1 to 2, multiplies the delays, so that sources that lose their
 	// holders at the same time don't ask the store at the same time.
 	jitterFactor float64
@@ -51,7 +51,7 @@
 	failuresLeft int
 }
 
-func newStoreGate(delays Patience, now time.Time) storeGate {
+func newStoreGate(delays FallbackDelays, now time.Time) storeGate {
 	return storeGate{delays: delays, jitterFactor: 1 + rand.Float64(), delayStart: now}
 }
 
@@ -62,10 +62,10 @@
 		return true
 	case !g.lostReported.IsZero():
 		// The holders that answered may have become unreachable since.
-		unreachable := now.After(g.lostReported) && g.hasElapsed(now, g.lostReported, g.delays.Unreached)
-		return unreachable || g.hasElapsed(now, g.delayStart, g.delays.Lost)
+		unreachable := now.After(g.lostReported) && g.hasElapsed(now, g.lostReported, g.delays.HoldersUnreachable)
+		return unreachable || g.hasElapsed(now, g.delayStart, g.delays.StoreLost)
 	}
-	return g.hasElapsed(now, g.delayStart, g.delays.Unreached)
+	return g.hasElapsed(now, g.delayStart, g.delays.HoldersUnreachable)
 }
 
 // hasElapsed reports whether the delay, with jitter, has passed since the given time.
--- a/coordination/mirror/holder.go
+++ b/coordination/mirror/holder.go
@@ -29,25 +29,25 @@
 const (
 	KindConfiguration = "configuration"
 	KindInstances     = "instances"
-	KindSets          = "replica sets"
+	KindReplicaSets   = "replica sets"
 	KindNodes         = "storage nodes"
 	KindRetirements   = "retirements"
 )
 
-// Kinds returns the kinds whose copies are persisted, for nodes that start while the store
+// PersistedKinds returns the kinds whose copies are persisted, for nodes that start while the store
 // is unavailable. Other kinds are only passed on.
-func Kinds() []string { return []string{KindConfiguration, KindInstances, KindSets} }
+func PersistedKinds() []string { return []string{KindConfiguration, KindInstances, KindReplicaSets} }
 
 // Copy is a snapshot of one kind of objects.
 type Copy struct {
 	Kind     string
 	Snapshot follow.Snapshot
-	// Heard is when the snapshot was received; zero if the holder has restarted since.
-	Heard time.Time
+	// ReceivedAt is when the snapshot was received; zero if the holder has restarted since.
+	ReceivedAt time.Time
 }
 
-// Medium persists small values. replica.Store implements it.
-type Medium interface {
+// MetaStore persists small values. replica.Store implements it.
+type MetaStore interface {
 	SaveMeta(shard uint32, name string, value []byte) error
 	// LoadMeta returns nil if there is no such value.
 	LoadMeta(shard uint32, name string) ([]byte, error)
@@ -56,7 +56,7 @@
 // Holder keeps copies of the store's objects and serves their changes to other nodes. It is
 // a suture service and safe for concurrent use.
 type Holder struct {
-	medium Medium
+	medium MetaStore
 	now    func() time.Time
 	logger *zap.Logger
 
@@ -73,7 +73,7 @@
 
 // NewHolder creates a holder that persists the kinds, and loads their copies from the
 // medium. Copies that can't be decoded are ignored; it fails if the medium can't be read.
-func NewHolder(kinds []string, medium Medium, now func() time.Time, logger *zap.Logger) (*Holder, error) {
+func NewHolder(kinds []string, medium MetaStore, now func() time.Time, logger *zap.Logger) (*Holder, error) {
 	h := &Holder{
 		medium: medium, now: now, logger: logger, persistedKinds: kinds,
 		states: make(map[string]*kindState), unsaved: make(map[string]bool), saveRequested: make(chan struct{}, 1),
@@ -106,8 +106,8 @@
 	return nil
 }
 
-// Keep replaces the copy of the kind, unless the snapshot is older.
-func (h *Holder) Keep(kind string, snapshot follow.Snapshot) {
+// Update replaces the copy of the kind, unless the snapshot is older.
+func (h *Holder) Update(kind string, snapshot follow.Snapshot) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	state := h.state(kind)
--- a/coordination/mirror/mirror_test.go
+++ b/coordination/mirror/mirror_test.go
@@ -22,9 +22,9 @@
 	return follow.Snapshot{At: at, Objects: []follow.Object{{Name: "main", Revision: at, Spec: []byte(`{"a":1}`)}}}
 }
 
-func newHolder(t *testing.T, medium mirror.Medium) *mirror.Holder {
+func newHolder(t *testing.T, medium mirror.MetaStore) *mirror.Holder {
 	t.Helper()
-	holder, err := mirror.NewHolder(mirror.Kinds(), medium, time.Now, zap.NewNop())
+	holder, err := mirror.NewHolder(mirror.PersistedKinds(), medium, time.Now, zap.NewNop())
 	assert.NilError(t, err)
 	return holder
 }
@@ -50,8 +50,8 @@
 	medium := replica.NewMemory()
 	first := newHolder(t, medium)
 	serve(t, first)
-	first.Keep(mirror.KindConfiguration, snapshot(7))
-	first.Keep(mirror.KindConfiguration, snapshot(5))
+	first.Update(mirror.KindConfiguration, snapshot(7))
+	first.Update(mirror.KindConfiguration, snapshot(5))
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		copies := newHolder(t, medium).Copies()
 		if len(copies) == 0 {
@@ -60,13 +60,13 @@
 		assert.DeepEqual(t, copies, []mirror.Copy{{Kind: mirror.KindConfiguration, Snapshot: snapshot(7)}})
 		return poll.Success()
 	})
-	assert.Assert(t, !first.Copies()[0].Heard.IsZero())
+	assert.Assert(t, !first.Copies()[0].ReceivedAt.IsZero())
 }
 
 // TestDamagedCopyIsIgnored checks that a holder starts without a copy that can't be decoded.
 func TestDamagedCopyIsIgnored(t *testing.T) {
 	medium := replica.NewMemory()
-	assert.NilError(t, medium.SaveMeta(1<<32-2, "mirror-"+mirror.KindSets, []byte("{")))
+	assert.NilError(t, medium.SaveMeta(1<<32-2, "mirror-"+mirror.KindReplicaSets, []byte("{")))
 	assert.Equal(t, len(newHolder(t, medium).Copies()), 0)
 }
 
--- a/coordination/mirror/rules_test.go
+++ b/coordination/mirror/rules_test.go
@@ -12,18 +12,18 @@
 
 func TestUsableChanges(t *testing.T) {
 	const maxAge = 2 * time.Second
-	aged := func(age time.Duration) Answer { return Current{Changes: follow.Changes{At: 7, Age: age}} }
+	aged := func(age time.Duration) WatchAnswer { return Changed{Changes: follow.Changes{At: 7, Age: age}} }
 	cases := []struct {
 		name     string
-		answer   Answer
+		answer   WatchAnswer
 		want     error
 		unusable bool
 	}{
 		{"just confirmed", aged(0), nil, false},
 		{"confirmed at the limit", aged(maxAge), nil, false},
 		{"confirmed too long ago", aged(maxAge + 1), errHolderStale, true},
-		{"has lost the store", Lost{}, errHolderLost, true},
-		{"doesn't follow the kind", Missed{}, errHolderNotFollowing, true},
+		{"has lost the store", StoreLost{}, errHolderLost, true},
+		{"doesn't follow the kind", NotFollowed{}, errHolderNotFollowing, true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -124,7 +124,7 @@
 	}
 	for name, steps := range cases {
 		t.Run(name, func(t *testing.T) {
-			g := storeGate{delays: Patience{Unreached: time.Second, Lost: 4 * time.Second}, jitterFactor: 1, delayStart: start}
+			g := storeGate{delays: FallbackDelays{HoldersUnreachable: time.Second, StoreLost: 4 * time.Second}, jitterFactor: 1, delayStart: start}
 			for _, step := range steps {
 				now := start.Add(step.at)
 				step.apply(&g, now)
--- a/coordination/mirror/source.go
+++ b/coordination/mirror/source.go
@@ -31,18 +31,18 @@
 
 // Watcher asks one holder for changes. peer.Client implements it.
 type Watcher interface {
-	WatchMirror(ctx context.Context, address netip.AddrPort, kind string, revision int64, wait time.Duration) (Answer, error)
+	WatchMirror(ctx context.Context, address netip.AddrPort, kind string, revision int64, wait time.Duration) (WatchAnswer, error)
 }
 
 // SourceSettings configure a Source.
 type SourceSettings struct {
-	// Wait is the longest time that a holder may hold a call until there are changes.
-	Wait time.Duration
-	// MaxAge is the longest time since the store confirmed a holder's data.
-	MaxAge time.Duration
-	// Patience holds the delays before the store is asked directly. If there are no holders
+	// HolderWait is the longest time that a holder may hold a call until there are changes.
+	HolderWait time.Duration
+	// MaxHolderAge is the longest time since the store confirmed a holder's data.
+	MaxHolderAge time.Duration
+	// FallbackDelays holds the delays before the store is asked directly. If there are no holders
 	// at all, it is asked at once.
-	Patience Patience
+	FallbackDelays FallbackDelays
 	// StorePause is the shortest time between two calls to the store while it is followed in
 	// place of holders, so that changes in quick succession cost one call.
 	StorePause time.Duration
@@ -55,7 +55,7 @@
 type Source struct {
 	kind     string
 	store    follow.Source
-	holders  *Holders
+	holders  *HolderSelector
 	watcher  Watcher
 	settings SourceSettings
 	logger   *zap.Logger
@@ -71,10 +71,10 @@
 
 // NewSource creates a source of the kind that follows the holders, and the store as a
 // fallback.
-func NewSource(kind string, store follow.Source, holders *Holders, watcher Watcher, settings SourceSettings, logger *zap.Logger) *Source {
+func NewSource(kind string, store follow.Source, holders *HolderSelector, watcher Watcher, settings SourceSettings, logger *zap.Logger) *Source {
 	return &Source{
 		kind: kind, store: store, holders: holders, watcher: watcher, settings: settings, logger: logger,
-		gate: newStoreGate(settings.Patience, holders.now()),
+		gate: newStoreGate(settings.FallbackDelays, holders.now()),
 	}
 }
 
@@ -148,7 +148,7 @@
 	if err != nil {
 		return follow.Snapshot{}, err
 	}
-	if !changes.IsWhole || changes.At < s.newestRevision.Load() {
+	if !changes.IsFull || changes.At < s.newestRevision.Load() {
 		return follow.Snapshot{}, errHolderBehind
 	}
 	s.recordHolderAnswer(holder, changes.At)
@@ -169,7 +169,7 @@
 		if earlier > 0 || s.gate.followsStore() {
 			changes, err = s.probe(ctx, holder, from)
 		} else {
-			changes, err = s.watchHolder(ctx, holder, from, s.settings.Wait)
+			changes, err = s.watchHolder(ctx, holder, from, s.settings.HolderWait)
 		}
 		if err == nil {
 			s.recordHolderAnswer(holder, changes.At)
@@ -225,7 +225,7 @@
 	if err != nil {
 		return follow.Changes{}, err
 	}
-	return usableChanges(answer, s.settings.MaxAge)
+	return usableChanges(answer, s.settings.MaxHolderAge)
 }
 
 // recordHolderAnswer records a usable answer of the holder.
@@ -253,8 +253,8 @@
 		zap.Int64("revision", from), zap.Error(err))
 }
 
-// Through describes, for logs, the holder or store that is followed.
-func (s *Source) Through() string {
+// UpstreamName describes, for logs, the holder or store that is followed.
+func (s *Source) UpstreamName() string {
 	if holder := s.lastHolder.Load(); holder != nil {
 		return "storage node " + holder.String()
 	}
@@ -270,7 +270,7 @@
 		s.advanceRevision(at)
 		s.lastStoreAnswer = now
 		s.gate.storeAnswered(now)
-	case errors.Is(err, follow.ErrHistoryGone):
+	case errors.Is(err, follow.ErrHistoryCompacted):
 		s.gate.storeAnswered(now)
 	default:
 		s.gate.storeFailed(now)
--- a/coordination/mirror/source_test.go
+++ b/coordination/mirror/source_test.go
@@ -26,7 +26,7 @@
 // fakeWatcher returns a set answer for each holder. Calls to holders without one fail after
 // the delay.
 type fakeWatcher struct {
-	answers map[netip.AddrPort]mirror.Answer
+	answers map[netip.AddrPort]mirror.WatchAnswer
 	now     *time.Time
 	delay   time.Duration
 	mutex   sync.Mutex
@@ -37,7 +37,7 @@
 	barrier *sync.WaitGroup
 }
 
-func (w *fakeWatcher) WatchMirror(_ context.Context, holder netip.AddrPort, _ string, _ int64, wait time.Duration) (mirror.Answer, error) {
+func (w *fakeWatcher) WatchMirror(_ context.Context, holder netip.AddrPort, _ string, _ int64, wait time.Duration) (mirror.WatchAnswer, error) {
 	if w.barrier != nil {
 		w.barrier.Done()
 		w.barrier.Wait()
@@ -85,15 +85,15 @@
 }
 
 // newSourceFixture creates a source that falls back to the store at once.
-func newSourceFixture(answers map[netip.AddrPort]mirror.Answer) *sourceFixture {
-	return newDelayedSourceFixture(answers, mirror.Patience{})
+func newSourceFixture(answers map[netip.AddrPort]mirror.WatchAnswer) *sourceFixture {
+	return newDelayedSourceFixture(answers, mirror.FallbackDelays{})
 }
 
-func newDelayedSourceFixture(answers map[netip.AddrPort]mirror.Answer, delays mirror.Patience) *sourceFixture {
+func newDelayedSourceFixture(answers map[netip.AddrPort]mirror.WatchAnswer, delays mirror.FallbackDelays) *sourceFixture {
 	f := &sourceFixture{now: time.Unix(1000, 0), addresses: []netip.AddrPort{holderA, holderB, holderC}}
 	f.watcher = fakeWatcher{answers: answers, now: &f.now}
-	holders := mirror.NewHolders(func() []netip.AddrPort { return f.addresses }, func() time.Time { return f.now })
-	settings := mirror.SourceSettings{Wait: time.Second, MaxAge: 4 * time.Second, Patience: delays}
+	holders := mirror.NewHolderSelector(func() []netip.AddrPort { return f.addresses }, func() time.Time { return f.now })
+	settings := mirror.SourceSettings{HolderWait: time.Second, MaxHolderAge: 4 * time.Second, FallbackDelays: delays}
 	f.source = mirror.NewSource(mirror.KindInstances, &f.store, holders, &f.watcher, settings, zap.NewNop())
 	return f
 }
@@ -105,24 +105,26 @@
 	return changes
 }
 
-func currentAnswer(at int64) mirror.Answer { return mirror.Current{Changes: follow.Changes{At: at}} }
+func currentAnswer(at int64) mirror.WatchAnswer {
+	return mirror.Changed{Changes: follow.Changes{At: at}}
+}
 
-func wholeAnswer(at int64, age time.Duration) mirror.Answer {
+func wholeAnswer(at int64, age time.Duration) mirror.WatchAnswer {
 	events := []follow.Event{{Object: follow.Object{Name: "main", Revision: at}}}
-	return mirror.Current{Changes: follow.Changes{At: at, IsWhole: true, Age: age, Events: events}}
+	return mirror.Changed{Changes: follow.Changes{At: at, IsFull: true, Age: age, Events: events}}
 }
 
 // TestSourceSkipsUnusableHolder checks that one call goes on to the next holder and then to
 // the store, from the same revision, and that the first holder is asked again later.
 func TestSourceSkipsUnusableHolder(t *testing.T) {
-	for name, answer := range map[string]mirror.Answer{
-		"no answer": nil, "lost": mirror.Lost{}, "not following": mirror.Missed{},
-		"stale": mirror.Current{Changes: follow.Changes{At: 7, Age: 5 * time.Second}},
+	for name, answer := range map[string]mirror.WatchAnswer{
+		"no answer": nil, "lost": mirror.StoreLost{}, "not following": mirror.NotFollowed{},
+		"stale": mirror.Changed{Changes: follow.Changes{At: 7, Age: 5 * time.Second}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f := newSourceFixture(map[netip.AddrPort]mirror.Answer{holderA: answer, holderB: currentAnswer(8), holderC: answer})
+			f := newSourceFixture(map[netip.AddrPort]mirror.WatchAnswer{holderA: answer, holderB: currentAnswer(8), holderC: answer})
 			assert.Equal(t, f.watch(t, 7).At, int64(8))
-			f.watcher.answers[holderB] = mirror.Lost{}
+			f.watcher.answers[holderB] = mirror.StoreLost{}
 			assert.Equal(t, f.watch(t, 8).At, int64(9))
 			assert.Equal(t, f.store.watchCalls, 1)
 			assert.Equal(t, f.store.from, int64(8))
@@ -139,7 +141,7 @@
 // the store, with the rest of the wait: another holder might time out too and delay changes
 // beyond their limit.
 func TestSourceAsksStoreAfterSlowFailure(t *testing.T) {
-	f := newSourceFixture(map[netip.AddrPort]mirror.Answer{holderB: currentAnswer(8)})
+	f := newSourceFixture(map[netip.AddrPort]mirror.WatchAnswer{holderB: currentAnswer(8)})
 	f.watcher.delay = 1400 * time.Millisecond
 	assert.Equal(t, f.watch(t, 7).At, int64(9))
 	assert.Assert(t, slices.Equal(f.watcher.asked, []netip.AddrPort{holderA}), "%v", f.watcher.asked)
@@ -150,7 +152,7 @@
 // TestFailingHolderBacksOff checks that the backoff doubles up to its maximum and starts over
 // after an answer.
 func TestFailingHolderBacksOff(t *testing.T) {
-	f := newSourceFixture(map[netip.AddrPort]mirror.Answer{holderB: currentAnswer(8)})
+	f := newSourceFixture(map[netip.AddrPort]mirror.WatchAnswer{holderB: currentAnswer(8)})
 	pauses := func(count int) (found []time.Duration) {
 		last := f.now
 		for len(found) < count {
@@ -176,19 +178,19 @@
 // the store if the holder's answer can't be used.
 func TestListPrefersUsableHolder(t *testing.T) {
 	for name, c := range map[string]struct {
-		answer mirror.Answer
+		answer mirror.WatchAnswer
 		listed int
 		age    time.Duration
 	}{
 		"current":   {wholeAnswer(12, time.Second), 0, time.Second},
-		"lost":      {mirror.Lost{}, 1, 0},
+		"lost":      {mirror.StoreLost{}, 1, 0},
 		"no answer": {nil, 1, 0},
 		"stale":     {wholeAnswer(12, 5*time.Second), 1, 0},
 		"behind":    {wholeAnswer(4, 0), 1, 0},
 		"partial":   {currentAnswer(12), 1, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f := newSourceFixture(map[netip.AddrPort]mirror.Answer{holderA: currentAnswer(5)})
+			f := newSourceFixture(map[netip.AddrPort]mirror.WatchAnswer{holderA: currentAnswer(5)})
 			assert.Equal(t, f.watch(t, 5).At, int64(5))
 			f.watcher.answers[holderA] = c.answer
 			listed, err := f.source.List(context.Background())
@@ -204,7 +206,7 @@
 // TestCancelledCallCausesNoBackoff checks that a call that its caller cancels isn't counted
 // as a failure of the holder.
 func TestCancelledCallCausesNoBackoff(t *testing.T) {
-	f := newSourceFixture(map[netip.AddrPort]mirror.Answer{})
+	f := newSourceFixture(map[netip.AddrPort]mirror.WatchAnswer{})
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	_, err := f.source.Watch(ctx, 7, time.Second)
@@ -217,17 +219,17 @@
 // TestStoreIsAskedOnlyAfterDelay checks the delay while holders are unreachable or have lost
 // the store, and that it applies again after a failed call. Without holders there is none.
 func TestStoreIsAskedOnlyAfterDelay(t *testing.T) {
-	delays := mirror.Patience{Unreached: time.Second, Lost: 4 * time.Second}
+	delays := mirror.FallbackDelays{HoldersUnreachable: time.Second, StoreLost: 4 * time.Second}
 	// The jitter of a source lengthens its delays by up to a factor of two.
 	for name, c := range map[string]struct {
-		answer            mirror.Answer
+		answer            mirror.WatchAnswer
 		shortest, longest time.Duration
 	}{
 		"unreachable": {nil, time.Second, 2 * time.Second},
-		"lost":        {mirror.Lost{}, 4 * time.Second, 8 * time.Second},
+		"lost":        {mirror.StoreLost{}, 4 * time.Second, 8 * time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f := newDelayedSourceFixture(map[netip.AddrPort]mirror.Answer{holderA: c.answer, holderB: c.answer, holderC: c.answer}, delays)
+			f := newDelayedSourceFixture(map[netip.AddrPort]mirror.WatchAnswer{holderA: c.answer, holderB: c.answer, holderC: c.answer}, delays)
 			f.store.err = errStore
 			var pauses []time.Duration
 			last := f.now
@@ -261,10 +263,10 @@
 // call. A single failure at the store changes nothing; after two in a row the delay applies
 // again.
 func TestSourceFollowsStoreUntilHolderAnswers(t *testing.T) {
-	for name, answer := range map[string]mirror.Answer{"unreachable": nil, "lost": mirror.Lost{}} {
+	for name, answer := range map[string]mirror.WatchAnswer{"unreachable": nil, "lost": mirror.StoreLost{}} {
 		t.Run(name, func(t *testing.T) {
-			delays := mirror.Patience{Unreached: time.Second, Lost: 4 * time.Second}
-			f := newDelayedSourceFixture(map[netip.AddrPort]mirror.Answer{holderA: answer, holderB: answer, holderC: answer}, delays)
+			delays := mirror.FallbackDelays{HoldersUnreachable: time.Second, StoreLost: 4 * time.Second}
+			f := newDelayedSourceFixture(map[netip.AddrPort]mirror.WatchAnswer{holderA: answer, holderB: answer, holderC: answer}, delays)
 			asksStore := func() bool {
 				before := f.store.watchCalls
 				_, _ = f.source.Watch(t.Context(), 7, 2*time.Second)
@@ -280,7 +282,7 @@
 			assert.Assert(t, asksStore())
 			f.store.err = nil
 			assert.Assert(t, asksStore(), "after one failure")
-			f.store.err = follow.ErrHistoryGone
+			f.store.err = follow.ErrHistoryCompacted
 			for range 5 {
 				assert.Assert(t, asksStore(), "a store without the history still answers")
 			}
@@ -308,15 +310,15 @@
 		store := &fakeStore{}
 		watcher := &fakeWatcher{}
 		list := func() []netip.AddrPort { return []netip.AddrPort{holderA} }
-		source := mirror.NewSource(mirror.KindInstances, store, mirror.NewHolders(list, time.Now), watcher,
-			mirror.SourceSettings{Wait: time.Second, MaxAge: time.Minute, StorePause: pause}, zap.NewNop())
+		source := mirror.NewSource(mirror.KindInstances, store, mirror.NewHolderSelector(list, time.Now), watcher,
+			mirror.SourceSettings{HolderWait: time.Second, MaxHolderAge: time.Minute, StorePause: pause}, zap.NewNop())
 		start := time.Now()
 		for range 5 {
 			_, err := source.Watch(t.Context(), 7, 2*time.Second)
 			assert.NilError(t, err)
 		}
 		assert.Equal(t, time.Since(start), 4*pause)
-		watcher.answers = map[netip.AddrPort]mirror.Answer{holderA: currentAnswer(9)}
+		watcher.answers = map[netip.AddrPort]mirror.WatchAnswer{holderA: currentAnswer(9)}
 		time.Sleep(3 * time.Second)
 		start = time.Now()
 		for range 5 {
@@ -330,12 +332,12 @@
 // TestLostHolderBecomesUnreachable checks that the longer delay for holders that have lost
 // the store ends when these don't answer any more.
 func TestLostHolderBecomesUnreachable(t *testing.T) {
-	delays := mirror.Patience{Unreached: time.Second, Lost: time.Minute}
-	f := newDelayedSourceFixture(map[netip.AddrPort]mirror.Answer{holderA: mirror.Lost{}}, delays)
+	delays := mirror.FallbackDelays{HoldersUnreachable: time.Second, StoreLost: time.Minute}
+	f := newDelayedSourceFixture(map[netip.AddrPort]mirror.WatchAnswer{holderA: mirror.StoreLost{}}, delays)
 	f.addresses = []netip.AddrPort{holderA}
 	for range 20 {
 		_, err := f.source.Watch(t.Context(), 7, time.Second)
-		assert.ErrorIs(t, err, follow.ErrNobodyAsked)
+		assert.ErrorIs(t, err, follow.ErrNotQueried)
 		f.now = f.now.Add(250 * time.Millisecond)
 	}
 	delete(f.watcher.answers, holderA)
@@ -347,7 +349,7 @@
 // the store is followed, are asked without a wait: an unreachable holder delays changes until
 // the call times out.
 func TestOnlyFirstHolderMayHoldCall(t *testing.T) {
-	f := newDelayedSourceFixture(map[netip.AddrPort]mirror.Answer{holderC: currentAnswer(8)}, mirror.Patience{Unreached: time.Minute})
+	f := newDelayedSourceFixture(map[netip.AddrPort]mirror.WatchAnswer{holderC: currentAnswer(8)}, mirror.FallbackDelays{HoldersUnreachable: time.Minute})
 	f.watch(t, 7)
 	assert.DeepEqual(t, f.watcher.waits, []time.Duration{time.Second, 0, 0})
 	clear(f.watcher.answers)
@@ -362,12 +364,12 @@
 // TestHoldersPerCallAreLimited checks that a source that loses all of its holders at once
 // doesn't ask every one of them in one call.
 func TestHoldersPerCallAreLimited(t *testing.T) {
-	f := newDelayedSourceFixture(map[netip.AddrPort]mirror.Answer{}, mirror.Patience{Unreached: time.Second, Lost: time.Second})
+	f := newDelayedSourceFixture(map[netip.AddrPort]mirror.WatchAnswer{}, mirror.FallbackDelays{HoldersUnreachable: time.Second, StoreLost: time.Second})
 	f.addresses = nil
 	for index := range 20 {
 		holder := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 1, byte(index)}), 1)
 		f.addresses = append(f.addresses, holder)
-		f.watcher.answers[holder] = mirror.Lost{}
+		f.watcher.answers[holder] = mirror.StoreLost{}
 	}
 	_, err := f.source.Watch(t.Context(), 7, time.Second)
 	assert.Assert(t, err != nil)
@@ -383,7 +385,7 @@
 // TestRecoveredHolderIsUsedSoon checks that a holder that has lost the store is asked again
 // within 250 ms, however often it has answered so before.
 func TestRecoveredHolderIsUsedSoon(t *testing.T) {
-	f := newDelayedSourceFixture(map[netip.AddrPort]mirror.Answer{holderA: mirror.Lost{}}, mirror.Patience{Lost: time.Minute})
+	f := newDelayedSourceFixture(map[netip.AddrPort]mirror.WatchAnswer{holderA: mirror.StoreLost{}}, mirror.FallbackDelays{StoreLost: time.Minute})
 	f.addresses = []netip.AddrPort{holderA}
 	for range 20 {
 		_, err := f.source.List(t.Context())
@@ -399,11 +401,11 @@
 // TestConcurrentFailuresCountOnce checks that a holder that fails the calls of several kinds
 // at the same moment backs off as after one failure.
 func TestConcurrentFailuresCountOnce(t *testing.T) {
-	f := newDelayedSourceFixture(map[netip.AddrPort]mirror.Answer{}, mirror.Patience{Unreached: time.Minute, Lost: time.Minute})
-	holders := mirror.NewHolders(func() []netip.AddrPort { return f.addresses }, func() time.Time { return f.now })
-	settings := mirror.SourceSettings{Wait: time.Second, MaxAge: 4 * time.Second, Patience: mirror.Patience{Unreached: time.Minute, Lost: time.Minute}}
+	f := newDelayedSourceFixture(map[netip.AddrPort]mirror.WatchAnswer{}, mirror.FallbackDelays{HoldersUnreachable: time.Minute, StoreLost: time.Minute})
+	holders := mirror.NewHolderSelector(func() []netip.AddrPort { return f.addresses }, func() time.Time { return f.now })
+	settings := mirror.SourceSettings{HolderWait: time.Second, MaxHolderAge: 4 * time.Second, FallbackDelays: mirror.FallbackDelays{HoldersUnreachable: time.Minute, StoreLost: time.Minute}}
 	var sources []*mirror.Source
-	for _, kind := range mirror.Kinds() {
+	for _, kind := range mirror.PersistedKinds() {
 		sources = append(sources, mirror.NewSource(kind, &f.store, holders, &f.watcher, settings, zap.NewNop()))
 	}
 	f.watcher.barrier = &sync.WaitGroup{}
@@ -413,7 +415,7 @@
 	for _, source := range sources {
 		calls.Go(func() {
 			_, err := source.Watch(context.Background(), 7, time.Second)
-			assert.Check(t, errors.Is(err, follow.ErrNobodyAsked))
+			assert.Check(t, errors.Is(err, follow.ErrNotQueried))
 		})
 	}
 	calls.Wait()
--- a/coordination/multicast/round.go
+++ b/coordination/multicast/round.go
@@ -18,13 +18,13 @@
 
 // Hedging is the configuration that rounds of one kind share.
 type Hedging struct {
-	// Kind is the key of these requests in the budget.
-	Kind string
+	// BudgetKey is the key of these requests in the budget.
+	BudgetKey string
 	// Budget bounds the hedges. Members that are late together are overloaded, and
 	// unbounded hedging would add to their load.
 	Budget *limit.RetryBudget
-	// Reach records which members to ask last for a while.
-	Reach *reach.Tracker
+	// Tracker records which members to ask last for a while.
+	Tracker *reach.Tracker
 	// Now returns the current time for the budget.
 	Now func() time.Time
 }
@@ -61,13 +61,13 @@
 // Begin asks the first members and records the round in the budget, which allows hedges in
 // proportion to the rounds.
 func (r *Round) Begin(first int) {
-	r.hedging.Budget.Attempted(r.hedging.Kind, r.hedging.Now())
+	r.hedging.Budget.RecordAttempt(r.hedging.BudgetKey, r.hedging.Now())
 	r.Ask(first)
 }
 
 // Ask asks up to count further members.
 func (r *Round) Ask(count int) {
-	for ; r.Left() > 0 && count > 0; count-- {
+	for ; r.Remaining() > 0 && count > 0; count-- {
 		index := r.asked
 		r.asked++
 		r.states[index] = pending
@@ -78,13 +78,13 @@
 // Asked returns the number of members that were asked.
 func (r *Round) Asked() int { return r.asked }
 
-// Left returns the number of members that weren't asked.
-func (r *Round) Left() int { return len(r.addresses) - r.asked }
+// Remaining returns the number of members that weren't asked.
+func (r *Round) Remaining() int { return len(r.addresses) - r.asked }
 
 // Hedge marks the pending members as late and asks one further member, if one is left. If
 // the budget is exhausted, it does nothing and returns false.
 func (r *Round) Hedge() bool {
-	if !r.hedging.Budget.Retry(r.hedging.Kind, r.hedging.Now()) {
+	if !r.hedging.Budget.TryRetry(r.hedging.BudgetKey, r.hedging.Now()) {
 		return false
 	}
 	for index, state := range r.states {
@@ -96,8 +96,8 @@
 	return true
 }
 
-// Answered records that the member has answered or its request has failed.
-func (r *Round) Answered(index int) { r.states[index] = answered }
+// RecordAnswer records that the member has answered or its request has failed.
+func (r *Round) RecordAnswer(index int) { r.states[index] = answered }
 
 // AvoidLate reports the late members as failed, so that later requests ask them last for a
 // while. The caller calls it when a member answers, because that member may have been
@@ -106,7 +106,7 @@
 	for index, state := range r.states {
 		if state == late {
 			r.states[index] = pending
-			r.hedging.Reach.Failed(r.addresses[index])
+			r.hedging.Tracker.RecordFailure(r.addresses[index])
 		}
 	}
 }
@@ -116,7 +116,7 @@
 func (r *Round) AvoidPending() {
 	for index, state := range r.states {
 		if state == pending || state == late {
-			r.hedging.Reach.Failed(r.addresses[index])
+			r.hedging.Tracker.RecordFailure(r.addresses[index])
 		}
 	}
 }
--- a/coordination/multicast/round_test.go
+++ b/coordination/multicast/round_test.go
@@ -26,8 +26,8 @@
 	now := func() time.Time { return time.Unix(1000, 0) }
 	f := &fixture{tracker: reach.New(now)}
 	// One kind of requests may use half of the burst.
-	budget := limit.NewRetryBudget(limit.RetryPolicy{Burst: 2 * hedges, Saved: hedges}, now())
-	hedging := multicast.Hedging{Kind: "test", Budget: budget, Reach: f.tracker, Now: now}
+	budget := limit.NewRetryBudget(limit.RetryPolicy{Burst: 2 * hedges, InitialRetries: hedges}, now())
+	hedging := multicast.Hedging{BudgetKey: "test", Budget: budget, Tracker: f.tracker, Now: now}
 	f.Round = multicast.New(addresses, hedging, func(index int) { f.asked = append(f.asked, index) })
 	return f
 }
@@ -49,12 +49,12 @@
 	f.Begin(2)
 	f.Ask(0)
 	assert.DeepEqual(t, f.asked, []int{0, 1})
-	assert.Equal(t, f.Left(), 2)
+	assert.Equal(t, f.Remaining(), 2)
 	f.Ask(9)
 	f.Ask(-1)
 	assert.DeepEqual(t, f.asked, []int{0, 1, 2, 3})
 	assert.Equal(t, f.Asked(), 4)
-	assert.Equal(t, f.Left(), 0)
+	assert.Equal(t, f.Remaining(), 0)
 }
 
 // TestHedgesAreBoundedByBudget checks that a rejected hedge asks no member and marks none as
@@ -63,7 +63,7 @@
 	f := newFixture(1)
 	f.Begin(1)
 	assert.Assert(t, f.Hedge())
-	f.Answered(0)
+	f.RecordAnswer(0)
 	assert.Assert(t, !f.Hedge())
 	assert.DeepEqual(t, f.asked, []int{0, 1})
 	f.AvoidLate()
@@ -77,16 +77,16 @@
 	f.Begin(3)
 	f.AvoidLate()
 	assert.Equal(t, len(f.avoided()), 0, "no hedge was sent yet")
-	f.Answered(0)
+	f.RecordAnswer(0)
 	assert.Assert(t, f.Hedge())
-	f.Answered(1)
+	f.RecordAnswer(1)
 	f.AvoidLate()
 	assert.DeepEqual(t, f.avoided(), []string{"c"})
-	f.tracker.Heard("c")
+	f.tracker.RecordResponse("c")
 	f.AvoidLate()
 	assert.Equal(t, len(f.avoided()), 0)
 	assert.Assert(t, f.Hedge(), "a hedge without members left")
-	assert.Equal(t, f.Left(), 0)
+	assert.Equal(t, f.Remaining(), 0)
 	f.AvoidLate()
 	assert.DeepEqual(t, f.avoided(), []string{"c", "d"})
 }
@@ -96,7 +96,7 @@
 	f := newFixture(1)
 	f.Begin(2)
 	assert.Assert(t, f.Hedge())
-	f.Answered(0)
+	f.RecordAnswer(0)
 	f.AvoidPending()
 	assert.DeepEqual(t, f.avoided(), []string{"b", "c"})
 }
@@ -104,16 +104,16 @@
 func Example() {
 	now := func() time.Time { return time.Unix(1000, 0) }
 	hedging := multicast.Hedging{
-		Kind: "reads", Budget: limit.NewRetryBudget(limit.HedgePolicy(), now()), Reach: reach.New(now), Now: now,
+		BudgetKey: "reads", Budget: limit.NewRetryBudget(limit.DefaultHedgePolicy(), now()), Tracker: reach.New(now), Now: now,
 	}
 	members := []string{"10.0.0.1:7000", "10.0.0.2:7000", "10.0.0.3:7000"}
 	round := multicast.New(members, hedging, func(index int) { fmt.Println("ask", members[index]) })
 	round.Begin(1)
 	// The first member is late, so another one is asked, which answers.
 	round.Hedge()
-	round.Answered(1)
+	round.RecordAnswer(1)
 	round.AvoidLate()
-	fmt.Println("asked last from now on:", hedging.Reach.IsAvoided(members[0]))
+	fmt.Println("asked last from now on:", hedging.Tracker.IsAvoided(members[0]))
 	// Output:
 	// ask 10.0.0.1:7000
 	// ask 10.0.0.2:7000
--- a/coordination/quota/account.go
+++ b/coordination/quota/account.go
@@ -6,22 +6,22 @@
 	"github.com/marblering/marblering/coordination/limit"
 )
 
-// Ask is a gateway's request for permits.
-type Ask struct {
+// PermitRequest is a gateway's request for permits.
+type PermitRequest struct {
 	Tenant string
 	// Version is the configuration version that Part was computed from.
 	Version int64
-	Part    Part
+	Share   Share
 	// Program is the program that the request belongs to, empty for none. Kind groups
 	// programs with similar demand.
 	Program string
 	Kind    string
-	// Ahead is the number of additional permits wanted for future requests.
-	Ahead int
+	// Prefetch is the number of additional permits wanted for future requests.
+	Prefetch int
 }
 
-// Grant is the answer to an Ask: one of the types below.
-type Grant interface{ isGrant() }
+// PermitAnswer is the answer to an Ask: one of the types below.
+type PermitAnswer interface{ isGrant() }
 
 // Granted carries permits, one of them for the request itself.
 type Granted struct {
@@ -33,13 +33,13 @@
 	// RetryAfter is the time until the next permit is available, Left the number of
 	// permits in the bucket, less than one.
 	RetryAfter time.Duration
-	Left       float64
+	Remaining  float64
 }
 
-// Crowded means that the remaining permits are reserved for programs already running.
-type Crowded struct {
+// Reserved means that the remaining permits are reserved for programs already running.
+type Reserved struct {
 	RetryAfter time.Duration
-	Left       float64
+	Remaining  float64
 }
 
 // NotHolder means that the node doesn't hold the slot.
@@ -47,7 +47,7 @@
 
 func (Granted) isGrant()   {}
 func (Exhausted) isGrant() {}
-func (Crowded) isGrant()   {}
+func (Reserved) isGrant()  {}
 func (NotHolder) isGrant() {}
 
 const (
@@ -83,9 +83,9 @@
 //     program that is cut off midway has wasted its permits.
 //   - Any request is refused (Exhausted) if the bucket has no permit.
 //   - Permits are prefetched only from what exceeds half of the burst.
-func (a *account) take(ask Ask, now time.Time) Grant {
+func (a *account) take(ask PermitRequest, now time.Time) PermitAnswer {
 	if ask.Version > a.version {
-		a.version, a.rate = ask.Version, ask.Part.Rate
+		a.version, a.rate = ask.Version, ask.Share.Rate
 		a.bucket.SetRate(a.rate.TokensPerSecond, a.rate.Burst, now)
 	}
 	a.programs.sweep(now)
@@ -93,16 +93,16 @@
 	headroom := headroomFraction * a.rate.Burst
 	isNew := ask.Program != "" && !a.programs.has(ask.Program)
 	if isNew && level < headroom && !a.programs.canAdmit(ask.Kind, a.rate, level, now) {
-		return Crowded{RetryAfter: newProgramRetryAfter, Left: level}
+		return Reserved{RetryAfter: newProgramRetryAfter, Remaining: level}
 	}
 	if !a.bucket.Take(1, now) {
 		a.programs.recordRefused(ask.Program)
-		return Exhausted{RetryAfter: max(a.bucket.Wait(1, now), minRetryAfter), Left: level}
+		return Exhausted{RetryAfter: max(a.bucket.Wait(1, now), minRetryAfter), Remaining: level}
 	}
 	if ask.Program != "" {
 		a.programs.recordAdmitted(ask.Program, ask.Kind, now)
 	}
-	ahead := int(min(float64(ask.Ahead), level-1-headroom))
+	ahead := int(min(float64(ask.Prefetch), level-1-headroom))
 	if ahead < 1 {
 		return Granted{Permits: 1}
 	}
--- a/coordination/quota/client.go
+++ b/coordination/quota/client.go
@@ -16,9 +16,9 @@
 	"github.com/marblering/marblering/state/result"
 )
 
-// Holders requests permits from storage nodes. peer.Client implements it.
-type Holders interface {
-	TakePermits(ctx context.Context, address string, ask Ask) (Grant, error)
+// HolderClient requests permits from storage nodes. peer.Client implements it.
+type HolderClient interface {
+	TakePermits(ctx context.Context, address string, ask PermitRequest) (PermitAnswer, error)
 }
 
 // Views returns the members of each slot's shard.
@@ -59,10 +59,10 @@
 
 // Client gets permits for a gateway's requests. It is safe for concurrent use.
 type Client struct {
-	holders Holders
+	holders HolderClient
 	views   Views
 	reach   *reach.Tracker
-	bounds  Bounds
+	bounds  Tolerance
 	now     func() time.Time
 	logger  *zap.Logger
 	metrics *Metrics
@@ -79,7 +79,7 @@
 
 // NewClient returns a client without permits. It reports to the tracker which storage
 // nodes answer.
-func NewClient(holders Holders, views Views, tracker *reach.Tracker, bounds Bounds, metrics *Metrics, now func() time.Time, logger *zap.Logger) *Client {
+func NewClient(holders HolderClient, views Views, tracker *reach.Tracker, bounds Tolerance, metrics *Metrics, now func() time.Time, logger *zap.Logger) *Client {
 	return &Client{
 		holders: holders, views: views, reach: tracker, bounds: bounds, now: now, logger: logger, metrics: metrics,
 		stocks: make(map[string]*stock), lastHolder: make(map[uint32]string), vacantUntil: make(map[uint32]time.Time),
@@ -129,7 +129,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, takeTimeout)
 	defer cancel()
-	ask := Ask{Tenant: request.Tenant, Version: request.Version, Program: request.Program, Kind: request.Kind, Ahead: ahead}
+	ask := PermitRequest{Tenant: request.Tenant, Version: request.Version, Program: request.Program, Kind: request.Kind, Prefetch: ahead}
 	permit, failure := c.requestPermit(ctx, ask, c.bounds.Plan(request.Tenant, request.Rate, c.views.Shards()))
 	c.metrics.observeAsked(failure, c.now().Sub(began))
 	return permit, failure
@@ -139,7 +139,7 @@
 // then the reserve slot if a main slot has no holder. It waits for the next permit if that
 // is due within maxPermitWait, and retries until the context ends while no slot has a
 // holder.
-func (c *Client) requestPermit(ctx context.Context, ask Ask, plan Plan) (Permit, *result.Error) {
+func (c *Client) requestPermit(ctx context.Context, ask PermitRequest, plan Plan) (Permit, *result.Error) {
 	for waits := 0; ; {
 		answer, permit := c.askMainSlots(ctx, ask, plan)
 		if answer == nil && plan.HasReserve {
@@ -163,28 +163,28 @@
 
 // waitForPermit waits until the next permit is due if that is soon, and reports whether it
 // has waited.
-func waitForPermit(ctx context.Context, answer Grant) bool {
+func waitForPermit(ctx context.Context, answer PermitAnswer) bool {
 	exhausted, isExhausted := answer.(Exhausted)
 	return isExhausted && exhausted.RetryAfter <= maxPermitWait && sleep.For(ctx, sleep.Jitter(exhausted.RetryAfter)) == nil
 }
 
 // refusalError returns the error for a caller whose request got no permit. The answer is
 // nil if no holder decided.
-func refusalError(tenant string, answer Grant) *result.Error {
+func refusalError(tenant string, answer PermitAnswer) *result.Error {
 	switch grant := answer.(type) {
 	case Exhausted:
-		return result.Errorf(result.TenantLimit, "tenant %s is over its quota, %.1f permits are left", tenant, grant.Left).After(grant.RetryAfter)
-	case Crowded:
+		return result.Errorf(result.TenantLimit, "tenant %s is over its quota, %.1f permits are left", tenant, grant.Remaining).After(grant.RetryAfter)
+	case Reserved:
 		return result.Errorf(result.TenantLimit,
-			"tenant %s is near its quota: the remaining %.1f permits are reserved for running programs", tenant, grant.Left).After(grant.RetryAfter)
+			"tenant %s is near its quota: the remaining %.1f permits are reserved for running programs", tenant, grant.Remaining).After(grant.RetryAfter)
 	}
 	return result.Errorf(result.QuotaUnavailable, "no storage node grants requests of tenant %s", tenant).After(unavailableRetryAfter)
 }
 
 // askMainSlots asks main slots until one grants a permit. It returns nil if one of them has
 // no holder, so that the caller asks the reserve slot.
-func (c *Client) askMainSlots(ctx context.Context, ask Ask, plan Plan) (Grant, Permit) {
-	var refusal Grant
+func (c *Client) askMainSlots(ctx context.Context, ask PermitRequest, plan Plan) (PermitAnswer, Permit) {
+	var refusal PermitAnswer
 	isVacant := len(plan.Main) == 0
 	for index, part := range plan.Order(ask.Program) {
 		if index >= maxSlotsTried {
@@ -192,7 +192,7 @@
 		}
 		answer, permit := c.askSlot(ctx, ask, part)
 		switch answer.(type) {
-		case Granted, Crowded:
+		case Granted, Reserved:
 			return answer, permit
 		case Exhausted:
 			refusal = answer
@@ -208,12 +208,12 @@
 
 // askSlot asks the members of the slot's shard for a permit, the last known holder first.
 // It returns nil if no member holds the slot.
-func (c *Client) askSlot(ctx context.Context, ask Ask, part Part) (Grant, Permit) {
+func (c *Client) askSlot(ctx context.Context, ask PermitRequest, part Share) (PermitAnswer, Permit) {
 	view, known := c.views.View(part.Slot)
 	if !known || c.isVacant(part.Slot) {
 		return nil, Permit{}
 	}
-	ask.Part = part
+	ask.Share = part
 	for _, address := range c.orderMembers(view) {
 		if ctx.Err() != nil {
 			return nil, Permit{}
@@ -238,7 +238,7 @@
 // storePrefetched puts the prefetched permits in stock and returns the request's own permit. The
 // lifetime counts from when the permits were asked for, since the holder may have granted
 // them at any time after that.
-func (c *Client) storePrefetched(ask Ask, answer Grant, sent time.Time) Permit {
+func (c *Client) storePrefetched(ask PermitRequest, answer PermitAnswer, sent time.Time) Permit {
 	granted, isGranted := answer.(Granted)
 	if !isGranted {
 		return Permit{}
@@ -253,18 +253,18 @@
 }
 
 // askNode asks one storage node. It returns nil if the request failed.
-func (c *Client) askNode(ctx context.Context, address string, ask Ask) Grant {
+func (c *Client) askNode(ctx context.Context, address string, ask PermitRequest) PermitAnswer {
 	bounded, cancel := context.WithTimeout(ctx, nodeTimeout)
 	defer cancel()
 	answer, err := c.holders.TakePermits(bounded, address, ask)
 	if err == nil {
-		c.reach.Heard(address)
+		c.reach.RecordResponse(address)
 		return answer
 	}
 	if ctx.Err() == nil {
-		c.reach.Failed(address)
+		c.reach.RecordFailure(address)
 	}
-	c.logger.Info("quota holder did not answer", zap.String("address", address), zap.Uint32("slot", ask.Part.Slot),
+	c.logger.Info("quota holder did not answer", zap.String("address", address), zap.Uint32("slot", ask.Share.Slot),
 		zap.String("tenant", ask.Tenant), zap.Error(err))
 	return nil
 }
--- a/coordination/quota/holder.go
+++ b/coordination/quota/holder.go
@@ -76,14 +76,14 @@
 
 // Take grants permits if this node holds the slot; otherwise it makes Serve try to take
 // the slot. An Ask without a tenant only shows that the slot is needed.
-func (h *Holder) Take(ask Ask) Grant {
+func (h *Holder) Take(ask PermitRequest) PermitAnswer {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	now := h.now()
-	s := h.slots[ask.Part.Slot]
+	s := h.slots[ask.Share.Slot]
 	if s == nil {
 		s = &slot{lease: newLease(h.processID, h.node)}
-		h.slots[ask.Part.Slot] = s
+		h.slots[ask.Share.Slot] = s
 	}
 	s.lastAsked = now
 	if h.released.Load() || !s.lease.holds(now) {
@@ -96,13 +96,13 @@
 	return s.take(ask, now)
 }
 
-func (s *slot) take(ask Ask, now time.Time) Grant {
+func (s *slot) take(ask PermitRequest, now time.Time) PermitAnswer {
 	if s.accounts == nil || s.term != s.lease.own.Term {
 		s.accounts, s.term = make(map[string]*account), s.lease.own.Term
 	}
 	tenantAccount := s.accounts[ask.Tenant]
 	if tenantAccount == nil {
-		tenantAccount = newAccount(ask.Part.Rate, s.lease.takenAt)
+		tenantAccount = newAccount(ask.Share.Rate, s.lease.takenAt)
 		s.accounts[ask.Tenant] = tenantAccount
 	}
 	return tenantAccount.take(ask, now)
--- a/coordination/quota/plan.go
+++ b/coordination/quota/plan.go
@@ -7,14 +7,14 @@
 	"github.com/marblering/marblering/coordination/limit"
 )
 
-// Bounds limit by how much a tenant may exceed its quota.
-type Bounds struct {
+// Tolerance limit by how much a tenant may exceed its quota.
+type Tolerance struct {
 	// Window is the time span over which requests are counted.
 	Window time.Duration
-	// Over is the fraction of its quota by which a tenant may exceed it in a window, Slack
+	// Fraction is the fraction of its quota by which a tenant may exceed it in a window, Slack
 	// an additional number of requests.
-	Over  float64
-	Slack int
+	Fraction float64
+	Slack    int
 }
 
 const (
@@ -41,12 +41,12 @@
 )
 
 // PermitLifetime is how long a permit may be used, counted from when it was requested.
-func (b Bounds) PermitLifetime() time.Duration {
-	return min(time.Duration(b.Over*float64(b.Window)), maxPermitLifetime)
+func (b Tolerance) PermitLifetime() time.Duration {
+	return min(time.Duration(b.Fraction*float64(b.Window)), maxPermitLifetime)
 }
 
-// Part is the share of a tenant's quota that one slot may grant.
-type Part struct {
+// Share is the share of a tenant's quota that one slot may grant.
+type Share struct {
 	Slot uint32
 	Rate limit.Rate
 }
@@ -54,16 +54,16 @@
 // Plan is the division of a tenant's quota among slots.
 type Plan struct {
 	// Main are the slots among which the quota is divided.
-	Main []Part
+	Main []Share
 	// Reserve is asked while a main slot has no holder. HasReserve is false if no slot is
 	// left for it.
-	Reserve    Part
+	Reserve    Share
 	HasReserve bool
 }
 
 // Plan divides the tenant's rate among the slots. All nodes that know the same rate and
 // number of slots compute the same plan.
-func (b Bounds) Plan(tenant string, rate limit.Rate, slots uint32) Plan {
+func (b Tolerance) Plan(tenant string, rate limit.Rate, slots uint32) Plan {
 	if slots == 0 {
 		return Plan{}
 	}
@@ -73,12 +73,12 @@
 	whole := b.mainBucket(rate)
 	plan := Plan{HasReserve: slots > count}
 	for index := range count {
-		plan.Main = append(plan.Main, Part{
+		plan.Main = append(plan.Main, Share{
 			Slot: (first + index) % slots,
 			Rate: limit.Rate{TokensPerSecond: whole.TokensPerSecond / float64(count), Burst: whole.Burst / float64(count)},
 		})
 	}
-	plan.Reserve = Part{Slot: (first + count) % slots, Rate: limit.Rate{
+	plan.Reserve = Share{Slot: (first + count) % slots, Rate: limit.Rate{
 		TokensPerSecond: reserveRateFraction * float64(b.Slack) / b.Window.Seconds(), Burst: reserveBurstFraction * float64(b.Slack),
 	}}
 	return plan
@@ -88,32 +88,32 @@
 // together. Within a window a tenant may use as much as with its own rate and burst, but
 // a tenant that is always over its rate may use this much in every window, instead of its
 // rate alone.
-func (b Bounds) mainBucket(rate limit.Rate) limit.Rate {
+func (b Tolerance) mainBucket(rate limit.Rate) limit.Rate {
 	window := b.Window.Seconds()
 	if rate.Burst <= 0 {
 		return limit.Rate{TokensPerSecond: rate.TokensPerSecond, Burst: b.unreservedSlack()}
 	}
 	spread := maxSpreadFraction * min(1, rate.TokensPerSecond*window/(4*rate.Burst))
-	spread = max(min(spread, 1-(minBurst-b.unreservedSlack())/(rate.Burst*(1+b.Over))), 0)
+	spread = max(min(spread, 1-(minBurst-b.unreservedSlack())/(rate.Burst*(1+b.Fraction))), 0)
 	return limit.Rate{
 		TokensPerSecond: rate.TokensPerSecond + spread*rate.Burst/window,
-		Burst:           rate.Burst*(1+b.Over)*(1-spread) + b.unreservedSlack(),
+		Burst:           rate.Burst*(1+b.Fraction)*(1-spread) + b.unreservedSlack(),
 	}
 }
 
 // unreservedSlack is the part of Slack that the reserve slot doesn't grant, in requests.
-func (b Bounds) unreservedSlack() float64 {
-	return float64(b.Slack) * (1 - reserveBurstFraction - reserveRateFraction*(1+b.Over))
+func (b Tolerance) unreservedSlack() float64 {
+	return float64(b.Slack) * (1 - reserveBurstFraction - reserveRateFraction*(1+b.Fraction))
 }
 
 // Order returns the main parts in the order in which requests of the program ask them.
 // All requests of a program ask the same slot first, so that its holder tracks the program.
-func (p Plan) Order(program string) []Part {
+func (p Plan) Order(program string) []Share {
 	if len(p.Main) < 2 {
 		return p.Main
 	}
 	first := int(hashOf(program) % uint32(len(p.Main)))
-	return append(append([]Part(nil), p.Main[first:]...), p.Main[:first]...)
+	return append(append([]Share(nil), p.Main[first:]...), p.Main[:first]...)
 }
 
 func hashOf(text string) uint32 {
--- a/coordination/reach/reach.go
+++ b/coordination/reach/reach.go
@@ -37,16 +37,16 @@
 	return &Tracker{now: now, failedAt: make(map[string]time.Time)}
 }
 
-// Heard records that the peer responded, whatever the response was.
-func (t *Tracker) Heard(peer string) {
+// RecordResponse records that the peer responded, whatever the response was.
+func (t *Tracker) RecordResponse(peer string) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	delete(t.failedAt, peer)
 	t.respondedAt, t.failures = t.now(), 0
 }
 
-// Failed records that the peer didn't respond or couldn't process the request.
-func (t *Tracker) Failed(peer string) {
+// RecordFailure records that the peer didn't respond or couldn't process the request.
+func (t *Tracker) RecordFailure(peer string) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.failedAt[peer] = t.now()
--- a/coordination/reach/reach_test.go
+++ b/coordination/reach/reach_test.go
@@ -24,14 +24,14 @@
 func TestFailedPeerIsAvoided(t *testing.T) {
 	c, tracker := newTracker()
 	assert.Assert(t, !tracker.IsAvoided("a"))
-	tracker.Failed("a")
+	tracker.RecordFailure("a")
 	assert.Assert(t, tracker.IsAvoided("a"))
 	assert.Assert(t, !tracker.IsAvoided("b"))
-	tracker.Heard("b")
+	tracker.RecordResponse("b")
 	assert.Assert(t, tracker.IsAvoided("a"), "the response came from another peer")
-	tracker.Heard("a")
+	tracker.RecordResponse("a")
 	assert.Assert(t, !tracker.IsAvoided("a"))
-	tracker.Failed("a")
+	tracker.RecordFailure("a")
 	c.advance(2 * time.Second)
 	assert.Assert(t, !tracker.IsAvoided("a"))
 }
@@ -40,23 +40,23 @@
 // responded for a while, until a peer responds.
 func TestCutOff(t *testing.T) {
 	c, tracker := newTracker()
-	tracker.Heard("a")
+	tracker.RecordResponse("a")
 	assert.Assert(t, !tracker.IsCutOff())
 	c.advance(time.Hour)
 	assert.Assert(t, !tracker.IsCutOff(), "a node without requests isn't cut off")
-	tracker.Failed("a")
-	tracker.Failed("b")
+	tracker.RecordFailure("a")
+	tracker.RecordFailure("b")
 	assert.Assert(t, !tracker.IsCutOff(), "too few requests have failed")
-	tracker.Failed("a")
+	tracker.RecordFailure("a")
 	assert.Assert(t, tracker.IsCutOff())
-	tracker.Heard("b")
+	tracker.RecordResponse("b")
 	for range 5 {
-		tracker.Failed("a")
+		tracker.RecordFailure("a")
 	}
 	assert.Assert(t, !tracker.IsCutOff(), "another peer has just responded")
 	c.advance(time.Second)
 	assert.Assert(t, tracker.IsCutOff())
-	tracker.Heard("a")
+	tracker.RecordResponse("a")
 	assert.Assert(t, !tracker.IsCutOff())
 }
 
--- a/coordination/repair/repair.go
+++ b/coordination/repair/repair.go
@@ -84,7 +84,7 @@
 func (r *Service) runRound(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, roundTimeout)
 	defer cancel()
-	plan := r.options.Maintainer.Round(ctx, r.Situation())
+	plan := r.options.Maintainer.RunOnce(ctx, r.Situation())
 	if isComplete(plan) && len(r.options.Views.Views()) > 0 {
 		r.seenComplete.Store(true)
 	}
@@ -93,12 +93,12 @@
 // isComplete reports whether the plan found every set complete: none has lost its quorum,
 // and no member is to be replaced because it is gone or lost its data. Sets that change for
 // other reasons, such as a leaving node, are complete.
-func isComplete(plan shard.Outcome) bool {
+func isComplete(plan shard.PlanResult) bool {
 	if len(plan.Lost) > 0 {
 		return false
 	}
 	return !slices.ContainsFunc(plan.Moves, func(move shard.Move) bool {
-		return move.Reason == shard.ReasonForgotten || move.Reason == shard.ReasonGone
+		return move.Reason == shard.ReasonNewIncarnation || move.Reason == shard.ReasonGone
 	})
 }
 
@@ -114,15 +114,15 @@
 }
 
 // Situation returns the current input of a plan, from the membership and the shard map.
-func (r *Service) Situation() shard.Situation {
+func (r *Service) Situation() shard.ClusterState {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	now := r.options.Now()
-	situation := shard.Situation{Now: now, WatchedSince: r.started, Views: r.options.Views.Views()}
+	situation := shard.ClusterState{Now: now, ObservedSince: r.started, Views: r.options.Views.Views()}
 	goneSince := make(map[string]time.Time)
 	for _, member := range r.options.Members().All() {
 		node := shard.Node{
-			Member:        Member(member),
+			Member:        RegisterMember(member),
 			HasDataFolder: member.HasDataFolder,
 			Leaving:       member.Leaving,
 			Started:       member.Started,
@@ -163,7 +163,7 @@
 func (r *Service) setsNeeding(incarnation string) int {
 	situation := r.Situation()
 	unlimited := r.options.Settings
-	unlimited.Moves = len(situation.Views) + 1
+	unlimited.MaxMoves = len(situation.Views) + 1
 	moving := make(map[uint32]bool)
 	for _, move := range shard.Plan(situation, unlimited).Moves {
 		moving[move.View.Shard] = true
@@ -199,8 +199,8 @@
 	return count
 }
 
-// Member converts a member of the cluster to a member of a replica set.
-func Member(member membership.Member) register.Member {
+// RegisterMember converts a member of the cluster to a member of a replica set.
+func RegisterMember(member membership.Member) register.Member {
 	return register.Member{
 		Node:        member.Node,
 		Incarnation: member.Incarnation,
--- a/coordination/retirement/retirement.go
+++ b/coordination/retirement/retirement.go
@@ -32,8 +32,8 @@
 type Order struct {
 	Node string
 	// Reported is the last reported state. It is only valid if Known is set.
-	Reported State
-	Known    bool
+	Reported  State
+	HasReport bool
 }
 
 // Reporter reports the state of a retirement to the operator.
@@ -45,8 +45,8 @@
 type Sets interface {
 	// Views returns the open views.
 	Views() []register.View
-	// Holds reports whether every member of the view holds all of its data.
-	Holds(ctx context.Context, view register.View) bool
+	// HoldsAllData reports whether every member of the view holds all of its data.
+	HoldsAllData(ctx context.Context, view register.View) bool
 }
 
 const (
@@ -98,9 +98,9 @@
 	}
 }
 
-// Decode returns a follower's Apply function that decodes the orders. An invalid order is
+// Decoder returns a follower's Apply function that decodes the orders. An invalid order is
 // logged and skipped.
-func (s *Service) Decode(decode func(follow.Object) (Order, error)) func(follow.Snapshot) {
+func (s *Service) Decoder(decode func(follow.Object) (Order, error)) func(follow.Snapshot) {
 	return func(snapshot follow.Snapshot) {
 		var orders []Order
 		for _, object := range snapshot.Objects {
@@ -135,14 +135,14 @@
 	s.mutex.Lock()
 	order := s.order
 	s.mutex.Unlock()
-	if order == nil || order.Known && order.Reported == Completed {
+	if order == nil || order.HasReport && order.Reported == Completed {
 		return
 	}
 	state := Running
 	if s.isDrained(ctx) {
 		state = Completed
 	}
-	if order.Known && order.Reported == state {
+	if order.HasReport && order.Reported == state {
 		return
 	}
 	bounded, cancel := context.WithTimeout(ctx, reportTimeout)
@@ -155,7 +155,7 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.order == order {
-		s.order = &Order{Node: order.Node, Reported: state, Known: true}
+		s.order = &Order{Node: order.Node, Reported: state, HasReport: true}
 	}
 }
 
@@ -173,7 +173,7 @@
 	bounded, cancel := context.WithTimeout(ctx, holdsTimeout)
 	defer cancel()
 	for _, view := range views {
-		if !s.options.Sets.Holds(bounded, view) {
+		if !s.options.Sets.HoldsAllData(bounded, view) {
 			return false
 		}
 	}
--- a/coordination/routetable/table.go
+++ b/coordination/routetable/table.go
@@ -50,8 +50,8 @@
 // Limits returns the limits of client input.
 func (t *Table) Limits() Limits { return t.configuration.Limits }
 
-// Routes returns the number of routes.
-func (t *Table) Routes() int { return len(t.configuration.Routes) }
+// RouteCount returns the number of routes.
+func (t *Table) RouteCount() int { return len(t.configuration.Routes) }
 
 // Service returns the service with the name, or the zero value if there is none.
 func (t *Table) Service(name string) Service {
@@ -110,19 +110,19 @@
 	return r.Targets[len(r.Targets)-1].Service
 }
 
-// InForce holds the newest table. It is safe for concurrent use; reads take no lock.
-type InForce struct {
+// ActiveTable holds the newest table. It is safe for concurrent use; reads take no lock.
+type ActiveTable struct {
 	current atomic.Pointer[Table]
 	// mutex is held while a table is installed.
 	mutex sync.Mutex
 }
 
 // Table returns the newest table, or nil if none was installed.
-func (f *InForce) Table() *Table { return f.current.Load() }
+func (f *ActiveTable) Table() *Table { return f.current.Load() }
 
 // Install replaces the table if the version of the new one is higher, and reports whether
 // it did.
-func (f *InForce) Install(table *Table) bool {
+func (f *ActiveTable) Install(table *Table) bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	if current := f.current.Load(); current != nil && table.Version() <= current.Version() {
--- a/coordination/tokenbudget/admission.go
+++ b/coordination/tokenbudget/admission.go
@@ -51,8 +51,8 @@
 type admission struct {
 	now func() time.Time
 	// allChanges bounds every change, lowPriorityChanges those of low priority.
-	allChanges         *limit.Adaptive
-	lowPriorityChanges *limit.Adaptive
+	allChanges         *limit.AdaptiveLimit
+	lowPriorityChanges *limit.AdaptiveLimit
 	// lastSuccess is when a record was last changed, in Unix nanoseconds.
 	lastSuccess atomic.Int64
 
@@ -63,7 +63,7 @@
 
 func newAdmission(allPolicy, lowPriorityPolicy limit.AdaptivePolicy, now func() time.Time) *admission {
 	return &admission{
-		now: now, allChanges: limit.NewAdaptive(allPolicy, now), lowPriorityChanges: limit.NewAdaptive(lowPriorityPolicy, now),
+		now: now, allChanges: limit.NewAdaptiveLimit(allPolicy, now), lowPriorityChanges: limit.NewAdaptiveLimit(lowPriorityPolicy, now),
 		runningPrograms: recent.New(runningProgramWindow, func(time.Time) struct{} { return struct{}{} }),
 	}
 }
@@ -72,7 +72,7 @@
 func (a *admission) priorityOf(reservation Reservation) priority {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	if reservation.Running || a.runningPrograms.Has(reservation.Program) {
+	if reservation.ProgramRunning || a.runningPrograms.Has(reservation.Program) {
 		return highPriority
 	}
 	return lowPriority
@@ -89,22 +89,22 @@
 // ended by endChange, with the time at which it began.
 func (a *admission) beginChange(level priority) error {
 	if level == highPriority {
-		a.lowPriorityChanges.Enter()
-	} else if !a.lowPriorityChanges.Begin() {
+		a.lowPriorityChanges.ForceAcquire()
+	} else if !a.lowPriorityChanges.TryAcquire() {
 		return merry.Wrap(ErrOverloaded, merry.AppendMessagef("the limit of %d budget changes in progress is reached for new programs", a.lowPriorityChanges.Limit()))
 	}
-	if a.allChanges.Begin() {
+	if a.allChanges.TryAcquire() {
 		return nil
 	}
-	a.lowPriorityChanges.End(true)
+	a.lowPriorityChanges.Release(true)
 	return a.refusalError()
 }
 
 // endChange records the result of a change.
 func (a *admission) endChange(began time.Time, err error) {
 	now := a.now()
-	a.allChanges.End(err != nil)
-	a.lowPriorityChanges.End(err != nil || now.Sub(began) > slowChangeThreshold)
+	a.allChanges.Release(err != nil)
+	a.lowPriorityChanges.Release(err != nil || now.Sub(began) > slowChangeThreshold)
 	if err == nil {
 		a.lastSuccess.Store(now.UnixNano())
 	}
--- a/coordination/tokenbudget/host.go
+++ b/coordination/tokenbudget/host.go
@@ -27,27 +27,27 @@
 	// Name identifies the reservation. It is unique over all turns and all attempts at them,
 	// so that the end of one attempt isn't taken for the end of another.
 	Name string
-	// Limit is the budget of the whole program, in tokens.
-	Limit uint64
-	// Most is the most that the turn may generate, in tokens.
-	Most uint64
+	// ProgramLimit is the budget of the whole program, in tokens.
+	ProgramLimit uint64
+	// MaxTokens is the most that the turn may generate, in tokens.
+	MaxTokens uint64
 	// Lifetime bounds the duration of the turn.
 	Lifetime time.Duration
-	// Running is set if the gateway knows that the program had earlier turns. The host may
+	// ProgramRunning is set if the gateway knows that the program had earlier turns. The host may
 	// know of others.
-	Running bool
+	ProgramRunning bool
 }
 
-// Ended reports that the turn of a reservation generates no more tokens.
-type Ended struct {
+// EndedTurn reports that the turn of a reservation generates no more tokens.
+type EndedTurn struct {
 	Program string
 	// Reservation is the name of the reservation.
 	Reservation string
-	// HandedOut is the number of tokens that the turn's caller received.
-	HandedOut uint64
-	// MayRecur is set if another reservation may have the same name: gateways of earlier
+	// TokensUsed is the number of tokens that the turn's caller received.
+	TokensUsed uint64
+	// NameMayRecur is set if another reservation may have the same name: gateways of earlier
 	// versions give all attempts at a turn the same name.
-	MayRecur bool
+	NameMayRecur bool
 }
 
 // Host serves a ledger to gateways. All gateways ask the same host for a program as long as
@@ -123,7 +123,7 @@
 		return nil, false, errEndedBeforeGrant
 	}
 	pending = &hostReservation{
-		program: reservation.Program, most: reservation.Most, expires: h.now().Add(reservation.Lifetime), done: make(chan struct{}),
+		program: reservation.Program, most: reservation.MaxTokens, expires: h.now().Add(reservation.Lifetime), done: make(chan struct{}),
 	}
 	h.reservations[reservation.Name] = pending
 	return pending, false, nil
@@ -161,28 +161,28 @@
 
 // End counts the tokens that turns have handed out. A pending reservation won't be granted
 // any more. An unknown one was refused, has ended before, or hasn't arrived yet.
-func (h *Host) End(ended []Ended) {
+func (h *Host) End(ended []EndedTurn) {
 	for _, end := range ended {
 		if granted := h.removeGranted(end); granted != nil {
-			h.ledger.End(granted.program, granted.most, end.HandedOut)
+			h.ledger.End(granted.program, granted.most, end.TokensUsed)
 		}
 	}
 }
 
 // removeGranted removes the reservation and returns it if it was granted. Otherwise it
 // records the early end and returns nil.
-func (h *Host) removeGranted(ended Ended) (granted *hostReservation) {
+func (h *Host) removeGranted(ended EndedTurn) (granted *hostReservation) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	known, found := h.reservations[ended.Reservation]
 	isGranted := found && known.isDone()
-	if !isGranted && !ended.MayRecur {
+	if !isGranted && !ended.NameMayRecur {
 		h.endedEarly[ended.Reservation] = h.now()
 	}
 	switch {
 	case !found:
 		h.ledger.logger.Info("ended turn unknown", zap.String("program", ended.Program),
-			zap.String("reservation", ended.Reservation), zap.Uint64("handed_out", ended.HandedOut))
+			zap.String("reservation", ended.Reservation), zap.Uint64("handed_out", ended.TokensUsed))
 		return nil
 	case !isGranted:
 		known.isEnded = true
@@ -209,7 +209,7 @@
 
 // expired returns the granted reservations whose lifetime is over, and forgets early ends
 // after earlyEndRetention.
-func (h *Host) expired() []Ended {
+func (h *Host) expired() []EndedTurn {
 	now := h.now()
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -218,10 +218,10 @@
 			delete(h.endedEarly, name)
 		}
 	}
-	var expired []Ended
+	var expired []EndedTurn
 	for name, known := range h.reservations {
 		if known.isDone() && now.After(known.expires) {
-			expired = append(expired, Ended{Program: known.program, Reservation: name, HandedOut: known.most})
+			expired = append(expired, EndedTurn{Program: known.program, Reservation: name, TokensUsed: known.most})
 		}
 	}
 	return expired
--- a/coordination/tokenbudget/host_test.go
+++ b/coordination/tokenbudget/host_test.go
@@ -45,7 +45,7 @@
 	return n.hosts[address], n.lossy[address], nil
 }
 
-func (n *network) Reserve(ctx context.Context, address string, reservation tokenbudget.Reservation, ended []tokenbudget.Ended) error {
+func (n *network) Reserve(ctx context.Context, address string, reservation tokenbudget.Reservation, ended []tokenbudget.EndedTurn) error {
 	n.mutex.Lock()
 	n.reservations++
 	n.mutex.Unlock()
@@ -61,7 +61,7 @@
 	return err
 }
 
-func (n *network) End(_ context.Context, address string, ended []tokenbudget.Ended) error {
+func (n *network) End(_ context.Context, address string, ended []tokenbudget.EndedTurn) error {
 	host, _, err := n.route(address)
 	if err == nil {
 		host.End(ended)
@@ -99,7 +99,7 @@
 }
 
 func newReservation(id string) tokenbudget.Reservation {
-	return tokenbudget.Reservation{Program: "p", Name: id, Limit: 1000, Most: 100, Lifetime: time.Minute}
+	return tokenbudget.Reservation{Program: "p", Name: id, ProgramLimit: 1000, MaxTokens: 100, Lifetime: time.Minute}
 }
 
 // TestClientsAskTheSameHost: clients ask the same host for a program while it answers.
@@ -123,7 +123,7 @@
 		client := newClient(transport, views)
 		assert.NilError(t, client.Reserve(context.Background(), newReservation("first")))
 		primary := transport.asked[0]
-		client.End(tokenbudget.Ended{Program: "p", Reservation: "first", HandedOut: 100})
+		client.End(tokenbudget.EndedTurn{Program: "p", Reservation: "first", TokensUsed: 100})
 		client.Flush(context.Background())
 		transport.down[primary], transport.lossy[primary] = !lossy, lossy
 		assert.NilError(t, client.Reserve(context.Background(), newReservation("second")))
@@ -225,10 +225,10 @@
 	transport, views := newNetwork(newSharedRegister(), 5)
 	hanging := &hangingRegister{sharedRegister: newSharedRegister(), served: "served"}
 	settings := tokenbudget.DefaultSettings()
-	settings.Draws = limit.AdaptivePolicy{Start: 2, Min: 2, Max: 2}
+	settings.AllChanges = limit.AdaptivePolicy{Start: 2, Min: 2, Max: 2}
 	fixed := time.Now()
 	clock := func() time.Time { return fixed }
-	host := tokenbudget.NewHost(tokenbudget.New("host", hanging, staticViews{}.Locate, settings, clock, zap.NewNop()), time.Now)
+	host := tokenbudget.NewHost(tokenbudget.NewLedger("host", hanging, staticViews{}.Locate, settings, clock, zap.NewNop()), time.Now)
 	client := newClient(transport, views)
 	assert.NilError(t, client.Reserve(context.Background(), newReservation("before")))
 	for address := range transport.hosts {
@@ -236,7 +236,7 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	assert.NilError(t, host.Reserve(ctx, tokenbudget.Reservation{Program: "served", Name: "s", Limit: 10, Most: 1}))
+	assert.NilError(t, host.Reserve(ctx, tokenbudget.Reservation{Program: "served", Name: "s", ProgramLimit: 10, MaxTokens: 1}))
 	for i := range 2 {
 		reservation := newReservation(fmt.Sprint("t", i))
 		reservation.Program = fmt.Sprint("p", i)
@@ -263,14 +263,14 @@
 func TestRunningProgramsHavePriority(t *testing.T) {
 	hanging := &hangingRegister{sharedRegister: newSharedRegister(), served: "known"}
 	settings := tokenbudget.DefaultSettings()
-	settings.IdleTime = time.Hour
-	settings.Crowd = limit.AdaptivePolicy{Start: 2, Min: 2, Max: 2}
-	host := tokenbudget.NewHost(tokenbudget.New("host", hanging, staticViews{}.Locate, settings, time.Now, zap.NewNop()), time.Now)
+	settings.IdleTimeout = time.Hour
+	settings.LowPriorityChanges = limit.AdaptivePolicy{Start: 2, Min: 2, Max: 2}
+	host := tokenbudget.NewHost(tokenbudget.NewLedger("host", hanging, staticViews{}.Locate, settings, time.Now, zap.NewNop()), time.Now)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	reserve := func(program, turn string, isRunning bool) error {
 		return host.Reserve(ctx, tokenbudget.Reservation{
-			Program: program, Name: turn, Limit: 40, Most: 10, Lifetime: time.Minute, Running: isRunning,
+			Program: program, Name: turn, ProgramLimit: 40, MaxTokens: 10, Lifetime: time.Minute, ProgramRunning: isRunning,
 		})
 	}
 	assert.NilError(t, reserve("known", "k0", false))
@@ -294,9 +294,9 @@
 	assert.NilError(t, client.Reserve(context.Background(), newReservation("t")))
 	first := transport.asked[0]
 	settings := tokenbudget.DefaultSettings()
-	settings.Draws = limit.AdaptivePolicy{Start: 1, Min: 1, Max: 1}
+	settings.AllChanges = limit.AdaptivePolicy{Start: 1, Min: 1, Max: 1}
 	hanging := &hangingRegister{}
-	transport.hosts[first] = tokenbudget.NewHost(tokenbudget.New("isolated", hanging, staticViews{}.Locate, settings, time.Now, zap.NewNop()), time.Now)
+	transport.hosts[first] = tokenbudget.NewHost(tokenbudget.NewLedger("isolated", hanging, staticViews{}.Locate, settings, time.Now, zap.NewNop()), time.Now)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go func() { _ = transport.hosts[first].Reserve(ctx, newReservation("waits")) }()
@@ -310,13 +310,13 @@
 	transport, views := newNetwork(newSharedRegister(), 3)
 	client := newClient(transport, views)
 	reservation := newReservation("t")
-	reservation.Limit, reservation.Most = 50, 50
+	reservation.ProgramLimit, reservation.MaxTokens = 50, 50
 	assert.NilError(t, client.Reserve(context.Background(), reservation))
-	client.End(tokenbudget.Ended{Program: "p", Reservation: "t", HandedOut: 50})
+	client.End(tokenbudget.EndedTurn{Program: "p", Reservation: "t", TokensUsed: 50})
 	client.Flush(context.Background())
 	reservation.Name = "u"
 	before := len(transport.asked)
-	assert.ErrorIs(t, client.Reserve(context.Background(), reservation), budget.ErrSpent)
+	assert.ErrorIs(t, client.Reserve(context.Background(), reservation), budget.ErrExhausted)
 	assert.Equal(t, len(transport.asked), before+1)
 }
 
@@ -327,9 +327,9 @@
 	transport, views := newNetwork(shared, 1)
 	client := newClient(transport, views)
 	reservation := newReservation("t")
-	reservation.Limit = 100
+	reservation.ProgramLimit = 100
 	assert.NilError(t, client.Reserve(context.Background(), reservation))
-	client.End(tokenbudget.Ended{Program: "p", Reservation: "t", HandedOut: 10})
+	client.End(tokenbudget.EndedTurn{Program: "p", Reservation: "t", TokensUsed: 10})
 	reservation.Name = "u"
 	harness.Eventually(t, func() (bool, string) {
 		// The end has arrived once the host grants the 90 tokens that are left.
@@ -353,7 +353,7 @@
 	defer cancel()
 	go func() { _ = host.Serve(ctx) }()
 	reservation := newReservation("t")
-	reservation.Limit = 100
+	reservation.ProgramLimit = 100
 	assert.NilError(t, host.Reserve(ctx, reservation))
 	assert.NilError(t, host.Reserve(ctx, reservation), "a repeated reservation is the same turn")
 	mutex.Lock()
@@ -362,6 +362,6 @@
 	reservation.Name = "u"
 	harness.Eventually(t, func() (bool, string) {
 		err := host.Reserve(ctx, reservation)
-		return err == budget.ErrSpent, fmt.Sprint(err)
+		return err == budget.ErrExhausted, fmt.Sprint(err)
 	})
 }
--- a/coordination/tokenbudget/ledger.go
+++ b/coordination/tokenbudget/ledger.go
@@ -20,28 +20,28 @@
 	Apply(ctx context.Context, shard uint32, key string, change register.Change) ([]byte, error)
 }
 
-// Settings are the bounds of a Ledger.
-type Settings struct {
-	// IdleTime is how long a program may be without turns before its account is closed and
+// LedgerSettings are the bounds of a Ledger.
+type LedgerSettings struct {
+	// IdleTimeout is how long a program may be without turns before its account is closed and
 	// its reserve released.
-	IdleTime time.Duration
+	IdleTimeout time.Duration
 	// ReleaseTimeout bounds one attempt to release a reserve. ReleasePause follows the first
 	// failed attempt and doubles with each. ReleaseTries is the number of attempts. A
 	// reserve that can't be released stays charged to its program.
-	ReleaseTimeout time.Duration
-	ReleasePause   time.Duration
-	ReleaseTries   int
-	// Draws bounds all changes of records in progress, Crowd those of low priority.
-	Draws limit.AdaptivePolicy
-	Crowd limit.AdaptivePolicy
+	ReleaseTimeout     time.Duration
+	ReleasePause       time.Duration
+	MaxReleaseAttempts int
+	// AllChanges bounds all changes of records in progress, Crowd those of low priority.
+	AllChanges         limit.AdaptivePolicy
+	LowPriorityChanges limit.AdaptivePolicy
 }
 
 // DefaultSettings releases a reserve about a second after the program's last turn.
-func DefaultSettings() Settings {
-	return Settings{
-		IdleTime: 700 * time.Millisecond, ReleaseTimeout: 2 * time.Second,
-		ReleasePause: 300 * time.Millisecond, ReleaseTries: 10,
-		Draws: limit.DefaultAdaptivePolicy(), Crowd: limit.DefaultAdaptivePolicy(),
+func DefaultSettings() LedgerSettings {
+	return LedgerSettings{
+		IdleTimeout: 700 * time.Millisecond, ReleaseTimeout: 2 * time.Second,
+		ReleasePause: 300 * time.Millisecond, MaxReleaseAttempts: 10,
+		AllChanges: limit.DefaultAdaptivePolicy(), LowPriorityChanges: limit.DefaultAdaptivePolicy(),
 	}
 }
 
@@ -60,7 +60,7 @@
 	holder    string
 	registers Register
 	locate    func(program string) uint32
-	settings  Settings
+	settings  LedgerSettings
 	logger    *zap.Logger
 
 	// releaseSlots has a place for each release in progress.
@@ -78,14 +78,14 @@
 	unreleased int
 }
 
-// New returns a ledger. Records keep its reserves under the holder's name, "node/incarnation",
+// NewLedger returns a ledger. Records keep its reserves under the holder's name, "node/incarnation",
 // which must be unique over all hosts and their restarts. A node must not run twice at the
 // same time.
-func New(holder string, registers Register, locate func(program string) uint32, settings Settings, now func() time.Time, logger *zap.Logger) *Ledger {
+func NewLedger(holder string, registers Register, locate func(program string) uint32, settings LedgerSettings, now func() time.Time, logger *zap.Logger) *Ledger {
 	return &Ledger{
 		holder: holder, registers: registers, locate: locate, settings: settings, logger: logger,
 		accounts: make(map[string]*account), releaseSlots: make(chan struct{}, maxConcurrentReleases),
-		admission: newAdmission(settings.Draws, settings.Crowd, now), now: now,
+		admission: newAdmission(settings.AllChanges, settings.LowPriorityChanges, now), now: now,
 	}
 }
 
@@ -170,7 +170,7 @@
 	if current.users > 0 {
 		return
 	}
-	idle := l.settings.IdleTime
+	idle := l.settings.IdleTimeout
 	if l.flushing {
 		idle = 0
 	}
@@ -185,7 +185,7 @@
 		return ctx.Err()
 	}
 	defer func() { <-current.drawLock }()
-	if l.takeReserved(current, reservation.Most) {
+	if l.takeReserved(current, reservation.MaxTokens) {
 		return nil
 	}
 	return l.draw(ctx, current, reservation)
@@ -205,12 +205,12 @@
 // meanwhile, but none begins.
 func (l *Ledger) draw(ctx context.Context, current *account, reservation Reservation) error {
 	l.mutex.Lock()
-	request := budget.Draw{Holder: current.holder, Spent: current.spent, UnderWay: current.underWay, Turn: reservation.Most}
+	request := budget.ReserveRequest{Holder: current.holder, Spent: current.spent, Running: current.underWay, TurnTokens: reservation.MaxTokens}
 	l.mutex.Unlock()
 	record, err := l.apply(ctx, reservation.Program, l.admission.priorityOf(reservation), func(record *statev1.TokenBudget) {
 		budget.SettleEnded(record, l.isEarlierIncarnation)
 		// The decision is read from the record that the register chose.
-		_ = budget.Reserve(record, reservation.Limit, request)
+		_ = budget.Reserve(record, reservation.ProgramLimit, request)
 	})
 	if errors.Is(err, register.ErrUnknownOutcome) {
 		l.keepGuaranteed(current, request)
@@ -218,37 +218,37 @@
 	if err != nil {
 		return err
 	}
-	granted, refusal := budget.Decided(record, request)
+	granted, refusal := budget.ReserveResult(record, request)
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	// Turns that ended meanwhile have used a part of the reserve.
 	current.reserved = granted - min(granted, current.spent-request.Spent)
 	if refusal != nil {
 		l.logger.Info("budget refused", zap.String("program", reservation.Program), zap.String("reservation", reservation.Name),
-			zap.Uint64("most", reservation.Most), zap.Uint64("under_way", current.underWay),
-			zap.String("record", budget.Standing(record)), zap.Error(refusal))
+			zap.Uint64("most", reservation.MaxTokens), zap.Uint64("under_way", current.underWay),
+			zap.String("record", budget.Describe(record)), zap.Error(refusal))
 		return refusal
 	}
-	current.underWay += reservation.Most
+	current.underWay += reservation.MaxTokens
 	return nil
 }
 
 // keepGuaranteed reduces the reserve to what the record grants whether or not a draw took
 // effect: what turns in progress need. A refused draw releases the rest, which must not be
 // used for other turns.
-func (l *Ledger) keepGuaranteed(current *account, request budget.Draw) {
+func (l *Ledger) keepGuaranteed(current *account, request budget.ReserveRequest) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	// Turns that ended meanwhile have used a part of the reserve.
 	used := current.spent - request.Spent
-	guaranteed := request.UnderWay - min(request.UnderWay, used)
+	guaranteed := request.Running - min(request.Running, used)
 	current.reserved = min(current.reserved, guaranteed)
 }
 
 // release releases the account's reserve and removes the account, unless another turn uses it.
 func (l *Ledger) release(program string, current *account) {
 	pause := l.settings.ReleasePause
-	for range l.settings.ReleaseTries {
+	for range l.settings.MaxReleaseAttempts {
 		if !l.retire(program, current) {
 			return
 		}
@@ -328,5 +328,5 @@
 // IsRefusal reports whether the error is a decision of the budget rather than a failure to
 // reach it.
 func IsRefusal(err error) bool {
-	return errors.Is(err, budget.ErrSpent) || errors.Is(err, budget.ErrReserved)
+	return errors.Is(err, budget.ErrExhausted) || errors.Is(err, budget.ErrReserved)
 }
--- a/coordination/tokenbudget/overload_test.go
+++ b/coordination/tokenbudget/overload_test.go
@@ -84,14 +84,14 @@
 	for attempt := range maxTurnAttempts {
 		client := l.gateways[random.IntN(len(l.gateways))]
 		reservation := tokenbudget.Reservation{
-			Program: program, Name: fmt.Sprint(id, "/", attempt), Limit: 1200, Most: 100, Lifetime: 10 * time.Second,
+			Program: program, Name: fmt.Sprint(id, "/", attempt), ProgramLimit: 1200, MaxTokens: 100, Lifetime: 10 * time.Second,
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		err := client.Reserve(ctx, reservation)
 		cancel()
 		if err == nil {
 			time.Sleep(turnTime)
-			client.End(tokenbudget.Ended{Program: program, Reservation: reservation.Name, HandedOut: 80})
+			client.End(tokenbudget.EndedTurn{Program: program, Reservation: reservation.Name, TokensUsed: 80})
 			return true
 		}
 		time.Sleep(refusalPause)
@@ -109,7 +109,7 @@
 		var views staticViews
 		for i := range 5 {
 			name := fmt.Sprint("host", i)
-			ledger := tokenbudget.New(name, shared, func(string) uint32 { return 0 }, tokenbudget.DefaultSettings(), time.Now, zap.NewNop())
+			ledger := tokenbudget.NewLedger(name, shared, func(string) uint32 { return 0 }, tokenbudget.DefaultSettings(), time.Now, zap.NewNop())
 			transport.hosts[name] = tokenbudget.NewHost(ledger, time.Now)
 			views.members = append(views.members, register.Member{Node: name, Address: name})
 		}
--- a/coordination/tokenbudget/reserved_elsewhere_test.go
+++ b/coordination/tokenbudget/reserved_elsewhere_test.go
@@ -22,14 +22,14 @@
 	ledger := newLedger("a", shared)
 	first, second := tokenbudget.NewHost(ledger, clock), tokenbudget.NewHost(newLedger("b", shared), clock)
 	reservation := newReservation("t1")
-	reservation.Limit = 100
+	reservation.ProgramLimit = 100
 	assert.NilError(t, first.Reserve(t.Context(), reservation))
 	reservation.Name = "t2"
 	for _, passed := range []time.Duration{0, 1600 * time.Millisecond, time.Minute} {
 		now = now.Add(passed)
 		assert.ErrorIs(t, second.Reserve(t.Context(), reservation), budget.ErrReserved)
 	}
-	first.End([]tokenbudget.Ended{{Program: "p", Reservation: "t1"}})
+	first.End([]tokenbudget.EndedTurn{{Program: "p", Reservation: "t1"}})
 	ledger.Flush(t.Context())
 	assert.NilError(t, second.Reserve(t.Context(), reservation))
 }
@@ -43,7 +43,7 @@
 	turns := 0
 	runTurn := func() {
 		assert.NilError(t, client.Reserve(t.Context(), newReservation(fmt.Sprint("t", turns))), "turn %d", turns)
-		client.End(tokenbudget.Ended{Program: "p", Reservation: fmt.Sprint("t", turns), HandedOut: 100})
+		client.End(tokenbudget.EndedTurn{Program: "p", Reservation: fmt.Sprint("t", turns), TokensUsed: 100})
 		client.Flush(t.Context())
 		turns++
 	}
@@ -55,7 +55,7 @@
 	for turns < 10 {
 		runTurn()
 	}
-	assert.ErrorIs(t, client.Reserve(t.Context(), newReservation("excess")), budget.ErrSpent)
+	assert.ErrorIs(t, client.Reserve(t.Context(), newReservation("excess")), budget.ErrExhausted)
 }
 
 // TestReserveOfFailedHostIsNotSpent: the reserve of a host that doesn't answer may be released
@@ -64,7 +64,7 @@
 	transport, views := newNetwork(newSharedRegister(), 3)
 	client := newClient(transport, views)
 	reservation := newReservation("t1")
-	reservation.Limit = 100
+	reservation.ProgramLimit = 100
 	assert.NilError(t, client.Reserve(t.Context(), reservation))
 	transport.down[transport.asked[0]] = true
 	reservation.Name = "t2"
@@ -78,12 +78,12 @@
 func TestReserveOfEarlierIncarnationIsSpent(t *testing.T) {
 	shared := newSharedRegister()
 	reservation := newReservation("t1")
-	reservation.Limit = 100
+	reservation.ProgramLimit = 100
 	assert.NilError(t, newLedger("rack/a/1", shared).Reserve(t.Context(), reservation))
 	for _, other := range []string{"a/2", "rack/b/1", "rack/a/1/x", "1"} {
 		assert.ErrorIs(t, newLedger(other, shared).Reserve(t.Context(), reservation), budget.ErrReserved, other)
 	}
-	assert.ErrorIs(t, newLedger("rack/a/2", shared).Reserve(t.Context(), reservation), budget.ErrSpent)
+	assert.ErrorIs(t, newLedger("rack/a/2", shared).Reserve(t.Context(), reservation), budget.ErrExhausted)
 	assert.Equal(t, shared.committed(t, "p"), uint64(100))
 }
 
@@ -93,7 +93,7 @@
 	shared := newSharedRegister()
 	transport, views := newNetwork(shared, 3)
 	reservation := newReservation("t1")
-	reservation.Limit = 100
+	reservation.ProgramLimit = 100
 	tracker := reach.New(time.Now)
 	client := tokenbudget.NewClient(transport, views, tracker, time.Now, zap.NewNop())
 	name := func(address string, incarnation int) string { return fmt.Sprint(address, "/", incarnation) }
@@ -103,8 +103,8 @@
 	assert.NilError(t, client.Reserve(t.Context(), reservation))
 	primary := transport.asked[0]
 	transport.hosts[primary] = tokenbudget.NewHost(newLedger(name(primary, 2), shared), time.Now)
-	tracker.Failed(primary)
+	tracker.RecordFailure(primary)
 	reservation.Name = "t2"
-	assert.ErrorIs(t, client.Reserve(t.Context(), reservation), budget.ErrSpent)
+	assert.ErrorIs(t, client.Reserve(t.Context(), reservation), budget.ErrExhausted)
 	assert.Equal(t, transport.asked[len(transport.asked)-1], primary)
 }
--- a/node/configuration.go
+++ b/node/configuration.go
@@ -22,7 +22,7 @@
 		Holder:   n.holder,
 		Logger:   n.logger,
 		Random:   n.newRandom(),
-		Hold:     n.replica.HoldConfiguration,
+		Hold:     n.replica.PersistConfigurationVersion,
 		Settings: configuration.Settings{
 			ReadersPerZone: readersPerZone,
 			PeerTimeout:    n.settings.PeerTimeout,
@@ -93,7 +93,7 @@
 			versions[member.Address] = version
 		}
 		peers = append(peers, configuration.Peer{
-			Member:  configuration.Member(repair.Member(member)),
+			Member:  configuration.Member(repair.RegisterMember(member)),
 			Leaving: member.Leaving,
 			Version: version,
 		})
@@ -117,6 +117,6 @@
 
 // announceConfiguration tells the peers of a new version at once.
 func (n *Node) announceConfiguration() {
-	n.membership.ConfigurationChanged()
+	n.membership.NotifyConfigurationChange()
 	n.logger.Debug("configuration announced", zap.Uint64("version", n.holder.Version()))
 }
--- a/node/gateway/followers.go
+++ b/node/gateway/followers.go
@@ -20,7 +20,7 @@
 	replicaSets   *follow.Follower
 	// configurationSource is the source of the follower of the configuration.
 	configurationSource *mirror.Source
-	holders             *mirror.Holders
+	holders             *mirror.HolderSelector
 	// storeCalls counts the direct calls of this gateway to the store, by kind of object.
 	storeCalls *prometheus.CounterVec
 	// logger logs which holders are used; it is rate-limited.
@@ -30,21 +30,21 @@
 // createFollowers creates the followers of all kinds of objects without starting them.
 func (g *Gateway) createFollowers() {
 	f := &g.followers
-	f.holders = mirror.NewHolders(g.orderedHolders, time.Now)
-	f.storeCalls = telemetry.NewStoreCalls()
-	f.logger = telemetry.Following(g.logger)
+	f.holders = mirror.NewHolderSelector(g.orderedHolders, time.Now)
+	f.storeCalls = telemetry.NewStoreCallsCounter()
+	f.logger = telemetry.RateLimitedForFollowers(g.logger)
 	f.configuration, f.configurationSource = g.newFollower(mirror.KindConfiguration, g.parts.Configuration, g.applyConfiguration)
 	f.instances, _ = g.newFollower(mirror.KindInstances, g.parts.Instances, g.applyInstances)
-	f.replicaSets, _ = g.newFollower(mirror.KindSets, g.parts.Sets, g.storage.lookup.Apply)
+	f.replicaSets, _ = g.newFollower(mirror.KindReplicaSets, g.parts.ReplicaSets, g.storage.lookup.Apply)
 }
 
 // newFollower creates a follower that asks holders first and falls back to the store.
 func (g *Gateway) newFollower(kind string, store follow.Source, apply func(follow.Snapshot)) (*follow.Follower, *mirror.Source) {
 	plan := newFollowPlan(kind, g.settings)
 	if plan.pollInterval > 0 {
-		store = follow.Polled(store, plan.pollInterval, time.Now)
+		store = follow.NewPollingSource(store, plan.pollInterval, time.Now)
 	}
-	counted := follow.Counted(store, g.followers.storeCalls.WithLabelValues(kind))
+	counted := follow.NewCountingSource(store, g.followers.storeCalls.WithLabelValues(kind))
 	source := mirror.NewSource(kind, counted, g.followers.holders, g.storage.peers, plan.holders, g.followers.logger)
 	follower := follow.New(follow.Options{
 		Name: kind, Source: source, Settings: plan.calls,
@@ -55,11 +55,11 @@
 
 // mirrorReader returns the service that offers the snapshots of storage nodes to the
 // followers while this gateway cannot reach the store.
-func (g *Gateway) mirrorReader() *mirror.Reader {
+func (g *Gateway) mirrorReader() *mirror.CopyReader {
 	followed := map[string]mirror.Follower{
 		mirror.KindConfiguration: g.followers.configuration,
 		mirror.KindInstances:     g.followers.instances,
-		mirror.KindSets:          g.followers.replicaSets,
+		mirror.KindReplicaSets:   g.followers.replicaSets,
 	}
 	return mirror.NewReader(g.orderedHolders, g.storage.peers, followed, time.Now, g.logger)
 }
@@ -69,7 +69,7 @@
 func (g *Gateway) orderedHolders() []netip.AddrPort {
 	views := g.storage.lookup.Map()
 	if views == nil {
-		return mirror.Spread(g.settings.Name, g.settings.Seeds)
+		return mirror.OrderByAffinity(g.settings.Name, g.settings.Seeds)
 	}
-	return mirror.Near(g.settings.Zone, g.settings.Name, shard.MembersOf(views.Views()))
+	return mirror.OrderByZone(g.settings.Zone, g.settings.Name, shard.MembersOf(views.Views()))
 }
--- a/node/gateway/followplan.go
+++ b/node/gateway/followplan.go
@@ -94,7 +94,7 @@
 //   - Replica sets have their own bounds, since a late change of them is harmless.
 func newFollowPlan(kind string, limits settings.Gateway) followPlan {
 	switch {
-	case kind == mirror.KindSets:
+	case kind == mirror.KindReplicaSets:
 		return replicaSetPlan()
 	case kind == mirror.KindConfiguration && limits.RevokeLimit > 0:
 		return provenPlan(limits)
@@ -110,10 +110,10 @@
 	return followPlan{
 		calls: calls,
 		holders: mirror.SourceSettings{
-			Wait:       holderWait,
-			MaxAge:     replicaSetMaxAge,
-			Patience:   mirror.Patience{Unreached: replicaSetPatience, Lost: lostPatience},
-			StorePause: replicaSetStorePause,
+			HolderWait:     holderWait,
+			MaxHolderAge:   replicaSetMaxAge,
+			FallbackDelays: mirror.FallbackDelays{HoldersUnreachable: replicaSetPatience, StoreLost: lostPatience},
+			StorePause:     replicaSetStorePause,
 		},
 	}
 }
@@ -121,7 +121,7 @@
 // provenPlan returns the plan for a configuration whose freshness must be proven.
 func provenPlan(limits settings.Gateway) followPlan {
 	calls := callSettings(limits)
-	calls.MaxPause = mirror.ProofPause
+	calls.MaxBackoff = mirror.MaxProofRetryPause
 	return followPlan{
 		calls:        calls,
 		holders:      provenHolderSettings(limits.RevokeLimit, holderSettings(limits)),
@@ -133,18 +133,18 @@
 func callSettings(limits settings.Gateway) follow.Settings {
 	calls := follow.DefaultSettings()
 	calls.WatchWait = watchWait(limits.UndisturbedTime)
-	calls.WatchSlack = watchSlack
-	calls.MaxPause = maxHolderPause
+	calls.WatchGrace = watchSlack
+	calls.MaxBackoff = maxHolderPause
 	return calls
 }
 
 // holderSettings returns the bounds of following such objects through holders.
 func holderSettings(limits settings.Gateway) mirror.SourceSettings {
 	return mirror.SourceSettings{
-		Wait:       holderWait,
-		MaxAge:     limits.ApplyLimit,
-		Patience:   holderPatience(limits.UndisturbedTime),
-		StorePause: limits.ApplyLimit / storePauseDivisor,
+		HolderWait:     holderWait,
+		MaxHolderAge:   limits.ApplyLimit,
+		FallbackDelays: holderPatience(limits.UndisturbedTime),
+		StorePause:     limits.ApplyLimit / storePauseDivisor,
 	}
 }
 
@@ -152,19 +152,19 @@
 // holders are asked as often as the store, and an outdated one is dropped while there is
 // time to ask another.
 func provenHolderSettings(revokeLimit time.Duration, defaults mirror.SourceSettings) mirror.SourceSettings {
-	defaults.Wait = min(defaults.Wait, mirror.ProofInterval(revokeLimit))
-	defaults.MaxAge = min(defaults.MaxAge, revokeLimit/provenMaxAgeDivisor)
+	defaults.HolderWait = min(defaults.HolderWait, mirror.ProofInterval(revokeLimit))
+	defaults.MaxHolderAge = min(defaults.MaxHolderAge, revokeLimit/provenMaxAgeDivisor)
 	// Polling already limits the rate of calls to the store.
 	defaults.StorePause = 0
 	return defaults
 }
 
 // holderPatience returns how long a gateway asks holders alone before it asks the store.
-func holderPatience(undisturbed time.Duration) mirror.Patience {
+func holderPatience(undisturbed time.Duration) mirror.FallbackDelays {
 	unreached := time.Duration(unreachedPatienceFraction * float64(undisturbed))
-	return mirror.Patience{
-		Unreached: min(max(unreached, minUnreachedPatience), maxUnreachedPatience),
-		Lost:      lostPatience,
+	return mirror.FallbackDelays{
+		HoldersUnreachable: min(max(unreached, minUnreachedPatience), maxUnreachedPatience),
+		StoreLost:          lostPatience,
 	}
 }
 
--- a/node/gateway/followplan_test.go
+++ b/node/gateway/followplan_test.go
@@ -18,27 +18,27 @@
 	revoking.RevokeLimit = 2400 * ms
 	defaults := followPlan{
 		calls: follow.Settings{
-			ListTimeout: 1500 * ms, WatchWait: 1500 * ms, WatchSlack: 700 * ms,
-			Gather: 150 * ms, MinPause: 50 * ms, MaxPause: 250 * ms,
+			ListTimeout: 1500 * ms, WatchWait: 1500 * ms, WatchGrace: 700 * ms,
+			BatchDelay: 150 * ms, MinBackoff: 50 * ms, MaxBackoff: 250 * ms,
 		},
 		holders: mirror.SourceSettings{
-			Wait: 1000 * ms, MaxAge: 2000 * ms, StorePause: 1000 * ms,
-			Patience: mirror.Patience{Unreached: 1125 * ms, Lost: 4000 * ms},
+			HolderWait: 1000 * ms, MaxHolderAge: 2000 * ms, StorePause: 1000 * ms,
+			FallbackDelays: mirror.FallbackDelays{HoldersUnreachable: 1125 * ms, StoreLost: 4000 * ms},
 		},
 	}
 	replicaSets := followPlan{
 		calls: follow.Settings{
-			ListTimeout: 1500 * ms, WatchWait: 20_000 * ms, WatchSlack: 700 * ms,
-			Gather: 150 * ms, MinPause: 50 * ms, MaxPause: 400 * ms,
+			ListTimeout: 1500 * ms, WatchWait: 20_000 * ms, WatchGrace: 700 * ms,
+			BatchDelay: 150 * ms, MinBackoff: 50 * ms, MaxBackoff: 400 * ms,
 		},
 		holders: mirror.SourceSettings{
-			Wait: 1000 * ms, MaxAge: 30_000 * ms, StorePause: 2000 * ms,
-			Patience: mirror.Patience{Unreached: 700 * ms, Lost: 4000 * ms},
+			HolderWait: 1000 * ms, MaxHolderAge: 30_000 * ms, StorePause: 2000 * ms,
+			FallbackDelays: mirror.FallbackDelays{HoldersUnreachable: 700 * ms, StoreLost: 4000 * ms},
 		},
 	}
 	proven := defaults
-	proven.calls.MaxPause = 100 * ms
-	proven.holders.Wait, proven.holders.MaxAge, proven.holders.StorePause = 240*ms, 800*ms, 0
+	proven.calls.MaxBackoff = 100 * ms
+	proven.holders.HolderWait, proven.holders.MaxHolderAge, proven.holders.StorePause = 240*ms, 800*ms, 0
 	proven.pollInterval = 240 * ms
 	cases := []struct {
 		name   string
@@ -48,10 +48,10 @@
 	}{
 		{"configuration", mirror.KindConfiguration, limits, defaults},
 		{"instances", mirror.KindInstances, limits, defaults},
-		{"replica sets", mirror.KindSets, limits, replicaSets},
+		{"replica sets", mirror.KindReplicaSets, limits, replicaSets},
 		{"configuration with a revoke limit", mirror.KindConfiguration, revoking, proven},
 		{"instances with a revoke limit", mirror.KindInstances, revoking, defaults},
-		{"replica sets with a revoke limit", mirror.KindSets, revoking, replicaSets},
+		{"replica sets with a revoke limit", mirror.KindReplicaSets, revoking, replicaSets},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -68,7 +68,7 @@
 		10 * time.Second: maxUnreachedPatience,
 	}
 	for undisturbed, want := range cases {
-		assert.Equal(t, holderPatience(undisturbed), mirror.Patience{Unreached: want, Lost: lostPatience}, undisturbed)
+		assert.Equal(t, holderPatience(undisturbed), mirror.FallbackDelays{HoldersUnreachable: want, StoreLost: lostPatience}, undisturbed)
 	}
 }
 
--- a/node/gateway/freshness.go
+++ b/node/gateway/freshness.go
@@ -14,7 +14,7 @@
 // configurationFreshness implements relay.Proof with the follower of the configuration.
 type configurationFreshness struct{ gateway *Gateway }
 
-var _ relay.Proof = configurationFreshness{}
+var _ relay.ConfigurationFreshness = configurationFreshness{}
 
 // Staleness implements relay.Proof. While the newest configuration is invalid, the
 // staleness of the active one is unknown.
@@ -35,7 +35,7 @@
 
 // Source implements relay.Proof.
 func (f configurationFreshness) Source() string {
-	return f.gateway.followers.configurationSource.Through()
+	return f.gateway.followers.configurationSource.UpstreamName()
 }
 
 // isTooStaleForKeys reports whether requests with keys are refused because the active
--- a/node/gateway/gateway.go
+++ b/node/gateway/gateway.go
@@ -22,18 +22,18 @@
 	"github.com/marblering/marblering/transport/upstream"
 )
 
-// Parts are the parts of a gateway that differ between deployments.
-type Parts struct {
-	// Dialect reads and writes the headers of requests and responses.
-	Dialect relay.Dialect
-	// IDHeader is the header in which backends echo the ID of a request.
-	IDHeader string
+// Dependencies are the parts of a gateway that differ between deployments.
+type Dependencies struct {
+	// HeaderCodec reads and writes the headers of requests and responses.
+	HeaderCodec relay.HeaderCodec
+	// RequestIDHeader is the header in which backends echo the ID of a request.
+	RequestIDHeader string
 	// Configuration and Instances are the sources of these kinds of objects.
 	Configuration follow.Source
 	Instances     follow.Source
-	// Sets is the source of the replica sets of the storage nodes, which package
+	// ReplicaSets is the source of the replica sets of the storage nodes, which package
 	// coordination/directory publishes.
-	Sets follow.Source
+	ReplicaSets follow.Source
 	// DecodeConfiguration decodes the configuration in a snapshot. found is false if there
 	// is none yet; the error is non-nil if there is one that cannot be decoded.
 	DecodeConfiguration func(follow.Snapshot) (configuration routetable.Configuration, found bool, err error)
@@ -58,12 +58,12 @@
 // Gateway is a running gateway daemon.
 type Gateway struct {
 	settings settings.Gateway
-	parts    Parts
+	parts    Dependencies
 	logger   *zap.Logger
 
 	// Copies of the objects in the store.
 	followers      followers
-	activeTable    *routetable.InForce
+	activeTable    *routetable.ActiveTable
 	backends       *backend.Pool
 	invalidEntries invalidEntries
 	// configurationInvalid is set while the newest configuration is invalid and an older
@@ -90,7 +90,7 @@
 }
 
 // Run runs a gateway until ctx is done, then drains it.
-func Run(ctx context.Context, loaded settings.Gateway, parts Parts, logger *zap.Logger) error {
+func Run(ctx context.Context, loaded settings.Gateway, parts Dependencies, logger *zap.Logger) error {
 	debug.SetMemoryLimit(int64(memoryLimitFraction * float64(loaded.MemoryLimit)))
 	g, err := Start(loaded, parts, logger)
 	if err != nil {
@@ -107,7 +107,7 @@
 
 // Start opens the listeners and starts the services. It fails if a listener cannot be
 // opened.
-func Start(loaded settings.Gateway, parts Parts, logger *zap.Logger) (*Gateway, error) {
+func Start(loaded settings.Gateway, parts Dependencies, logger *zap.Logger) (*Gateway, error) {
 	g, err := newGateway(loaded, parts, logger)
 	if err != nil {
 		return nil, err
@@ -142,10 +142,10 @@
 func (g *Gateway) OperatorAddress() string { return g.operatorListener.Address() }
 
 // newGateway builds a gateway without starting anything.
-func newGateway(loaded settings.Gateway, parts Parts, logger *zap.Logger) (*Gateway, error) {
+func newGateway(loaded settings.Gateway, parts Dependencies, logger *zap.Logger) (*Gateway, error) {
 	g := &Gateway{
 		settings: loaded, parts: parts, logger: logger,
-		activeTable: &routetable.InForce{},
+		activeTable: &routetable.ActiveTable{},
 		metrics:     telemetry.NewRegistry(),
 	}
 	g.buildBackends()
@@ -168,27 +168,27 @@
 		counter: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "marblering_gateway_refused_entries_total", Help: "Entries of instances that can't be read, once a change of each.",
 		}),
-		logger: telemetry.Limited(g.logger, invalidEntryLogRate, logBurst),
+		logger: telemetry.RateLimited(g.logger, invalidEntryLogRate, logBurst),
 	}
 	g.backends = backend.NewPool(backend.EjectionPolicy(), time.Now)
 	g.backends.OnEjected(g.onInstanceEjected)
 	g.backends.OnRestarted(g.onInstanceRestarted)
 	upstreamSettings := upstream.DefaultSettings()
-	upstreamSettings.IDHeader = g.parts.IDHeader
+	upstreamSettings.IDHeader = g.parts.RequestIDHeader
 	g.upstream = upstream.NewClient(upstreamSettings, time.Now)
 }
 
 // buildRelay creates the handler of requests.
 func (g *Gateway) buildRelay() {
 	g.relay = relay.New(relay.Options{
-		Tables: g.activeTable, Backends: g.backends, Exchanger: g.upstream, Dialect: g.parts.Dialect,
+		Tables: g.activeTable, Backends: g.backends, Upstream: g.upstream, HeaderCodec: g.parts.HeaderCodec,
 		Turns: g.storage.conversations, Quotas: g.storage.quotas,
-		Certain: g.isConfigurationNewest, TableAge: g.followers.configuration.Age, Proof: configurationFreshness{g},
-		Unready: g.isUnready, MaxInFlight: maxInFlight, Gone: g.onInstanceGone,
+		IsConfigurationNewest: g.isConfigurationNewest, ConfigurationAge: g.followers.configuration.Age, Freshness: configurationFreshness{g},
+		IsUnready: g.isUnready, MaxInFlight: maxInFlight, OnInstanceGone: g.onInstanceGone,
 		Retries: limit.NewRetryBudget(relay.RetryPolicy(), time.Now()),
 		Metrics: relay.NewMetrics(g.metrics), Now: time.Now,
-		Logger:   telemetry.Limited(g.logger, failureLogRate, logBurst),
-		Answered: telemetry.Limited(g.logger, accessLogRate, logBurst),
+		Logger:       telemetry.RateLimited(g.logger, failureLogRate, logBurst),
+		AccessLogger: telemetry.RateLimited(g.logger, accessLogRate, logBurst),
 	})
 }
 
--- a/node/gateway/instances.go
+++ b/node/gateway/instances.go
@@ -38,7 +38,7 @@
 	g.closeConnections(gone)
 	if kept > 0 {
 		g.logger.Warn("instance entries expired together, keeping the instances for now", zap.Int64("revision", snapshot.At), zap.Int("kept", kept))
-		time.AfterFunc(backend.LapseTime, g.expireInstances)
+		time.AfterFunc(backend.ExpiryGracePeriod, g.expireInstances)
 	}
 	g.instancesListed.Store(true)
 	known, leaving := g.backends.Count()
@@ -59,7 +59,7 @@
 			continue
 		}
 		invalid[object.Name] = object.Revision
-		known, isKnown := g.backends.Known(object.Name)
+		known, isKnown := g.backends.Lookup(object.Name)
 		if isKnown {
 			known.Leaving = true
 			instances = append(instances, known)
@@ -82,27 +82,27 @@
 // closeConnections closes the connections to removed instances.
 func (g *Gateway) closeConnections(gone []string) {
 	for _, instance := range gone {
-		g.upstream.Forget(instance)
+		g.upstream.CloseInstance(instance)
 	}
 }
 
 // onInstanceGone excludes an instance whose address now belongs to another one, until it
 // restarts, and closes its connections.
-func (g *Gateway) onInstanceGone(life backend.Life) {
-	g.backends.Gone(life)
-	g.upstream.Forget(life.ID)
+func (g *Gateway) onInstanceGone(life backend.Incarnation) {
+	g.backends.MarkAddressLost(life)
+	g.upstream.CloseInstance(life.ID)
 	g.logger.Info("instance address taken over by another instance", zap.String("instance", life.ID), startTimeField("started", life))
 }
 
 // onInstanceRestarted closes the connections to the earlier process of an instance that
 // restarted with the same ID.
 func (g *Gateway) onInstanceRestarted(restart backend.Restart) {
-	g.upstream.Forget(restart.Is.ID)
-	g.logger.Info("instance started again", zap.String("instance", restart.Is.ID),
-		startTimeField("before", restart.Was), startTimeField("started", restart.Is), zap.Int64("under_way", restart.UnderWay))
+	g.upstream.CloseInstance(restart.Current.ID)
+	g.logger.Info("instance started again", zap.String("instance", restart.Current.ID),
+		startTimeField("before", restart.Previous), startTimeField("started", restart.Current), zap.Int64("under_way", restart.InFlight))
 }
 
-func startTimeField(key string, life backend.Life) zap.Field {
+func startTimeField(key string, life backend.Incarnation) zap.Field {
 	if life.Started.IsZero() {
 		return zap.String(key, "unknown")
 	}
@@ -111,16 +111,16 @@
 
 // onInstanceEjected counts and logs the ejection of an instance, with the outcome of the
 // request that caused it.
-func (g *Gateway) onInstanceEjected(instance backend.Instance, ending backend.Ending) {
+func (g *Gateway) onInstanceEjected(instance backend.Instance, ending backend.Outcome) {
 	fields := []zap.Field{zap.String("instance", instance.ID), zap.String("service", instance.Service), zap.String("address", instance.Address)}
 	switch e := ending.(type) {
-	case backend.Answered:
-		fields = append(fields, zap.String("last", "answered"), zap.Duration("wait", e.Wait), zap.Bool("faulty", e.Faulty))
-	case backend.Broken:
+	case backend.Completed:
+		fields = append(fields, zap.String("last", "answered"), zap.Duration("wait", e.Wait), zap.Bool("faulty", e.ServerError))
+	case backend.Failed:
 		fields = append(fields, zap.String("last", "broken"))
-	case backend.Waited:
+	case backend.NoResponse:
 		fields = append(fields, zap.String("last", "given up"), zap.Duration("wait", e.Wait))
-	case backend.Unjudged:
+	case backend.Inconclusive:
 	}
 	g.ejections.Inc()
 	g.logger.Info("instance ejected", fields...)
--- a/node/gateway/revocation_test.go
+++ b/node/gateway/revocation_test.go
@@ -110,13 +110,13 @@
 
 func (f proofFromResponseSource) List(ctx context.Context) (follow.Snapshot, error) {
 	snapshot, err := f.Source.List(ctx)
-	snapshot.Proved = time.Now()
+	snapshot.FreshAt = time.Now()
 	return snapshot, err
 }
 
 func (f proofFromResponseSource) Watch(ctx context.Context, from int64, wait time.Duration) (follow.Changes, error) {
 	changes, err := f.Source.Watch(ctx, from, wait)
-	changes.Proved = time.Now()
+	changes.FreshAt = time.Now()
 	return changes, err
 }
 
@@ -127,9 +127,9 @@
 	node       string
 }
 
-func (n simulatedNetwork) WatchMirror(ctx context.Context, address netip.AddrPort, kind string, revision int64, wait time.Duration) (mirror.Answer, error) {
+func (n simulatedNetwork) WatchMirror(ctx context.Context, address netip.AddrPort, kind string, revision int64, wait time.Duration) (mirror.WatchAnswer, error) {
 	sent := time.Now()
-	var answer mirror.Answer
+	var answer mirror.WatchAnswer
 	var arrived time.Time
 	err := n.simulation.call(ctx, n.node+" "+address.String(), func() error {
 		n.simulation.mutex.Lock()
@@ -145,8 +145,8 @@
 	if err != nil {
 		return nil, err
 	}
-	if current, ok := answer.(mirror.Current); ok && !current.Changes.Proved.IsZero() {
-		current.Changes.Proved = sent.Add(-arrived.Sub(current.Changes.Proved))
+	if current, ok := answer.(mirror.Changed); ok && !current.Changes.FreshAt.IsZero() {
+		current.Changes.FreshAt = sent.Add(-arrived.Sub(current.Changes.FreshAt))
 		return current, nil
 	}
 	return answer, nil
@@ -158,7 +158,7 @@
 
 // source returns the store as polled by the node.
 func (s *revocationSimulation) source(node string) follow.Source {
-	polled := follow.Polled(simulatedStore{s, node}, mirror.ProofInterval(revokeLimit), time.Now)
+	polled := follow.NewPollingSource(simulatedStore{s, node}, mirror.ProofInterval(revokeLimit), time.Now)
 	if s.proofFromResponse {
 		return proofFromResponseSource{polled}
 	}
@@ -168,25 +168,25 @@
 func (s *revocationSimulation) startHolder(ctx context.Context, t *testing.T, index int) {
 	t.Helper()
 	address := holderAddress(index)
-	holder, err := mirror.NewHolder(mirror.Kinds(), replica.NewMemory(), time.Now, zap.NewNop())
+	holder, err := mirror.NewHolder(mirror.PersistedKinds(), replica.NewMemory(), time.Now, zap.NewNop())
 	assert.NilError(t, err)
-	upstreams := mirror.NewHolders(func() []netip.AddrPort {
+	upstreams := mirror.NewHolderSelector(func() []netip.AddrPort {
 		if index < revocationStoreReaders {
 			return nil
 		}
 		return []netip.AddrPort{holderAddress(index % revocationStoreReaders), holderAddress((index + 1) % revocationStoreReaders)}
 	}, time.Now)
 	calls := follow.DefaultSettings()
-	calls.ListTimeout, calls.WatchWait, calls.WatchSlack = time.Second, mirror.ProofInterval(revokeLimit), 400*time.Millisecond
-	patience := mirror.Patience{Unreached: time.Second, Lost: mirror.ProofInterval(revokeLimit)}
+	calls.ListTimeout, calls.WatchWait, calls.WatchGrace = time.Second, mirror.ProofInterval(revokeLimit), 400*time.Millisecond
+	patience := mirror.FallbackDelays{HoldersUnreachable: time.Second, StoreLost: mirror.ProofInterval(revokeLimit)}
 	follower := follow.New(follow.Options{
 		Name: mirror.KindConfiguration, Settings: calls, Logger: zap.NewNop(), Now: time.Now,
 		Source: mirror.NewSource(mirror.KindConfiguration, s.source(address.String()), upstreams, simulatedNetwork{s, address.String()},
-			mirror.SourceSettings{Wait: 300 * time.Millisecond, MaxAge: 3 * time.Second, Patience: patience}, zap.NewNop()),
-		Apply: func(snapshot follow.Snapshot) { holder.Keep(mirror.KindConfiguration, snapshot) },
-		Lost:  func() { holder.Lost(mirror.KindConfiguration) },
+			mirror.SourceSettings{HolderWait: 300 * time.Millisecond, MaxHolderAge: 3 * time.Second, FallbackDelays: patience}, zap.NewNop()),
+		Apply:  func(snapshot follow.Snapshot) { holder.Update(mirror.KindConfiguration, snapshot) },
+		OnLost: func() { holder.NotifyLost(mirror.KindConfiguration) },
 	})
-	holder.Through(mirror.KindConfiguration, follower)
+	holder.SetUpstream(mirror.KindConfiguration, follower)
 	s.mutex.Lock()
 	s.holders[address] = holder
 	s.mutex.Unlock()
@@ -202,8 +202,8 @@
 
 func (s *revocationSimulation) startGateway(ctx context.Context, node string) *simulatedGateway {
 	gateway := &simulatedGateway{}
-	holders := mirror.NewHolders(func() []netip.AddrPort {
-		return mirror.Spread(node, []netip.AddrPort{holderAddress(0), holderAddress(1), holderAddress(2), holderAddress(3)})
+	holders := mirror.NewHolderSelector(func() []netip.AddrPort {
+		return mirror.OrderByAffinity(node, []netip.AddrPort{holderAddress(0), holderAddress(1), holderAddress(2), holderAddress(3)})
 	}, time.Now)
 	limits := settings.Gateway{ApplyLimit: 3 * time.Second, UndisturbedTime: 4 * time.Second}
 	gateway.follower = follow.New(follow.Options{
--- a/node/gateway/storage.go
+++ b/node/gateway/storage.go
@@ -38,8 +38,8 @@
 
 // quotaAnnouncer returns the service that makes storage nodes hold quota slots once the
 // configuration has tenants.
-func (g *Gateway) quotaAnnouncer() *quota.Announcer {
-	return quota.NewAnnouncer(g.storage.quotas, func() bool {
+func (g *Gateway) quotaAnnouncer() *quota.KeepAlive {
+	return quota.NewKeepAlive(g.storage.quotas, func() bool {
 		table := g.activeTable.Table()
 		return table != nil && table.KeysRequired()
 	})
@@ -57,8 +57,8 @@
 	return &storageClients{
 		lookup: lookup, peers: peers, reachability: tracker, budgets: budgets,
 		conversations: conversation.New(turns, budgets, tracker.IsCutOff, time.Now, rand.Uint64, logger),
-		quotas: quota.NewClient(peers, lookup, tracker, quota.Bounds{
-			Window: loaded.QuotaWindow, Over: loaded.QuotaOver, Slack: loaded.QuotaSlack,
-		}, quota.NewMetrics(metrics), time.Now, telemetry.Following(logger)),
+		quotas: quota.NewClient(peers, lookup, tracker, quota.Tolerance{
+			Window: loaded.QuotaWindow, Fraction: loaded.QuotaOver, Slack: loaded.QuotaSlack,
+		}, quota.NewMetrics(metrics), time.Now, telemetry.RateLimitedForFollowers(logger)),
 	}, nil
 }
--- a/node/gateway/storeload_test.go
+++ b/node/gateway/storeload_test.go
@@ -140,7 +140,7 @@
 
 var errRefused = errors.New("connection refused")
 
-func (n *fakeNetwork) WatchMirror(ctx context.Context, address netip.AddrPort, kind string, revision int64, wait time.Duration) (mirror.Answer, error) {
+func (n *fakeNetwork) WatchMirror(ctx context.Context, address netip.AddrPort, kind string, revision int64, wait time.Duration) (mirror.WatchAnswer, error) {
 	if err := sleep.For(ctx, fleetRoundTrip); err != nil {
 		return nil, err
 	}
@@ -173,7 +173,7 @@
 
 // holderKinds are the kinds of objects that storage nodes follow.
 var holderKinds = []string{
-	mirror.KindConfiguration, mirror.KindInstances, mirror.KindSets, mirror.KindNodes, mirror.KindRetirements,
+	mirror.KindConfiguration, mirror.KindInstances, mirror.KindReplicaSets, mirror.KindNodes, mirror.KindRetirements,
 }
 
 const (
@@ -204,9 +204,9 @@
 
 func (f *testFleet) startHolder(ctx context.Context, t *testing.T, self register.Member) {
 	t.Helper()
-	holder, err := mirror.NewHolder(mirror.Kinds(), replica.NewMemory(), time.Now, zap.NewNop())
+	holder, err := mirror.NewHolder(mirror.PersistedKinds(), replica.NewMemory(), time.Now, zap.NewNop())
 	assert.NilError(t, err)
-	upstreams := mirror.NewHolders(func() []netip.AddrPort { return mirror.Upstreams(self, f.members, nil) }, time.Now)
+	upstreams := mirror.NewHolderSelector(func() []netip.AddrPort { return mirror.Upstreams(self, f.members, nil) }, time.Now)
 	for _, kind := range holderKinds {
 		f.startHolderFollower(ctx, kind, holder, upstreams)
 	}
@@ -222,20 +222,20 @@
 
 // startHolderFollower starts a follower of one kind for a storage node. It asks upstreams,
 // or the store if there are none.
-func (f *testFleet) startHolderFollower(ctx context.Context, kind string, holder *mirror.Holder, upstreams *mirror.Holders) {
+func (f *testFleet) startHolderFollower(ctx context.Context, kind string, holder *mirror.Holder, upstreams *mirror.HolderSelector) {
 	sourceSettings := mirror.SourceSettings{
-		Wait: 300 * time.Millisecond, MaxAge: fleetApplyLimit,
-		Patience: mirror.Patience{Unreached: time.Second, Lost: 2 * time.Second},
+		HolderWait: 300 * time.Millisecond, MaxHolderAge: fleetApplyLimit,
+		FallbackDelays: mirror.FallbackDelays{HoldersUnreachable: time.Second, StoreLost: 2 * time.Second},
 	}
 	calls := follow.DefaultSettings()
-	calls.ListTimeout, calls.WatchWait, calls.WatchSlack = time.Second, 3300*time.Millisecond, 400*time.Millisecond
+	calls.ListTimeout, calls.WatchWait, calls.WatchGrace = time.Second, 3300*time.Millisecond, 400*time.Millisecond
 	follower := follow.New(follow.Options{
 		Name: kind, Settings: calls, Logger: zap.NewNop(), Now: time.Now,
 		Source: mirror.NewSource(kind, roleSource{store: f.store, role: "storage", empty: kind != mirror.KindInstances}, upstreams, f.network, sourceSettings, zap.NewNop()),
-		Apply:  func(snapshot follow.Snapshot) { holder.Keep(kind, snapshot) },
-		Lost:   func() { holder.Lost(kind) },
+		Apply:  func(snapshot follow.Snapshot) { holder.Update(kind, snapshot) },
+		OnLost: func() { holder.NotifyLost(kind) },
 	})
-	holder.Through(kind, follower)
+	holder.SetUpstream(kind, follower)
 	go func() { _ = follower.Serve(ctx) }()
 }
 
@@ -245,7 +245,7 @@
 }
 
 func (f *testFleet) startGateway(ctx context.Context, name, zone string) {
-	holders := mirror.NewHolders(func() []netip.AddrPort { return mirror.Near(zone, name, f.members) }, time.Now)
+	holders := mirror.NewHolderSelector(func() []netip.AddrPort { return mirror.OrderByZone(zone, name, f.members) }, time.Now)
 	limits := f.gatewayLimits()
 	var received, receivedLate sync.Once
 	follower := follow.New(follow.Options{
--- a/node/membership.go
+++ b/node/membership.go
@@ -29,8 +29,8 @@
 		Logger:               n.logger,
 		Shards:               peer.NewViewGossip(n.views),
 		ConfigurationVersion: n.holder.Version,
-		ConfigurationSeen:    n.configurationSeen,
-		Observe:              n.observeMembership,
+		OnNewerConfiguration: n.configurationSeen,
+		OnEvent:              n.observeMembership,
 	})
 	n.configurationMembers = newConfigurationMembers(configuration.Member{
 		Node:        identity.Node,
@@ -71,5 +71,5 @@
 
 // engineLeaving tells the other nodes what this one saw of an engine.
 func (n *Node) engineLeaving(engine string, leaving bool) {
-	n.membership.ObserveEngine(membership.EngineReport{Engine: engine, Leaving: leaving, Asked: time.Now()})
+	n.membership.ObserveEngine(membership.EngineReport{Engine: engine, Leaving: leaving, RequestedAt: time.Now()})
 }
