--- a/state/replica/corruption_test.go
+++ b/state/replica/corruption_test.go
@@ -15,8 +15,8 @@
 	"pgregory.net/rapid"
 )
 
-// writeSample fills a folder with entries of each kind, some larger than a
-// page, and returns its contents.
+// writeSample fills a data folder with entries of every kind, some larger than a page. It
+// returns the contents and the incarnation.
 func writeSample(t *testing.T, folder string) ([]string, string) {
 	t.Helper()
 	disk := openTestDisk(t, folder)
@@ -35,22 +35,22 @@
 	return want, disk.Incarnation()
 }
 
-// assertCorrectOrEmpty opens a folder whose file may be damaged: the store
-// serves exactly what was written under its incarnation, or is empty under a
-// new one and names the file that was set aside.
+// assertCorrectOrEmpty opens a folder whose file may be corrupt. The store must either
+// serve exactly what was written, under the same incarnation, or be empty under a new one
+// and report the path of the renamed file. It returns whether the data was served.
 func assertCorrectOrEmpty(t assert.TestingT, folder string, want []string, incarnation string) bool {
 	disk, err := OpenDisk(folder)
 	assert.NilError(t, err)
 	defer disk.Close()
 	got, err := readAll(disk)
 	assert.NilError(t, err)
-	if disk.Damage() == nil {
+	if disk.Corruption() == nil {
 		assert.Equal(t, disk.Incarnation(), incarnation)
 		assert.DeepEqual(t, got, want)
 		return true
 	}
-	assert.ErrorIs(t, disk.Damage(), ErrCorrupt)
-	assert.Assert(t, strings.Contains(disk.Damage().Error(), "replica.db.corrupt-1"), disk.Damage())
+	assert.ErrorIs(t, disk.Corruption(), ErrCorrupt)
+	assert.Assert(t, strings.Contains(disk.Corruption().Error(), "replica.db.corrupt-1"), disk.Corruption())
 	assert.Assert(t, disk.Incarnation() != incarnation)
 	assert.Assert(t, !strings.Contains(strings.Join(got, "\n"), "each"), "%v", got)
 	_, err = os.Stat(filepath.Join(folder, "replica.db.corrupt-1"))
@@ -58,15 +58,14 @@
 	return false
 }
 
-// TestDamagedFileIsNeverServed flips bits and cuts or lengthens the file at
-// random places.
-func TestDamagedFileIsNeverServed(t *testing.T) {
+// TestCorruptFileIsNeverServed flips bits at random positions and truncates the file.
+func TestCorruptFileIsNeverServed(t *testing.T) {
 	sample := t.TempDir()
 	want, incarnation := writeSample(t, sample)
-	whole, err := os.ReadFile(filepath.Join(sample, dataFileName))
+	content, err := os.ReadFile(filepath.Join(sample, dataFileName))
 	assert.NilError(t, err)
 	rapid.Check(t, func(rt *rapid.T) {
-		damaged := bytes.Clone(whole)
+		damaged := bytes.Clone(content)
 		for range rapid.IntRange(1, 3).Draw(rt, "flips") {
 			position := rapid.IntRange(0, len(damaged)-1).Draw(rt, "position")
 			damaged[position] ^= rapid.ByteRange(1, 255).Draw(rt, "bits")
@@ -81,20 +80,20 @@
 	})
 }
 
-// TestStructureDamage changes each byte of the page heads and of the first
-// elements, where bbolt has no checksum of its own.
-func TestStructureDamage(t *testing.T) {
+// TestCorruptPageStructure changes each byte at the start of each page: the page header,
+// the meta fields and the first elements. bbolt has no checksums for most of these.
+func TestCorruptPageStructure(t *testing.T) {
 	sample := t.TempDir()
 	writeSample(t, sample)
-	whole, err := os.ReadFile(filepath.Join(sample, dataFileName))
+	content, err := os.ReadFile(filepath.Join(sample, dataFileName))
 	assert.NilError(t, err)
-	want, err := verifiedEntries(whole)
+	want, err := verifiedEntries(content)
 	assert.NilError(t, err)
-	pageBytes := int(binary.NativeEndian.Uint32(whole[boltPageHeader+8:]))
+	pageBytes := int(binary.NativeEndian.Uint32(content[boltPageHeaderBytes+8:]))
 	detected := 0
-	for page := 0; page*pageBytes < len(whole); page++ {
-		for offset := range boltPageHeader + boltMetaBytes {
-			damaged := bytes.Clone(whole)
+	for page := 0; page*pageBytes < len(content); page++ {
+		for offset := range boltPageHeaderBytes + boltMetaBytes {
+			damaged := bytes.Clone(content)
 			damaged[page*pageBytes+offset] ^= 0x11
 			got, err := verifiedEntries(damaged)
 			if err == nil {
@@ -117,9 +116,9 @@
 	return all.String(), err
 }
 
-// TestLostEntryIsDetected removes an entry from a file that stays whole
-// otherwise: no checksum of an entry shows that.
-func TestLostEntryIsDetected(t *testing.T) {
+// TestMissingEntryIsDetected removes an entry from a valid file, which the checksums of
+// the other entries can't detect.
+func TestMissingEntryIsDetected(t *testing.T) {
 	folder := t.TempDir()
 	_, incarnation := writeSample(t, folder)
 	database, err := bbolt.Open(filepath.Join(folder, dataFileName), fileMode, &bbolt.Options{NoFreelistSync: true})
@@ -131,8 +130,9 @@
 	assert.Assert(t, !assertCorrectOrEmpty(t, folder, nil, incarnation))
 }
 
-// TestOtherFormatIsLeftAlone demands that a newer file isn't set aside.
-func TestOtherFormatIsLeftAlone(t *testing.T) {
+// TestUnsupportedFormatIsLeftUnchanged checks that a file of a newer format version is
+// neither renamed nor modified.
+func TestUnsupportedFormatIsLeftUnchanged(t *testing.T) {
 	folder := t.TempDir()
 	writeSample(t, folder)
 	path := filepath.Join(folder, dataFileName)
@@ -140,19 +140,19 @@
 	assert.NilError(t, err)
 	assert.NilError(t, database.Update(func(transaction *bbolt.Tx) error {
 		newer := header{format: FormatVersion + 1, incarnation: "x"}
-		return transaction.Bucket(dataBucket).Put(headerKey(), seal(headerKey(), newer.encode()))
+		return transaction.Bucket(dataBucket).Put(headerKey(), encodeEntry(headerKey(), newer.encode()))
 	}))
 	assert.NilError(t, database.Close())
 	before, err := os.ReadFile(path)
 	assert.NilError(t, err)
 	_, err = OpenDisk(folder)
-	assert.ErrorIs(t, err, ErrFormat)
+	assert.ErrorIs(t, err, ErrUnsupportedFormat)
 	after, err := os.ReadFile(path)
 	assert.NilError(t, err)
 	assert.Assert(t, bytes.Equal(before, after))
 }
 
-func TestFolderInUseIsRefused(t *testing.T) {
+func TestLockedFolderIsRefused(t *testing.T) {
 	folder := t.TempDir()
 	openTestDisk(t, folder)
 	_, err := OpenDisk(folder)
--- a/state/replica/store_test.go
+++ b/state/replica/store_test.go
@@ -16,35 +16,35 @@
 
 var testNames = []string{"a", "a.1", "b", "bb"}
 
-// readAll lists everything that a store holds for the shards and names of the
-// tests, one line for each item, with the hash in place of the bytes.
+// readAll lists everything that a store holds for the test shards and names, one line per
+// item. Hashes replace register values and turn objects.
 func readAll(store Store) ([]string, error) {
 	var lines []string
-	list := func(parts ...any) { lines = append(lines, fmt.Sprint(parts...)) }
+	addLine := func(parts ...any) { lines = append(lines, fmt.Sprint(parts...)) }
 	for shard := range uint32(testShards) {
 		for _, name := range testNames {
 			meta, metaErr := store.LoadMeta(shard, name)
 			state, registerErr := store.LoadRegister(shard, name)
 			rangeErr := store.ReadTurns(shard, name, 2, func(turn Turn) error {
-				list("from 2 ", shard, turn.Program, turn.Sequence, turn.Digest, xxhash.Sum64(turn.Object))
+				addLine("from 2 ", shard, turn.Program, turn.Sequence, turn.Digest, xxhash.Sum64(turn.Object))
 				return nil
 			})
 			if err := errors.Join(metaErr, registerErr, rangeErr); err != nil {
 				return nil, err
 			}
-			list("meta ", shard, name, meta)
-			list("register ", shard, name, state.Promised, state.Accepted, state.Value == nil, xxhash.Sum64(state.Value))
+			addLine("meta ", shard, name, meta)
+			addLine("register ", shard, name, state.Promised, state.Accepted, state.Value == nil, xxhash.Sum64(state.Value))
 		}
 		registersErr := store.EachRegister(shard, func(key string, state Register) error {
-			list("each register ", shard, key, state.Promised, state.Accepted, xxhash.Sum64(state.Value))
+			addLine("each register ", shard, key, state.Promised, state.Accepted, xxhash.Sum64(state.Value))
 			return nil
 		})
 		turnsErr := store.EachTurn(shard, func(turn Turn) error {
-			list("each turn ", shard, turn.Program, turn.Sequence, turn.Digest, xxhash.Sum64(turn.Object))
+			addLine("each turn ", shard, turn.Program, turn.Sequence, turn.Digest, xxhash.Sum64(turn.Object))
 			return nil
 		})
-		namesErr := EachTurnName(store, shard, func(turn Turn) error {
-			list("each name ", shard, turn.Program, turn.Sequence, turn.Digest, turn.Object == nil)
+		namesErr := EachTurnKey(store, shard, func(turn Turn) error {
+			addLine("each name ", shard, turn.Program, turn.Sequence, turn.Digest, turn.Object == nil)
 			return nil
 		})
 		if err := errors.Join(registersErr, turnsErr, namesErr); err != nil {
@@ -54,7 +54,7 @@
 	return lines, nil
 }
 
-// randomWrite draws one change; it is applied to each of the stores alike.
+// randomWrite draws a random change, which can be applied to several stores.
 func randomWrite(t *rapid.T) func(Store) error {
 	shard := rapid.Uint32Range(0, testShards-1).Draw(t, "shard")
 	name := rapid.SampledFrom(testNames).Draw(t, "name")
@@ -62,7 +62,7 @@
 	number := rapid.Uint64Range(0, 3).Draw(t, "number")
 	switch rapid.IntRange(0, 9).Draw(t, "kind") {
 	case 0:
-		return func(s Store) error { return s.DropProgram(shard, name) }
+		return func(s Store) error { return s.DeleteTurns(shard, name) }
 	case 1:
 		return func(s Store) error { return s.DropShard(shard) }
 	case 2, 3:
@@ -84,9 +84,9 @@
 	return disk
 }
 
-// TestStoresBehaveAlike applies the same random changes to both stores, with
-// restarts of the disk store in between.
-func TestStoresBehaveAlike(t *testing.T) {
+// TestDiskMatchesMemory applies the same random changes to a Memory and a Disk, which is
+// reopened in between, and compares their contents.
+func TestDiskMatchesMemory(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		folder, err := os.MkdirTemp(t.TempDir(), "store")
 		assert.NilError(rt, err)
@@ -107,24 +107,24 @@
 		assert.NilError(rt, err)
 		assert.DeepEqual(rt, got, want)
 		assert.Equal(rt, disk.Incarnation(), incarnation)
-		assert.NilError(rt, disk.Damage())
+		assert.NilError(rt, disk.Corruption())
 		assert.NilError(rt, disk.Close())
 	})
 }
 
-func TestNamesAreChecked(t *testing.T) {
+func TestInvalidNamesAreRejected(t *testing.T) {
 	long := string(make([]byte, MaxNameBytes+1))
 	stores := map[string]Store{"memory": NewMemory(), "disk": openTestDisk(t, t.TempDir())}
 	for kind, store := range stores {
 		for _, name := range []string{"", "a\x00b", long} {
-			assert.ErrorIs(t, store.SaveRegister(1, name, Register{}), ErrName, kind)
-			assert.ErrorIs(t, store.SaveMeta(1, name, nil), ErrName, kind)
-			assert.ErrorIs(t, store.PutTurn(1, Turn{Program: name}), ErrName, kind)
+			assert.ErrorIs(t, store.SaveRegister(1, name, Register{}), ErrInvalidName, kind)
+			assert.ErrorIs(t, store.SaveMeta(1, name, nil), ErrInvalidName, kind)
+			assert.ErrorIs(t, store.PutTurn(1, Turn{Program: name}), ErrInvalidName, kind)
 		}
 	}
 }
 
-func TestClosedStoreRefuses(t *testing.T) {
+func TestClosedStoreReturnsErrClosed(t *testing.T) {
 	stores := map[string]Store{"memory": NewMemory(), "disk": openTestDisk(t, t.TempDir())}
 	for kind, store := range stores {
 		assert.NilError(t, store.Close(), kind)
@@ -136,7 +136,7 @@
 	}
 }
 
-func TestConcurrentWritesShareSyncs(t *testing.T) {
+func TestConcurrentWritesAreStored(t *testing.T) {
 	disk := openTestDisk(t, t.TempDir())
 	const writers, writesEach = 16, 8
 	var group sync.WaitGroup
@@ -158,14 +158,15 @@
 	assert.Equal(t, count, writers)
 }
 
-// TestFailedWriteStopsLaterOnes closes the file while the store uses it.
-func TestFailedWriteStopsLaterOnes(t *testing.T) {
+// TestWritesFailAfterWriteError closes the database under the store. Writes must fail, and
+// a failed write must not become visible.
+func TestWritesFailAfterWriteError(t *testing.T) {
 	disk := openTestDisk(t, t.TempDir())
 	before := Register{Promised: Ballot{Counter: 1, Proposer: "p"}}
 	assert.NilError(t, disk.SaveRegister(1, "a", before))
 	assert.NilError(t, disk.database.Close())
-	assert.ErrorIs(t, disk.SaveRegister(1, "a", Register{Promised: Ballot{Counter: 2, Proposer: "p"}}), ErrFailed)
-	assert.ErrorIs(t, disk.PutTurn(1, Turn{Program: "a"}), ErrFailed)
+	assert.ErrorIs(t, disk.SaveRegister(1, "a", Register{Promised: Ballot{Counter: 2, Proposer: "p"}}), ErrWriteFailed)
+	assert.ErrorIs(t, disk.PutTurn(1, Turn{Program: "a"}), ErrWriteFailed)
 	after, err := disk.LoadRegister(1, "a")
 	assert.NilError(t, err)
 	assert.DeepEqual(t, after, before)
--- a/state/replica/stored_test.go
+++ b/state/replica/stored_test.go
@@ -23,23 +23,22 @@
 	"github.com/marblering/marblering/state/turn"
 )
 
-// keptFolder is a data folder of format 1. It stays as it is: a disk outlives the
-// program that wrote it, so that each later program has to read it in full. A newer
-// format gets a folder of its own beside this one.
-const keptFolder = "testdata/format1"
+// format1Folder is a data folder of format version 1. It must not change, since newer
+// programs have to read the data of older ones. Add another folder for a newer format.
+const format1Folder = "testdata/format1"
 
-// Shard numbers beyond those of programs, under which a node keeps values of its own.
+// Reserved shard numbers, under which a node stores values of its own.
 const (
 	nodeShard   uint32 = math.MaxUint32
 	mirrorShard uint32 = math.MaxUint32 - 1
 	countShard  uint32 = math.MaxUint32 - 2
 )
 
-// keptShards are all shards of the sample.
-var keptShards = []uint32{0, 1, 2, countShard, mirrorShard, nodeShard}
+// sampleShards are the shards of the sample data.
+var sampleShards = []uint32{0, 1, 2, countShard, mirrorShard, nodeShard}
 
-// keptMeta are the meta values of the sample, by shard and name.
-var keptMeta = map[uint32]map[string]string{
+// sampleMeta holds the meta values of the sample data by shard and name.
+var sampleMeta = map[uint32]map[string]string{
 	nodeShard: {
 		"shard-0": `{"View":{"Shard":0,"Epoch":2,"Members":[{"Node":"s-1","Incarnation":"s-1/a","Address":"10.0.0.1:7000","Zone":"z-1"}]},` +
 			`"Previous":{"Shard":0,"Epoch":1,"Members":null},"Opened":{"Shard":0,"Epoch":2,"Members":null},"DataEpoch":2}`,
@@ -49,9 +48,9 @@
 	countShard:  {"shard-count": string(binary.BigEndian.AppendUint32(nil, 3))},
 }
 
-// writeKept writes one value of every kind that a replica keeps, each in a
-// transaction of its own.
-func writeKept(t *testing.T, store replica.Store) {
+// writeSample writes values of every kind that a replica stores, each in a separate
+// transaction.
+func writeSample(t *testing.T, store replica.Store) {
 	t.Helper()
 	promised := replica.Ballot{Counter: 300, Proposer: "g-1/b"}
 	accepted := replica.Ballot{Counter: 299, Proposer: "g-2/a"}
@@ -66,29 +65,29 @@
 		{1, "conversation", replica.Register{Promised: promised, Accepted: promised, Value: sampleBudget(t)}},
 		{1, "only promised", replica.Register{Promised: promised}},
 	}
-	for _, one := range registers {
-		assert.NilError(t, store.SaveRegister(one.shard, one.key, one.state))
+	for _, sample := range registers {
+		assert.NilError(t, store.SaveRegister(sample.shard, sample.key, sample.state))
 	}
-	for _, shard := range keptShards {
+	for _, shard := range sampleShards {
 		for _, name := range []string{"shard-0", "configuration-version", "mirror-instances", "shard-count"} {
-			if value, found := keptMeta[shard][name]; found {
+			if value, found := sampleMeta[shard][name]; found {
 				assert.NilError(t, store.SaveMeta(shard, name, []byte(value)))
 			}
 		}
 	}
-	for _, one := range sampleTurns(t) {
-		assert.NilError(t, store.PutTurn(one.shard, one.turn))
+	for _, sample := range sampleTurns(t) {
+		assert.NilError(t, store.PutTurn(sample.shard, sample.turn))
 	}
 	writeAndRemove(t, store)
 }
 
-// writeAndRemove writes values that leave nothing behind.
+// writeAndRemove writes values and removes them again.
 func writeAndRemove(t *testing.T, store replica.Store) {
 	t.Helper()
 	assert.NilError(t, store.SaveMeta(2, "removed", []byte("x")))
 	assert.NilError(t, store.SaveMeta(2, "removed", nil))
 	assert.NilError(t, store.PutTurn(1, replica.Turn{Program: "ended", Sequence: 1, Object: []byte("x")}))
-	assert.NilError(t, store.DropProgram(1, "ended"))
+	assert.NilError(t, store.DeleteTurns(1, "ended"))
 	assert.NilError(t, store.SaveRegister(2, "dropped", replica.Register{Promised: replica.Ballot{Counter: 1, Proposer: "g-1/b"}}))
 	assert.NilError(t, store.DropShard(2))
 }
@@ -112,97 +111,96 @@
 func sampleBudget(t *testing.T) []byte {
 	t.Helper()
 	record := &statev1.TokenBudget{Program: "conversation"}
-	assert.NilError(t, budget.Reserve(record, 5000, budget.Draw{Holder: "s-1/a", Spent: 40, UnderWay: 200, Turn: 100}))
-	assert.NilError(t, budget.Reserve(record, 5000, budget.Draw{Holder: "s-2/a", Spent: 7, Turn: 100}))
+	assert.NilError(t, budget.Reserve(record, 5000, budget.ReserveRequest{Holder: "s-1/a", Spent: 40, Running: 200, TurnTokens: 100}))
+	assert.NilError(t, budget.Reserve(record, 5000, budget.ReserveRequest{Holder: "s-2/a", Spent: 7, TurnTokens: 100}))
 	budget.Release(record, "s-2/a", 9)
 	value, err := budget.Encode(record)
 	assert.NilError(t, err)
 	return value
 }
 
-// keptTurn is a turn with its shard.
-type keptTurn struct {
+type shardTurn struct {
 	shard uint32
 	turn  replica.Turn
 }
 
-// sampleTurns returns retained turns, turns of a history, two of which stand at one
-// sequence number, and one without an object.
-func sampleTurns(t *testing.T) []keptTurn {
+// sampleTurns returns retained turns, turns of a history, two of which have the same
+// sequence, and a turn without an object.
+func sampleTurns(t *testing.T) []shardTurn {
 	t.Helper()
 	codec, err := turn.NewCodec()
 	assert.NilError(t, err)
-	var turns []keptTurn
-	for _, whole := range []*statev1.RetainedTurn{
+	var turns []shardTurn
+	for _, retained := range []*statev1.RetainedTurn{
 		{Id: "r-1", Input: []byte(`{"messages":[]}`), Output: []byte("{}\n"), RetentionMs: 60_000, Tenant: "shop"},
 		{Id: "r-2", Ancestors: []string{"r-1"}, Input: bytes.Repeat([]byte("again "), 100), Output: []byte("[DONE]\n"), RetentionMs: 60_000},
 	} {
-		object, digest, err := codec.Encode(whole)
+		object, digest, err := codec.Encode(retained)
 		assert.NilError(t, err)
-		turns = append(turns, keptTurn{1, replica.Turn{Program: whole.GetId(), Sequence: 1, Digest: digest, Object: object}})
+		turns = append(turns, shardTurn{1, replica.Turn{Program: retained.GetId(), Sequence: 1, Digest: digest, Object: object}})
 	}
 	var previous []byte
-	for _, one := range []*statev1.Turn{
+	for _, stored := range []*statev1.Turn{
 		{Program: "p-1", Sequence: 1, Messages: []byte(`[{"role":"user","content":"q"}]`), Answer: []byte(`{"role":"assistant","content":"a"}`)},
 		{Program: "p-1", Sequence: 258, Messages: []byte(`[]`), Answer: bytes.Repeat([]byte("b"), 200), Key: "k", Engine: "e-1"},
 		{Program: "p-1", Sequence: 258, Messages: []byte(`[]`), Answer: []byte(`{}`), Key: "k", Engine: "e-2"},
 	} {
-		one.Previous = previous
-		object, digest, err := history.Encode(one)
+		stored.Previous = previous
+		object, digest, err := history.Encode(stored)
 		assert.NilError(t, err)
-		turns = append(turns, keptTurn{0, replica.Turn{Program: one.GetProgram(), Sequence: one.GetSequence(), Digest: digest, Object: object}})
+		turns = append(turns, shardTurn{0, replica.Turn{Program: stored.GetProgram(), Sequence: stored.GetSequence(), Digest: digest, Object: object}})
 		if previous == nil {
 			previous = history.Digest(digest).Bytes()
 		}
 	}
-	return append(turns, keptTurn{0, replica.Turn{Program: "p-1.1", Sequence: 1, Digest: [32]byte{1}}})
+	return append(turns, shardTurn{0, replica.Turn{Program: "p-1.1", Sequence: 1, Digest: [32]byte{1}}})
 }
 
-// fixedRandom is the random source of the sample: the incarnation is made of it.
+// fixedRandom returns the random source for the incarnation of the sample data.
 func fixedRandom() *bytes.Reader { return bytes.NewReader([]byte("0123456789abcdef")) }
 
-// TestWrittenBytes pins every entry of the data file as it stands on the disk: the
-// kept folder has the same ones, and so has a folder that is written now.
-func TestWrittenBytes(t *testing.T) {
-	golden.Assert(t, fileEntries(t, copyFolder(t, keptFolder)), "format1.entries.golden")
+// TestDataFileEntries guards against changes of the stored bytes: the entries of
+// format1Folder and those of a newly written data file must match the golden file.
+func TestDataFileEntries(t *testing.T) {
+	golden.Assert(t, fileEntries(t, copyFolder(t, format1Folder)), "format1.entries.golden")
 	folder := t.TempDir()
 	disk, err := replica.OpenDiskWithRandom(folder, fixedRandom())
 	assert.NilError(t, err)
-	writeKept(t, disk)
+	writeSample(t, disk)
 	assert.NilError(t, disk.Close())
 	golden.Assert(t, fileEntries(t, folder), "format1.entries.golden")
 }
 
-// TestKeptFolderIsReadBack opens a copy of the kept folder and reads all of it, by
-// every method that reads, as well as from a store in memory with the same values.
-func TestKeptFolderIsReadBack(t *testing.T) {
-	disk, err := replica.OpenDisk(copyFolder(t, keptFolder))
+// TestFormat1FolderIsReadable checks that every reading method returns the same from
+// format1Folder as from a memory store with the same values.
+func TestFormat1FolderIsReadable(t *testing.T) {
+	disk, err := replica.OpenDisk(copyFolder(t, format1Folder))
 	assert.NilError(t, err)
 	defer disk.Close()
-	assert.NilError(t, disk.Damage())
+	assert.NilError(t, disk.Corruption())
 	assert.Equal(t, disk.Incarnation(), "30313233343536373839616263646566")
-	golden.Assert(t, readKept(t, disk), "format1.contents.golden")
+	golden.Assert(t, dumpSample(t, disk), "format1.contents.golden")
 	memory := replica.NewMemory()
-	writeKept(t, memory)
-	golden.Assert(t, readKept(t, memory), "format1.contents.golden")
+	writeSample(t, memory)
+	golden.Assert(t, dumpSample(t, memory), "format1.contents.golden")
 }
 
-// TestKeptTurnsDecode reads the objects of the kept folder's turns.
-func TestKeptTurnsDecode(t *testing.T) {
-	disk, err := replica.OpenDisk(copyFolder(t, keptFolder))
+// TestFormat1TurnsAreDecodable decodes the objects of turns in format1Folder.
+func TestFormat1TurnsAreDecodable(t *testing.T) {
+	disk, err := replica.OpenDisk(copyFolder(t, format1Folder))
 	assert.NilError(t, err)
 	defer disk.Close()
 	codec, err := turn.NewCodec()
 	assert.NilError(t, err)
 	retained, chained := 0, 0
-	assert.NilError(t, disk.EachTurn(1, func(one replica.Turn) error {
+	assert.NilError(t, disk.EachTurn(1, func(stored replica.Turn) error {
 		retained++
-		_, err := codec.Decode(one.Program, one.Object, one.Digest)
+		_, err := codec.Decode(stored.Program, stored.Object, stored.Digest)
 		return err
 	}))
-	assert.NilError(t, disk.ReadTurns(0, "p-1", 1, func(one replica.Turn) error {
+	assert.NilError(t, disk.ReadTurns(0, "p-1", 1, func(stored replica.Turn) error {
 		chained++
-		_, err := history.Decode(one.Object, one.Digest)
+		_, err := history.Decode(stored.Object, stored.Digest)
 		return err
 	}))
 	assert.Equal(t, retained, 2)
@@ -216,8 +214,8 @@
 	return target
 }
 
-// fileEntries lists the entries of the data file by way of bbolt alone, with the
-// names of file and bucket as literals.
+// fileEntries lists the entries of the data file. It uses bbolt directly and literal
+// names, so that it doesn't depend on the code under test.
 func fileEntries(t *testing.T, folder string) string {
 	t.Helper()
 	database, err := bbolt.Open(filepath.Join(folder, "replica.db"), 0o600, &bbolt.Options{NoFreelistSync: true})
@@ -236,17 +234,17 @@
 	return text.String()
 }
 
-// readKept reads everything of the sample's shards.
-func readKept(t *testing.T, store replica.Store) string {
+// dumpSample returns everything that the store holds for the shards of the sample data.
+func dumpSample(t *testing.T, store replica.Store) string {
 	t.Helper()
 	var text strings.Builder
-	addTurn := func(way string) func(replica.Turn) error {
-		return func(one replica.Turn) error {
-			fmt.Fprintf(&text, "  %s %q %d %x %x\n", way, one.Program, one.Sequence, one.Digest, one.Object)
+	addTurn := func(label string) func(replica.Turn) error {
+		return func(stored replica.Turn) error {
+			fmt.Fprintf(&text, "  %s %q %d %x %x\n", label, stored.Program, stored.Sequence, stored.Digest, stored.Object)
 			return nil
 		}
 	}
-	for _, shard := range keptShards {
+	for _, shard := range sampleShards {
 		fmt.Fprintf(&text, "shard %d\n", shard)
 		assert.NilError(t, store.EachRegister(shard, func(key string, state replica.Register) error {
 			loaded, err := store.LoadRegister(shard, key)
@@ -262,7 +260,7 @@
 			}
 		}
 		assert.NilError(t, store.EachTurn(shard, addTurn("turn")))
-		assert.NilError(t, replica.EachTurnName(store, shard, addTurn("name")))
+		assert.NilError(t, replica.EachTurnKey(store, shard, addTurn("name")))
 		assert.NilError(t, store.ReadTurns(shard, "p-1", 2, addTurn("from 2")))
 	}
 	return text.String()
--- a/telemetry/logfile/logfile_test.go
+++ b/telemetry/logfile/logfile_test.go
@@ -25,23 +25,23 @@
 `
 
 func Example() {
-	story, _ := logfile.Find([]io.Reader{strings.NewReader(gatewayLog), strings.NewReader(storageLog)}, "r1", time.Second)
+	story, _ := logfile.FindExcerpt([]io.Reader{strings.NewReader(gatewayLog), strings.NewReader(storageLog)}, "r1", time.Second)
 	for _, l := range story.Lines {
 		fmt.Println(strings.TrimSpace(l.Get("node") + " " + l.Get("msg") + " " + l.Get("reason")))
 	}
 	for _, l := range story.Context {
-		fmt.Println("beside:", l.Get("node"), l.Get("msg"))
+		fmt.Println("context:", l.Get("node"), l.Get("msg"))
 	}
 	// Output:
 	// edge-1 trying another back end
 	// storage-1 budget refused
 	// edge-1 not answered a "quoted" reason
-	// beside: edge-1 store lost
-	// beside: storage-1 replica set not changed
+	// context: edge-1 store lost
+	// context: storage-1 replica set not changed
 }
 
-func TestUnknownID(t *testing.T) {
-	story, err := logfile.Find([]io.Reader{strings.NewReader(gatewayLog)}, "r3", time.Second)
+func TestFindUnknownID(t *testing.T) {
+	story, err := logfile.FindExcerpt([]io.Reader{strings.NewReader(gatewayLog)}, "r3", time.Second)
 	assert.NilError(t, err)
 	assert.Equal(t, len(story.Lines)+len(story.Context), 0)
 }
--- a/test/golden/metrics_test.go
+++ b/test/golden/metrics_test.go
@@ -157,14 +157,14 @@
 		Name: "edge-1", Zone: "zone-1", CallerListen: loopback(), OperatorListen: loopback(), ReadyPath: "/ready",
 		StoreURL: unreachable, ApplyLimit: time.Second, UndisturbedTime: time.Second, RevokeLimit: time.Second,
 		QuotaWindow: time.Second, DrainTimeout: time.Millisecond, MemoryLimit: settings.Gibibyte,
-	}, platform.GatewayParts(unreachable), zap.NewNop())
+	}, platform.GatewayDependencies(unreachable), zap.NewNop())
 	assert.NilError(t, err)
 	defer started.Drain()
 	registry := prometheus.NewRegistry()
 	peer.NewMetrics(registry)
 	relay.NewMetrics(registry)
 	quota.NewMetrics(registry)
-	registry.MustRegister(telemetry.NewStoreCalls())
+	registry.MustRegister(telemetry.NewStoreCallsCounter())
 	found := forms{}
 	found.addRegistered(t, registry)
 	found.addGathered(t, metricsPage(t, started.OperatorAddress()))
@@ -181,7 +181,7 @@
 			Name: "storage-1", Zone: "zone-1", PeerListen: addresses[0], OperatorListen: addresses[1],
 			StoreURL: unreachable, ApplyLimit: time.Second, RevokeLimit: time.Second, Losses: 1, Shards: 1,
 			DataFolder: t.TempDir(), MemoryLimit: settings.Gibibyte,
-		}, platform.StorageParts(unreachable), zap.NewNop())
+		}, platform.StorageDependencies(unreachable), zap.NewNop())
 	}()
 	defer func() {
 		cancel()
@@ -196,7 +196,7 @@
 	})
 	registry := prometheus.NewRegistry()
 	peer.NewMetrics(registry)
-	registry.MustRegister(telemetry.NewStoreCalls())
+	registry.MustRegister(telemetry.NewStoreCallsCounter())
 	found := forms{}
 	found.addRegistered(t, registry)
 	found.addGathered(t, metricsPage(t, addresses[1].String()))
--- a/transport/peer/budget.go
+++ b/transport/peer/budget.go
@@ -12,10 +12,11 @@
 	"github.com/marblering/marblering/state/budget"
 )
 
-// BudgetHost serves budgets. tokenbudget.Host is one.
+// BudgetHost grants reservations of tokens and releases them when turns end.
+// tokenbudget.Host implements it.
 type BudgetHost interface {
-	Reserve(ctx context.Context, wanted tokenbudget.Reservation) error
-	End(ended []tokenbudget.Ended)
+	Reserve(ctx context.Context, reservation tokenbudget.Reservation) error
+	End(ended []tokenbudget.EndedTurn)
 }
 
 type budgetServer struct {
@@ -25,10 +26,10 @@
 func (s *budgetServer) reserve(ctx context.Context, message *peerv1.ReserveTokensRequest) *peerv1.ReserveTokensResponse {
 	s.host.End(endedFromWire(message.GetEnded()))
 	err := s.host.Reserve(ctx, tokenbudget.Reservation{
-		Program: message.GetProgram(), Name: message.GetTurn(), Limit: message.GetLimit(), Most: message.GetMost(),
-		Lifetime: time.Duration(message.GetLifetimeMs()) * time.Millisecond, Running: message.GetRunning(),
+		Program: message.GetProgram(), Name: message.GetTurn(), ProgramLimit: message.GetLimit(), MaxTokens: message.GetMost(),
+		Lifetime: time.Duration(message.GetLifetimeMs()) * time.Millisecond, ProgramRunning: message.GetRunning(),
 	})
-	response := &peerv1.ReserveTokensResponse{Verdict: verdictOf(err)}
+	response := &peerv1.ReserveTokensResponse{Verdict: verdictFromError(err)}
 	if err != nil {
 		response.Reason = err.Error()
 	}
@@ -40,11 +41,11 @@
 	return &peerv1.EndTurnsResponse{}
 }
 
-func verdictOf(err error) peerv1.ReserveVerdict {
+func verdictFromError(err error) peerv1.ReserveVerdict {
 	switch {
 	case err == nil:
 		return peerv1.ReserveVerdict_RESERVE_VERDICT_GRANTED
-	case errors.Is(err, budget.ErrSpent):
+	case errors.Is(err, budget.ErrExhausted):
 		return peerv1.ReserveVerdict_RESERVE_VERDICT_SPENT
 	case errors.Is(err, budget.ErrReserved):
 		return peerv1.ReserveVerdict_RESERVE_VERDICT_RESERVED
@@ -54,21 +55,22 @@
 	return peerv1.ReserveVerdict_RESERVE_VERDICT_UNAVAILABLE
 }
 
-// BudgetClient implements tokenbudget.Hosts.
+// BudgetClient sends reservations to the nodes that host budgets. It implements
+// tokenbudget.Hosts.
 type BudgetClient struct {
 	client *Client
 }
 
-// Budgets returns the client of the budget service.
+// Budgets returns a client for the budgets that other nodes host.
 func (c *Client) Budgets() BudgetClient { return BudgetClient{client: c} }
 
-var _ tokenbudget.Hosts = BudgetClient{}
+var _ tokenbudget.HostClient = BudgetClient{}
 
 // Reserve implements tokenbudget.Hosts.
-func (b BudgetClient) Reserve(ctx context.Context, address string, wanted tokenbudget.Reservation, ended []tokenbudget.Ended) error {
+func (b BudgetClient) Reserve(ctx context.Context, address string, reservation tokenbudget.Reservation, ended []tokenbudget.EndedTurn) error {
 	answer, err := b.client.call(ctx, address, &peerv1.Call{Request: &peerv1.Call_ReserveTokens{ReserveTokens: &peerv1.ReserveTokensRequest{
-		Program: wanted.Program, Turn: wanted.Name, Limit: wanted.Limit, Most: wanted.Most,
-		LifetimeMs: wanted.Lifetime.Milliseconds(), Ended: endedToWire(ended), Running: wanted.Running,
+		Program: reservation.Program, Turn: reservation.Name, Limit: reservation.ProgramLimit, Most: reservation.MaxTokens,
+		LifetimeMs: reservation.Lifetime.Milliseconds(), Ended: endedToWire(ended), Running: reservation.ProgramRunning,
 	}}})
 	if err != nil {
 		return err
@@ -78,36 +80,36 @@
 	case peerv1.ReserveVerdict_RESERVE_VERDICT_GRANTED:
 		return nil
 	case peerv1.ReserveVerdict_RESERVE_VERDICT_SPENT:
-		return budget.ErrSpent
+		return budget.ErrExhausted
 	case peerv1.ReserveVerdict_RESERVE_VERDICT_RESERVED:
 		return budget.ErrReserved
 	case peerv1.ReserveVerdict_RESERVE_VERDICT_OVERLOADED:
 		return merry.Wrap(tokenbudget.ErrOverloaded, merry.AppendMessage(response.GetReason()))
 	}
-	return merry.Errorf("the host can't reach the record: %s", response.GetReason())
+	return merry.Errorf("the budget's host can't access the record of program %q: %s", reservation.Program, response.GetReason())
 }
 
 // End implements tokenbudget.Hosts.
-func (b BudgetClient) End(ctx context.Context, address string, ended []tokenbudget.Ended) error {
+func (b BudgetClient) End(ctx context.Context, address string, ended []tokenbudget.EndedTurn) error {
 	_, err := b.client.call(ctx, address, &peerv1.Call{Request: &peerv1.Call_EndTurns{
 		EndTurns: &peerv1.EndTurnsRequest{Ended: endedToWire(ended)},
 	}})
 	return err
 }
 
-func endedToWire(ended []tokenbudget.Ended) []*peerv1.EndedTurn {
+func endedToWire(ended []tokenbudget.EndedTurn) []*peerv1.EndedTurn {
 	converted := make([]*peerv1.EndedTurn, 0, len(ended))
-	for _, one := range ended {
-		converted = append(converted, &peerv1.EndedTurn{Program: one.Program, Turn: one.Reservation, HandedOut: one.HandedOut, Unique: !one.MayRecur})
+	for _, turn := range ended {
+		converted = append(converted, &peerv1.EndedTurn{Program: turn.Program, Turn: turn.Reservation, HandedOut: turn.TokensUsed, Unique: !turn.NameMayRecur})
 	}
 	return converted
 }
 
-func endedFromWire(ended []*peerv1.EndedTurn) []tokenbudget.Ended {
-	converted := make([]tokenbudget.Ended, 0, len(ended))
-	for _, one := range ended {
-		converted = append(converted, tokenbudget.Ended{
-			Program: one.GetProgram(), Reservation: one.GetTurn(), HandedOut: one.GetHandedOut(), MayRecur: !one.GetUnique(),
+func endedFromWire(ended []*peerv1.EndedTurn) []tokenbudget.EndedTurn {
+	converted := make([]tokenbudget.EndedTurn, 0, len(ended))
+	for _, turn := range ended {
+		converted = append(converted, tokenbudget.EndedTurn{
+			Program: turn.GetProgram(), Reservation: turn.GetTurn(), TokensUsed: turn.GetHandedOut(), NameMayRecur: !turn.GetUnique(),
 		})
 	}
 	return converted
--- a/transport/peer/budget_test.go
+++ b/transport/peer/budget_test.go
@@ -11,25 +11,27 @@
 	"github.com/marblering/marblering/coordination/tokenbudget"
 )
 
-// The end of the turn "t" of program "p" with 100 tokens, as gateways of earlier versions
-// write it, and what is added to it where the name is that of one attempt.
+// The encoded end of turn "t" of program "p" with 100 tokens, as gateways of earlier
+// versions send it, and the field that current gateways append to say that the name is
+// unique to one attempt.
 const (
-	earlierEnd = "0a017012017418" + "64"
-	uniqueMark = "2001"
+	earlierEndedTurn = "0a017012017418" + "64"
+	uniqueField      = "2001"
 )
 
-// TestEndsOfEarlierVersionsMayNameAnotherAttempt: what an earlier gateway sends says
-// nothing of its name, and an earlier host reads all that it knows of what is sent now.
-func TestEndsOfEarlierVersionsMayNameAnotherAttempt(t *testing.T) {
-	encoded, err := hex.DecodeString(earlierEnd)
+// TestEndedTurnsOfEarlierVersionsMayRecur guards compatibility with earlier versions in
+// both directions: a turn without the field may recur, and current gateways send the
+// fields of earlier versions unchanged.
+func TestEndedTurnsOfEarlierVersionsMayRecur(t *testing.T) {
+	encoded, err := hex.DecodeString(earlierEndedTurn)
 	assert.NilError(t, err)
 	earlier := &peerv1.EndedTurn{}
 	assert.NilError(t, proto.Unmarshal(encoded, earlier))
 	ended := endedFromWire([]*peerv1.EndedTurn{earlier})
-	assert.DeepEqual(t, ended, []tokenbudget.Ended{{Program: "p", Reservation: "t", HandedOut: 100, MayRecur: true}})
+	assert.DeepEqual(t, ended, []tokenbudget.EndedTurn{{Program: "p", Reservation: "t", TokensUsed: 100, NameMayRecur: true}})
 
-	now, err := proto.Marshal(endedToWire([]tokenbudget.Ended{{Program: "p", Reservation: "t", HandedOut: 100}})[0])
+	now, err := proto.Marshal(endedToWire([]tokenbudget.EndedTurn{{Program: "p", Reservation: "t", TokensUsed: 100}})[0])
 	assert.NilError(t, err)
-	assert.Equal(t, hex.EncodeToString(now), earlierEnd+uniqueMark)
-	assert.Assert(t, !endedFromWire(endedToWire([]tokenbudget.Ended{{}}))[0].MayRecur)
+	assert.Equal(t, hex.EncodeToString(now), earlierEndedTurn+uniqueField)
+	assert.Assert(t, !endedFromWire(endedToWire([]tokenbudget.EndedTurn{{}}))[0].NameMayRecur)
 }
--- a/transport/peer/session.go
+++ b/transport/peer/session.go
@@ -15,12 +15,13 @@
 	"github.com/marblering/marblering/api/peer/v1/peerv1connect"
 )
 
-// maxServed bounds the calls of one stream that are served at once. Callers keep
-// below it; further calls aren't read before others have ended.
-const maxServed = 2 * maxInFlight
+// maxConcurrentCalls is the highest number of calls of one stream that are served at
+// once. Callers stay below it (see maxInFlight). Beyond it, calls aren't started until
+// others have been answered.
+const maxConcurrentCalls = 2 * maxInFlight
 
-// errNotServed is the failure of a call that this node doesn't serve.
-var errNotServed = merry.Sentinel("this node doesn't serve the call")
+// errUnsupportedCall is the failure of a call of a kind that this node doesn't serve.
+var errUnsupportedCall = merry.Sentinel("this node doesn't serve calls of this kind")
 
 // callServer serves streams of calls.
 type callServer struct {
@@ -32,39 +33,40 @@
 
 var _ peerv1connect.CallServiceHandler = (*callServer)(nil)
 
-// Stream serves the calls of one peer until it closes the stream.
+// Stream serves the calls of a peer until the peer closes the stream.
 func (s *callServer) Stream(ctx context.Context, stream *connect.BidiStream[peerv1.Calls, peerv1.Answers]) error {
 	ctx, cancel := context.WithCancel(ctx)
 	session := &session{
-		server: s, stream: stream, answers: make(chan *peerv1.Answer, maxServed),
-		places: make(chan struct{}, maxServed), underWay: make(map[uint64]context.CancelFunc),
+		server: s, stream: stream, answers: make(chan *peerv1.Answer, maxConcurrentCalls),
+		slots: make(chan struct{}, maxConcurrentCalls), cancels: make(map[uint64]context.CancelFunc),
 	}
-	answering := make(chan struct{})
+	senderDone := make(chan struct{})
 	go func() {
-		defer close(answering)
-		session.answer(ctx)
+		defer close(senderDone)
+		session.sendAnswers(ctx)
 	}()
 	err := session.receive(ctx)
 	cancel()
-	session.calls.Wait()
-	<-answering
+	session.running.Wait()
+	<-senderDone
 	if errors.Is(err, io.EOF) {
 		return nil
 	}
 	return err
 }
 
-// session is one stream of calls.
+// session is the server's side of one stream of calls.
 type session struct {
 	server  *callServer
 	stream  *connect.BidiStream[peerv1.Calls, peerv1.Answers]
 	answers chan *peerv1.Answer
-	places  chan struct{}
-	calls   sync.WaitGroup
+	// slots limits the calls that run or whose answers are queued.
+	slots   chan struct{}
+	running sync.WaitGroup
 
 	mutex sync.Mutex
-	// underWay ends the calls that are served.
-	underWay map[uint64]context.CancelFunc
+	// cancels holds the functions that cancel the running calls, by number.
+	cancels map[uint64]context.CancelFunc
 }
 
 func (s *session) receive(ctx context.Context) error {
@@ -74,51 +76,53 @@
 			return err
 		}
 		for _, number := range message.GetAbandoned() {
-			s.end(number)
+			s.cancelCall(number)
 		}
 		for _, call := range message.GetCalls() {
 			select {
-			case s.places <- struct{}{}:
+			case s.slots <- struct{}{}:
 			case <-ctx.Done():
 				return ctx.Err()
 			}
-			s.begin(ctx, call)
+			s.start(ctx, call)
 		}
 	}
 }
 
-func (s *session) begin(ctx context.Context, call *peerv1.Call) {
+func (s *session) start(ctx context.Context, call *peerv1.Call) {
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(call.GetTimeoutMs())*time.Millisecond)
 	s.mutex.Lock()
-	s.underWay[call.GetNumber()] = cancel
+	s.cancels[call.GetNumber()] = cancel
 	s.mutex.Unlock()
-	s.calls.Go(func() {
+	s.running.Go(func() {
 		answer := s.server.serve(ctx, call)
 		answer.Number = call.GetNumber()
-		s.end(call.GetNumber())
-		// Each call that is served has a place of its own in the channel.
+		s.cancelCall(call.GetNumber())
+		// This doesn't block: each call occupies a slot, and the channel has as many
+		// places as there are slots.
 		s.answers <- answer
 	})
 }
 
-// end ends the call where it is still under way.
-func (s *session) end(number uint64) {
+// cancelCall cancels the call if it is still running.
+func (s *session) cancelCall(number uint64) {
 	s.mutex.Lock()
-	cancel, found := s.underWay[number]
-	delete(s.underWay, number)
+	cancel, found := s.cancels[number]
+	delete(s.cancels, number)
 	s.mutex.Unlock()
 	if found {
 		cancel()
 	}
 }
 
-// answer writes answers, those that wait in one message, until the context ends.
-func (s *session) answer(ctx context.Context) {
+// sendAnswers writes answers until the context ends. Answers that are ready at the same
+// time share a message.
+func (s *session) sendAnswers(ctx context.Context) {
 	for {
 		select {
 		case first := <-s.answers:
-			if s.stream.Send(&peerv1.Answers{Answers: s.gather(first)}) != nil {
-				// The peer is gone, which the receiving side is told as well.
+			if s.stream.Send(&peerv1.Answers{Answers: s.collectBatch(first)}) != nil {
+				// The stream is broken: receive fails too, and Stream cancels the context.
 				<-ctx.Done()
 				return
 			}
@@ -128,30 +132,30 @@
 	}
 }
 
-func (s *session) gather(first *peerv1.Answer) []*peerv1.Answer {
-	gathered := []*peerv1.Answer{first}
-	<-s.places
-	for size := proto.Size(first); size < gatheredBytes; {
+func (s *session) collectBatch(first *peerv1.Answer) []*peerv1.Answer {
+	batch := []*peerv1.Answer{first}
+	<-s.slots
+	for size := proto.Size(first); size < batchBytes; {
 		select {
 		case next := <-s.answers:
-			gathered = append(gathered, next)
+			batch = append(batch, next)
 			size += proto.Size(next)
-			<-s.places
+			<-s.slots
 		default:
-			return gathered
+			return batch
 		}
 	}
-	return gathered
+	return batch
 }
 
-// serve makes one call.
+// serve executes a call and records it. An error becomes a failure in the answer.
 func (s *callServer) serve(ctx context.Context, call *peerv1.Call) *peerv1.Answer {
-	began := time.Now()
+	start := time.Now()
 	answer, err := s.dispatch(ctx, call)
 	if err != nil {
 		answer = &peerv1.Answer{Response: &peerv1.Answer_Failure{Failure: err.Error()}}
 	}
-	s.metrics.called(sideServer, call, answer, time.Since(began))
+	s.metrics.observeCall(sideServer, call, answer, time.Since(start))
 	return answer
 }
 
@@ -180,5 +184,5 @@
 			return &peerv1.Answer{Response: &peerv1.Answer_TakePermits{TakePermits: takePermits(s.quotas, request.TakePermits)}}, nil
 		}
 	}
-	return nil, errNotServed
+	return nil, merry.Wrap(errUnsupportedCall, merry.AppendMessage(callKind(call)))
 }
--- a/transport/peer/stub.go
+++ b/transport/peer/stub.go
@@ -9,8 +9,8 @@
 	"github.com/marblering/marblering/api/peer/v1/peerv1connect"
 )
 
-// stubs are the generated clients for one address. Making them costs as much as
-// a request.
+// stubs holds the generated clients for one address and the link to it. They are
+// cached because creating the clients costs about as much as a request.
 type stubs struct {
 	replica peerv1connect.ReplicaServiceClient
 	node    peerv1connect.NodeServiceClient
@@ -18,84 +18,84 @@
 	calls   peerv1connect.CallServiceClient
 
 	mutex sync.Mutex
-	// current is the link in use; nil before the first call.
+	// current is the latest link. It is nil before the first call.
 	current *link
-	// forgotten is set once the client doesn't know these stubs any more.
-	forgotten bool
+	// evicted is set when the stubs are removed from the client's cache.
+	evicted bool
 }
 
-// link returns the link to the peer, a new one where the last was lost; nil where
-// these stubs are forgotten.
+// link returns the link to the peer. It opens a new one if there is none or if the latest
+// is closed, and returns nil if these stubs are evicted.
 func (s *stubs) link() *link {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if s.forgotten {
+	if s.evicted {
 		return nil
 	}
-	if s.current == nil || s.current.isLost() {
+	if s.current == nil || s.current.isClosed() {
 		s.current = newLink(s.calls)
 	}
 	return s.current
 }
 
-// forget ends the link, where calls are under way only if they are to be given up
-// too. It says whether it did.
-func (s *stubs) forget(evenInUse bool) bool {
+// evict closes the link and marks the stubs as evicted. Unless includeInUse is set, it
+// does nothing while calls are in flight. It reports whether the stubs are evicted.
+func (s *stubs) evict(includeInUse bool) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.current != nil {
-		if !evenInUse && s.current.isInUse() {
+		if !includeInUse && s.current.isInUse() {
 			return false
 		}
-		s.current.lose(errClosed)
+		s.current.closeWithError(errClientClosed)
 	}
-	s.forgotten = true
+	s.evicted = true
 	return true
 }
 
-// errClosed means that this node has stopped making calls.
-var errClosed = merry.Sentinel("the client is closed")
+// errClientClosed is why links are closed that the client no longer uses.
+var errClientClosed = merry.Sentinel("the client is closed")
 
-// maxStubs is how many addresses are remembered before those without calls under
-// way are forgotten.
-const maxStubs = 1024
+// maxCachedStubs is the number of cached stubs at which those without calls in flight
+// are evicted.
+const maxCachedStubs = 1024
 
 func (c *Client) stubs(address string) *stubs {
-	if known, found := c.known.Load(address); found {
-		return known.(*stubs)
+	if cached, found := c.cachedStubs.Load(address); found {
+		return cached.(*stubs)
 	}
 	base := "http://" + address
-	made := &stubs{
+	created := &stubs{
 		replica: peerv1connect.NewReplicaServiceClient(c.http, base, c.options...),
 		node:    peerv1connect.NewNodeServiceClient(c.http, base, c.options...),
 		mirror:  peerv1connect.NewMirrorServiceClient(c.http, base, c.options...),
 		calls:   peerv1connect.NewCallServiceClient(c.http, base, connect.WithAcceptCompression(gzipName, nil, nil)),
 	}
-	if c.count.Load() >= maxStubs {
-		c.forget(false)
+	if c.cachedCount.Load() >= maxCachedStubs {
+		c.evictStubs(false)
 	}
-	kept, found := c.known.LoadOrStore(address, made)
+	cached, found := c.cachedStubs.LoadOrStore(address, created)
 	if !found {
-		c.count.Add(1)
+		c.cachedCount.Add(1)
 	}
-	return kept.(*stubs)
+	return cached.(*stubs)
 }
 
-// Close ends the links to all peers; calls under way fail. The next call opens
-// another.
-func (c *Client) Close() { c.forget(true) }
+// Close closes the links to all peers. Calls in flight fail. The client remains usable:
+// the next call opens a new link.
+func (c *Client) Close() { c.evictStubs(true) }
 
-func (c *Client) forget(evenInUse bool) {
-	c.known.Range(func(address, known any) bool {
-		if known.(*stubs).forget(evenInUse) {
-			c.known.Delete(address)
-			c.count.Add(-1)
+func (c *Client) evictStubs(includeInUse bool) {
+	c.cachedStubs.Range(func(address, cached any) bool {
+		if cached.(*stubs).evict(includeInUse) {
+			c.cachedStubs.Delete(address)
+			c.cachedCount.Add(-1)
 		}
 		return true
 	})
 }
 
-// link returns the link to the address.
+// link returns an open link to the address.
 func (c *Client) link(address string) *link {
 	for {
 		if current := c.stubs(address).link(); current != nil {
--- a/transport/relay/attempt.go
+++ b/transport/relay/attempt.go
@@ -9,7 +9,7 @@
 
 // attempt is one try of a request at an instance.
 type attempt struct {
-	choice  *backend.Choice
+	choice  *backend.Assignment
 	started time.Time
 	// timeToFirst is the time to the first event of a stream, or to the complete body (or
 	// its buffered part) of another response; zero until then.
@@ -23,28 +23,28 @@
 	if a.timeToFirst == 0 {
 		a.timeToFirst = now.Sub(a.started)
 	}
-	a.choice.Heard()
+	a.choice.RecordActivity()
 }
 
 // ending returns what the attempt tells about the health of the instance.
-func (a *attempt) ending(ended outcome, now time.Time) backend.Ending {
+func (a *attempt) ending(ended outcome, now time.Time) backend.Outcome {
 	waited := now.Sub(a.started)
 	if a.status == http.StatusGatewayTimeout {
-		return backend.Waited{Wait: waited}
+		return backend.NoResponse{Wait: waited}
 	}
 	switch ended {
 	case delivered, turnNotStored:
 		if a.timeToFirst == 0 {
 			a.timeToFirst = waited
 		}
-		return backend.Answered{Wait: a.timeToFirst, Faulty: a.status >= http.StatusInternalServerError}
+		return backend.Completed{Wait: a.timeToFirst, ServerError: a.status >= http.StatusInternalServerError}
 	case unsent, incomplete:
-		return backend.Broken{}
+		return backend.Failed{}
 	case abandoned:
 		if a.timeToFirst == 0 {
-			return backend.Waited{Wait: waited}
+			return backend.NoResponse{Wait: waited}
 		}
 	case refused:
 	}
-	return backend.Unjudged{}
+	return backend.Inconclusive{}
 }
--- a/transport/relay/authorize.go
+++ b/transport/relay/authorize.go
@@ -20,7 +20,7 @@
 	table := c.handler.options.Tables.Table()
 	owner, known := table.Tenant(c.input.key)
 	if !known {
-		return missingKey.toError(table.Version(), c.handler.options.Certain())
+		return missingKey.toError(table.Version(), c.handler.options.IsConfigurationNewest())
 	}
 	c.grants.tenant = owner
 	return nil
@@ -29,7 +29,7 @@
 // checkFreshness rejects requests with keys while the configuration isn't confirmed to be
 // recent enough.
 func (c *call) checkFreshness() *result.Error {
-	proof := c.handler.options.Proof
+	proof := c.handler.options.Freshness
 	if proof == nil || proof.Limit() == 0 {
 		return nil
 	}
--- a/transport/relay/authorize_test.go
+++ b/transport/relay/authorize_test.go
@@ -24,8 +24,8 @@
 // keyDialect returns a fixed API key.
 type keyDialect struct{ plainDialect }
 
-func (keyDialect) Read(*http.Request) (relay.Facts, *result.Error) {
-	return relay.Facts{ID: "id", APIKey: "key"}, nil
+func (keyDialect) ReadRequest(*http.Request) (relay.RequestInfo, *result.Error) {
+	return relay.RequestInfo{ID: "id", APIKey: "key"}, nil
 }
 
 // unlimitedQuotas grants every permit.
@@ -52,7 +52,7 @@
 
 // keyFixture is a handler whose clients send an API key.
 type keyFixture struct {
-	tables    *routetable.InForce
+	tables    *routetable.ActiveTable
 	proof     *scriptedProof
 	exchanger *failingExchanger
 	handler   http.Handler
@@ -61,15 +61,15 @@
 
 func newKeyFixture(t *testing.T, kind routetable.Kind) *keyFixture {
 	t.Helper()
-	f := &keyFixture{tables: &routetable.InForce{}, proof: &scriptedProof{onCall: func(int) {}}, exchanger: &failingExchanger{afterAttempt: func() {}}}
+	f := &keyFixture{tables: &routetable.ActiveTable{}, proof: &scriptedProof{onCall: func(int) {}}, exchanger: &failingExchanger{afterAttempt: func() {}}}
 	f.install(t, kind, "key")
 	pool := backend.NewPool(backend.EjectionPolicy(), time.Now)
 	pool.Replace([]backend.Instance{{ID: "i-1", Service: "app"}, {ID: "i-2", Service: "app"}})
 	f.handler = relay.New(relay.Options{
-		Tables: f.tables, Backends: pool, Exchanger: f.exchanger, Dialect: keyDialect{}, Quotas: unlimitedQuotas{}, Proof: f.proof,
-		Certain: func() bool { return true }, Unready: func() bool { return false }, MaxInFlight: 10,
+		Tables: f.tables, Backends: pool, Upstream: f.exchanger, HeaderCodec: keyDialect{}, Quotas: unlimitedQuotas{}, Freshness: f.proof,
+		IsConfigurationNewest: func() bool { return true }, IsUnready: func() bool { return false }, MaxInFlight: 10,
 		Retries: limit.NewRetryBudget(relay.RetryPolicy(), time.Now()),
-		Metrics: relay.NewMetrics(prometheus.NewRegistry()), Logger: zap.NewNop(), Answered: zap.NewNop(), Now: time.Now,
+		Metrics: relay.NewMetrics(prometheus.NewRegistry()), Logger: zap.NewNop(), AccessLogger: zap.NewNop(), Now: time.Now,
 	})
 	return f
 }
@@ -160,10 +160,10 @@
 			core, lines := observer.New(zap.InfoLevel)
 			f := newKeyFixture(t, routetable.Safe)
 			f.handler = relay.New(relay.Options{
-				Tables: f.tables, Dialect: keyDialect{}, Certain: func() bool { return true }, MaxInFlight: 10,
-				TableAge: func() (time.Duration, bool) { return 2200 * time.Millisecond, c.known },
-				Unready:  func() bool { return false },
-				Metrics:  relay.NewMetrics(prometheus.NewRegistry()), Logger: zap.New(core), Answered: zap.NewNop(), Now: time.Now,
+				Tables: f.tables, HeaderCodec: keyDialect{}, IsConfigurationNewest: func() bool { return true }, MaxInFlight: 10,
+				ConfigurationAge: func() (time.Duration, bool) { return 2200 * time.Millisecond, c.known },
+				IsUnready:        func() bool { return false },
+				Metrics:          relay.NewMetrics(prometheus.NewRegistry()), Logger: zap.New(core), AccessLogger: zap.NewNop(), Now: time.Now,
 			})
 			request := httptest.NewRequest(http.MethodGet, "/x", nil)
 			request.Host = "unknown.example"
--- a/transport/relay/deadline_test.go
+++ b/transport/relay/deadline_test.go
@@ -23,11 +23,11 @@
 // plainDialect ignores all headers.
 type plainDialect struct{}
 
-func (plainDialect) Read(*http.Request) (relay.Facts, *result.Error) {
-	return relay.Facts{ID: "id"}, nil
+func (plainDialect) ReadRequest(*http.Request) (relay.RequestInfo, *result.Error) {
+	return relay.RequestInfo{ID: "id"}, nil
 }
-func (plainDialect) Write(http.Header, relay.Attempt)       {}
-func (plainDialect) Judge(*upstream.Answer) relay.Judgement { return relay.Proper }
+func (plainDialect) WriteAttempt(http.Header, relay.AttemptInfo)     {}
+func (plainDialect) Classify(*upstream.Response) relay.ResponseClass { return relay.ValidResponse }
 
 // failingExchanger fails and counts all attempts.
 type failingExchanger struct {
@@ -39,7 +39,7 @@
 	unready bool
 }
 
-func (e *failingExchanger) Do(context.Context, *upstream.Request) (*upstream.Answer, error) {
+func (e *failingExchanger) Do(context.Context, *upstream.Request) (*upstream.Response, error) {
 	e.attempts.Add(1)
 	e.afterAttempt()
 	if e.unsent {
@@ -59,17 +59,17 @@
 		}},
 	})
 	assert.NilError(t, err)
-	tables := &routetable.InForce{}
+	tables := &routetable.ActiveTable{}
 	tables.Install(table)
 	pool := backend.NewPool(backend.EjectionPolicy(), time.Now)
 	pool.Replace([]backend.Instance{{ID: "i-1", Service: "app"}, {ID: "i-2", Service: "app"}})
 	var passed atomic.Int64
 	exchanger.afterAttempt = func() { passed.Store(int64(time.Minute)) }
 	handler := relay.New(relay.Options{
-		Tables: tables, Backends: pool, Exchanger: exchanger, Dialect: plainDialect{},
-		Certain: func() bool { return true }, Unready: func() bool { return exchanger.unready }, MaxInFlight: 10,
+		Tables: tables, Backends: pool, Upstream: exchanger, HeaderCodec: plainDialect{},
+		IsConfigurationNewest: func() bool { return true }, IsUnready: func() bool { return exchanger.unready }, MaxInFlight: 10,
 		Retries: limit.NewRetryBudget(relay.RetryPolicy(), time.Now()),
-		Metrics: relay.NewMetrics(prometheus.NewRegistry()), Logger: zap.NewNop(), Answered: zap.NewNop(),
+		Metrics: relay.NewMetrics(prometheus.NewRegistry()), Logger: zap.NewNop(), AccessLogger: zap.NewNop(),
 		Now: func() time.Time { return time.Now().Add(time.Duration(passed.Load())) },
 	})
 	request := httptest.NewRequest(http.MethodGet, "/x", nil)
--- a/transport/relay/handler.go
+++ b/transport/relay/handler.go
@@ -17,36 +17,36 @@
 
 // Options configures a Handler.
 type Options struct {
-	Tables    *routetable.InForce
-	Backends  Backends
-	Exchanger Exchanger
-	Dialect   Dialect
-	Turns     Turns
-	Quotas    Quotas
-	// Certain tells whether the configuration in force is known to be the newest. Only then
+	Tables      *routetable.ActiveTable
+	Backends    Backends
+	Upstream    Upstream
+	HeaderCodec HeaderCodec
+	Turns       Turns
+	Quotas      Quotas
+	// IsConfigurationNewest tells whether the configuration in force is known to be the newest. Only then
 	// are the errors for a missing route and an unknown key permanent.
-	Certain func() bool
-	// TableAge is the time since the store confirmed the configuration in force, for the
+	IsConfigurationNewest func() bool
+	// ConfigurationAge is the time since the store confirmed the configuration in force, for the
 	// log; ok is false if it hasn't yet. It may be nil.
-	TableAge func() (age time.Duration, ok bool)
-	// Proof tells how recently the configuration in force was confirmed; nil if keys are
+	ConfigurationAge func() (age time.Duration, ok bool)
+	// Freshness tells how recently the configuration in force was confirmed; nil if keys are
 	// accepted at any age.
-	Proof Proof
-	// Unready tells that this gateway is stopping or can't serve turns. Each response then
+	Freshness ConfigurationFreshness
+	// IsUnready tells that this gateway is stopping or can't serve turns. Each response then
 	// closes its connection, so that the client's next request goes to another gateway.
-	Unready func() bool
+	IsUnready func() bool
 	// MaxInFlight is the maximum number of requests in flight.
 	MaxInFlight int64
-	// Gone is called for an instance whose address now belongs to another one.
-	Gone func(backend.Life)
+	// OnInstanceGone is called for an instance whose address now belongs to another one.
+	OnInstanceGone func(backend.Incarnation)
 	// Retries is the retry budget of all requests. See RetryPolicy.
 	Retries *limit.RetryBudget
 	Metrics *Metrics
 	// Logger logs each failed request and each retry, Answered each request with a complete
 	// response. Both should be rate limited.
-	Logger   *zap.Logger
-	Answered *zap.Logger
-	Now      func() time.Time
+	Logger       *zap.Logger
+	AccessLogger *zap.Logger
+	Now          func() time.Time
 }
 
 // Handler serves the clients of a gateway. It is safe for concurrent use.
@@ -104,14 +104,14 @@
 		return noConfiguration.errorf("no configuration yet")
 	}
 	c.routing.configVersion = table.Version()
-	if options.TableAge != nil {
-		c.routing.configAge, c.routing.configAgeKnown = options.TableAge()
+	if options.ConfigurationAge != nil {
+		c.routing.configAge, c.routing.configAgeKnown = options.ConfigurationAge()
 	}
 	limits := table.Limits()
 	if limits.HeaderBytes > 0 && headerBytes(c.request) > limits.HeaderBytes {
 		return result.Errorf(result.HeaderTooLarge, "the limit is %d bytes", limits.HeaderBytes)
 	}
-	facts, failure := options.Dialect.Read(c.request)
+	facts, failure := options.HeaderCodec.ReadRequest(c.request)
 	if failure != nil {
 		return failure
 	}
@@ -121,7 +121,7 @@
 	path, _, _ := strings.Cut(c.input.target, "?")
 	route, found := table.Match(c.request.Host, path)
 	if !found {
-		return missingRoute.toError(c.routing.configVersion, options.Certain())
+		return missingRoute.toError(c.routing.configVersion, options.IsConfigurationNewest())
 	}
 	c.setRoute(route)
 	c.routing.needsKey = table.NeedsKey(route)
--- a/transport/relay/run.go
+++ b/transport/relay/run.go
@@ -12,7 +12,7 @@
 
 // run tries instances until the response is delivered or the request is given up.
 func (c *call) run(ctx context.Context) {
-	c.handler.options.Retries.Attempted(c.routing.route.Name, c.handler.options.Now())
+	c.handler.options.Retries.RecordAttempt(c.routing.route.Name, c.handler.options.Now())
 	for {
 		choice, err := c.acquire()
 		if err != nil {
@@ -20,7 +20,7 @@
 			return
 		}
 		if failure := c.reauthorize(); failure != nil {
-			choice.Release(backend.Unjudged{})
+			choice.Release(backend.Inconclusive{})
 			c.finishRevoked(ctx, failure)
 			return
 		}
@@ -38,10 +38,10 @@
 }
 
 // acquire selects an instance that the request hasn't tried yet.
-func (c *call) acquire() (*backend.Choice, error) {
+func (c *call) acquire() (*backend.Assignment, error) {
 	return c.handler.options.Backends.Acquire(backend.Query{
-		Service: c.routing.route.Pick(backend.Draw(c.input.facts.Key)), Route: c.routing.route.Name,
-		Key: c.input.facts.Key, Tried: c.attempts.instances,
+		Service: c.routing.route.Pick(backend.KeyFraction(c.input.facts.AffinityKey)), Route: c.routing.route.Name,
+		Key: c.input.facts.AffinityKey, Tried: c.attempts.instances,
 	})
 }
 
@@ -63,7 +63,7 @@
 func (c *call) nextStep(last attemptResult) nextStep {
 	step := last.next()
 	retry, isRetry := step.(tryNextInstance)
-	if !isRetry || !retry.usesRetryBudget || c.handler.options.Retries.Retry(c.routing.route.Name, c.handler.options.Now()) {
+	if !isRetry || !retry.usesRetryBudget || c.handler.options.Retries.TryRetry(c.routing.route.Name, c.handler.options.Now()) {
 		return step
 	}
 	return last.giveUp()
@@ -90,7 +90,7 @@
 }
 
 // tryInstance makes one attempt and reports its result to the backend pool.
-func (c *call) tryInstance(ctx context.Context, choice *backend.Choice) (outcome, error) {
+func (c *call) tryInstance(ctx context.Context, choice *backend.Assignment) (outcome, error) {
 	c.attempts.instances = append(c.attempts.instances, choice.Instance.ID)
 	current := &attempt{choice: choice, started: c.handler.options.Now()}
 	ended, cause := c.exchange(ctx, current)
@@ -110,19 +110,19 @@
 
 // exchange sends the request to the instance and handles the response by its judgement.
 func (c *call) exchange(ctx context.Context, current *attempt) (outcome, error) {
-	backendResponse, err := c.handler.options.Exchanger.Do(ctx, c.upstreamRequest(current.choice))
+	backendResponse, err := c.handler.options.Upstream.Do(ctx, c.upstreamRequest(current.choice))
 	if err != nil {
 		return outcomeOfError(err), err
 	}
-	switch c.handler.options.Dialect.Judge(backendResponse) {
-	case Refused:
+	switch c.handler.options.HeaderCodec.Classify(backendResponse) {
+	case RefusedResponse:
 		drain(backendResponse)
 		return refused, errRefused
-	case Misdirected:
+	case MisdirectedResponse:
 		drain(backendResponse)
-		c.handler.options.Gone(current.choice.Instance.Life())
+		c.handler.options.OnInstanceGone(current.choice.Instance.Incarnation())
 		return unsent, errMisdirected
-	case Improper:
+	case InvalidResponse:
 		backendResponse.CloseBody()
 		return incomplete, errInvalidResponse
 	}
@@ -130,13 +130,13 @@
 }
 
 // upstreamRequest builds the request to the instance.
-func (c *call) upstreamRequest(choice *backend.Choice) *upstream.Request {
+func (c *call) upstreamRequest(choice *backend.Assignment) *upstream.Request {
 	header := copyEndToEnd(c.request.Header)
-	c.handler.options.Dialect.Write(header, Attempt{
+	c.handler.options.HeaderCodec.WriteAttempt(header, AttemptInfo{
 		ID: c.input.facts.ID, Tenant: c.tenantName(),
-		Remaining: c.timing.deadline.Sub(c.handler.options.Now()),
-		Instance:  choice.Instance.ID,
-		LastEvent: c.response.lastEventID,
+		Remaining:   c.timing.deadline.Sub(c.handler.options.Now()),
+		Instance:    choice.Instance.ID,
+		LastEventID: c.response.lastEventID,
 	})
 	return &upstream.Request{
 		Address: choice.Instance.Address, Instance: choice.Instance.ID, Started: choice.Instance.Started,
@@ -146,7 +146,7 @@
 }
 
 // logRetry logs and counts a retry at another instance.
-func (c *call) logRetry(choice *backend.Choice, ended outcome, cause error) {
+func (c *call) logRetry(choice *backend.Assignment, ended outcome, cause error) {
 	c.handler.options.Metrics.retries.Inc()
 	c.handler.options.Logger.Info("trying another back end",
 		zap.String("request", c.input.facts.ID), zap.String("route", c.routing.route.Name),
