--- a/state/result/answer.go
+++ b/state/result/answer.go
@@ -6,13 +6,11 @@
 	"time"
 )
 
-// Answer is the HTTP answer that tells a caller or an operator of an error. Who
-// writes it chooses the encoding of its body and the headers beside it.
+// Answer is the HTTP response that reports an error to a caller or operator. The
+// code that writes it chooses the encoding of the body and any other headers.
 type Answer struct {
-	// Status is the HTTP status.
 	Status int
-	// Body is the JSON body.
-	Body Body
+	Body   Body
 }
 
 // Body is the JSON form of an error.
@@ -27,12 +25,13 @@
 	Message   string    `json:"message"`
 	Execution Execution `json:"execution"`
 	Repeat    Repeat    `json:"repeat"`
-	// RetryAfterSeconds equals the header Retry-After; zero where none is set. A
-	// stream has no header for it once it has begun.
+	// RetryAfterSeconds has the value of the Retry-After header, or zero if there
+	// is none. Streams need it because an error after the first event can't set a
+	// header.
 	RetryAfterSeconds int64 `json:"retry_after_seconds,omitempty"`
 }
 
-// Detail describes the error without a pause before another try.
+// Detail describes the error, without a retry delay.
 func (e *Error) Detail() Detail {
 	info := e.Code.Info()
 	return Detail{
@@ -44,9 +43,9 @@
 	}
 }
 
-// Answer returns the HTTP answer for the error. It asks for the error's pause
-// before another try, or for the usual one where the error has none and its code
-// allows another try; a usual pause of zero asks for none.
+// Answer returns the HTTP response for the error. Its retry delay is that of the
+// error; an error without one gets the default delay if its code allows a retry.
+// A delay of zero sets no Retry-After.
 func (e *Error) Answer(usualPause time.Duration) Answer {
 	info := e.Code.Info()
 	pause := e.RetryAfter
@@ -58,21 +57,20 @@
 	return Answer{Status: info.HTTP, Body: Body{Error: detail}}
 }
 
-// wholeSeconds rounds up, so that a caller never returns too early.
+// wholeSeconds rounds up, so that a client never retries too early.
 func wholeSeconds(pause time.Duration) int64 {
 	return int64((pause + time.Second - 1) / time.Second)
 }
 
-// SetRetryAfter sets the header Retry-After (RFC 9110, section 10.2.3) unless
-// the answer asks for no pause.
+// SetRetryAfter sets the Retry-After header (RFC 9110, section 10.2.3) unless
+// the retry delay is zero.
 func (a Answer) SetRetryAfter(header http.Header) {
 	if seconds := a.Body.Error.RetryAfterSeconds; seconds > 0 {
 		header.Set("Retry-After", strconv.FormatInt(seconds, 10))
 	}
 }
 
-// Err returns the error that the detail describes, as a client of this program
-// reads it.
+// Err converts a detail that a client received back into an error.
 func (d Detail) Err() *Error {
 	return &Error{
 		Code:       d.Code,
--- a/state/result/answer_test.go
+++ b/state/result/answer_test.go
@@ -21,14 +21,14 @@
 		usual time.Duration
 		want  int64
 	}{
-		{"the error's", later.After(3 * time.Second), time.Second, 3},
+		{"delay of the error", later.After(3 * time.Second), time.Second, 3},
 		{"rounded up", later.After(time.Nanosecond), time.Second, 1},
-		{"a whole second isn't rounded", later.After(time.Second), 0, 1},
-		{"the usual one", later, 1200 * time.Millisecond, 2},
-		{"none is usual", later, 0, 0},
-		{"another try is of no use", never, time.Second, 0},
-		{"the error's, where another try is of no use", never.After(time.Second), 0, 1},
-		{"below zero", later.After(-time.Hour), time.Second, 1},
+		{"whole second is kept", later.After(time.Second), 0, 1},
+		{"default delay", later, 1200 * time.Millisecond, 2},
+		{"no default delay", later, 0, 0},
+		{"code allows no retry", never, time.Second, 0},
+		{"delay of the error, code allows no retry", never.After(time.Second), 0, 1},
+		{"negative delay", later.After(-time.Hour), time.Second, 1},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			answer := test.err.Answer(test.usual)
@@ -45,7 +45,7 @@
 	}
 }
 
-// TestErrorComesBackFromItsDetail follows an error to a client and back.
+// TestErrorComesBackFromItsDetail encodes an error as JSON and decodes it as a client does.
 func TestErrorComesBackFromItsDetail(t *testing.T) {
 	sent := result.Errorf(result.TenantLimit, "100%% of 40 calls").After(2 * time.Second)
 	encoded, err := json.Marshal(sent.Answer(time.Second).Body)
--- a/state/result/code.go
+++ b/state/result/code.go
@@ -1,9 +1,10 @@
 // Package result defines the numbered result codes that callers and operators
-// receive, and the HTTP answer that tells them of an error.
+// receive, and the HTTP response that reports an error.
 //
-// It owns the codes with their names, HTTP statuses and advice (a test holds
-// docs/RESULT-CODES.md to the same table) and the JSON form of an error. It
-// relies on the standard library alone, so that every layer may import it.
+// It holds the codes with their names, HTTP statuses and retry advice, and the
+// JSON form of an error. A test checks that docs/RESULT-CODES.md has the same
+// table. The package depends only on the standard library, so that every layer
+// can import it.
 package result
 
 import (
@@ -16,39 +17,38 @@
 
 // Code is a numbered result. The thousands digit gives the class:
 //
-//   - 1: the request is at fault;
+//   - 1: the request is invalid;
 //   - 2: the system can't serve the request now;
-//   - 3: the request was run, or may have been, and there is no whole answer;
-//   - 4: a command of an operator;
-//   - 5: a fault of this program.
+//   - 3: the request was or may have been run, and its response is incomplete;
+//   - 4: an operator command failed;
+//   - 5: an internal error.
 type Code uint32
 
 // Execution says whether the request was run.
 type Execution string
 
-// What a caller can be told about its request.
+// Values of Execution.
 const (
 	// Run means that the request was run.
 	Run Execution = "run"
-	// NotRun means that the request certainly wasn't run.
+	// NotRun means that the request was definitely not run.
 	NotRun Execution = "not run"
 	// Unknown means that the request may have been run.
 	Unknown Execution = "unknown"
 )
 
-// Repeat says whether asking again can help.
+// Repeat says whether and how a client may retry.
 type Repeat string
 
-// Advice on asking again.
+// Values of Repeat.
 const (
-	// RepeatNever means that asking again doesn't help: the same request will
-	// get the same answer.
+	// RepeatNever means that a retry is useless: the same request fails again.
 	RepeatNever Repeat = "never"
-	// RepeatLater means that the request may be sent again after Retry-After,
-	// under a new idempotency key: the old one stands for the refusal.
+	// RepeatLater means that the request may be retried after Retry-After with a
+	// new idempotency key; the old key keeps returning the refusal.
 	RepeatLater Repeat = "new key, after Retry-After"
-	// RepeatSameKey means that the same request, with the same idempotency key,
-	// finds out what became of it.
+	// RepeatSameKey means that a retry with the same idempotency key returns the
+	// outcome of the request.
 	RepeatSameKey Repeat = "same key, after Retry-After"
 )
 
@@ -113,11 +113,11 @@
 	Code Code
 	// Name is the code's name on the wire, in logs and in metrics.
 	Name string
-	// HTTP is the status of an answer with the code.
+	// HTTP is the HTTP status of responses with the code.
 	HTTP      int
 	Execution Execution
 	Repeat    Repeat
-	// Meaning is a sentence for docs/RESULT-CODES.md.
+	// Meaning is the description in docs/RESULT-CODES.md.
 	Meaning string
 }
 
@@ -182,7 +182,7 @@
 	return index
 }
 
-// Info returns the description of the code; that of Internal where Table doesn't
+// Info returns the description of the code, or that of Internal if Table doesn't
 // list the code.
 func (c Code) Info() Info {
 	info, found := byCode[c]
@@ -195,31 +195,30 @@
 // String returns the code's name.
 func (c Code) String() string { return c.Info().Name }
 
-// Error is a failure that a caller or operator is told of.
+// Error is a failure that is reported to a caller or operator.
 type Error struct {
 	Code Code
 	// Message is shown to whoever sent the request.
 	Message string
-	// RetryAfter is the pause before another try; zero where the error names
-	// none.
+	// RetryAfter is the delay before a retry, or zero if the error sets none.
 	RetryAfter time.Duration
 }
 
-// Errorf makes an error of the code.
+// Errorf returns an error with the code and a formatted message.
 func Errorf(code Code, format string, args ...any) *Error {
 	return &Error{Code: code, Message: fmt.Sprintf(format, args...)}
 }
 
-// After returns a copy of the error that asks for a pause before another try.
+// After returns a copy of the error with the retry delay.
 func (e *Error) After(pause time.Duration) *Error {
 	delayed := *e
 	delayed.RetryAfter = pause
 	return &delayed
 }
 
-// FromError returns what a caller or an operator is told of any error: the *Error
-// that it wraps; unresolved where a context ended, since the outcome is then open;
-// else Internal without the error's text, which stays in the log.
+// FromError converts any error into one that may be shown to a caller or operator:
+// the *Error that it wraps, unresolved if a context ended, since the outcome is then
+// unknown, or else Internal without the text of err, which may be confidential.
 func FromError(err error, unresolved *Error) *Error {
 	var failure *Error
 	if errors.As(err, &failure) {
@@ -231,7 +230,7 @@
 	return Errorf(Internal, "a fault of this program; the log has the details")
 }
 
-// Error gives code, name and message.
+// Error returns the code, its name and the message.
 func (e *Error) Error() string {
 	return fmt.Sprintf("%d %s: %s", e.Code, e.Code, e.Message)
 }
--- a/state/result/code_test.go
+++ b/state/result/code_test.go
@@ -18,7 +18,7 @@
 	"github.com/marblering/marblering/state/result"
 )
 
-// Markers around the table in the documentation.
+// Markers around the table in docs/RESULT-CODES.md.
 const (
 	documentPath = "../../docs/RESULT-CODES.md"
 	tableStart   = "<!-- table: start -->\n"
@@ -36,7 +36,7 @@
 	return table
 }
 
-// codeTable renders result.Table as the documentation must have it.
+// codeTable renders result.Table in the Markdown form of docs/RESULT-CODES.md.
 func codeTable() string {
 	var table strings.Builder
 	table.WriteString("| code | name | HTTP | request was | ask again | meaning |\n")
@@ -52,8 +52,8 @@
 	assert.Equal(t, documentedTable(t), codeTable())
 }
 
-// TestEveryConstantIsInTheTable reads the constants from the source, since a
-// code that the table lacks would be told to callers as an internal fault.
+// TestEveryConstantIsInTheTable reads the constants from the source. A code that
+// is missing from the table would be reported as an internal error.
 func TestEveryConstantIsInTheTable(t *testing.T) {
 	inTable := make(map[string]bool)
 	for _, info := range result.Table {
@@ -62,11 +62,11 @@
 	constants := codeConstants(t)
 	assert.Equal(t, len(constants), len(result.Table))
 	for _, name := range constants {
-		assert.Assert(t, inTable[strings.ToLower(name)], "%s isn't in the table under that name", name)
+		assert.Assert(t, inTable[strings.ToLower(name)], "constant %s has no table entry of the same name", name)
 	}
 }
 
-// constantName turns the name in the table into its constant's, in lower case.
+// constantName converts a name in the table to the lower-case name of its constant.
 func constantName(name string) string { return strings.ReplaceAll(name, "_", "") }
 
 // codeConstants returns the names of the constants of type Code.
@@ -88,24 +88,25 @@
 	return names
 }
 
-// TestTableIsConsistent checks each code against the rules of its columns.
+// TestTableIsConsistent checks the order, uniqueness and columns of the table.
 func TestTableIsConsistent(t *testing.T) {
 	names := make(map[string]bool)
 	previous := -1
 	for _, info := range result.Table {
 		label := fmt.Sprintf("%d %s", info.Code, info.Name)
-		assert.Assert(t, int(info.Code) > previous, "%s is out of order", label)
+		assert.Assert(t, int(info.Code) > previous, "%s is not in ascending order", label)
 		previous = int(info.Code)
-		assert.Assert(t, !names[info.Name], "%s has a name that is used twice", label)
+		assert.Assert(t, !names[info.Name], "%s has a duplicate name", label)
 		names[info.Name] = true
-		assert.Assert(t, http.StatusText(info.HTTP) != "", "%s has no HTTP status", label)
-		assert.Assert(t, strings.HasSuffix(info.Meaning, "."), "%s has no meaning", label)
+		assert.Assert(t, http.StatusText(info.HTTP) != "", "%s has an unknown HTTP status", label)
+		assert.Assert(t, strings.HasSuffix(info.Meaning, "."), "the meaning of %s isn't a sentence", label)
 		assert.Equal(t, info.Code == result.OK, info.HTTP < http.StatusBadRequest, label)
 		checkAdvice(t, label, info)
 	}
 }
 
-// checkAdvice makes sure that following the advice can't run a request twice.
+// checkAdvice checks that a client that follows the retry advice can't run a
+// request twice.
 func checkAdvice(t *testing.T, label string, info result.Info) {
 	t.Helper()
 	switch info.Execution {
@@ -114,9 +115,9 @@
 	case result.NotRun:
 		assert.Assert(t, info.Repeat != result.RepeatSameKey, label)
 	case result.Unknown:
-		assert.Assert(t, info.Repeat != result.RepeatLater, "%s: a new request could run a second time", label)
+		assert.Assert(t, info.Repeat != result.RepeatLater, "%s: a retry with a new key could run the request twice", label)
 	default:
-		t.Errorf("%s: %q isn't one of the three answers", label, info.Execution)
+		t.Errorf("%s: unknown execution %q", label, info.Execution)
 	}
 	class := info.Code / 1000
 	if class == 1 || class == 2 {
--- a/state/result/golden_test.go
+++ b/state/result/golden_test.go
@@ -13,8 +13,8 @@
 	"github.com/marblering/marblering/state/result"
 )
 
-// TestCodesStayAsTheyAre holds what callers and operators are told of each code
-// to testdata/codes.golden; go test ./state/result -update writes it.
+// TestCodesStayAsTheyAre guards the public result codes against accidental changes.
+// Run go test ./state/result -update to rewrite testdata/codes.golden.
 func TestCodesStayAsTheyAre(t *testing.T) {
 	var page strings.Builder
 	table := tabwriter.NewWriter(&page, 0, 0, 2, ' ', 0)
