--- a/coordination/record/record.go
+++ b/coordination/record/record.go
@@ -1,9 +1,8 @@
-// Package record keeps program trees in quorum registers: one register for each tree,
-// under the root program's id, in the shard that this id hashes to.
+// Package record stores program trees in quorum registers: one register for each tree,
+// with the root program's id as its key, in the shard that the id hashes to.
 //
-// It owns the encoding of a tree in its register and a small memory of trees seen
-// lately. It relies on coordination/register for agreement and on state/program for the
-// rules by which a tree changes.
+// It encodes the trees and caches recently used ones. coordination/register provides
+// consensus, and state/program the rules by which a tree changes.
 package record
 
 import (
@@ -17,13 +16,13 @@
 	"github.com/marblering/marblering/coordination/register"
 )
 
-// Register changes the value of a register by compare-and-swap;
-// register.Client is one.
+// Register changes the value of a register by compare-and-swap. register.Client
+// implements it.
 type Register interface {
 	Apply(ctx context.Context, shard uint32, key string, change register.Change) ([]byte, error)
 }
 
-// Locator says which shard a root program's record is in.
+// Locator returns the shard that holds the record of a root program.
 type Locator func(root string) uint32
 
 // Store reads and changes program trees. It is safe for concurrent use.
@@ -33,15 +32,15 @@
 	recent    *recentTrees
 }
 
-// NewStore makes a store that remembers up to recentLimit trees for Recent.
+// NewStore returns a store that caches up to recentLimit trees for Recent.
 func NewStore(registers Register, locate Locator, recentLimit int) *Store {
 	return &Store{registers: registers, locate: locate, recent: newRecentTrees(recentLimit)}
 }
 
-// Apply replaces the root's tree by the result of the change and returns it. The change
-// gets a copy of its own, nil where no tree exists, and may be called several times. If
-// it returns nil, the tree stays as it is. Errors are the change's own and those of
-// register.Client.
+// Apply replaces the root's tree with the result of change and returns the new tree.
+// change gets its own copy, or nil if no tree exists, and may be called several times.
+// If it returns nil, the tree is left unchanged. Apply returns the errors of change and
+// of the register.
 func (s *Store) Apply(ctx context.Context, root string, change func(*statev1.ProgramTree) (*statev1.ProgramTree, error)) (*statev1.ProgramTree, error) {
 	value, err := s.registers.Apply(ctx, s.locate(root), root, func(current []byte) ([]byte, error) {
 		return changeEncoded(root, current, change)
@@ -57,8 +56,8 @@
 	return tree, nil
 }
 
-// Recent returns the tree as this store saw it last, or nil. It may be out of date and
-// must not be modified.
+// Recent returns the cached tree, or nil. It may be out of date and must not be
+// modified.
 func (s *Store) Recent(root string) *statev1.ProgramTree { return s.recent.get(root) }
 
 func changeEncoded(root string, current []byte, change func(*statev1.ProgramTree) (*statev1.ProgramTree, error)) ([]byte, error) {
@@ -76,8 +75,8 @@
 	return encode(next)
 }
 
-// Decode reads the value of the root's register. It returns nil for a register that was
-// never written, and an error for the record of another root.
+// Decode decodes the value of the root's register. It returns nil for an empty register
+// and an error for the record of another root.
 func Decode(root string, value []byte) (*statev1.ProgramTree, error) {
 	if len(value) == 0 {
 		return nil, nil
@@ -92,7 +91,8 @@
 	return tree, nil
 }
 
-// encode is deterministic, so that the register recognises an unchanged tree as a read.
+// encode is deterministic, so that the register can treat a change that leaves the tree
+// as it is as a read.
 func encode(tree *statev1.ProgramTree) ([]byte, error) {
 	value, err := proto.MarshalOptions{Deterministic: true}.Marshal(tree)
 	if err != nil {
@@ -101,7 +101,7 @@
 	return value, nil
 }
 
-// recentTrees is a bounded map. When it is full, an arbitrary entry makes room.
+// recentTrees is a bounded cache that evicts an arbitrary entry when it is full.
 type recentTrees struct {
 	mutex sync.RWMutex
 	limit int
--- a/coordination/record/record_test.go
+++ b/coordination/record/record_test.go
@@ -14,7 +14,7 @@
 	"github.com/marblering/marblering/state/program"
 )
 
-// oneRegister stands for a replicated register of each key.
+// oneRegister is an in-memory replacement for replicated registers, by key.
 type oneRegister map[string][]byte
 
 func (r oneRegister) Apply(_ context.Context, _ uint32, key string, change register.Change) ([]byte, error) {
