--- a/coordination/archive/archive.go
+++ b/coordination/archive/archive.go
@@ -1,11 +1,11 @@
 // Package archive stores the turns of a program's history on a majority of a shard's
-// replicas and reads them back. A turn never changes and is named by its digest, so that
-// turns need no agreement: a turn that a record refers to was stored on a majority
-// before, and whoever reads a majority finds it.
+// replicas and reads them back. Turns are immutable and identified by their digest, so
+// they need no consensus: a turn is stored on a majority before a record refers to it,
+// and every read of a majority finds it.
 //
-// The package owns the requests to the replicas and their retries. It relies on
-// state/history for the form of turns and the check of a chain, on coordination/shard
-// for the replica sets and on a client of the replicas, which transport/peer has.
+// The package sends the requests to the replicas and retries them. state/history encodes
+// turns and verifies chains, coordination/shard supplies the replica sets and
+// transport/peer the client of the replicas.
 package archive
 
 import (
@@ -20,15 +20,15 @@
 	"github.com/marblering/marblering/state/replica"
 )
 
-// Errors of Archive. Match them with errors.Is.
+// Errors returned by Archive. Match them with errors.Is.
 var (
 	// ErrNoQuorum means that too few replicas answered.
 	ErrNoQuorum = merry.Sentinel("archive: too few replicas answered")
-	// ErrIncomplete means that a majority answered and holds no whole chain.
+	// ErrIncomplete means that a majority answered but turns of the chain are missing.
 	ErrIncomplete = merry.Sentinel("archive: the history has a gap")
 )
 
-// Reply is what a replica says beside its data.
+// Reply is the status part of a replica's response.
 type Reply struct {
 	// Refusal is register.RefusalNone where the request was carried out.
 	Refusal register.Refusal
@@ -36,21 +36,23 @@
 	View *register.View
 }
 
-// Replicas talks to the members of a replica set. peer.Client is one.
+// Replicas sends requests to the members of a replica set. peer.Client implements it.
 type Replicas interface {
-	// PutTurn returns once the turn has reached the member's medium.
+	// PutTurn returns after the member has stored the turn durably.
 	PutTurn(ctx context.Context, member register.Member, fence register.Fence, turn replica.Turn) (Reply, error)
-	// ReadTurns returns the program's turns from the sequence number on.
+	// ReadTurns returns the program's turns, starting at the sequence number from.
 	ReadTurns(ctx context.Context, member register.Member, fence register.Fence, program string, from uint64) ([]replica.Turn, Reply, error)
 }
 
-// Views gives the replica sets. shard.Map and the node's configuration make one.
+// Views supplies the replica sets of shards, from shard.Map and the node's
+// configuration.
 type Views interface {
-	// View returns the newest known replica set of the shard.
+	// View returns the newest known view of the shard.
 	View(shard uint32) (register.View, bool)
-	// Learn keeps the view if it is newer than the known one.
+	// Learn stores the view if it is newer than the known one.
 	Learn(view register.View)
-	// ConfigurationVersion is the version in force at this node.
+	// ConfigurationVersion returns the version of the configuration that this node
+	// uses.
 	ConfigurationVersion() uint64
 }
 
@@ -63,14 +65,14 @@
 	cache    *history.Cache
 }
 
-// New makes an archive that keeps assembled chains in the cache. Locate returns the
+// New returns an archive that caches assembled chains. The locate function returns the
 // shard of a root program.
 func New(replicas Replicas, views Views, locate func(root string) uint32, cache *history.Cache) *Archive {
 	return &Archive{replicas: replicas, views: views, locate: locate, cache: cache}
 }
 
-// Put stores the turn on a majority and returns its digest. On ErrNoQuorum the turn may
-// be stored all the same.
+// Put stores the turn on a majority and returns its digest. After ErrNoQuorum the turn
+// may still be stored on some replicas.
 func (a *Archive) Put(ctx context.Context, turn *statev1.Turn) ([]byte, error) {
 	object, digest, err := history.Encode(turn)
 	if err != nil {
@@ -87,7 +89,7 @@
 	return digest.Bytes(), nil
 }
 
-// extend adds the turn to the cached chain that it follows.
+// extend appends the turn to the cached chain of its predecessor, if there is one.
 func (a *Archive) extend(turn *statev1.Turn, digest history.Digest) {
 	chain, found := a.cache.Lookup(turn.GetProgram(), turn.GetPrevious())
 	if !found {
@@ -98,8 +100,8 @@
 	}
 }
 
-// Turn returns the turn of the program with the sequence number and the digest. It
-// returns ErrNoQuorum, ErrIncomplete or history.ErrCorrupt where it can't.
+// Turn returns the turn of the program with the sequence number and the digest. It fails
+// with ErrNoQuorum, ErrIncomplete or history.ErrCorrupt.
 func (a *Archive) Turn(ctx context.Context, id string, sequence uint64, digest []byte) (*statev1.Turn, error) {
 	if chain, found := a.cache.Lookup(id, digest); found && chain != nil {
 		return chain.Newest(), nil
@@ -114,7 +116,7 @@
 	}
 	index := indexOf(stored, wanted)
 	if index < 0 {
-		return nil, merry.Prependf(ErrIncomplete, "turn %d of program %q", sequence, id)
+		return nil, merry.Prependf(ErrIncomplete, "reading turn %d of program %q", sequence, id)
 	}
 	return history.Decode(stored[index].Object, wanted)
 }
@@ -123,8 +125,8 @@
 	return slices.IndexFunc(turns, func(turn replica.Turn) bool { return turn.Digest == digest })
 }
 
-// Chain returns the program's verified history up to the head, the digest of its newest
-// turn. It returns ErrNoQuorum or ErrIncomplete where it can't.
+// Chain returns the program's verified history up to head, the digest of its newest
+// turn. It fails with ErrNoQuorum or ErrIncomplete.
 func (a *Archive) Chain(ctx context.Context, id string, head []byte) (*history.Chain, error) {
 	if chain, found := a.cache.Lookup(id, head); found {
 		return chain, nil
--- a/coordination/archive/archive_test.go
+++ b/coordination/archive/archive_test.go
@@ -19,7 +19,7 @@
 
 var errDown = errors.New("member is down")
 
-// cluster is three members with a store each.
+// cluster simulates a shard of three members, each with a store in memory.
 type cluster struct {
 	mutex  sync.Mutex
 	stores map[string]replica.Store
@@ -96,7 +96,7 @@
 	return archive.New(c, c, func(string) uint32 { return 0 }, history.NewCache(1<<20))
 }
 
-// write stores a chain of turns and returns its head.
+// write stores a chain of turns and returns the digest of the newest one.
 func write(t *testing.T, a *archive.Archive, program string, turns int) []byte {
 	t.Helper()
 	var head []byte
@@ -112,8 +112,8 @@
 	return head
 }
 
-// settled waits until every member has the turns, also the one whose answer Put
-// didn't wait for.
+// settled waits until all members have the turns. Put returns once a majority has
+// them, while the last write may still be running.
 func (c *cluster) settled(t *testing.T, turns int) {
 	t.Helper()
 	for _, store := range c.stores {
@@ -153,7 +153,8 @@
 	c := newCluster()
 	head := write(t, c.archive(), "p-1", 3)
 	c.settled(t, 3)
-	// Stragglers have stored everything, so that the maps may be replaced. The middle turn is gone everywhere.
+	// Remove the middle turn from every member. No write is running any more, so the
+	// stores can be replaced.
 	for name, store := range c.stores {
 		kept := replica.NewMemory()
 		assert.NilError(t, store.EachTurn(0, func(turn replica.Turn) error {
--- a/coordination/archive/rounds.go
+++ b/coordination/archive/rounds.go
@@ -13,15 +13,14 @@
 )
 
 const (
-	// rounds bounds how often a request is sent: a replica that refuses may have named
-	// a newer view (chosen, not measured).
-	rounds = 4
-	// roundPause is the pause between rounds (chosen, not measured).
+	// rounds is the maximum number of attempts. A retry can succeed after a replica
+	// refuses a request and returns a newer view.
+	rounds     = 4
 	roundPause = 20 * time.Millisecond
 )
 
-// read collects the program's turns from one replica after another until enough says
-// that they suffice. If a majority answered and they don't suffice, there is a gap.
+// read collects the program's turns from one replica after another until enough returns
+// true. It returns ErrIncomplete if a majority answered without enough turns.
 func (a *Archive) read(ctx context.Context, id string, from uint64, enough func([]replica.Turn) bool) ([]replica.Turn, error) {
 	var lastErr error
 	for round := range rounds {
@@ -30,7 +29,7 @@
 			return result.found, nil
 		}
 		if result.answered >= result.needed {
-			return nil, merry.Prependf(ErrIncomplete, "program %q, %d turns from %d replicas", id, len(result.found), result.answered)
+			return nil, merry.Prependf(ErrIncomplete, "reading program %q: %d turns from %d replicas", id, len(result.found), result.answered)
 		}
 		lastErr = result.err
 		if round+1 < rounds && sleep.For(ctx, roundPause) != nil {
@@ -40,13 +39,13 @@
 	return nil, noQuorum(lastErr, "reading the history of program %q", id)
 }
 
-// readResult is what the replicas of one round answered.
+// readResult combines the responses of one round of reads.
 type readResult struct {
 	found []replica.Turn
-	// answered is how many replicas answered, needed how many are a majority.
+	// answered counts the replicas that answered; needed is the size of a majority.
 	answered int
 	needed   int
-	// err is the error of the replica that failed last.
+	// err is the last error of a replica.
 	err error
 }
 
@@ -54,7 +53,7 @@
 	shard := a.locate(program.RootOf(id))
 	view, known := a.views.View(shard)
 	if !known {
-		return readResult{needed: 1, err: merry.Errorf("no view of shard %d", shard)}
+		return readResult{needed: 1, err: merry.Errorf("the replica set of shard %d is unknown", shard)}
 	}
 	result := readResult{needed: view.Quorum()}
 	for _, member := range view.Members {
@@ -81,7 +80,7 @@
 	}
 }
 
-// checkReply learns the view that a reply names and makes a refusal an error.
+// checkReply stores the view that a reply contains and returns a refusal as an error.
 func (a *Archive) checkReply(reply Reply, err error) error {
 	if err != nil {
 		return err
@@ -90,22 +89,22 @@
 		a.views.Learn(*reply.View)
 	}
 	if reply.Refusal != register.RefusalNone {
-		return merry.Errorf("replica refused: %s", reply.Refusal)
+		return merry.Errorf("replica refused the request: %s", reply.Refusal)
 	}
 	return nil
 }
 
-// memberAction is one request to one member.
+// memberAction sends one request to one member.
 type memberAction func(ctx context.Context, member register.Member, fence register.Fence) (Reply, error)
 
-// onMajority repeats rounds of the action until a majority has granted it.
+// onMajority retries the action until it succeeds on a majority of the members.
 func (a *Archive) onMajority(ctx context.Context, id string, action memberAction) error {
 	var lastErr error
 	for round := range rounds {
 		shard := a.locate(program.RootOf(id))
 		view, known := a.views.View(shard)
 		if !known {
-			return noQuorum(merry.Errorf("no view of shard %d", shard), "program %q", id)
+			return noQuorum(merry.Errorf("the replica set of shard %d is unknown", shard), "program %q", id)
 		}
 		if lastErr = a.askAll(ctx, view, action); lastErr == nil {
 			return nil
@@ -117,8 +116,8 @@
 	return noQuorum(lastErr, "program %q", id)
 }
 
-// askAll runs the action at all members at once and returns as soon as a majority has
-// granted it, or so many have refused that none can.
+// askAll runs the action on all members concurrently. It returns as soon as a majority
+// has succeeded or so many have failed that no majority can.
 func (a *Archive) askAll(ctx context.Context, view register.View, action memberAction) error {
 	outcomes := make(chan error, len(view.Members))
 	for _, member := range view.Members {
@@ -148,7 +147,7 @@
 	}
 }
 
-// noQuorum returns ErrNoQuorum with its cause, which errors.Is finds as well.
+// noQuorum wraps the cause in ErrNoQuorum. errors.Is matches both.
 func noQuorum(cause error, format string, args ...any) error {
 	return merry.Wrap(ErrNoQuorum, merry.WithCause(cause), merry.AppendMessagef(format+": %v", append(args, cause)...))
 }
