--- a/coordination/admission/admission_test.go
+++ b/coordination/admission/admission_test.go
@@ -15,7 +15,7 @@
 
 var testTime = time.Unix(1_000_000, 0)
 
-// TestPointMatchesModel compares the admission point with a plain map.
+// TestPointMatchesModel compares the admission point with a model based on a map.
 func TestPointMatchesModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const capacity = 1000
@@ -61,7 +61,7 @@
 	assert.Equal(t, requests, 0)
 }
 
-func TestRefusedCallsComeBackOneAfterAnother(t *testing.T) {
+func TestRefusalsStaggerRetryAfter(t *testing.T) {
 	point := admission.NewPoint(time.Hour)
 	point.SetCapacity("e", admission.Capacity{MaxTokens: 1000, TokensPerSecond: 1000})
 	reserve := func(id string) admission.Verdict {
@@ -73,7 +73,7 @@
 	}
 }
 
-// nodeClient reaches the pool, or doesn't.
+// nodeClient is a Granter whose pool may be unreachable.
 type nodeClient struct {
 	pool    *admission.Pool
 	reached bool
@@ -87,9 +87,9 @@
 	return n.pool.Grant(name, needed, n.now), true
 }
 
-// TestSharesHoldTheBound drives nodes that sometimes lose their pool and
-// checks the documented bound over every window.
-func TestSharesHoldTheBound(t *testing.T) {
+// TestSharesStayWithinRateBound checks the bound documented at Pool over
+// every window, with one node that may be cut off from the pool.
+func TestSharesStayWithinRateBound(t *testing.T) {
 	const nodes, lifetime = 4, 2 * time.Second
 	rate := limit.Rate{TokensPerSecond: 100, Burst: 200}
 	rapid.Check(t, func(t *rapid.T) {
@@ -116,7 +116,7 @@
 			perSecond *= 1 + 1.0/nodes
 			burst *= 1 + 1.0/nodes
 		}
-		checkWindows(t, uses, perSecond, burst, lifetime)
+		checkRateBound(t, uses, perSecond, burst, lifetime)
 	})
 }
 
@@ -125,7 +125,7 @@
 	tokens float64
 }
 
-func checkWindows(t *rapid.T, uses []use, perSecond, burst float64, lifetime time.Duration) {
+func checkRateBound(t *rapid.T, uses []use, perSecond, burst float64, lifetime time.Duration) {
 	for first := range uses {
 		total := 0.0
 		for _, last := range uses[first:] {
@@ -136,7 +136,7 @@
 	}
 }
 
-func TestShareUsesTheWholeRateFromOneNode(t *testing.T) {
+func TestSingleNodeCanUseWholeRate(t *testing.T) {
 	rate := limit.Rate{TokensPerSecond: 100, Burst: 200}
 	pool := admission.NewPool(2 * time.Second)
 	pool.SetRate("tenant", rate, testTime)
@@ -148,11 +148,11 @@
 			used += 10
 		}
 	}
-	assert.Assert(t, used >= 900, "used %v of 1000", used)
+	assert.Assert(t, used >= 900, "used %v of 1000 tokens", used)
 }
 
-func TestShedderPrefersBegunProgramsAndSpreadsReturns(t *testing.T) {
-	shedder := admission.NewShedder(admission.ShedPolicy{MaxStretch: 2, MaxQueue: 10 * time.Second, MaxLine: 4 * time.Second, Away: time.Minute})
+func TestShedderPrefersRunningProgramsAndStaggersRetries(t *testing.T) {
+	shedder := admission.NewShedder(admission.ShedPolicy{MaxSlowdown: 2, MaxQueue: 10 * time.Second, MaxScheduledRetry: 4 * time.Second, BackoffRetryAfter: time.Minute})
 	random := rand.New(rand.NewPCG(1, 2))
 	demand := admission.Demand{Expected: 10 * time.Second, Unloaded: 4 * time.Second, Service: 4 * time.Second, Engines: 4}
 	pauses := []time.Duration{2 * time.Second, 3 * time.Second, 4 * time.Second, time.Minute, time.Minute}
--- a/coordination/admission/doc.go
+++ b/coordination/admission/doc.go
@@ -1,9 +1,9 @@
-// Package admission decides at the nodes of marblering serve which calls go on:
-// what an engine may have outstanding (Point), what a tenant may use over all
-// nodes (Pool hands out slices of its rate, Share spends them), and when a call
-// is refused before it queues (Shedder).
+// Package admission implements admission control, distributed rate limiting and
+// load shedding for the nodes of marblering serve. Point limits the outstanding
+// work of an engine. Pool hands out slices of a tenant's rate to all nodes, and
+// Share spends them. Shedder refuses calls before they queue.
 //
-// It owns these counts in memory and no I/O: which node counts for which engine
-// or tenant is decided by its user. Clock readings and random sources are passed
-// in. All types are safe for concurrent use.
+// All state is in memory, and the package does no I/O. The caller decides which
+// node is responsible for which engine or tenant, and passes in the time and the
+// random source. All types are safe for concurrent use.
 package admission
--- a/coordination/admission/point.go
+++ b/coordination/admission/point.go
@@ -5,63 +5,64 @@
 	"time"
 )
 
-// Capacity is what one engine may have outstanding.
+// Capacity limits the outstanding work of one engine.
 type Capacity struct {
-	// MaxTokens bounds prompt and output tokens together; zero sets no bound.
+	// MaxTokens limits the sum of prompt and output tokens; zero means no limit.
 	MaxTokens uint64
-	// MaxRequests bounds the number of requests; zero sets no bound.
+	// MaxRequests limits the number of requests; zero means no limit.
 	MaxRequests int
-	// TokensPerSecond is the engine's throughput, from which the pause given
-	// with a refusal is worked out.
+	// TokensPerSecond is the engine's throughput. It determines the retry delay
+	// of a refusal.
 	TokensPerSecond float64
 }
 
-// Reservation asks for room at an engine.
+// Reservation requests capacity of an engine for one request.
 type Reservation struct {
 	Engine       string
 	RequestID    string
 	PromptTokens uint64
 	OutputTokens uint64
-	// Deadline is when the request loses its use; zero for never.
+	// Deadline is the deadline of the request; the zero time means none.
 	Deadline time.Time
 }
 
-// Tokens is the room the reservation takes.
+// Tokens returns the sum of prompt and output tokens.
 func (r *Reservation) Tokens() uint64 { return r.PromptTokens + r.OutputTokens }
 
-// Verdict answers a reservation.
+// Verdict is the result of a reservation.
 type Verdict struct {
 	Admitted bool
-	// RetryAfter is when another try makes sense; zero if admitted.
+	// RetryAfter is the delay before a retry; zero if admitted.
 	RetryAfter time.Duration
-	// OutstandingTokens of the engine after the verdict.
+	// OutstandingTokens is the number of tokens that the engine has outstanding
+	// after the reservation.
 	OutstandingTokens uint64
 }
 
-// minRetryAfter is the shortest pause of a refusal. It keeps refused requests
-// from coming back in a tight loop. Chosen, not measured.
+// minRetryAfter is the minimum retry delay. It prevents refused requests from
+// retrying in a tight loop.
 const minRetryAfter = 20 * time.Millisecond
 
-// Point counts exactly what engines have outstanding. One node is the
-// admission point of an engine at a time, by rendezvous hash among live nodes.
-// That is a hint: two nodes that both act as the point admit at most twice the
-// capacity, and the engine's own queue absorbs it.
+// Point tracks the outstanding tokens and requests of engines. One node is the
+// admission point of an engine at a time, chosen by rendezvous hashing among the
+// live nodes. This isn't enforced: two nodes that both act as the point admit at
+// most twice the capacity, and the engine queues the rest.
 //
-// A reservation ends with Release or, where its node died, after the lifetime.
+// A reservation ends with Release or expires after the lifetime, for example if
+// the node that made it has crashed.
 type Point struct {
 	lifetime time.Duration
 
 	mutex   sync.Mutex
-	engines map[string]*admittedEngine
+	engines map[string]*engineState
 }
 
-type admittedEngine struct {
+type engineState struct {
 	capacity Capacity
 	tokens   uint64
 	requests map[string]admittedRequest
-	// refusedUntil is the latest time at which a refused request was told to
-	// come back.
-	refusedUntil time.Time
+	// lastRetry is the latest time at which a refused request was told to retry.
+	lastRetry time.Time
 }
 
 type admittedRequest struct {
@@ -69,32 +70,32 @@
 	expires time.Time
 }
 
-// NewPoint makes an admission point whose reservations lapse after the
+// NewPoint returns an admission point whose reservations expire after the
 // lifetime.
 func NewPoint(lifetime time.Duration) *Point {
-	return &Point{lifetime: lifetime, engines: make(map[string]*admittedEngine)}
+	return &Point{lifetime: lifetime, engines: make(map[string]*engineState)}
 }
 
-// SetCapacity sets what an engine may have outstanding.
+// SetCapacity sets the capacity of an engine.
 func (p *Point) SetCapacity(engine string, capacity Capacity) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.open(engine).capacity = capacity
+	p.getOrCreate(engine).capacity = capacity
 }
 
-// Reserve takes room for a request or refuses it. A repeat of a request that
-// was admitted is admitted again and takes no more room. An engine that has
-// nothing outstanding admits any one request.
+// Reserve reserves capacity for a request or refuses it. It is idempotent: a
+// repeated request that is already admitted takes no more capacity. An idle
+// engine admits any request, even one that exceeds its capacity.
 func (p *Point) Reserve(reservation Reservation, now time.Time) Verdict {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	engine := p.open(reservation.Engine)
+	engine := p.getOrCreate(reservation.Engine)
 	engine.expire(now)
 	if _, repeated := engine.requests[reservation.RequestID]; repeated {
 		return Verdict{Admitted: true, OutstandingTokens: engine.tokens}
 	}
-	if wait := engine.wait(&reservation, now); wait > 0 {
-		return Verdict{RetryAfter: wait, OutstandingTokens: engine.tokens}
+	if delay := engine.retryAfter(&reservation, now); delay > 0 {
+		return Verdict{RetryAfter: delay, OutstandingTokens: engine.tokens}
 	}
 	engine.tokens += reservation.Tokens()
 	engine.requests[reservation.RequestID] = admittedRequest{
@@ -104,7 +105,7 @@
 	return Verdict{Admitted: true, OutstandingTokens: engine.tokens}
 }
 
-// Release gives the room of a request back. Releasing twice changes nothing.
+// Release returns the capacity that a request has reserved. It is idempotent.
 func (p *Point) Release(engine, requestID string) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -112,10 +113,10 @@
 	if !known {
 		return
 	}
-	admitted.drop(requestID)
+	admitted.remove(requestID)
 }
 
-// Outstanding returns the tokens and requests an engine has outstanding.
+// Outstanding returns the outstanding tokens and requests of an engine.
 func (p *Point) Outstanding(engine string, now time.Time) (tokens uint64, requests int) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -127,23 +128,23 @@
 	return admitted.tokens, len(admitted.requests)
 }
 
-// Forget drops an engine that this node is no longer the admission point of.
+// Forget removes an engine for which this node is no longer the admission point.
 func (p *Point) Forget(engine string) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	delete(p.engines, engine)
 }
 
-func (p *Point) open(engine string) *admittedEngine {
-	opened, known := p.engines[engine]
+func (p *Point) getOrCreate(engine string) *engineState {
+	state, known := p.engines[engine]
 	if !known {
-		opened = &admittedEngine{requests: make(map[string]admittedRequest)}
-		p.engines[engine] = opened
+		state = &engineState{requests: make(map[string]admittedRequest)}
+		p.engines[engine] = state
 	}
-	return opened
+	return state
 }
 
-// expiry is the end of the lifetime, or of the deadline where that is sooner.
+// expiry returns the end of the lifetime or the deadline, whichever is earlier.
 func (p *Point) expiry(reservation *Reservation, now time.Time) time.Time {
 	end := now.Add(p.lifetime)
 	if !reservation.Deadline.IsZero() && reservation.Deadline.Before(end) {
@@ -152,28 +153,28 @@
 	return end
 }
 
-// wait is zero where the reservation fits. Else it is the time after which the
-// engine has computed the excess, after those who were refused before.
-func (e *admittedEngine) wait(reservation *Reservation, now time.Time) time.Duration {
+// retryAfter returns zero if the reservation fits, or else the time that the engine
+// needs to process the excess tokens. Requests that were refused before go first.
+func (e *engineState) retryAfter(reservation *Reservation, now time.Time) time.Duration {
 	if len(e.requests) == 0 {
 		return 0
 	}
-	excess := e.excess(reservation)
+	excess := e.excessTokens(reservation)
 	if excess == 0 {
 		return 0
 	}
 	speed := max(e.capacity.TokensPerSecond, 1)
-	pause := time.Duration(float64(excess) / speed * float64(time.Second))
+	delay := time.Duration(float64(excess) / speed * float64(time.Second))
 	start := now
-	if e.refusedUntil.After(now) {
-		start = e.refusedUntil
-		pause = time.Duration(float64(reservation.Tokens()) / speed * float64(time.Second))
+	if e.lastRetry.After(now) {
+		start = e.lastRetry
+		delay = time.Duration(float64(reservation.Tokens()) / speed * float64(time.Second))
 	}
-	e.refusedUntil = start.Add(pause)
-	return max(e.refusedUntil.Sub(now), minRetryAfter)
+	e.lastRetry = start.Add(delay)
+	return max(e.lastRetry.Sub(now), minRetryAfter)
 }
 
-func (e *admittedEngine) excess(reservation *Reservation) uint64 {
+func (e *engineState) excessTokens(reservation *Reservation) uint64 {
 	var excess uint64
 	wanted := e.tokens + reservation.Tokens()
 	if limit := e.capacity.MaxTokens; limit > 0 && wanted > limit {
@@ -185,15 +186,15 @@
 	return excess
 }
 
-func (e *admittedEngine) drop(requestID string) {
+func (e *engineState) remove(requestID string) {
 	e.tokens -= e.requests[requestID].tokens
 	delete(e.requests, requestID)
 }
 
-func (e *admittedEngine) expire(now time.Time) {
+func (e *engineState) expire(now time.Time) {
 	for requestID, request := range e.requests {
 		if request.expires.Before(now) {
-			e.drop(requestID)
+			e.remove(requestID)
 		}
 	}
 }
--- a/coordination/admission/pool.go
+++ b/coordination/admission/pool.go
@@ -7,31 +7,32 @@
 	"github.com/marblering/marblering/coordination/limit"
 )
 
-// sliceFraction is the divisor of the burst that one grant adds at most to what
-// was asked for. Chosen, not measured: eight nodes can hold a slice at once.
-const sliceFraction = 8
+// slicesPerBurst limits the tokens that a grant adds to the requested ones to a
+// fraction of the burst, so that this many nodes can hold a slice at once.
+const slicesPerBurst = 8
 
 // Slice is the part of a rate that one node may use until it expires.
 type Slice struct {
 	Tokens  float64
 	Expires time.Time
-	// RetryAfter is the pause after which to ask again; zero where tokens were
-	// granted.
+	// RetryAfter is the delay before a retry; zero if tokens were granted.
 	RetryAfter time.Duration
 }
 
 // Pool hands out slices of rates to the nodes that use them. One node is the
-// pool of a tenant at a time, by rendezvous hash among live nodes.
+// pool of a tenant at a time, chosen by rendezvous hashing among the live nodes.
 //
-// Bound: a slice is taken from the bucket when it is granted and expires after
-// the lifetime T. So in any window of w seconds all nodes together use at most
-// rate*(w+T) + burst. A pool that takes over starts empty, so a move adds
-// nothing to this. Pools on the two sides of a cut each grant only the
-// fraction of configured nodes that they see, so disjoint sides stay within
-// the same bound; until the cut is noticed only one pool can be reached by
-// each node, and what that adds is at most rate times the time of detection.
-// Nodes that reach no pool use Share's fallback, which adds at most rate *
-// (nodes that fell back) / (nodes configured).
+// A slice is taken from the token bucket when it is granted and expires after
+// the lifetime T. In any window of w seconds all nodes together therefore use
+// at most rate*(w+T) + burst. The bucket of a new pool starts empty, so moving
+// a pool to another node adds nothing to this bound.
+//
+// In a network partition each pool grants only the fraction of the rate that
+// corresponds to the fraction of configured nodes that it sees, so disjoint
+// partitions stay within the same bound. Until the partition is detected, each
+// node reaches only one pool, which adds at most rate times the detection time.
+// Nodes that reach no pool use the fallback of Share, which adds at most
+// rate * (nodes in fallback) / (configured nodes).
 type Pool struct {
 	lifetime time.Duration
 
@@ -45,13 +46,13 @@
 	bucket limit.Bucket
 }
 
-// NewPool makes a pool whose slices expire after the lifetime.
+// NewPool returns a pool whose slices expire after the lifetime.
 func NewPool(lifetime time.Duration) *Pool {
 	return &Pool{lifetime: lifetime, fraction: 1, buckets: make(map[string]*pooledRate)}
 }
 
-// SetRate sets the rate of a name, a tenant or program. A name that is new
-// starts with an empty bucket.
+// SetRate sets the rate of a name, which is a tenant or program. A new name starts
+// with an empty bucket.
 func (p *Pool) SetRate(name string, rate limit.Rate, now time.Time) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -61,28 +62,29 @@
 		p.buckets[name] = pooled
 	}
 	pooled.rate = rate
-	pooled.apply(p.fraction, now)
+	pooled.updateBucket(p.fraction, now)
 }
 
-// SetVisible sets how many of the configured nodes this pool sees.
+// SetVisible sets how many of the configured nodes are visible to this pool.
 func (p *Pool) SetVisible(visible, configured int, now time.Time) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.fraction = min(float64(visible)/float64(max(configured, 1)), 1)
 	for _, pooled := range p.buckets {
-		pooled.apply(p.fraction, now)
+		pooled.updateBucket(p.fraction, now)
 	}
 }
 
-// Forget drops a name that this node is no longer the pool of.
+// Forget removes a name for which this node is no longer the pool.
 func (p *Pool) Forget(name string) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	delete(p.buckets, name)
 }
 
-// Grant gives a slice of at least the needed tokens, and some more so that a
-// node needn't ask for every call. A name without a rate isn't limited.
+// Grant returns a slice with the needed tokens and some more, so that a node
+// doesn't have to request a slice for every call. A name without a rate is
+// unlimited.
 func (p *Pool) Grant(name string, needed float64, now time.Time) Slice {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -94,10 +96,10 @@
 	if !pooled.bucket.Take(needed, now) {
 		return Slice{RetryAfter: max(pooled.bucket.Wait(needed, now), minRetryAfter)}
 	}
-	more := pooled.bucket.TakeUpTo(pooled.rate.Burst/sliceFraction, now)
+	more := pooled.bucket.TakeUpTo(pooled.rate.Burst/slicesPerBurst, now)
 	return Slice{Tokens: needed + more, Expires: expires}
 }
 
-func (r *pooledRate) apply(fraction float64, now time.Time) {
+func (r *pooledRate) updateBucket(fraction float64, now time.Time) {
 	r.bucket.SetRate(r.rate.TokensPerSecond*fraction, r.rate.Burst*fraction, now)
 }
--- a/coordination/admission/share.go
+++ b/coordination/admission/share.go
@@ -7,33 +7,33 @@
 	"github.com/marblering/marblering/coordination/limit"
 )
 
-// Granter asks the pool of a name for a slice. It returns false where no pool
+// Granter requests slices from the pool of a name. Grant returns false if no pool
 // can be reached.
 type Granter interface {
 	Grant(name string, needed float64) (Slice, bool)
 }
 
-// Share is a node's side of the rates: it spends slices and asks for new ones.
+// Share enforces the rates at one node: it spends slices and requests new ones.
 type Share struct {
 	configured int
 
 	mutex sync.Mutex
-	names map[string]*share
+	names map[string]*nameShare
 }
 
-type share struct {
+type nameShare struct {
 	slice    Slice
 	fallback limit.Bucket
 }
 
-// NewShare makes a share of one of the configured nodes.
+// NewShare returns the share of one node out of the configured number of nodes.
 func NewShare(configuredNodes int) *Share {
-	return &Share{configured: max(configuredNodes, 1), names: make(map[string]*share)}
+	return &Share{configured: max(configuredNodes, 1), names: make(map[string]*nameShare)}
 }
 
-// Use spends tokens of a name's rate. It returns zero where they were spent,
-// else the pause after which another try makes sense. The rate is needed for
-// the fallback: where no pool is reached, the node spends its equal part.
+// Use spends tokens of a name's rate. It returns zero if they were spent, or else
+// the delay before a retry. If no pool can be reached, the node falls back to an
+// equal part of the rate.
 func (s *Share) Use(name string, rate limit.Rate, tokens float64, granter Granter, now time.Time) time.Duration {
 	if s.spend(name, rate, tokens, now) {
 		return 0
@@ -41,43 +41,43 @@
 	slice, reached := granter.Grant(name, tokens)
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	own := s.open(name, rate, now)
+	share := s.getOrCreate(name, rate, now)
 	if !reached {
-		return own.fallBack(tokens, now)
+		return share.spendFallback(tokens, now)
 	}
 	if slice.Tokens < tokens {
 		return max(slice.RetryAfter, minRetryAfter)
 	}
-	own.add(slice, now)
-	own.slice.Tokens -= tokens
+	share.merge(slice, now)
+	share.slice.Tokens -= tokens
 	return 0
 }
 
 func (s *Share) spend(name string, rate limit.Rate, tokens float64, now time.Time) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	own := s.open(name, rate, now)
-	if now.After(own.slice.Expires) || own.slice.Tokens < tokens {
+	share := s.getOrCreate(name, rate, now)
+	if now.After(share.slice.Expires) || share.slice.Tokens < tokens {
 		return false
 	}
-	own.slice.Tokens -= tokens
+	share.slice.Tokens -= tokens
 	return true
 }
 
-func (s *Share) open(name string, rate limit.Rate, now time.Time) *share {
-	own, known := s.names[name]
-	part := float64(s.configured)
+func (s *Share) getOrCreate(name string, rate limit.Rate, now time.Time) *nameShare {
+	share, known := s.names[name]
+	nodes := float64(s.configured)
 	if !known {
-		own = &share{fallback: limit.NewBucket(rate.TokensPerSecond/part, rate.Burst/part, now)}
-		s.names[name] = own
+		share = &nameShare{fallback: limit.NewBucket(rate.TokensPerSecond/nodes, rate.Burst/nodes, now)}
+		s.names[name] = share
 	}
-	own.fallback.SetRate(rate.TokensPerSecond/part, rate.Burst/part, now)
-	return own
+	share.fallback.SetRate(rate.TokensPerSecond/nodes, rate.Burst/nodes, now)
+	return share
 }
 
-// add joins a new slice to what is left. The sooner expiry counts for both, so
-// that joining never lengthens a slice's life.
-func (s *share) add(slice Slice, now time.Time) {
+// merge adds a new slice to the remaining one. The earlier expiry applies to both,
+// so that merging never extends the lifetime of a slice.
+func (s *nameShare) merge(slice Slice, now time.Time) {
 	if now.After(s.slice.Expires) || s.slice.Tokens <= 0 {
 		s.slice = slice
 		return
@@ -88,7 +88,7 @@
 	}
 }
 
-func (s *share) fallBack(tokens float64, now time.Time) time.Duration {
+func (s *nameShare) spendFallback(tokens float64, now time.Time) time.Duration {
 	if s.fallback.Take(tokens, now) {
 		return 0
 	}
--- a/coordination/admission/shed.go
+++ b/coordination/admission/shed.go
@@ -6,110 +6,112 @@
 	"time"
 )
 
-// ShedPolicy says when calls are shed.
+// ShedPolicy configures load shedding.
 type ShedPolicy struct {
-	// MaxStretch is the expected time of a call, as a multiple of its time on
-	// idle engines, above which a call that starts a new program is shed.
-	// Programs that have begun go on: shedding them would throw away what they
-	// have computed.
-	MaxStretch float64
-	// MaxMemory is the share of the engines' context memory in use above which
-	// such a call is shed too: contexts grow, and once those of paused programs
-	// are evicted everything is computed again.
-	MaxMemory float64
-	// MaxQueueNew is the expected queueing above which such a call is shed, and
-	// MaxQueue that above which every call is.
+	// MaxSlowdown is the maximum ratio of the expected duration of a call to its
+	// duration on idle engines. Above it, calls that start a new program are
+	// shed. Running programs continue, since shedding them would waste the work
+	// already done.
+	MaxSlowdown float64
+	// MaxMemoryUse is the fraction of the engines' context memory in use above
+	// which calls that start a new program are shed. Contexts grow, and those of
+	// paused programs must be recomputed after eviction.
+	MaxMemoryUse float64
+	// MaxQueueNew is the expected queueing time above which calls that start a new
+	// program are shed; above MaxQueue all calls are shed.
 	MaxQueueNew time.Duration
 	MaxQueue    time.Duration
-	// MaxLine is the longest pause given to calls that are to come back in turn;
-	// where the usual time of a program is known, LineShare of it is. Beyond it
-	// they are sent away for Away, so that callers who can't wait that long stop
-	// asking and those in line find room.
-	MaxLine   time.Duration
-	LineShare float64
-	Away      time.Duration
-	// Spread is the relative jitter of the pauses given.
-	Spread float64
+	// MaxScheduledRetry is the longest retry delay that is scheduled in order of
+	// refusal. If the usual duration of a program is known, the limit is
+	// MaxRetryAfterFraction of it instead. Calls that would exceed the limit get
+	// BackoffRetryAfter, so that callers that can't wait stop retrying and leave
+	// capacity to the others.
+	MaxScheduledRetry         time.Duration
+	MaxScheduledRetryFraction float64
+	BackoffRetryAfter         time.Duration
+	// Jitter is the maximum relative increase of a retry delay.
+	Jitter float64
 }
 
-// DefaultShedPolicy admits programs while calls take at most four times as
-// long as on idle engines.
+// DefaultShedPolicy returns a policy that admits new programs while calls take at
+// most four times as long as on idle engines.
 func DefaultShedPolicy() ShedPolicy {
 	return ShedPolicy{
-		MaxStretch:  4,
-		MaxMemory:   0.96,
-		MaxQueueNew: 10 * time.Second,
-		MaxQueue:    30 * time.Second,
-		MaxLine:     5 * time.Second,
-		LineShare:   0.1,
-		Away:        time.Minute,
-		Spread:      0.2,
+		MaxSlowdown:               4,
+		MaxMemoryUse:              0.96,
+		MaxQueueNew:               10 * time.Second,
+		MaxQueue:                  30 * time.Second,
+		MaxScheduledRetry:         5 * time.Second,
+		MaxScheduledRetryFraction: 0.1,
+		BackoffRetryAfter:         time.Minute,
+		Jitter:                    0.2,
 	}
 }
 
-// memoryPause is the pause of the first in line for memory. When memory is
-// freed depends on users and tools, so nothing better is known.
-const memoryPause = time.Second
+// memoryRetryAfter is the minimum retry delay if memory is short. When memory is
+// freed depends on users and tools and can't be predicted.
+const memoryRetryAfter = time.Second
 
-// Demand is a call that asks to be let in.
+// Demand describes a call for which admission is requested.
 type Demand struct {
-	// Begun is set where the program was served before.
+	// Begun is true if earlier calls of the program were served.
 	Begun bool
-	// ExpectedQueue is the shortest expected wait over the engines.
+	// ExpectedQueue is the shortest expected queueing time of the engines.
 	ExpectedQueue time.Duration
-	// Service is the engine time the call needs.
+	// Service is the engine time that the call needs.
 	Service time.Duration
-	// Expected is the time of the call as things are, Unloaded that on idle
-	// engines; zero where these aren't known.
+	// Expected is the duration of the call at the current load, and Unloaded that
+	// on idle engines; zero if unknown.
 	Expected time.Duration
 	Unloaded time.Duration
-	// MemoryUse is the share of the engines' context memory in use.
+	// MemoryUse is the fraction of the engines' context memory in use.
 	MemoryUse float64
-	// Left is the time until the program's caller gives up, Usual the time that
-	// such programs usually take; zero where these aren't known. A new program
-	// that has less left is shed.
+	// Left is the time until the program's caller gives up, and Usual the usual
+	// duration of such programs; zero if unknown. A new program is shed if Left is
+	// shorter than Usual.
 	Left  time.Duration
 	Usual time.Duration
-	// Engines that can serve it.
+	// Engines is the number of engines that can serve the call.
 	Engines int
 }
 
-// Shedder refuses calls before they queue. Its pauses are honest: a refused
-// call is given the time at which the excess and all calls refused before it
-// will have been served, so that not all come back at once.
+// Shedder refuses calls before they queue. The retry delay of a refused call is
+// the time in which the excess load and all calls refused before it are expected
+// to be served, so that retries are spread over time.
 type Shedder struct {
 	policy ShedPolicy
 
-	mutex    sync.Mutex
-	promised time.Time
+	mutex     sync.Mutex
+	nextRetry time.Time
 }
 
-// NewShedder makes a shedder.
+// NewShedder returns a shedder with the policy.
 func NewShedder(policy ShedPolicy) *Shedder {
 	return &Shedder{policy: policy}
 }
 
-// Admit returns zero where the call may go on, else the pause after which
-// another try makes sense.
+// Admit returns zero if the call is admitted, or else the delay before a retry.
 func (s *Shedder) Admit(demand Demand, random *rand.Rand, now time.Time) time.Duration {
 	excess := s.excess(&demand)
-	if demand.tooLate() {
-		return max(s.policy.Away, demand.Left, minRetryAfter)
+	if demand.missesDeadline() {
+		return max(s.policy.BackoffRetryAfter, demand.Left, minRetryAfter)
 	}
 	if excess <= 0 {
 		return 0
 	}
-	pause := s.promise(&demand, excess, now)
-	jitter := 1 + s.policy.Spread*random.Float64()
-	return max(time.Duration(float64(pause)*jitter), minRetryAfter)
+	delay := s.scheduleRetry(&demand, excess, now)
+	jitter := 1 + s.policy.Jitter*random.Float64()
+	return max(time.Duration(float64(delay)*jitter), minRetryAfter)
 }
 
-// tooLate says whether a new program would be given up before it ends.
-func (d *Demand) tooLate() bool {
+// missesDeadline reports whether the caller of a new program would give up before
+// the program ends.
+func (d *Demand) missesDeadline() bool {
 	return !d.Begun && d.Left > 0 && d.Left < d.Usual
 }
 
-// excess is by how much the expected times exceed their limits.
+// excess returns the largest amount by which an expected time exceeds its limit,
+// or memoryRetryAfter if memory is short and that is longer.
 func (s *Shedder) excess(demand *Demand) time.Duration {
 	var excess time.Duration
 	if s.policy.MaxQueue > 0 {
@@ -121,35 +123,35 @@
 	if s.policy.MaxQueueNew > 0 {
 		excess = max(excess, demand.ExpectedQueue-s.policy.MaxQueueNew)
 	}
-	if s.policy.MaxMemory > 0 && demand.MemoryUse > s.policy.MaxMemory {
-		excess = max(excess, memoryPause)
+	if s.policy.MaxMemoryUse > 0 && demand.MemoryUse > s.policy.MaxMemoryUse {
+		excess = max(excess, memoryRetryAfter)
 	}
-	if s.policy.MaxStretch > 0 && demand.Unloaded > 0 {
-		longest := time.Duration(s.policy.MaxStretch * float64(demand.Unloaded))
+	if s.policy.MaxSlowdown > 0 && demand.Unloaded > 0 {
+		longest := time.Duration(s.policy.MaxSlowdown * float64(demand.Unloaded))
 		excess = max(excess, demand.Expected-longest)
 	}
 	return excess
 }
 
-// promise gives the next place in the line of refused calls.
-func (s *Shedder) promise(demand *Demand, excess time.Duration, now time.Time) time.Duration {
+// scheduleRetry returns a retry delay after those of the calls refused before.
+func (s *Shedder) scheduleRetry(demand *Demand, excess time.Duration, now time.Time) time.Duration {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	earliest := now.Add(excess)
-	if s.promised.Before(earliest) {
-		s.promised = earliest
+	if s.nextRetry.Before(earliest) {
+		s.nextRetry = earliest
 	}
-	pause := s.promised.Sub(now)
-	if longest := s.longestLine(demand); longest > 0 && pause > longest {
-		return max(pause, s.policy.Away)
+	delay := s.nextRetry.Sub(now)
+	if longest := s.maxScheduledRetry(demand); longest > 0 && delay > longest {
+		return max(delay, s.policy.BackoffRetryAfter)
 	}
-	s.promised = s.promised.Add(demand.Service / time.Duration(max(demand.Engines, 1)))
-	return pause
+	s.nextRetry = s.nextRetry.Add(demand.Service / time.Duration(max(demand.Engines, 1)))
+	return delay
 }
 
-func (s *Shedder) longestLine(demand *Demand) time.Duration {
-	if s.policy.LineShare > 0 && demand.Usual > 0 {
-		return time.Duration(s.policy.LineShare * float64(demand.Usual))
+func (s *Shedder) maxScheduledRetry(demand *Demand) time.Duration {
+	if s.policy.MaxScheduledRetryFraction > 0 && demand.Usual > 0 {
+		return time.Duration(s.policy.MaxScheduledRetryFraction * float64(demand.Usual))
 	}
-	return s.policy.MaxLine
+	return s.policy.MaxScheduledRetry
 }
