--- a/coordination/archive/archive.go
+++ b/coordination/archive/archive.go
@@ -79,18 +79,18 @@
 		return nil, err
 	}
 	stored := replica.Turn{Program: turn.GetProgram(), Sequence: turn.GetSequence(), Digest: digest, Object: object}
-	err = a.onMajority(ctx, turn.GetProgram(), func(ctx context.Context, member register.Member, fence register.Fence) (Reply, error) {
+	err = a.runOnMajority(ctx, turn.GetProgram(), func(ctx context.Context, member register.Member, fence register.Fence) (Reply, error) {
 		return a.replicas.PutTurn(ctx, member, fence, stored)
 	})
 	if err != nil {
 		return nil, merry.Prependf(err, "storing turn %d of program %q", turn.GetSequence(), turn.GetProgram())
 	}
-	a.extend(turn, digest)
+	a.extendCached(turn, digest)
 	return digest.Bytes(), nil
 }
 
-// extend appends the turn to the cached chain of its predecessor, if there is one.
-func (a *Archive) extend(turn *statev1.Turn, digest history.Digest) {
+// extendCached appends the turn to the cached chain of its predecessor, if there is one.
+func (a *Archive) extendCached(turn *statev1.Turn, digest history.Digest) {
 	chain, found := a.cache.Lookup(turn.GetProgram(), turn.GetPrevious())
 	if !found {
 		return
--- a/coordination/archive/archive_test.go
+++ b/coordination/archive/archive_test.go
@@ -43,7 +43,7 @@
 	c.down[name] = down
 }
 
-func (c *cluster) ask(member register.Member, fence register.Fence) (archive.Reply, error) {
+func (c *cluster) checkRequest(member register.Member, fence register.Fence) (archive.Reply, error) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.down[member.Node] {
@@ -58,7 +58,7 @@
 }
 
 func (c *cluster) PutTurn(_ context.Context, member register.Member, fence register.Fence, turn replica.Turn) (archive.Reply, error) {
-	reply, err := c.ask(member, fence)
+	reply, err := c.checkRequest(member, fence)
 	if err != nil || reply.Refusal != register.RefusalNone {
 		return reply, err
 	}
@@ -66,7 +66,7 @@
 }
 
 func (c *cluster) ReadTurns(_ context.Context, member register.Member, fence register.Fence, program string, from uint64) ([]replica.Turn, archive.Reply, error) {
-	reply, err := c.ask(member, fence)
+	reply, err := c.checkRequest(member, fence)
 	if err != nil || reply.Refusal != register.RefusalNone {
 		return nil, reply, err
 	}
@@ -96,8 +96,8 @@
 	return archive.New(c, c, func(string) uint32 { return 0 }, history.NewCache(1<<20))
 }
 
-// write stores a chain of turns and returns the digest of the newest one.
-func write(t *testing.T, a *archive.Archive, program string, turns int) []byte {
+// writeChain stores a chain of turns and returns the digest of the newest one.
+func writeChain(t *testing.T, a *archive.Archive, program string, turns int) []byte {
 	t.Helper()
 	var head []byte
 	for sequence := range turns {
@@ -112,9 +112,9 @@
 	return head
 }
 
-// settled waits until all members have the turns. Put returns once a majority has
+// waitStored waits until all members have the turns. Put returns once a majority has
 // them, while the last write may still be running.
-func (c *cluster) settled(t *testing.T, turns int) {
+func (c *cluster) waitStored(t *testing.T, turns int) {
 	t.Helper()
 	for _, store := range c.stores {
 		for found := 0; found < turns; {
@@ -127,8 +127,8 @@
 
 func TestChainIsReadBackFromAnyMember(t *testing.T) {
 	c := newCluster()
-	head := write(t, c.archive(), "p-1", 5)
-	c.settled(t, 5)
+	head := writeChain(t, c.archive(), "p-1", 5)
+	c.waitStored(t, 5)
 	for _, up := range []string{"a", "b", "c"} {
 		for name := range c.stores {
 			c.setDown(name, name != up)
@@ -142,17 +142,17 @@
 func TestPutNeedsAMajority(t *testing.T) {
 	c := newCluster()
 	c.setDown("a", true)
-	head := write(t, c.archive(), "p-1", 1)
+	head := writeChain(t, c.archive(), "p-1", 1)
 	assert.Assert(t, len(head) > 0)
 	c.setDown("b", true)
 	_, err := c.archive().Put(t.Context(), &statev1.Turn{Program: "p-1", Sequence: 2, Previous: head})
 	assert.ErrorIs(t, err, archive.ErrNoQuorum)
 }
 
-func TestGapIsNeverServed(t *testing.T) {
+func TestChainWithMissingTurnIsIncomplete(t *testing.T) {
 	c := newCluster()
-	head := write(t, c.archive(), "p-1", 3)
-	c.settled(t, 3)
+	head := writeChain(t, c.archive(), "p-1", 3)
+	c.waitStored(t, 3)
 	// Remove the middle turn from every member. No write is running any more, so the
 	// stores can be replaced.
 	for name, store := range c.stores {
@@ -169,9 +169,9 @@
 	assert.ErrorIs(t, err, archive.ErrIncomplete)
 }
 
-func TestReadWithoutAnyMemberIsNoQuorum(t *testing.T) {
+func TestReadWithAllMembersDownIsNoQuorum(t *testing.T) {
 	c := newCluster()
-	head := write(t, c.archive(), "p-1", 1)
+	head := writeChain(t, c.archive(), "p-1", 1)
 	for name := range c.stores {
 		c.setDown(name, true)
 	}
@@ -179,11 +179,11 @@
 	assert.ErrorIs(t, err, archive.ErrNoQuorum)
 }
 
-func TestNewerViewIsLearned(t *testing.T) {
+func TestRetryUsesNewerView(t *testing.T) {
 	c := newCluster()
 	c.epoch = 2
 	a := c.archive()
-	head := write(t, a, "p-1", 1)
+	head := writeChain(t, a, "p-1", 1)
 	turn, err := c.archive().Turn(t.Context(), "p-1", 1, head)
 	assert.NilError(t, err)
 	assert.Equal(t, turn.GetSequence(), uint64(1))
--- a/coordination/archive/rounds.go
+++ b/coordination/archive/rounds.go
@@ -13,17 +13,17 @@
 )
 
 const (
-	// rounds is the maximum number of attempts. A retry can succeed after a replica
+	// maxRounds is the maximum number of attempts. A retry can succeed after a replica
 	// refuses a request and returns a newer view.
-	rounds     = 4
-	roundPause = 20 * time.Millisecond
+	maxRounds  = 4
+	roundDelay = 20 * time.Millisecond
 )
 
 // read collects the program's turns from one replica after another until enough returns
 // true. It returns ErrIncomplete if a majority answered without enough turns.
 func (a *Archive) read(ctx context.Context, id string, from uint64, enough func([]replica.Turn) bool) ([]replica.Turn, error) {
 	var lastErr error
-	for round := range rounds {
+	for round := range maxRounds {
 		result := a.readRound(ctx, id, from, enough)
 		if enough(result.found) {
 			return result.found, nil
@@ -32,15 +32,15 @@
 			return nil, merry.Prependf(ErrIncomplete, "reading program %q: %d turns from %d replicas", id, len(result.found), result.answered)
 		}
 		lastErr = result.err
-		if round+1 < rounds && sleep.For(ctx, roundPause) != nil {
+		if round+1 < maxRounds && sleep.For(ctx, roundDelay) != nil {
 			break
 		}
 	}
-	return nil, noQuorum(lastErr, "reading the history of program %q", id)
+	return nil, wrapNoQuorum(lastErr, "reading the history of program %q", id)
 }
 
-// readResult combines the responses of one round of reads.
-type readResult struct {
+// roundResult combines the responses of one round of reads.
+type roundResult struct {
 	found []replica.Turn
 	// answered counts the replicas that answered; needed is the size of a majority.
 	answered int
@@ -49,13 +49,13 @@
 	err error
 }
 
-func (a *Archive) readRound(ctx context.Context, id string, from uint64, enough func([]replica.Turn) bool) readResult {
+func (a *Archive) readRound(ctx context.Context, id string, from uint64, enough func([]replica.Turn) bool) roundResult {
 	shard := a.locate(program.RootOf(id))
 	view, known := a.views.View(shard)
 	if !known {
-		return readResult{needed: 1, err: merry.Errorf("the replica set of shard %d is unknown", shard)}
+		return roundResult{needed: 1, err: merry.Errorf("the replica set of shard %d is unknown", shard)}
 	}
-	result := readResult{needed: view.Quorum()}
+	result := roundResult{needed: view.Quorum()}
 	for _, member := range view.Members {
 		turns, reply, err := a.replicas.ReadTurns(ctx, member, a.fence(view, member), id, from)
 		if err = a.checkReply(reply, err); err != nil {
@@ -94,31 +94,31 @@
 	return nil
 }
 
-// memberAction sends one request to one member.
-type memberAction func(ctx context.Context, member register.Member, fence register.Fence) (Reply, error)
+// memberRequest sends one request to one member.
+type memberRequest func(ctx context.Context, member register.Member, fence register.Fence) (Reply, error)
 
-// onMajority retries the action until it succeeds on a majority of the members.
-func (a *Archive) onMajority(ctx context.Context, id string, action memberAction) error {
+// runOnMajority retries the action until it succeeds on a majority of the members.
+func (a *Archive) runOnMajority(ctx context.Context, id string, action memberRequest) error {
 	var lastErr error
-	for round := range rounds {
+	for round := range maxRounds {
 		shard := a.locate(program.RootOf(id))
 		view, known := a.views.View(shard)
 		if !known {
-			return noQuorum(merry.Errorf("the replica set of shard %d is unknown", shard), "program %q", id)
+			return wrapNoQuorum(merry.Errorf("the replica set of shard %d is unknown", shard), "program %q", id)
 		}
-		if lastErr = a.askAll(ctx, view, action); lastErr == nil {
+		if lastErr = a.runRound(ctx, view, action); lastErr == nil {
 			return nil
 		}
-		if round+1 < rounds && sleep.For(ctx, roundPause) != nil {
+		if round+1 < maxRounds && sleep.For(ctx, roundDelay) != nil {
 			break
 		}
 	}
-	return noQuorum(lastErr, "program %q", id)
+	return wrapNoQuorum(lastErr, "program %q", id)
 }
 
-// askAll runs the action on all members concurrently. It returns as soon as a majority
+// runRound runs the action on all members concurrently. It returns as soon as a majority
 // has succeeded or so many have failed that no majority can.
-func (a *Archive) askAll(ctx context.Context, view register.View, action memberAction) error {
+func (a *Archive) runRound(ctx context.Context, view register.View, action memberRequest) error {
 	outcomes := make(chan error, len(view.Members))
 	for _, member := range view.Members {
 		go func() {
@@ -126,19 +126,19 @@
 			outcomes <- a.checkReply(reply, err)
 		}()
 	}
-	granted, refused := 0, 0
+	succeeded, failed := 0, 0
 	for {
 		select {
 		case err := <-outcomes:
 			if err == nil {
-				granted++
+				succeeded++
 			} else {
-				refused++
+				failed++
 			}
-			if granted >= view.Quorum() {
+			if succeeded >= view.Quorum() {
 				return nil
 			}
-			if refused > len(view.Members)-view.Quorum() {
+			if failed > len(view.Members)-view.Quorum() {
 				return err
 			}
 		case <-ctx.Done():
@@ -147,7 +147,7 @@
 	}
 }
 
-// noQuorum wraps the cause in ErrNoQuorum. errors.Is matches both.
-func noQuorum(cause error, format string, args ...any) error {
+// wrapNoQuorum wraps the cause in ErrNoQuorum. errors.Is matches both.
+func wrapNoQuorum(cause error, format string, args ...any) error {
 	return merry.Wrap(ErrNoQuorum, merry.WithCause(cause), merry.AppendMessagef(format+": %v", append(args, cause)...))
 }
