--- a/coordination/record/record.go
+++ b/coordination/record/record.go
@@ -43,7 +43,7 @@
 // of the register.
 func (s *Store) Apply(ctx context.Context, root string, change func(*statev1.ProgramTree) (*statev1.ProgramTree, error)) (*statev1.ProgramTree, error) {
 	value, err := s.registers.Apply(ctx, s.locate(root), root, func(current []byte) ([]byte, error) {
-		return changeEncoded(root, current, change)
+		return applyToEncoded(root, current, change)
 	})
 	if err != nil {
 		return nil, err
@@ -60,7 +60,7 @@
 // modified.
 func (s *Store) Recent(root string) *statev1.ProgramTree { return s.recent.get(root) }
 
-func changeEncoded(root string, current []byte, change func(*statev1.ProgramTree) (*statev1.ProgramTree, error)) ([]byte, error) {
+func applyToEncoded(root string, current []byte, change func(*statev1.ProgramTree) (*statev1.ProgramTree, error)) ([]byte, error) {
 	tree, err := Decode(root, current)
 	if err != nil {
 		return nil, err
--- a/coordination/record/record_test.go
+++ b/coordination/record/record_test.go
@@ -14,10 +14,10 @@
 	"github.com/marblering/marblering/state/program"
 )
 
-// oneRegister is an in-memory replacement for replicated registers, by key.
-type oneRegister map[string][]byte
+// memoryRegisters is an in-memory replacement for replicated registers, by key.
+type memoryRegisters map[string][]byte
 
-func (r oneRegister) Apply(_ context.Context, _ uint32, key string, change register.Change) ([]byte, error) {
+func (r memoryRegisters) Apply(_ context.Context, _ uint32, key string, change register.Change) ([]byte, error) {
 	next, err := change(r[key])
 	if err != nil {
 		return nil, err
@@ -26,15 +26,15 @@
 	return next, nil
 }
 
-func anyShard(string) uint32 { return 0 }
+func shardZero(string) uint32 { return 0 }
 
 func newTree(root string) *statev1.ProgramTree {
 	return program.New(program.Specification{Root: root, Tenant: "tenant", BudgetTokens: 10})
 }
 
-func TestApplyStoresAndRemembers(t *testing.T) {
-	registers := oneRegister{}
-	store := record.NewStore(registers, anyShard, 2)
+func TestApplyCachesRecentTrees(t *testing.T) {
+	registers := memoryRegisters{}
+	store := record.NewStore(registers, shardZero, 2)
 	for _, root := range []string{"p-1", "p-2", "p-3"} {
 		_, err := store.Apply(t.Context(), root, func(tree *statev1.ProgramTree) (*statev1.ProgramTree, error) {
 			assert.Assert(t, tree == nil)
@@ -42,18 +42,18 @@
 		})
 		assert.NilError(t, err)
 	}
-	remembered := 0
+	cached := 0
 	for _, root := range []string{"p-1", "p-2", "p-3"} {
 		if store.Recent(root) != nil {
-			remembered++
+			cached++
 		}
 	}
-	assert.Equal(t, remembered, 2)
+	assert.Equal(t, cached, 2)
 }
 
-func TestApplyRefusesAnotherProgramsRecord(t *testing.T) {
-	registers := oneRegister{}
-	store := record.NewStore(registers, anyShard, 2)
+func TestApplyRejectsInvalidRecord(t *testing.T) {
+	registers := memoryRegisters{}
+	store := record.NewStore(registers, shardZero, 2)
 	_, err := store.Apply(t.Context(), "p-1", func(*statev1.ProgramTree) (*statev1.ProgramTree, error) { return newTree("p-1"), nil })
 	assert.NilError(t, err)
 	registers["p-2"] = registers["p-1"]
@@ -64,9 +64,9 @@
 	assert.ErrorContains(t, err, "decoding")
 }
 
-func TestErrorOfTheChangeLeavesTheRecord(t *testing.T) {
-	registers := oneRegister{}
-	store := record.NewStore(registers, anyShard, 2)
+func TestApplyKeepsRecordOnChangeError(t *testing.T) {
+	registers := memoryRegisters{}
+	store := record.NewStore(registers, shardZero, 2)
 	refused := errors.New("refused")
 	_, err := store.Apply(t.Context(), "p-1", func(*statev1.ProgramTree) (*statev1.ProgramTree, error) { return nil, refused })
 	assert.ErrorIs(t, err, refused)
@@ -74,7 +74,7 @@
 }
 
 func Example() {
-	store := record.NewStore(oneRegister{}, anyShard, 100)
+	store := record.NewStore(memoryRegisters{}, shardZero, 100)
 	tree, err := store.Apply(context.Background(), "p-1", func(tree *statev1.ProgramTree) (*statev1.ProgramTree, error) {
 		if tree == nil {
 			tree = newTree("p-1")
