--- a/state/result/answer.go
+++ b/state/result/answer.go
@@ -46,20 +46,20 @@
 // Answer returns the HTTP response for the error. Its retry delay is that of the
 // error; an error without one gets the default delay if its code allows a retry.
 // A delay of zero sets no Retry-After.
-func (e *Error) Answer(usualPause time.Duration) Answer {
+func (e *Error) Answer(defaultDelay time.Duration) Answer {
 	info := e.Code.Info()
-	pause := e.RetryAfter
-	if pause <= 0 && info.Repeat != RepeatNever {
-		pause = usualPause
+	delay := e.RetryAfter
+	if delay <= 0 && info.Repeat != RepeatNever {
+		delay = defaultDelay
 	}
 	detail := e.Detail()
-	detail.RetryAfterSeconds = wholeSeconds(pause)
+	detail.RetryAfterSeconds = ceilSeconds(delay)
 	return Answer{Status: info.HTTP, Body: Body{Error: detail}}
 }
 
-// wholeSeconds rounds up, so that a client never retries too early.
-func wholeSeconds(pause time.Duration) int64 {
-	return int64((pause + time.Second - 1) / time.Second)
+// ceilSeconds rounds up, so that a client never retries too early.
+func ceilSeconds(delay time.Duration) int64 {
+	return int64((delay + time.Second - 1) / time.Second)
 }
 
 // SetRetryAfter sets the Retry-After header (RFC 9110, section 10.2.3) unless
--- a/state/result/answer_test.go
+++ b/state/result/answer_test.go
@@ -12,7 +12,7 @@
 	"github.com/marblering/marblering/state/result"
 )
 
-func TestAnswerAsksForThePause(t *testing.T) {
+func TestAnswerRetryAfter(t *testing.T) {
 	later := result.Errorf(result.Overloaded, "full")
 	never := result.Errorf(result.BadRequest, "no model")
 	for _, test := range []struct {
@@ -45,8 +45,8 @@
 	}
 }
 
-// TestErrorComesBackFromItsDetail encodes an error as JSON and decodes it as a client does.
-func TestErrorComesBackFromItsDetail(t *testing.T) {
+// TestErrorSurvivesRoundTrip encodes an error as JSON and decodes it as a client does.
+func TestErrorSurvivesRoundTrip(t *testing.T) {
 	sent := result.Errorf(result.TenantLimit, "100%% of 40 calls").After(2 * time.Second)
 	encoded, err := json.Marshal(sent.Answer(time.Second).Body)
 	assert.NilError(t, err)
--- a/state/result/code.go
+++ b/state/result/code.go
@@ -210,9 +210,9 @@
 }
 
 // After returns a copy of the error with the retry delay.
-func (e *Error) After(pause time.Duration) *Error {
+func (e *Error) After(delay time.Duration) *Error {
 	delayed := *e
-	delayed.RetryAfter = pause
+	delayed.RetryAfter = delay
 	return &delayed
 }
 
--- a/state/result/code_test.go
+++ b/state/result/code_test.go
@@ -48,13 +48,13 @@
 	return table.String()
 }
 
-func TestDocumentHoldsTheTable(t *testing.T) {
+func TestDocumentMatchesTable(t *testing.T) {
 	assert.Equal(t, documentedTable(t), codeTable())
 }
 
-// TestEveryConstantIsInTheTable reads the constants from the source. A code that
+// TestEveryConstantIsInTable reads the constants from the source. A code that
 // is missing from the table would be reported as an internal error.
-func TestEveryConstantIsInTheTable(t *testing.T) {
+func TestEveryConstantIsInTable(t *testing.T) {
 	inTable := make(map[string]bool)
 	for _, info := range result.Table {
 		inTable[constantName(info.Name)] = true
@@ -101,13 +101,13 @@
 		assert.Assert(t, http.StatusText(info.HTTP) != "", "%s has an unknown HTTP status", label)
 		assert.Assert(t, strings.HasSuffix(info.Meaning, "."), "the meaning of %s isn't a sentence", label)
 		assert.Equal(t, info.Code == result.OK, info.HTTP < http.StatusBadRequest, label)
-		checkAdvice(t, label, info)
+		checkRetryAdvice(t, label, info)
 	}
 }
 
-// checkAdvice checks that a client that follows the retry advice can't run a
+// checkRetryAdvice checks that a client that follows the retry advice can't run a
 // request twice.
-func checkAdvice(t *testing.T, label string, info result.Info) {
+func checkRetryAdvice(t *testing.T, label string, info result.Info) {
 	t.Helper()
 	switch info.Execution {
 	case result.Run:
@@ -149,7 +149,7 @@
 	}
 }
 
-func TestAfterLeavesTheErrorAlone(t *testing.T) {
+func TestAfterReturnsCopy(t *testing.T) {
 	original := result.Errorf(result.Overloaded, "%d waiting", 12)
 	delayed := original.After(3 * time.Second)
 	assert.Equal(t, original.RetryAfter, time.Duration(0))
--- a/state/result/golden_test.go
+++ b/state/result/golden_test.go
@@ -13,9 +13,9 @@
 	"github.com/marblering/marblering/state/result"
 )
 
-// TestCodesStayAsTheyAre guards the public result codes against accidental changes.
+// TestCodesMatchGoldenFile guards the public result codes against accidental changes.
 // Run go test ./state/result -update to rewrite testdata/codes.golden.
-func TestCodesStayAsTheyAre(t *testing.T) {
+func TestCodesMatchGoldenFile(t *testing.T) {
 	var page strings.Builder
 	table := tabwriter.NewWriter(&page, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "NUMBER\tNAME\tHTTP\tEXECUTION\tREPEAT\tMEANING")
