--- a/coordination/archive/archive.go
+++ b/coordination/archive/archive.go
@@ -25,7 +25,7 @@
 	// ErrNoQuorum means that too few replicas answered.
 	ErrNoQuorum = merry.Sentinel("archive: too few replicas answered")
 	// ErrIncomplete means that a majority answered but turns of the chain are missing.
-	ErrIncomplete = merry.Sentinel("archive: the history has a gap")
+	ErrIncomplete = merry.Sentinel("archive: turns of the history are missing")
 )
 
 // Reply is the status part of a replica's response.
--- a/coordination/archive/rounds.go
+++ b/coordination/archive/rounds.go
@@ -39,8 +39,8 @@
 	return nil, wrapNoQuorum(lastErr, "reading the history of program %q", id)
 }
 
-// roundResult combines the responses of one round of reads.
-type roundResult struct {
+// readResult combines the responses of one round of reads.
+type readResult struct {
 	found []replica.Turn
 	// answered counts the replicas that answered; needed is the size of a majority.
 	answered int
@@ -49,13 +49,13 @@
 	err error
 }
 
-func (a *Archive) readRound(ctx context.Context, id string, from uint64, enough func([]replica.Turn) bool) roundResult {
+func (a *Archive) readRound(ctx context.Context, id string, from uint64, enough func([]replica.Turn) bool) readResult {
 	shard := a.locate(program.RootOf(id))
 	view, known := a.views.View(shard)
 	if !known {
-		return roundResult{needed: 1, err: merry.Errorf("the replica set of shard %d is unknown", shard)}
+		return readResult{needed: 1, err: merry.Errorf("the replica set of shard %d is unknown", shard)}
 	}
-	result := roundResult{needed: view.Quorum()}
+	result := readResult{needed: view.Quorum()}
 	for _, member := range view.Members {
 		turns, reply, err := a.replicas.ReadTurns(ctx, member, a.fence(view, member), id, from)
 		if err = a.checkReply(reply, err); err != nil {
@@ -97,8 +97,8 @@
 // memberRequest sends one request to one member.
 type memberRequest func(ctx context.Context, member register.Member, fence register.Fence) (Reply, error)
 
-// runOnMajority retries the action until it succeeds on a majority of the members.
-func (a *Archive) runOnMajority(ctx context.Context, id string, action memberRequest) error {
+// runOnMajority retries the request until it succeeds on a majority of the members.
+func (a *Archive) runOnMajority(ctx context.Context, id string, request memberRequest) error {
 	var lastErr error
 	for round := range maxRounds {
 		shard := a.locate(program.RootOf(id))
@@ -106,7 +106,7 @@
 		if !known {
 			return wrapNoQuorum(merry.Errorf("the replica set of shard %d is unknown", shard), "program %q", id)
 		}
-		if lastErr = a.runRound(ctx, view, action); lastErr == nil {
+		if lastErr = a.requestAll(ctx, view, request); lastErr == nil {
 			return nil
 		}
 		if round+1 < maxRounds && sleep.For(ctx, roundDelay) != nil {
@@ -116,13 +116,13 @@
 	return wrapNoQuorum(lastErr, "program %q", id)
 }
 
-// runRound runs the action on all members concurrently. It returns as soon as a majority
+// requestAll sends the request to all members concurrently. It returns as soon as a majority
 // has succeeded or so many have failed that no majority can.
-func (a *Archive) runRound(ctx context.Context, view register.View, action memberRequest) error {
+func (a *Archive) requestAll(ctx context.Context, view register.View, request memberRequest) error {
 	outcomes := make(chan error, len(view.Members))
 	for _, member := range view.Members {
 		go func() {
-			reply, err := action(ctx, member, a.fence(view, member))
+			reply, err := request(ctx, member, a.fence(view, member))
 			outcomes <- a.checkReply(reply, err)
 		}()
 	}
