--- a/coordination/admission/pool.go
+++ b/coordination/admission/pool.go
@@ -65,8 +65,8 @@
 	pooled.updateBucket(p.fraction, now)
 }
 
-// SetVisible sets how many of the configured nodes are visible to this pool.
-func (p *Pool) SetVisible(visible, configured int, now time.Time) {
+// SetVisibleNodes sets how many of the configured nodes are visible to this pool.
+func (p *Pool) SetVisibleNodes(visible, configured int, now time.Time) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.fraction = min(float64(visible)/float64(max(configured, 1)), 1)
