--- a/state/result/code_test.go
+++ b/state/result/code_test.go
@@ -134,18 +134,18 @@
 
 func TestFromErrorHidesUnexpectedText(t *testing.T) {
 	refused := result.Errorf(result.TenantLimit, "40 calls")
-	open := result.Errorf(result.CommandUnresolved, "ask again")
+	unresolved := result.Errorf(result.CommandUnresolved, "ask again")
 	for _, test := range []struct {
 		err  error
 		want *result.Error
 	}{
 		{fmt.Errorf("calling: %w", refused), refused},
 		{errors.Join(context.Canceled, refused), refused},
-		{fmt.Errorf("calling: %w", context.Canceled), open},
-		{context.DeadlineExceeded, open},
+		{fmt.Errorf("calling: %w", context.Canceled), unresolved},
+		{context.DeadlineExceeded, unresolved},
 		{errors.New("secret"), result.Errorf(result.Internal, "a fault of this program; the log has the details")},
 	} {
-		assert.DeepEqual(t, result.FromError(test.err, open), test.want)
+		assert.DeepEqual(t, result.FromError(test.err, unresolved), test.want)
 	}
 }
 
@@ -159,11 +159,11 @@
 
 func ExampleErrorf() {
 	var err error = result.Errorf(result.TenantLimit, "tenant %q has 40 calls running", "night-shift").After(2 * time.Second)
-	var told *result.Error
-	if errors.As(err, &told) {
-		info := told.Code.Info()
-		fmt.Println(told)
-		fmt.Println(info.HTTP, info.Execution, info.Repeat, told.RetryAfter)
+	var reported *result.Error
+	if errors.As(err, &reported) {
+		info := reported.Code.Info()
+		fmt.Println(reported)
+		fmt.Println(info.HTTP, info.Execution, info.Repeat, reported.RetryAfter)
 	}
 	// Output:
 	// 2002 tenant_limit: tenant "night-shift" has 40 calls running
