--- a/state/result/code_test.go
+++ b/state/result/code_test.go
@@ -18,7 +18,7 @@
 	"github.com/marblering/marblering/state/result"
 )
 
-// Markers around the table in the documentation.
+// Markers around the table in docs/RESULT-CODES.md.
 const (
 	documentPath = "../../docs/RESULT-CODES.md"
 	tableStart   = "<!-- table: start -->\n"
@@ -36,7 +36,7 @@
 	return table
 }
 
-// codeTable renders result.Table as the documentation must have it.
+// codeTable renders result.Table in the Markdown form of docs/RESULT-CODES.md.
 func codeTable() string {
 	var table strings.Builder
 	table.WriteString("| code | name | HTTP | request was | ask again | meaning |\n")
@@ -48,13 +48,13 @@
 	return table.String()
 }
 
-func TestDocumentHoldsTheTable(t *testing.T) {
+func TestDocumentMatchesTable(t *testing.T) {
 	assert.Equal(t, documentedTable(t), codeTable())
 }
 
-// TestEveryConstantIsInTheTable reads the constants from the source, since a
-// code that the table lacks would be told to callers as an internal fault.
-func TestEveryConstantIsInTheTable(t *testing.T) {
+// TestEveryConstantIsInTable reads the constants from the source. A code that
+// is missing from the table would be reported as an internal error.
+func TestEveryConstantIsInTable(t *testing.T) {
 	inTable := make(map[string]bool)
 	for _, info := range result.Table {
 		inTable[constantName(info.Name)] = true
@@ -62,11 +62,11 @@
 	constants := codeConstants(t)
 	assert.Equal(t, len(constants), len(result.Table))
 	for _, name := range constants {
-		assert.Assert(t, inTable[strings.ToLower(name)], "%s isn't in the table under that name", name)
+		assert.Assert(t, inTable[strings.ToLower(name)], "constant %s has no table entry of the same name", name)
 	}
 }
 
-// constantName turns the name in the table into its constant's, in lower case.
+// constantName converts a name in the table to the lower-case name of its constant.
 func constantName(name string) string { return strings.ReplaceAll(name, "_", "") }
 
 // codeConstants returns the names of the constants of type Code.
@@ -88,25 +88,26 @@
 	return names
 }
 
-// TestTableIsConsistent checks each code against the rules of its columns.
+// TestTableIsConsistent checks the order, uniqueness and columns of the table.
 func TestTableIsConsistent(t *testing.T) {
 	names := make(map[string]bool)
 	previous := -1
 	for _, info := range result.Table {
 		label := fmt.Sprintf("%d %s", info.Code, info.Name)
-		assert.Assert(t, int(info.Code) > previous, "%s is out of order", label)
+		assert.Assert(t, int(info.Code) > previous, "%s is not in ascending order", label)
 		previous = int(info.Code)
-		assert.Assert(t, !names[info.Name], "%s has a name that is used twice", label)
+		assert.Assert(t, !names[info.Name], "%s has a duplicate name", label)
 		names[info.Name] = true
-		assert.Assert(t, http.StatusText(info.HTTP) != "", "%s has no HTTP status", label)
-		assert.Assert(t, strings.HasSuffix(info.Meaning, "."), "%s has no meaning", label)
+		assert.Assert(t, http.StatusText(info.HTTP) != "", "%s has an unknown HTTP status", label)
+		assert.Assert(t, strings.HasSuffix(info.Meaning, "."), "the meaning of %s isn't a sentence", label)
 		assert.Equal(t, info.Code == result.OK, info.HTTP < http.StatusBadRequest, label)
-		checkAdvice(t, label, info)
+		checkRetryAdvice(t, label, info)
 	}
 }
 
-// checkAdvice makes sure that following the advice can't run a request twice.
-func checkAdvice(t *testing.T, label string, info result.Info) {
+// checkRetryAdvice checks that a client that follows the retry advice can't run a
+// request twice.
+func checkRetryAdvice(t *testing.T, label string, info result.Info) {
 	t.Helper()
 	switch info.Execution {
 	case result.Run:
@@ -114,9 +115,9 @@
 	case result.NotRun:
 		assert.Assert(t, info.Repeat != result.RepeatSameKey, label)
 	case result.Unknown:
-		assert.Assert(t, info.Repeat != result.RepeatLater, "%s: a new request could run a second time", label)
+		assert.Assert(t, info.Repeat != result.RepeatLater, "%s: a retry with a new key could run the request twice", label)
 	default:
-		t.Errorf("%s: %q isn't one of the three answers", label, info.Execution)
+		t.Errorf("%s: unknown execution %q", label, info.Execution)
 	}
 	class := info.Code / 1000
 	if class == 1 || class == 2 {
@@ -133,22 +134,22 @@
 
 func TestFromErrorHidesUnexpectedText(t *testing.T) {
 	refused := result.Errorf(result.TenantLimit, "40 calls")
-	open := result.Errorf(result.CommandUnresolved, "ask again")
+	unresolved := result.Errorf(result.CommandUnresolved, "ask again")
 	for _, test := range []struct {
 		err  error
 		want *result.Error
 	}{
 		{fmt.Errorf("calling: %w", refused), refused},
 		{errors.Join(context.Canceled, refused), refused},
-		{fmt.Errorf("calling: %w", context.Canceled), open},
-		{context.DeadlineExceeded, open},
+		{fmt.Errorf("calling: %w", context.Canceled), unresolved},
+		{context.DeadlineExceeded, unresolved},
 		{errors.New("secret"), result.Errorf(result.Internal, "a fault of this program; the log has the details")},
 	} {
-		assert.DeepEqual(t, result.FromError(test.err, open), test.want)
+		assert.DeepEqual(t, result.FromError(test.err, unresolved), test.want)
 	}
 }
 
-func TestAfterLeavesTheErrorAlone(t *testing.T) {
+func TestAfterReturnsCopy(t *testing.T) {
 	original := result.Errorf(result.Overloaded, "%d waiting", 12)
 	delayed := original.After(3 * time.Second)
 	assert.Equal(t, original.RetryAfter, time.Duration(0))
@@ -158,11 +159,11 @@
 
 func ExampleErrorf() {
 	var err error = result.Errorf(result.TenantLimit, "tenant %q has 40 calls running", "night-shift").After(2 * time.Second)
-	var told *result.Error
-	if errors.As(err, &told) {
-		info := told.Code.Info()
-		fmt.Println(told)
-		fmt.Println(info.HTTP, info.Execution, info.Repeat, told.RetryAfter)
+	var reported *result.Error
+	if errors.As(err, &reported) {
+		info := reported.Code.Info()
+		fmt.Println(reported)
+		fmt.Println(info.HTTP, info.Execution, info.Repeat, reported.RetryAfter)
 	}
 	// Output:
 	// 2002 tenant_limit: tenant "night-shift" has 40 calls running
