--- a/coordination/admission/admission_test.go
+++ b/coordination/admission/admission_test.go
@@ -80,9 +80,9 @@
 	now     time.Time
 }
 
-func (n nodeClient) Grant(name string, needed float64) (admission.Slice, bool) {
+func (n nodeClient) Grant(name string, needed float64) (admission.Lease, bool) {
 	if !n.reached {
-		return admission.Slice{}, false
+		return admission.Lease{}, false
 	}
 	return n.pool.Grant(name, needed, n.now), true
 }
--- a/coordination/admission/pool.go
+++ b/coordination/admission/pool.go
@@ -11,8 +11,8 @@
 // fraction of the burst, so that this many nodes can hold a slice at once.
 const slicesPerBurst = 8
 
-// Slice is the part of a rate that one node may use until it expires.
-type Slice struct {
+// Lease is the part of a rate that one node may use until it expires.
+type Lease struct {
 	Tokens  float64
 	Expires time.Time
 	// RetryAfter is the delay before a retry; zero if tokens were granted.
@@ -85,19 +85,19 @@
 // Grant returns a slice with the needed tokens and some more, so that a node
 // doesn't have to request a slice for every call. A name without a rate is
 // unlimited.
-func (p *Pool) Grant(name string, needed float64, now time.Time) Slice {
+func (p *Pool) Grant(name string, needed float64, now time.Time) Lease {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	expires := now.Add(p.lifetime)
 	pooled, known := p.buckets[name]
 	if !known {
-		return Slice{Tokens: needed, Expires: expires}
+		return Lease{Tokens: needed, Expires: expires}
 	}
 	if !pooled.bucket.Take(needed, now) {
-		return Slice{RetryAfter: max(pooled.bucket.Wait(needed, now), minRetryAfter)}
+		return Lease{RetryAfter: max(pooled.bucket.Wait(needed, now), minRetryAfter)}
 	}
 	more := pooled.bucket.TakeUpTo(pooled.rate.Burst/slicesPerBurst, now)
-	return Slice{Tokens: needed + more, Expires: expires}
+	return Lease{Tokens: needed + more, Expires: expires}
 }
 
 func (r *pooledRate) updateBucket(fraction float64, now time.Time) {
--- a/coordination/admission/share.go
+++ b/coordination/admission/share.go
@@ -10,7 +10,7 @@
 // Granter requests slices from the pool of a name. Grant returns false if no pool
 // can be reached.
 type Granter interface {
-	Grant(name string, needed float64) (Slice, bool)
+	Grant(name string, needed float64) (Lease, bool)
 }
 
 // Share enforces the rates at one node: it spends slices and requests new ones.
@@ -22,7 +22,7 @@
 }
 
 type nameShare struct {
-	slice    Slice
+	slice    Lease
 	fallback limit.Bucket
 }
 
@@ -77,7 +77,7 @@
 
 // merge adds a new slice to the remaining one. The earlier expiry applies to both,
 // so that merging never extends the lifetime of a slice.
-func (s *nameShare) merge(slice Slice, now time.Time) {
+func (s *nameShare) merge(slice Lease, now time.Time) {
 	if now.After(s.slice.Expires) || s.slice.Tokens <= 0 {
 		s.slice = slice
 		return
--- a/node/limits.go
+++ b/node/limits.go
@@ -250,23 +250,23 @@
 }
 
 // Grant implements admission.Granter.
-func (g rateGranter) Grant(name string, needed float64) (admission.Slice, bool) {
+func (g rateGranter) Grant(name string, needed float64) (admission.Lease, bool) {
 	address, local := g.limits.owner(name)
 	if local {
 		g.limits.refreshTenant(name)
 		return g.limits.pool.Grant(name, needed, time.Now()), true
 	}
 	if address == "" {
-		return admission.Slice{}, false
+		return admission.Lease{}, false
 	}
 	ctx, cancel := context.WithTimeout(g.ctx, limitTimeout)
 	defer cancel()
 	response, err := g.limits.peers.Grant(ctx, address, &peerv1.GrantRequest{Name: name, NeededTokens: needed})
 	if err != nil {
 		g.limits.unanswered(limitTokenRate)
-		return admission.Slice{}, false
+		return admission.Lease{}, false
 	}
-	return admission.Slice{
+	return admission.Lease{
 		Tokens:     response.GetTokens(),
 		Expires:    time.Now().Add(time.Duration(response.GetLifetimeMs()) * time.Millisecond),
 		RetryAfter: time.Duration(response.GetRetryAfterMs()) * time.Millisecond,
