--- a/coordination/admission/point.go
+++ b/coordination/admission/point.go
@@ -43,14 +43,14 @@
 // retrying in a tight loop.
 const minRetryAfter = 20 * time.Millisecond
 
-// Point tracks the outstanding tokens and requests of engines. One node is the
+// Controller tracks the outstanding tokens and requests of engines. One node is the
 // admission point of an engine at a time, chosen by rendezvous hashing among the
 // live nodes. This isn't enforced: two nodes that both act as the point admit at
 // most twice the capacity, and the engine queues the rest.
 //
 // A reservation ends with Release or expires after the lifetime, for example if
 // the node that made it has crashed.
-type Point struct {
+type Controller struct {
 	lifetime time.Duration
 
 	mutex   sync.Mutex
@@ -72,12 +72,12 @@
 
 // NewPoint returns an admission point whose reservations expire after the
 // lifetime.
-func NewPoint(lifetime time.Duration) *Point {
-	return &Point{lifetime: lifetime, engines: make(map[string]*engineState)}
+func NewPoint(lifetime time.Duration) *Controller {
+	return &Controller{lifetime: lifetime, engines: make(map[string]*engineState)}
 }
 
 // SetCapacity sets the capacity of an engine.
-func (p *Point) SetCapacity(engine string, capacity Capacity) {
+func (p *Controller) SetCapacity(engine string, capacity Capacity) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.getOrCreate(engine).capacity = capacity
@@ -86,7 +86,7 @@
 // Reserve reserves capacity for a request or refuses it. It is idempotent: a
 // repeated request that is already admitted takes no more capacity. An idle
 // engine admits any request, even one that exceeds its capacity.
-func (p *Point) Reserve(reservation Reservation, now time.Time) Verdict {
+func (p *Controller) Reserve(reservation Reservation, now time.Time) Verdict {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	engine := p.getOrCreate(reservation.Engine)
@@ -106,7 +106,7 @@
 }
 
 // Release returns the capacity that a request has reserved. It is idempotent.
-func (p *Point) Release(engine, requestID string) {
+func (p *Controller) Release(engine, requestID string) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	admitted, known := p.engines[engine]
@@ -117,7 +117,7 @@
 }
 
 // Outstanding returns the outstanding tokens and requests of an engine.
-func (p *Point) Outstanding(engine string, now time.Time) (tokens uint64, requests int) {
+func (p *Controller) Outstanding(engine string, now time.Time) (tokens uint64, requests int) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	admitted, known := p.engines[engine]
@@ -129,13 +129,13 @@
 }
 
 // Forget removes an engine for which this node is no longer the admission point.
-func (p *Point) Forget(engine string) {
+func (p *Controller) Forget(engine string) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	delete(p.engines, engine)
 }
 
-func (p *Point) getOrCreate(engine string) *engineState {
+func (p *Controller) getOrCreate(engine string) *engineState {
 	state, known := p.engines[engine]
 	if !known {
 		state = &engineState{requests: make(map[string]admittedRequest)}
@@ -145,7 +145,7 @@
 }
 
 // expiry returns the end of the lifetime or the deadline, whichever is earlier.
-func (p *Point) expiry(reservation *Reservation, now time.Time) time.Time {
+func (p *Controller) expiry(reservation *Reservation, now time.Time) time.Time {
 	end := now.Add(p.lifetime)
 	if !reservation.Deadline.IsZero() && reservation.Deadline.Before(end) {
 		return reservation.Deadline
--- a/node/limits.go
+++ b/node/limits.go
@@ -37,7 +37,7 @@
 // other nodes about the rest.
 type limits struct {
 	holder    *configuration.Holder
-	admission *admission.Point
+	admission *admission.Controller
 	pool      *admission.Pool
 	share     *admission.Share
 	retries   *limit.RetryBudget
