--- a/coordination/admission/admission_test.go
+++ b/coordination/admission/admission_test.go
@@ -19,7 +19,7 @@
 func TestPointMatchesModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const capacity = 1000
-		point := admission.NewPoint(time.Hour)
+		point := admission.NewController(time.Hour)
 		point.SetCapacity("e", admission.Capacity{MaxTokens: capacity, TokensPerSecond: 100})
 		inside := make(map[string]uint64)
 		var total uint64
@@ -47,7 +47,7 @@
 }
 
 func TestReservationsExpire(t *testing.T) {
-	point := admission.NewPoint(time.Minute)
+	point := admission.NewController(time.Minute)
 	point.SetCapacity("e", admission.Capacity{MaxRequests: 2})
 	reserve := func(id string, deadline, now time.Time) bool {
 		return point.Reserve(admission.Reservation{Engine: "e", RequestID: id, PromptTokens: 10, Deadline: deadline}, now).Admitted
@@ -62,7 +62,7 @@
 }
 
 func TestRefusalsStaggerRetryAfter(t *testing.T) {
-	point := admission.NewPoint(time.Hour)
+	point := admission.NewController(time.Hour)
 	point.SetCapacity("e", admission.Capacity{MaxTokens: 1000, TokensPerSecond: 1000})
 	reserve := func(id string) admission.Verdict {
 		return point.Reserve(admission.Reservation{Engine: "e", RequestID: id, PromptTokens: 1000}, testTime)
--- a/coordination/admission/example_test.go
+++ b/coordination/admission/example_test.go
@@ -9,7 +9,7 @@
 
 func ExamplePoint() {
 	now := time.Unix(1000, 0)
-	point := admission.NewPoint(time.Minute)
+	point := admission.NewController(time.Minute)
 	point.SetCapacity("engine-a", admission.Capacity{MaxTokens: 10_000, TokensPerSecond: 5000})
 
 	first := admission.Reservation{Engine: "engine-a", RequestID: "1", PromptTokens: 8000, OutputTokens: 500}
--- a/coordination/admission/point.go
+++ b/coordination/admission/point.go
@@ -70,9 +70,9 @@
 	expires time.Time
 }
 
-// NewPoint returns an admission point whose reservations expire after the
+// NewController returns an admission point whose reservations expire after the
 // lifetime.
-func NewPoint(lifetime time.Duration) *Controller {
+func NewController(lifetime time.Duration) *Controller {
 	return &Controller{lifetime: lifetime, engines: make(map[string]*engineState)}
 }
 
--- a/node/limits.go
+++ b/node/limits.go
@@ -64,7 +64,7 @@
 func newLimits(holder *configuration.Holder, peers *nodepeer.Client, owner func(string) (string, bool), logger *zap.Logger, instruments *instruments) *limits {
 	return &limits{
 		holder:      holder,
-		admission:   admission.NewPoint(reservationLifetime),
+		admission:   admission.NewController(reservationLifetime),
 		pool:        admission.NewPool(sliceLifetime),
 		share:       admission.NewShare(1),
 		retries:     limit.NewRetryBudget(limit.DefaultRetryPolicy(), time.Now()),
