--- a/coordination/admission/admission_test.go
+++ b/coordination/admission/admission_test.go
@@ -64,7 +64,7 @@
 func TestRefusalsStaggerRetryAfter(t *testing.T) {
 	point := admission.NewController(time.Hour)
 	point.SetCapacity("e", admission.Capacity{MaxTokens: 1000, TokensPerSecond: 1000})
-	reserve := func(id string) admission.Verdict {
+	reserve := func(id string) admission.Decision {
 		return point.Reserve(admission.Reservation{Engine: "e", RequestID: id, PromptTokens: 1000}, testTime)
 	}
 	assert.Assert(t, reserve("0").Admitted)
--- a/coordination/admission/point.go
+++ b/coordination/admission/point.go
@@ -29,8 +29,8 @@
 // Tokens returns the sum of prompt and output tokens.
 func (r *Reservation) Tokens() uint64 { return r.PromptTokens + r.OutputTokens }
 
-// Verdict is the result of a reservation.
-type Verdict struct {
+// Decision is the result of a reservation.
+type Decision struct {
 	Admitted bool
 	// RetryAfter is the delay before a retry; zero if admitted.
 	RetryAfter time.Duration
@@ -86,23 +86,23 @@
 // Reserve reserves capacity for a request or refuses it. It is idempotent: a
 // repeated request that is already admitted takes no more capacity. An idle
 // engine admits any request, even one that exceeds its capacity.
-func (p *Controller) Reserve(reservation Reservation, now time.Time) Verdict {
+func (p *Controller) Reserve(reservation Reservation, now time.Time) Decision {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	engine := p.getOrCreate(reservation.Engine)
 	engine.expire(now)
 	if _, repeated := engine.requests[reservation.RequestID]; repeated {
-		return Verdict{Admitted: true, OutstandingTokens: engine.tokens}
+		return Decision{Admitted: true, OutstandingTokens: engine.tokens}
 	}
 	if delay := engine.retryAfter(&reservation, now); delay > 0 {
-		return Verdict{RetryAfter: delay, OutstandingTokens: engine.tokens}
+		return Decision{RetryAfter: delay, OutstandingTokens: engine.tokens}
 	}
 	engine.tokens += reservation.Tokens()
 	engine.requests[reservation.RequestID] = admittedRequest{
 		tokens:  reservation.Tokens(),
 		expires: p.expiry(&reservation, now),
 	}
-	return Verdict{Admitted: true, OutstandingTokens: engine.tokens}
+	return Decision{Admitted: true, OutstandingTokens: engine.tokens}
 }
 
 // Release returns the capacity that a request has reserved. It is idempotent.
--- a/node/limits.go
+++ b/node/limits.go
@@ -159,7 +159,7 @@
 
 // reserve asks the admission point of the name. Where it can't be reached the
 // call goes on: the engine's own queue bounds it.
-func (l *limits) reserve(ctx context.Context, reservation admission.Reservation) admission.Verdict {
+func (l *limits) reserve(ctx context.Context, reservation admission.Reservation) admission.Decision {
 	address, local := l.owner(reservation.Engine)
 	if local || address == "" {
 		return l.reserveHere(reservation)
@@ -176,9 +176,9 @@
 	if err != nil {
 		l.unanswered(limitOf(reservation.Engine))
 		l.logger.Debug("admission point did not answer", zap.String("name", reservation.Engine), zap.Error(err))
-		return admission.Verdict{Admitted: true}
+		return admission.Decision{Admitted: true}
 	}
-	return admission.Verdict{
+	return admission.Decision{
 		Admitted:          response.GetAdmitted(),
 		RetryAfter:        time.Duration(response.GetRetryAfterMs()) * time.Millisecond,
 		OutstandingTokens: response.GetOutstandingTokens(),
@@ -201,7 +201,7 @@
 }
 
 // reserveHere is the admission point's side.
-func (l *limits) reserveHere(reservation admission.Reservation) admission.Verdict {
+func (l *limits) reserveHere(reservation admission.Reservation) admission.Decision {
 	l.refreshTenant(reservation.Engine)
 	return l.admission.Reserve(reservation, time.Now())
 }
