--- a/coordination/admission/admission_test.go
+++ b/coordination/admission/admission_test.go
@@ -95,7 +95,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		pool := admission.NewPool(lifetime)
 		pool.SetRate("tenant", rate, testTime)
-		var shares [nodes]*admission.Share
+		var shares [nodes]*admission.NodeLimiter
 		for i := range shares {
 			shares[i] = admission.NewShare(nodes)
 		}
--- a/coordination/admission/share.go
+++ b/coordination/admission/share.go
@@ -13,8 +13,8 @@
 	Grant(name string, needed float64) (Lease, bool)
 }
 
-// Share enforces the rates at one node: it spends slices and requests new ones.
-type Share struct {
+// NodeLimiter enforces the rates at one node: it spends slices and requests new ones.
+type NodeLimiter struct {
 	configured int
 
 	mutex sync.Mutex
@@ -27,14 +27,14 @@
 }
 
 // NewShare returns the share of one node out of the configured number of nodes.
-func NewShare(configuredNodes int) *Share {
-	return &Share{configured: max(configuredNodes, 1), names: make(map[string]*nameShare)}
+func NewShare(configuredNodes int) *NodeLimiter {
+	return &NodeLimiter{configured: max(configuredNodes, 1), names: make(map[string]*nameShare)}
 }
 
 // Use spends tokens of a name's rate. It returns zero if they were spent, or else
 // the delay before a retry. If no pool can be reached, the node falls back to an
 // equal part of the rate.
-func (s *Share) Use(name string, rate limit.Rate, tokens float64, granter Granter, now time.Time) time.Duration {
+func (s *NodeLimiter) Use(name string, rate limit.Rate, tokens float64, granter Granter, now time.Time) time.Duration {
 	if s.spend(name, rate, tokens, now) {
 		return 0
 	}
@@ -53,7 +53,7 @@
 	return 0
 }
 
-func (s *Share) spend(name string, rate limit.Rate, tokens float64, now time.Time) bool {
+func (s *NodeLimiter) spend(name string, rate limit.Rate, tokens float64, now time.Time) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	share := s.getOrCreate(name, rate, now)
@@ -64,7 +64,7 @@
 	return true
 }
 
-func (s *Share) getOrCreate(name string, rate limit.Rate, now time.Time) *nameShare {
+func (s *NodeLimiter) getOrCreate(name string, rate limit.Rate, now time.Time) *nameShare {
 	share, known := s.names[name]
 	nodes := float64(s.configured)
 	if !known {
--- a/node/limits.go
+++ b/node/limits.go
@@ -39,7 +39,7 @@
 	holder    *configuration.Holder
 	admission *admission.Controller
 	pool      *admission.Pool
-	share     *admission.Share
+	share     *admission.NodeLimiter
 	retries   *limit.RetryBudget
 	peers     *nodepeer.Client
 	// owner returns the address of the node that looks after the name; local is
