--- a/coordination/admission/admission_test.go
+++ b/coordination/admission/admission_test.go
@@ -97,7 +97,7 @@
 		pool.SetRate("tenant", rate, testTime)
 		var shares [nodes]*admission.NodeLimiter
 		for i := range shares {
-			shares[i] = admission.NewShare(nodes)
+			shares[i] = admission.NewNodeLimiter(nodes)
 		}
 		cutNode := rapid.IntRange(-1, nodes-1).Draw(t, "cut node")
 		now := testTime
@@ -140,7 +140,7 @@
 	rate := limit.Rate{TokensPerSecond: 100, Burst: 200}
 	pool := admission.NewPool(2 * time.Second)
 	pool.SetRate("tenant", rate, testTime)
-	share := admission.NewShare(4)
+	share := admission.NewNodeLimiter(4)
 	used := 0.0
 	for i := range 1000 {
 		now := testTime.Add(time.Duration(i) * 10 * time.Millisecond)
--- a/coordination/admission/share.go
+++ b/coordination/admission/share.go
@@ -26,8 +26,8 @@
 	fallback limit.Bucket
 }
 
-// NewShare returns the share of one node out of the configured number of nodes.
-func NewShare(configuredNodes int) *NodeLimiter {
+// NewNodeLimiter returns the share of one node out of the configured number of nodes.
+func NewNodeLimiter(configuredNodes int) *NodeLimiter {
 	return &NodeLimiter{configured: max(configuredNodes, 1), names: make(map[string]*nameShare)}
 }
 
--- a/node/limits.go
+++ b/node/limits.go
@@ -66,7 +66,7 @@
 		holder:      holder,
 		admission:   admission.NewController(reservationLifetime),
 		pool:        admission.NewPool(sliceLifetime),
-		share:       admission.NewShare(1),
+		share:       admission.NewNodeLimiter(1),
 		retries:     limit.NewRetryBudget(limit.DefaultRetryPolicy(), time.Now()),
 		peers:       peers,
 		owner:       owner,
