--- a/coordination/admission/admission_test.go
+++ b/coordination/admission/admission_test.go
@@ -159,7 +159,7 @@
 	for _, want := range delays {
 		assert.Equal(t, shedder.Admit(demand, random, testTime), want)
 	}
-	demand.Begun = true
+	demand.Started = true
 	assert.Equal(t, shedder.Admit(demand, random, testTime), time.Duration(0))
 	demand.ExpectedQueue = 11 * time.Second
 	assert.Assert(t, shedder.Admit(demand, random, testTime) > 0)
--- a/coordination/admission/shed.go
+++ b/coordination/admission/shed.go
@@ -54,8 +54,8 @@
 
 // Demand describes a call for which admission is requested.
 type Demand struct {
-	// Begun is true if earlier calls of the program were served.
-	Begun bool
+	// Started is true if earlier calls of the program were served.
+	Started bool
 	// ExpectedQueue is the shortest expected queueing time of the engines.
 	ExpectedQueue time.Duration
 	// Service is the engine time that the call needs.
@@ -107,7 +107,7 @@
 // missesDeadline reports whether the caller of a new program would give up before
 // the program ends.
 func (d *Demand) missesDeadline() bool {
-	return !d.Begun && d.Left > 0 && d.Left < d.Usual
+	return !d.Started && d.Left > 0 && d.Left < d.Usual
 }
 
 // excess returns the largest amount by which an expected time exceeds its limit,
@@ -117,7 +117,7 @@
 	if s.policy.MaxQueue > 0 {
 		excess = max(demand.ExpectedQueue-s.policy.MaxQueue, 0)
 	}
-	if demand.Begun {
+	if demand.Started {
 		return excess
 	}
 	if s.policy.MaxQueueNew > 0 {
--- a/coordination/fleet/fleet.go
+++ b/coordination/fleet/fleet.go
@@ -288,7 +288,7 @@
 	f.random.Lock()
 	defer f.random.Unlock()
 	return f.shedder.Admit(admission.Demand{
-		Begun:         query.HistoryTokens > 0,
+		Started:       query.HistoryTokens > 0,
 		ExpectedQueue: seconds(best.Queue),
 		Service:       seconds(best.Prefill + best.Decode),
 		Engines:       scored,
--- a/lab/experiment/marblering.go
+++ b/lab/experiment/marblering.go
@@ -132,7 +132,7 @@
 // shed refuses calls of new programs while the wait is long.
 func (p *marblering) shed(s *simulation, n *simNode, c *call, decision *routing.Decision, now time.Time) time.Duration {
 	demand := admission.Demand{
-		Begun:         c.program.tree.calls > 1,
+		Started:       c.program.tree.calls > 1,
 		ExpectedQueue: seconds(decision.Candidates[0].Queue),
 		Expected:      decision.Expected,
 		Unloaded:      decision.Unloaded,
