--- a/coordination/admission/shed.go
+++ b/coordination/admission/shed.go
@@ -66,11 +66,11 @@
 	Unloaded time.Duration
 	// MemoryUse is the fraction of the engines' context memory in use.
 	MemoryUse float64
-	// Left is the time until the program's caller gives up, and Usual the usual
-	// duration of such programs; zero if unknown. A new program is shed if Left is
+	// TimeLeft is the time until the program's caller gives up, and Usual the usual
+	// duration of such programs; zero if unknown. A new program is shed if TimeLeft is
 	// shorter than Usual.
-	Left  time.Duration
-	Usual time.Duration
+	TimeLeft time.Duration
+	Usual    time.Duration
 	// Engines is the number of engines that can serve the call.
 	Engines int
 }
@@ -94,7 +94,7 @@
 func (s *Shedder) Admit(demand Demand, random *rand.Rand, now time.Time) time.Duration {
 	excess := s.excess(&demand)
 	if demand.missesDeadline() {
-		return max(s.policy.BackoffRetryAfter, demand.Left, minRetryAfter)
+		return max(s.policy.BackoffRetryAfter, demand.TimeLeft, minRetryAfter)
 	}
 	if excess <= 0 {
 		return 0
@@ -107,7 +107,7 @@
 // missesDeadline reports whether the caller of a new program would give up before
 // the program ends.
 func (d *Demand) missesDeadline() bool {
-	return !d.Started && d.Left > 0 && d.Left < d.Usual
+	return !d.Started && d.TimeLeft > 0 && d.TimeLeft < d.Usual
 }
 
 // excess returns the largest amount by which an expected time exceeds its limit,
--- a/lab/experiment/marblering.go
+++ b/lab/experiment/marblering.go
@@ -137,7 +137,7 @@
 		Expected:      decision.Expected,
 		Unloaded:      decision.Unloaded,
 		Service:       decision.Unloaded,
-		Left:          s.workload.deadline - s.spent(c),
+		TimeLeft:      s.workload.deadline - s.spent(c),
 		Usual:         time.Duration(leastUsual * float64(p.nodes[n.index].usual)),
 		MemoryUse:     decision.MemoryUse,
 		Engines:       len(n.states),
