--- a/coordination/admission/shed.go
+++ b/coordination/admission/shed.go
@@ -69,8 +69,8 @@
 	// TimeLeft is the time until the program's caller gives up, and Usual the usual
 	// duration of such programs; zero if unknown. A new program is shed if TimeLeft is
 	// shorter than Usual.
-	TimeLeft time.Duration
-	Usual    time.Duration
+	TimeLeft      time.Duration
+	UsualDuration time.Duration
 	// Engines is the number of engines that can serve the call.
 	Engines int
 }
@@ -107,7 +107,7 @@
 // missesDeadline reports whether the caller of a new program would give up before
 // the program ends.
 func (d *Demand) missesDeadline() bool {
-	return !d.Started && d.TimeLeft > 0 && d.TimeLeft < d.Usual
+	return !d.Started && d.TimeLeft > 0 && d.TimeLeft < d.UsualDuration
 }
 
 // excess returns the largest amount by which an expected time exceeds its limit,
@@ -150,8 +150,8 @@
 }
 
 func (s *Shedder) maxScheduledRetry(demand *Demand) time.Duration {
-	if s.policy.MaxScheduledRetryFraction > 0 && demand.Usual > 0 {
-		return time.Duration(s.policy.MaxScheduledRetryFraction * float64(demand.Usual))
+	if s.policy.MaxScheduledRetryFraction > 0 && demand.UsualDuration > 0 {
+		return time.Duration(s.policy.MaxScheduledRetryFraction * float64(demand.UsualDuration))
 	}
 	return s.policy.MaxScheduledRetry
 }
--- a/lab/experiment/marblering.go
+++ b/lab/experiment/marblering.go
@@ -138,7 +138,7 @@
 		Unloaded:      decision.Unloaded,
 		Service:       decision.Unloaded,
 		TimeLeft:      s.workload.deadline - s.spent(c),
-		Usual:         time.Duration(leastUsual * float64(p.nodes[n.index].usual)),
+		UsualDuration: time.Duration(leastUsual * float64(p.nodes[n.index].usual)),
 		MemoryUse:     decision.MemoryUse,
 		Engines:       len(n.states),
 	}
