--- a/coordination/admission/shed.go
+++ b/coordination/admission/shed.go
@@ -60,10 +60,10 @@
 	ExpectedQueue time.Duration
 	// Service is the engine time that the call needs.
 	Service time.Duration
-	// Expected is the duration of the call at the current load, and Unloaded that
+	// ExpectedDuration is the duration of the call at the current load, and Unloaded that
 	// on idle engines; zero if unknown.
-	Expected time.Duration
-	Unloaded time.Duration
+	ExpectedDuration time.Duration
+	Unloaded         time.Duration
 	// MemoryUse is the fraction of the engines' context memory in use.
 	MemoryUse float64
 	// TimeLeft is the time until the program's caller gives up, and Usual the usual
@@ -128,7 +128,7 @@
 	}
 	if s.policy.MaxSlowdown > 0 && demand.Unloaded > 0 {
 		longest := time.Duration(s.policy.MaxSlowdown * float64(demand.Unloaded))
-		excess = max(excess, demand.Expected-longest)
+		excess = max(excess, demand.ExpectedDuration-longest)
 	}
 	return excess
 }
--- a/lab/experiment/marblering.go
+++ b/lab/experiment/marblering.go
@@ -132,15 +132,15 @@
 // shed refuses calls of new programs while the wait is long.
 func (p *marblering) shed(s *simulation, n *simNode, c *call, decision *routing.Decision, now time.Time) time.Duration {
 	demand := admission.Demand{
-		Started:       c.program.tree.calls > 1,
-		ExpectedQueue: seconds(decision.Candidates[0].Queue),
-		Expected:      decision.Expected,
-		Unloaded:      decision.Unloaded,
-		Service:       decision.Unloaded,
-		TimeLeft:      s.workload.deadline - s.spent(c),
-		UsualDuration: time.Duration(leastUsual * float64(p.nodes[n.index].usual)),
-		MemoryUse:     decision.MemoryUse,
-		Engines:       len(n.states),
+		Started:          c.program.tree.calls > 1,
+		ExpectedQueue:    seconds(decision.Candidates[0].Queue),
+		ExpectedDuration: decision.Expected,
+		Unloaded:         decision.Unloaded,
+		Service:          decision.Unloaded,
+		TimeLeft:         s.workload.deadline - s.spent(c),
+		UsualDuration:    time.Duration(leastUsual * float64(p.nodes[n.index].usual)),
+		MemoryUse:        decision.MemoryUse,
+		Engines:          len(n.states),
 	}
 	return p.nodes[n.index].shedder.Admit(demand, n.random, now)
 }
