--- a/coordination/admission/shed.go
+++ b/coordination/admission/shed.go
@@ -63,7 +63,7 @@
 	// ExpectedDuration is the duration of the call at the current load, and Unloaded that
 	// on idle engines; zero if unknown.
 	ExpectedDuration time.Duration
-	Unloaded         time.Duration
+	UnloadedDuration time.Duration
 	// MemoryUse is the fraction of the engines' context memory in use.
 	MemoryUse float64
 	// TimeLeft is the time until the program's caller gives up, and Usual the usual
@@ -126,8 +126,8 @@
 	if s.policy.MaxMemoryUse > 0 && demand.MemoryUse > s.policy.MaxMemoryUse {
 		excess = max(excess, memoryRetryAfter)
 	}
-	if s.policy.MaxSlowdown > 0 && demand.Unloaded > 0 {
-		longest := time.Duration(s.policy.MaxSlowdown * float64(demand.Unloaded))
+	if s.policy.MaxSlowdown > 0 && demand.UnloadedDuration > 0 {
+		longest := time.Duration(s.policy.MaxSlowdown * float64(demand.UnloadedDuration))
 		excess = max(excess, demand.ExpectedDuration-longest)
 	}
 	return excess
--- a/lab/experiment/marblering.go
+++ b/lab/experiment/marblering.go
@@ -135,7 +135,7 @@
 		Started:          c.program.tree.calls > 1,
 		ExpectedQueue:    seconds(decision.Candidates[0].Queue),
 		ExpectedDuration: decision.Expected,
-		Unloaded:         decision.Unloaded,
+		UnloadedDuration: decision.Unloaded,
 		Service:          decision.Unloaded,
 		TimeLeft:         s.workload.deadline - s.spent(c),
 		UsualDuration:    time.Duration(leastUsual * float64(p.nodes[n.index].usual)),
