--- a/coordination/admission/admission_test.go
+++ b/coordination/admission/admission_test.go
@@ -154,7 +154,7 @@
 func TestShedderPrefersRunningProgramsAndStaggersRetries(t *testing.T) {
 	shedder := admission.NewShedder(admission.ShedPolicy{MaxSlowdown: 2, MaxQueue: 10 * time.Second, MaxScheduledRetry: 4 * time.Second, BackoffRetryAfter: time.Minute})
 	random := rand.New(rand.NewPCG(1, 2))
-	demand := admission.Demand{ExpectedDuration: 10 * time.Second, UnloadedDuration: 4 * time.Second, Service: 4 * time.Second, Engines: 4}
+	demand := admission.Demand{ExpectedDuration: 10 * time.Second, UnloadedDuration: 4 * time.Second, ServiceTime: 4 * time.Second, Engines: 4}
 	delays := []time.Duration{2 * time.Second, 3 * time.Second, 4 * time.Second, time.Minute, time.Minute}
 	for _, want := range delays {
 		assert.Equal(t, shedder.Admit(demand, random, testTime), want)
--- a/coordination/admission/shed.go
+++ b/coordination/admission/shed.go
@@ -58,8 +58,8 @@
 	Started bool
 	// ExpectedQueue is the shortest expected queueing time of the engines.
 	ExpectedQueue time.Duration
-	// Service is the engine time that the call needs.
-	Service time.Duration
+	// ServiceTime is the engine time that the call needs.
+	ServiceTime time.Duration
 	// ExpectedDuration is the duration of the call at the current load, and Unloaded that
 	// on idle engines; zero if unknown.
 	ExpectedDuration time.Duration
@@ -145,7 +145,7 @@
 	if longest := s.maxScheduledRetry(demand); longest > 0 && delay > longest {
 		return max(delay, s.policy.BackoffRetryAfter)
 	}
-	s.nextRetry = s.nextRetry.Add(demand.Service / time.Duration(max(demand.Engines, 1)))
+	s.nextRetry = s.nextRetry.Add(demand.ServiceTime / time.Duration(max(demand.Engines, 1)))
 	return delay
 }
 
--- a/coordination/fleet/fleet.go
+++ b/coordination/fleet/fleet.go
@@ -290,7 +290,7 @@
 	return f.shedder.Admit(admission.Demand{
 		Started:       query.HistoryTokens > 0,
 		ExpectedQueue: seconds(best.Queue),
-		Service:       seconds(best.Prefill + best.Decode),
+		ServiceTime:   seconds(best.Prefill + best.Decode),
 		Engines:       scored,
 	}, f.Random, now)
 }
--- a/lab/experiment/marblering.go
+++ b/lab/experiment/marblering.go
@@ -136,7 +136,7 @@
 		ExpectedQueue:    seconds(decision.Candidates[0].Queue),
 		ExpectedDuration: decision.Expected,
 		UnloadedDuration: decision.Unloaded,
-		Service:          decision.Unloaded,
+		ServiceTime:      decision.Unloaded,
 		TimeLeft:         s.workload.deadline - s.spent(c),
 		UsualDuration:    time.Duration(leastUsual * float64(p.nodes[n.index].usual)),
 		MemoryUse:        decision.MemoryUse,
