--- a/state/result/answer.go
+++ b/state/result/answer.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// Answer is the HTTP response that reports an error to a caller or operator. The
+// Response is the HTTP response that reports an error to a caller or operator. The
 // code that writes it chooses the encoding of the body and any other headers.
-type Answer struct {
+type Response struct {
 	Status int
 	Body   Body
 }
@@ -46,7 +46,7 @@
 // Answer returns the HTTP response for the error. Its retry delay is that of the
 // error; an error without one gets the default delay if its code allows a retry.
 // A delay of zero sets no Retry-After.
-func (e *Error) Answer(defaultDelay time.Duration) Answer {
+func (e *Error) Answer(defaultDelay time.Duration) Response {
 	info := e.Code.Info()
 	delay := e.RetryAfter
 	if delay <= 0 && info.Repeat != RepeatNever {
@@ -54,7 +54,7 @@
 	}
 	detail := e.Detail()
 	detail.RetryAfterSeconds = ceilSeconds(delay)
-	return Answer{Status: info.HTTP, Body: Body{Error: detail}}
+	return Response{Status: info.HTTP, Body: Body{Error: detail}}
 }
 
 // ceilSeconds rounds up, so that a client never retries too early.
@@ -64,7 +64,7 @@
 
 // SetRetryAfter sets the Retry-After header (RFC 9110, section 10.2.3) unless
 // the retry delay is zero.
-func (a Answer) SetRetryAfter(header http.Header) {
+func (a Response) SetRetryAfter(header http.Header) {
 	if seconds := a.Body.Error.RetryAfterSeconds; seconds > 0 {
 		header.Set("Retry-After", strconv.FormatInt(seconds, 10))
 	}
