--- a/node/gate.go
+++ b/node/gate.go
@@ -74,7 +74,7 @@
 // refuse answers with the error as the callers' API does, and closes the
 // connection.
 func (g *callerGate) refuse(writer http.ResponseWriter, refusal *result.Error) {
-	answer := refusal.Answer(0)
+	answer := refusal.Response(0)
 	header := writer.Header()
 	header.Set("Content-Type", "application/json")
 	header.Set("Connection", "close")
--- a/protocol/callerapi/exchange.go
+++ b/protocol/callerapi/exchange.go
@@ -127,7 +127,7 @@
 	e.code = failure.Code
 	e.cause = err
 	if e.stream != nil && e.answered {
-		e.stream.fail(failure.Answer(e.handler.options.RetryAfter).Body)
+		e.stream.fail(failure.Response(e.handler.options.RetryAfter).Body)
 		return
 	}
 	if e.answered {
--- a/protocol/callerapi/failure.go
+++ b/protocol/callerapi/failure.go
@@ -41,7 +41,7 @@
 
 // writeError answers with the error.
 func (e *exchange) writeError(failure *result.Error) {
-	answer := failure.Answer(e.handler.options.RetryAfter)
+	answer := failure.Response(e.handler.options.RetryAfter)
 	header := e.writer.Header()
 	answer.SetRetryAfter(header)
 	header.Set(headerShouldRetry, strconv.FormatBool(e.mayRetry(failure.Code)))
--- a/protocol/operator/handler.go
+++ b/protocol/operator/handler.go
@@ -91,7 +91,7 @@
 	if failure.Code == result.Internal {
 		h.logger.Error("operator request failed", zap.Error(err))
 	}
-	answer := failure.Answer(defaultRetryAfter)
+	answer := failure.Response(defaultRetryAfter)
 	detail := ErrorDetail{Detail: answer.Body.Error}
 	var syntax *SyntaxError
 	if errors.As(err, &syntax) {
--- a/state/result/answer.go
+++ b/state/result/answer.go
@@ -43,10 +43,10 @@
 	}
 }
 
-// Answer returns the HTTP response for the error. Its retry delay is that of the
+// Response returns the HTTP response for the error. Its retry delay is that of the
 // error; an error without one gets the default delay if its code allows a retry.
 // A delay of zero sets no Retry-After.
-func (e *Error) Answer(defaultDelay time.Duration) Response {
+func (e *Error) Response(defaultDelay time.Duration) Response {
 	info := e.Code.Info()
 	delay := e.RetryAfter
 	if delay <= 0 && info.Repeat != RepeatNever {
--- a/state/result/answer_test.go
+++ b/state/result/answer_test.go
@@ -31,7 +31,7 @@
 		{"negative delay", later.After(-time.Hour), time.Second, 1},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			answer := test.err.Answer(test.usual)
+			answer := test.err.Response(test.usual)
 			assert.Equal(t, answer.Body.Error.RetryAfterSeconds, test.want)
 			assert.Equal(t, answer.Status, test.err.Code.Info().HTTP)
 			header := make(http.Header)
@@ -48,7 +48,7 @@
 // TestErrorSurvivesRoundTrip encodes an error as JSON and decodes it as a client does.
 func TestErrorSurvivesRoundTrip(t *testing.T) {
 	sent := result.Errorf(result.TenantLimit, "100%% of 40 calls").After(2 * time.Second)
-	encoded, err := json.Marshal(sent.Answer(time.Second).Body)
+	encoded, err := json.Marshal(sent.Response(time.Second).Body)
 	assert.NilError(t, err)
 	var body result.Body
 	assert.NilError(t, json.Unmarshal(encoded, &body))
@@ -56,7 +56,7 @@
 }
 
 func ExampleError_Answer() {
-	answer := result.Errorf(result.Draining, "this node is stopping").Answer(time.Second)
+	answer := result.Errorf(result.Draining, "this node is stopping").Response(time.Second)
 	body, _ := json.Marshal(answer.Body.Error)
 	fmt.Println(answer.Status)
 	fmt.Println(string(body))
