--- a/coordination/configuration/acceptor.go
+++ b/coordination/configuration/acceptor.go
@@ -172,7 +172,7 @@
 	switch failure.Code {
 	case result.PlatformUnavailable, result.InvalidConfiguration, result.BadRequest:
 		return result.Errorf(result.CommandUnresolved,
-			"an earlier try of command %s may have been done; this one failed: %s", change.CommandID, failure.Message).After(retryAfter)
+			"an earlier try of command %s may have been done; this one failed: %s", change.CommandID, failure.Message).WithRetryAfter(retryAfter)
 	}
 	return err
 }
@@ -194,16 +194,16 @@
 }
 
 func unavailable(change Change, what string, err error) error {
-	return result.Errorf(result.PlatformUnavailable, "%s: nothing was written: %s: %v", change.Key, what, err).After(retryAfter)
+	return result.Errorf(result.PlatformUnavailable, "%s: nothing was written: %s: %v", change.Key, what, err).WithRetryAfter(retryAfter)
 }
 
 func unresolved(change Change, err error) error {
 	return result.Errorf(result.CommandUnresolved,
-		"%s: command %s may have been done: %v", change.Key, change.CommandID, err).After(retryAfter)
+		"%s: command %s may have been done: %v", change.Key, change.CommandID, err).WithRetryAfter(retryAfter)
 }
 
 func notInForce(key Key, version uint64, format string, args ...any) error {
 	err := result.Errorf(result.NotInForce, format, args...)
 	err.Message = key.String() + " was written but isn't known to be in force: " + err.Message
-	return err.After(retryAfter)
+	return err.WithRetryAfter(retryAfter)
 }
--- a/coordination/conversation/conversation.go
+++ b/coordination/conversation/conversation.go
@@ -93,7 +93,7 @@
 // Begin reads the earlier turns and reserves tokens. If it succeeds, End must be called.
 func (s *Service) Begin(ctx context.Context, request Request) (*Turn, *result.Error) {
 	if s.isCutOff() {
-		return nil, result.Errorf(result.NoQuorum, "no storage node can be reached from this gateway").After(otherGatewayRetryAfter)
+		return nil, result.Errorf(result.NoQuorum, "no storage node can be reached from this gateway").WithRetryAfter(otherGatewayRetryAfter)
 	}
 	ctx, cancel := context.WithTimeout(ctx, stateTime(ctx))
 	defer cancel()
@@ -141,7 +141,7 @@
 		return unknownTurn(t.request.Previous)
 	}
 	if err != nil {
-		return result.Errorf(result.HistoryUnavailable, "%v", err).After(t.service.outage.retryAfter())
+		return result.Errorf(result.HistoryUnavailable, "%v", err).WithRetryAfter(t.service.outage.retryAfter())
 	}
 	if owner := history[len(history)-1].GetTenant(); owner != t.request.Tenant {
 		t.service.logger.Info("turn of another tenant", zap.String("request", t.request.ID), zap.String("previous", t.request.Previous),
@@ -172,9 +172,9 @@
 	case errors.Is(err, budget.ErrExhausted):
 		return result.Errorf(result.BudgetExhausted, "%v", err)
 	case errors.Is(err, budget.ErrReserved):
-		return result.Errorf(result.BudgetReserved, "%v", err).After(reservedRetryAfter)
+		return result.Errorf(result.BudgetReserved, "%v", err).WithRetryAfter(reservedRetryAfter)
 	case err != nil:
-		return result.Errorf(result.NoQuorum, "%v", err).After(t.service.outage.retryAfter())
+		return result.Errorf(result.NoQuorum, "%v", err).WithRetryAfter(t.service.outage.retryAfter())
 	}
 	t.reservation = name
 	return nil
--- a/coordination/execution/await.go
+++ b/coordination/execution/await.go
@@ -52,7 +52,7 @@
 func (e *Executor) refuseLate(ctx context.Context, current *call, running *statev1.Call) (Answer, bool, error) {
 	refusal := result.Errorf(result.SequenceOutOfTurn, "the calls before sequence %d have not arrived", current.request.Sequence)
 	if running != nil {
-		refusal = result.Errorf(result.CallInProgress, "call %d is still running", running.GetSequence()).After(unresolvedRetry)
+		refusal = result.Errorf(result.CallInProgress, "call %d is still running", running.GetSequence()).WithRetryAfter(unresolvedRetry)
 	}
 	storeContext, cancel := context.WithTimeout(context.WithoutCancel(ctx), settlePatience)
 	defer cancel()
--- a/coordination/execution/call.go
+++ b/coordination/execution/call.go
@@ -174,14 +174,14 @@
 		name := current.request.Program + "/" + current.request.Key
 		leave, pause := e.Limiter.Enter(ctx, current.request.Tenant, name, current.newTokens+e.outputTokens(current, tree))
 		if pause > 0 {
-			return Choice{}, result.Errorf(result.TenantLimit, "tenant %q has reached its limit", current.request.Tenant).After(pause)
+			return Choice{}, result.Errorf(result.TenantLimit, "tenant %q has reached its limit", current.request.Tenant).WithRetryAfter(pause)
 		}
 		current.leave = leave
 	}
 	choice, err := e.choose(ctx, current, tree)
 	var refusal *result.Error
 	if err != nil && !errors.As(err, &refusal) {
-		refusal = result.Errorf(result.NoEngine, "choosing an engine: %v", err).After(noQuorumRetry)
+		refusal = result.Errorf(result.NoEngine, "choosing an engine: %v", err).WithRetryAfter(noQuorumRetry)
 	}
 	return choice, refusal
 }
--- a/coordination/execution/executor.go
+++ b/coordination/execution/executor.go
@@ -273,5 +273,5 @@
 const unresolvedRetry = time.Second
 
 func unresolved(format string, args ...any) error {
-	return result.Errorf(result.OutcomeUnresolved, format, args...).After(unresolvedRetry)
+	return result.Errorf(result.OutcomeUnresolved, format, args...).WithRetryAfter(unresolvedRetry)
 }
--- a/coordination/execution/programs.go
+++ b/coordination/execution/programs.go
@@ -166,7 +166,7 @@
 	case errors.As(err, &known):
 		return known
 	case errors.Is(err, register.ErrNoQuorum):
-		return result.Errorf(result.NoQuorum, "%v", err).After(noQuorumRetry)
+		return result.Errorf(result.NoQuorum, "%v", err).WithRetryAfter(noQuorumRetry)
 	default:
 		return unresolved("the program's record: %v", err)
 	}
--- a/coordination/fleet/fleet.go
+++ b/coordination/fleet/fleet.go
@@ -272,7 +272,7 @@
 }
 
 func overloaded(pause time.Duration) *result.Error {
-	return result.Errorf(result.Overloaded, "the engines have no room for the call").After(max(pause, time.Second))
+	return result.Errorf(result.Overloaded, "the engines have no room for the call").WithRetryAfter(max(pause, time.Second))
 }
 
 // shed refuses a call early where the queues are long; programs that have begun
--- a/coordination/quota/client.go
+++ b/coordination/quota/client.go
@@ -173,12 +173,12 @@
 func refusalError(tenant string, answer PermitAnswer) *result.Error {
 	switch grant := answer.(type) {
 	case Exhausted:
-		return result.Errorf(result.TenantLimit, "tenant %s is over its quota, %.1f permits are left", tenant, grant.Remaining).After(grant.RetryAfter)
+		return result.Errorf(result.TenantLimit, "tenant %s is over its quota, %.1f permits are left", tenant, grant.Remaining).WithRetryAfter(grant.RetryAfter)
 	case Reserved:
 		return result.Errorf(result.TenantLimit,
-			"tenant %s is near its quota: the remaining %.1f permits are reserved for running programs", tenant, grant.Remaining).After(grant.RetryAfter)
+			"tenant %s is near its quota: the remaining %.1f permits are reserved for running programs", tenant, grant.Remaining).WithRetryAfter(grant.RetryAfter)
 	}
-	return result.Errorf(result.QuotaUnavailable, "no storage node grants requests of tenant %s", tenant).After(unavailableRetryAfter)
+	return result.Errorf(result.QuotaUnavailable, "no storage node grants requests of tenant %s", tenant).WithRetryAfter(unavailableRetryAfter)
 }
 
 // askMainSlots asks main slots until one grants a permit. It returns nil if one of them has
--- a/coordination/routing/choose.go
+++ b/coordination/routing/choose.go
@@ -155,7 +155,7 @@
 	if len(rejected) > 0 {
 		reason = fmt.Sprintf("no engine can serve model %q: %s: %s", request.Model, rejected[0].Engine, rejected[0].Rejected)
 	}
-	refusal := result.Errorf(result.NoEngine, "%s", reason).After(noEngineRetry)
+	refusal := result.Errorf(result.NoEngine, "%s", reason).WithRetryAfter(noEngineRetry)
 	return Decision{Candidates: rejected, Reason: reason, Err: refusal}
 }
 
@@ -164,7 +164,7 @@
 	queue := seconds(best.Queue)
 	if snapshot.MaxQueue > 0 && queue > snapshot.MaxQueue {
 		return result.Errorf(result.Overloaded, "the least loaded engine has %s of work ahead, the limit is %s",
-			queue.Round(time.Millisecond), snapshot.MaxQueue).After(queue - snapshot.MaxQueue)
+			queue.Round(time.Millisecond), snapshot.MaxQueue).WithRetryAfter(queue - snapshot.MaxQueue)
 	}
 	if request.Deadline.IsZero() {
 		return nil
@@ -172,7 +172,7 @@
 	left := request.Deadline.Sub(snapshot.Now)
 	if expected := best.Latency(); expected > left {
 		return result.Errorf(result.DeadlineExceeded, "the answer is expected in %s, the deadline is in %s",
-			expected.Round(time.Millisecond), left.Round(time.Millisecond)).After(queue)
+			expected.Round(time.Millisecond), left.Round(time.Millisecond)).WithRetryAfter(queue)
 	}
 	return nil
 }
--- a/node/gate.go
+++ b/node/gate.go
@@ -61,12 +61,12 @@
 func (g *callerGate) closed() *result.Error {
 	if !g.open.Load() {
 		if err := g.ready(); err != nil {
-			return result.Errorf(result.NotReady, "this node is starting: %v", err).After(notReadyRetry)
+			return result.Errorf(result.NotReady, "this node is starting: %v", err).WithRetryAfter(notReadyRetry)
 		}
 		g.open.Store(true)
 	}
 	if g.draining() {
-		return result.Errorf(result.Draining, "this node drains by an operator's order").After(drainingRetry)
+		return result.Errorf(result.Draining, "this node drains by an operator's order").WithRetryAfter(drainingRetry)
 	}
 	return nil
 }
--- a/node/operator.go
+++ b/node/operator.go
@@ -92,7 +92,7 @@
 	})
 	var known *result.Error
 	if err != nil && !errors.As(err, &known) {
-		return nil, result.Errorf(result.NoQuorum, "reading the record of program %q: %v", id, err).After(recordRetry)
+		return nil, result.Errorf(result.NoQuorum, "reading the record of program %q: %v", id, err).WithRetryAfter(recordRetry)
 	}
 	return tree, err
 }
--- a/protocol/callerapi/answer_test.go
+++ b/protocol/callerapi/answer_test.go
@@ -100,7 +100,7 @@
 
 func TestRetryAfterIsRoundedUp(t *testing.T) {
 	service := &fakeService{answer: func(context.Context, execution.CallRequest, execution.Sink) (execution.Answer, error) {
-		return execution.Answer{}, result.Errorf(result.Overloaded, "full").After(1200 * time.Millisecond)
+		return execution.Answer{}, result.Errorf(result.Overloaded, "full").WithRetryAfter(1200 * time.Millisecond)
 	}}
 	_, server := startServer(t, service, nil)
 	response, content := send(t, http.MethodPost, server.URL+callPath, streamBody)
--- a/protocol/callerapi/client/client_test.go
+++ b/protocol/callerapi/client/client_test.go
@@ -115,7 +115,7 @@
 }
 
 func TestFailureMidStream(t *testing.T) {
-	service := &echoService{failure: result.Errorf(result.OutcomeUnresolved, "no answer").After(3 * time.Second)}
+	service := &echoService{failure: result.Errorf(result.OutcomeUnresolved, "no answer").WithRetryAfter(3 * time.Second)}
 	c := start(t, service)
 	call := client.Call{Program: "program-1", Messages: []callerapi.Message{{Role: "user", Content: "long enough"}}}
 	_, streamErr := c.Stream(context.Background(), call, nil)
--- a/protocol/callerapi/golden_test.go
+++ b/protocol/callerapi/golden_test.go
@@ -94,7 +94,7 @@
 func exchangeCases() []exchangeCase {
 	call := "POST " + callPath
 	callHeaders := []string{"Idempotency-Key: bag-17", "Marblering-Sequence: 3", "Marblering-Repeatable: false", "Marblering-Deadline-Ms: 2500"}
-	overloaded := result.Errorf(result.Overloaded, "full").After(1200 * time.Millisecond)
+	overloaded := result.Errorf(result.Overloaded, "full").WithRetryAfter(1200 * time.Millisecond)
 	return []exchangeCase{
 		{name: "create a program", request: "POST /v1/programs", headers: []string{"Idempotency-Key: k"}, view: fullView,
 			body: `{"model":"roast-7b","adapter":"dark","budget_tokens":900,"priority":2,"idle_limit_ms":1500,"turn_limit":4}`},
@@ -117,7 +117,7 @@
 		{name: "call refused with a pause", request: call, headers: callHeaders, body: goodBody, before: overloaded},
 		{name: "call refused without a pause", request: call, body: goodBody, before: result.Errorf(result.TenantLimit, "40 calls are running")},
 		{name: "call refused for good", request: call, headers: callHeaders, body: goodBody, before: result.Errorf(result.BudgetExhausted, "3 tokens are left")},
-		{name: "call without a quorum, with a key", request: call, headers: callHeaders, body: goodBody, before: result.Errorf(result.NoQuorum, "1 of 3").After(time.Second)},
+		{name: "call without a quorum, with a key", request: call, headers: callHeaders, body: goodBody, before: result.Errorf(result.NoQuorum, "1 of 3").WithRetryAfter(time.Second)},
 		{name: "call whose outcome is unresolved, without a key", request: call, body: goodBody, before: context.DeadlineExceeded},
 		{name: "call with a fault of the program", request: call, headers: callHeaders, body: goodBody, before: http.ErrServerClosed},
 		{name: "call with a bad field", request: call, body: `{"messages":[{"role":"owner"}]}`},
--- a/protocol/callerapi/inflight.go
+++ b/protocol/callerapi/inflight.go
@@ -38,10 +38,10 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.draining {
-		return result.Errorf(result.Draining, "this node is stopping").After(retryAfterDraining)
+		return result.Errorf(result.Draining, "this node is stopping").WithRetryAfter(retryAfterDraining)
 	}
 	if f.count >= f.limit {
-		return result.Errorf(result.Overloaded, "this node serves %d requests already", f.count).After(retryAfterOverloaded)
+		return result.Errorf(result.Overloaded, "this node serves %d requests already", f.count).WithRetryAfter(retryAfterOverloaded)
 	}
 	f.count++
 	return nil
--- a/protocol/callerapi/unrecorded.go
+++ b/protocol/callerapi/unrecorded.go
@@ -17,7 +17,7 @@
 		return refusal
 	}
 	return result.Errorf(result.OutcomeUnresolved,
-		"this request was not run here, but an earlier one with its key may have been: %s", refusal.Message).After(refusal.RetryAfter)
+		"this request was not run here, but an earlier one with its key may have been: %s", refusal.Message).WithRetryAfter(refusal.RetryAfter)
 }
 
 // unrecorded is Unrecorded for an error that may be a refusal.
--- a/protocol/callerapi/unrecorded_test.go
+++ b/protocol/callerapi/unrecorded_test.go
@@ -12,7 +12,7 @@
 )
 
 func TestUnrecordedRefusalOfAKeyedRequestIsUnresolved(t *testing.T) {
-	refusal := result.Errorf(result.NoQuorum, "no majority").After(2 * time.Second)
+	refusal := result.Errorf(result.NoQuorum, "no majority").WithRetryAfter(2 * time.Second)
 	fresh := callerapi.Unrecorded(refusal, http.Header{})
 	assert.Equal(t, fresh.Code, result.NoQuorum)
 	keyed := callerapi.Unrecorded(refusal, http.Header{callerapi.HeaderKey: {"k"}})
--- a/protocol/operator/interpreter.go
+++ b/protocol/operator/interpreter.go
@@ -189,9 +189,9 @@
 func unreadable(plan *plannedCommand, issued issue, err error) error {
 	if issued.again {
 		return result.Errorf(result.CommandUnresolved,
-			"an earlier try of command %s may have been done; this one can't read %s: %v", issued.commandID, plan.key, err).After(unreadableRetry)
+			"an earlier try of command %s may have been done; this one can't read %s: %v", issued.commandID, plan.key, err).WithRetryAfter(unreadableRetry)
 	}
-	return result.Errorf(result.PlatformUnavailable, "nothing was changed: can't read %s: %v", plan.key, err).After(unreadableRetry)
+	return result.Errorf(result.PlatformUnavailable, "nothing was changed: can't read %s: %v", plan.key, err).WithRetryAfter(unreadableRetry)
 }
 
 // compare refuses a command whose operator looked at another version of the
--- a/state/result/answer_test.go
+++ b/state/result/answer_test.go
@@ -21,14 +21,14 @@
 		usual time.Duration
 		want  int64
 	}{
-		{"delay of the error", later.After(3 * time.Second), time.Second, 3},
-		{"rounded up", later.After(time.Nanosecond), time.Second, 1},
-		{"whole second is kept", later.After(time.Second), 0, 1},
+		{"delay of the error", later.WithRetryAfter(3 * time.Second), time.Second, 3},
+		{"rounded up", later.WithRetryAfter(time.Nanosecond), time.Second, 1},
+		{"whole second is kept", later.WithRetryAfter(time.Second), 0, 1},
 		{"default delay", later, 1200 * time.Millisecond, 2},
 		{"no default delay", later, 0, 0},
 		{"code allows no retry", never, time.Second, 0},
-		{"delay of the error, code allows no retry", never.After(time.Second), 0, 1},
-		{"negative delay", later.After(-time.Hour), time.Second, 1},
+		{"delay of the error, code allows no retry", never.WithRetryAfter(time.Second), 0, 1},
+		{"negative delay", later.WithRetryAfter(-time.Hour), time.Second, 1},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			answer := test.err.Response(test.usual)
@@ -47,7 +47,7 @@
 
 // TestErrorSurvivesRoundTrip encodes an error as JSON and decodes it as a client does.
 func TestErrorSurvivesRoundTrip(t *testing.T) {
-	sent := result.Errorf(result.TenantLimit, "100%% of 40 calls").After(2 * time.Second)
+	sent := result.Errorf(result.TenantLimit, "100%% of 40 calls").WithRetryAfter(2 * time.Second)
 	encoded, err := json.Marshal(sent.Response(time.Second).Body)
 	assert.NilError(t, err)
 	var body result.Body
--- a/state/result/code.go
+++ b/state/result/code.go
@@ -209,8 +209,8 @@
 	return &Error{Code: code, Message: fmt.Sprintf(format, args...)}
 }
 
-// After returns a copy of the error with the retry delay.
-func (e *Error) After(delay time.Duration) *Error {
+// WithRetryAfter returns a copy of the error with the retry delay.
+func (e *Error) WithRetryAfter(delay time.Duration) *Error {
 	delayed := *e
 	delayed.RetryAfter = delay
 	return &delayed
--- a/state/result/code_test.go
+++ b/state/result/code_test.go
@@ -151,14 +151,14 @@
 
 func TestAfterReturnsCopy(t *testing.T) {
 	original := result.Errorf(result.Overloaded, "%d waiting", 12)
-	delayed := original.After(3 * time.Second)
+	delayed := original.WithRetryAfter(3 * time.Second)
 	assert.Equal(t, original.RetryAfter, time.Duration(0))
 	assert.Equal(t, delayed.RetryAfter, 3*time.Second)
 	assert.Equal(t, delayed.Code, result.Overloaded)
 }
 
 func ExampleErrorf() {
-	var err error = result.Errorf(result.TenantLimit, "tenant %q has 40 calls running", "night-shift").After(2 * time.Second)
+	var err error = result.Errorf(result.TenantLimit, "tenant %q has 40 calls running", "night-shift").WithRetryAfter(2 * time.Second)
 	var reported *result.Error
 	if errors.As(err, &reported) {
 		info := reported.Code.Info()
--- a/transport/relay/unavailable.go
+++ b/transport/relay/unavailable.go
@@ -46,7 +46,7 @@
 // a missing or unconfirmed configuration.
 func (r unavailableReason) errorf(format string, args ...any) *result.Error {
 	code, delay := r.codeAndDelay()
-	return result.Errorf(code, format, args...).After(delay)
+	return result.Errorf(code, format, args...).WithRetryAfter(delay)
 }
 
 func (r unavailableReason) codeAndDelay() (code result.Code, delay time.Duration) {
