--- a/node/system_test.go
+++ b/node/system_test.go
@@ -109,7 +109,7 @@
 	t.Helper()
 	assert.Equal(t, got.refusal(t).Code, code, "%s", got.body)
 	assert.Equal(t, got.status, code.Info().HTTP)
-	if code.Info().Repeat == result.RepeatLater {
+	if code.Info().Repeat == result.RepeatNewKey {
 		assert.Assert(t, got.retryAfter != "" && got.retryAfter != "0", "no Retry-After: %s", got.body)
 	}
 }
--- a/protocol/callerapi/failure.go
+++ b/protocol/callerapi/failure.go
@@ -53,7 +53,7 @@
 // Without an idempotency key of the caller's, a repeat would be a new request.
 func (e *exchange) mayRetry(code result.Code) bool {
 	switch code.Info().Repeat {
-	case result.RepeatLater:
+	case result.RepeatNewKey:
 		return true
 	case result.RepeatSameKey:
 		return e.key != "" || e.request.Method == http.MethodGet
--- a/state/result/code.go
+++ b/state/result/code.go
@@ -44,9 +44,9 @@
 const (
 	// RepeatNever means that a retry is useless: the same request fails again.
 	RepeatNever Repeat = "never"
-	// RepeatLater means that the request may be retried after Retry-After with a
+	// RepeatNewKey means that the request may be retried after Retry-After with a
 	// new idempotency key; the old key keeps returning the refusal.
-	RepeatLater Repeat = "new key, after Retry-After"
+	RepeatNewKey Repeat = "new key, after Retry-After"
 	// RepeatSameKey means that a retry with the same idempotency key returns the
 	// outcome of the request.
 	RepeatSameKey Repeat = "same key, after Retry-After"
@@ -135,26 +135,26 @@
 	{KeyConflict, "key_conflict", http.StatusUnprocessableEntity, NotRun, RepeatNever, "The idempotency key was used for a different request."},
 	{BudgetExhausted, "budget_exhausted", http.StatusPaymentRequired, NotRun, RepeatNever, "The request doesn't fit in what is left of the program's budget."},
 	{TurnLimit, "turn_limit", http.StatusConflict, NotRun, RepeatNever, "The program has taken all the turns it may take."},
-	{DeadlineExceeded, "deadline_exceeded", http.StatusGatewayTimeout, NotRun, RepeatLater, "The deadline passed before the request was dispatched."},
+	{DeadlineExceeded, "deadline_exceeded", http.StatusGatewayTimeout, NotRun, RepeatNewKey, "The deadline passed before the request was dispatched."},
 	{UnknownPath, "unknown_path", http.StatusNotFound, NotRun, RepeatNever, "The API has no such path or method."},
-	{CallInProgress, "call_in_progress", http.StatusConflict, NotRun, RepeatLater, "Another call of the same program is still running."},
+	{CallInProgress, "call_in_progress", http.StatusConflict, NotRun, RepeatNewKey, "Another call of the same program is still running."},
 	{ContextTooLong, "context_too_long", http.StatusBadRequest, NotRun, RepeatNever, "History, request and answer together exceed the model's context."},
 	{UnknownRoute, "unknown_route", http.StatusNotFound, NotRun, RepeatNever, "The configuration in force has no route for this host and path."},
 	{HeaderTooLarge, "header_too_large", http.StatusRequestHeaderFieldsTooLarge, NotRun, RepeatNever, "The request's header exceeds the size limit."},
-	{BodyTimeout, "body_timeout", http.StatusRequestTimeout, NotRun, RepeatLater, "The request's body didn't arrive in time."},
+	{BodyTimeout, "body_timeout", http.StatusRequestTimeout, NotRun, RepeatNewKey, "The request's body didn't arrive in time."},
 	{UnknownTurn, "unknown_turn", http.StatusNotFound, NotRun, RepeatNever, "The turn that this one goes on from isn't kept."},
-	{Overloaded, "overloaded", http.StatusTooManyRequests, NotRun, RepeatLater, "The engines can't serve the request in time."},
-	{TenantLimit, "tenant_limit", http.StatusTooManyRequests, NotRun, RepeatLater, "The tenant has reached its limit."},
-	{NoEngine, "no_engine", http.StatusServiceUnavailable, NotRun, RepeatLater, "No engine that serves the model can be reached."},
-	{NoQuorum, "no_quorum", http.StatusServiceUnavailable, NotRun, RepeatLater, "Too few replicas of the program's record answer."},
-	{Draining, "draining", http.StatusServiceUnavailable, NotRun, RepeatLater, "This node is stopping; ask another one."},
-	{NotReady, "not_ready", http.StatusServiceUnavailable, NotRun, RepeatLater, "This node has no configuration or shard map yet."},
-	{HistoryUnavailable, "history_unavailable", http.StatusServiceUnavailable, NotRun, RepeatLater, "Too few replicas of the program's history answer."},
-	{BackendBusy, "backend_busy", http.StatusServiceUnavailable, NotRun, RepeatLater, "Every back end that was asked refused the request."},
-	{NoBackend, "no_backend", http.StatusServiceUnavailable, NotRun, RepeatLater, "No back end of the service can be reached."},
-	{BudgetReserved, "budget_reserved", http.StatusServiceUnavailable, NotRun, RepeatLater, "The rest of the program's budget is reserved for turns at other nodes."},
-	{ConfigurationStale, "configuration_stale", http.StatusServiceUnavailable, NotRun, RepeatLater, "This node can't show that the caller's key hasn't been taken away."},
-	{QuotaUnavailable, "quota_unavailable", http.StatusServiceUnavailable, NotRun, RepeatLater, "Nobody who grants requests of the tenant's quota can be reached."},
+	{Overloaded, "overloaded", http.StatusTooManyRequests, NotRun, RepeatNewKey, "The engines can't serve the request in time."},
+	{TenantLimit, "tenant_limit", http.StatusTooManyRequests, NotRun, RepeatNewKey, "The tenant has reached its limit."},
+	{NoEngine, "no_engine", http.StatusServiceUnavailable, NotRun, RepeatNewKey, "No engine that serves the model can be reached."},
+	{NoQuorum, "no_quorum", http.StatusServiceUnavailable, NotRun, RepeatNewKey, "Too few replicas of the program's record answer."},
+	{Draining, "draining", http.StatusServiceUnavailable, NotRun, RepeatNewKey, "This node is stopping; ask another one."},
+	{NotReady, "not_ready", http.StatusServiceUnavailable, NotRun, RepeatNewKey, "This node has no configuration or shard map yet."},
+	{HistoryUnavailable, "history_unavailable", http.StatusServiceUnavailable, NotRun, RepeatNewKey, "Too few replicas of the program's history answer."},
+	{BackendBusy, "backend_busy", http.StatusServiceUnavailable, NotRun, RepeatNewKey, "Every back end that was asked refused the request."},
+	{NoBackend, "no_backend", http.StatusServiceUnavailable, NotRun, RepeatNewKey, "No back end of the service can be reached."},
+	{BudgetReserved, "budget_reserved", http.StatusServiceUnavailable, NotRun, RepeatNewKey, "The rest of the program's budget is reserved for turns at other nodes."},
+	{ConfigurationStale, "configuration_stale", http.StatusServiceUnavailable, NotRun, RepeatNewKey, "This node can't show that the caller's key hasn't been taken away."},
+	{QuotaUnavailable, "quota_unavailable", http.StatusServiceUnavailable, NotRun, RepeatNewKey, "Nobody who grants requests of the tenant's quota can be reached."},
 	{OutcomeUnknown, "outcome_unknown", http.StatusBadGateway, Unknown, RepeatNever, "A request that must not be repeated lost its executor after dispatch. Final: it isn't tried again."},
 	{OutcomeUnresolved, "outcome_unresolved", http.StatusServiceUnavailable, Unknown, RepeatSameKey, "The record couldn't be read after a change; the same key finds out."},
 	{EngineFailed, "engine_failed", http.StatusBadGateway, Run, RepeatNever, "Every attempt the call may have failed at an engine. Final."},
@@ -164,7 +164,7 @@
 	{ClientGone, "client_gone", http.StatusBadGateway, Unknown, RepeatNever, "The caller closed the connection; the code is only logged."},
 	{SyntaxError, "syntax_error", http.StatusBadRequest, NotRun, RepeatNever, "The operator's text can't be parsed; the message gives the column."},
 	{VersionConflict, "version_conflict", http.StatusConflict, NotRun, RepeatNever, "The object has another version; the message gives it and who wrote it."},
-	{PlatformUnavailable, "platform_unavailable", http.StatusServiceUnavailable, NotRun, RepeatLater, "The object API doesn't answer; nothing was changed."},
+	{PlatformUnavailable, "platform_unavailable", http.StatusServiceUnavailable, NotRun, RepeatNewKey, "The object API doesn't answer; nothing was changed."},
 	{CommandUnresolved, "command_unresolved", http.StatusServiceUnavailable, Unknown, RepeatSameKey, "The object API's answer was lost and can't be read back; the same command id finds out."},
 	{UnknownObject, "unknown_object", http.StatusNotFound, NotRun, RepeatNever, "No such object."},
 	{InvalidConfiguration, "invalid_configuration", http.StatusUnprocessableEntity, NotRun, RepeatNever, "The configuration fails its checks; the message names the field."},
--- a/state/result/code_test.go
+++ b/state/result/code_test.go
@@ -115,7 +115,7 @@
 	case result.NotRun:
 		assert.Assert(t, info.Repeat != result.RepeatSameKey, label)
 	case result.Unknown:
-		assert.Assert(t, info.Repeat != result.RepeatLater, "%s: a retry with a new key could run the request twice", label)
+		assert.Assert(t, info.Repeat != result.RepeatNewKey, "%s: a retry with a new key could run the request twice", label)
 	default:
 		t.Errorf("%s: unknown execution %q", label, info.Execution)
 	}
@@ -124,7 +124,7 @@
 		assert.Equal(t, info.Execution, result.NotRun, label)
 	}
 	if class == 2 {
-		assert.Equal(t, info.Repeat, result.RepeatLater, label)
+		assert.Equal(t, info.Repeat, result.RepeatNewKey, label)
 	}
 }
 
--- a/test/integration/caller_test.go
+++ b/test/integration/caller_test.go
@@ -217,7 +217,7 @@
 	key := r.key
 	for try := 2; ; try++ {
 		last := s.settle(ctx, first, r)
-		if ctx.Err() != nil || last.failure == nil || last.failure.Repeat != result.RepeatLater {
+		if ctx.Err() != nil || last.failure == nil || last.failure.Repeat != result.RepeatNewKey {
 			return last
 		}
 		r.key = fmt.Sprintf("%s-%d", key, try)
