--- a/coordination/admission/example_test.go
+++ b/coordination/admission/example_test.go
@@ -7,7 +7,7 @@
 	"github.com/marblering/marblering/coordination/admission"
 )
 
-func ExamplePoint() {
+func ExampleController() {
 	now := time.Unix(1000, 0)
 	point := admission.NewController(time.Minute)
 	point.SetCapacity("engine-a", admission.Capacity{MaxTokens: 10_000, TokensPerSecond: 5000})
--- a/state/result/answer_test.go
+++ b/state/result/answer_test.go
@@ -55,7 +55,7 @@
 	assert.DeepEqual(t, body.Error.Err(), sent)
 }
 
-func ExampleError_Answer() {
+func ExampleError_Response() {
 	answer := result.Errorf(result.Draining, "this node is stopping").Response(time.Second)
 	body, _ := json.Marshal(answer.Body.Error)
 	fmt.Println(answer.Status)
