--- a/coordination/placement/controller.go
+++ b/coordination/placement/controller.go
@@ -7,52 +7,54 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// ErrOldFence is returned by a Sender where the engine knows a newer fence.
-var ErrOldFence = merry.Sentinel("the engine knows a newer fence")
+// ErrStaleFence is returned by a Sender when the engine has seen a newer
+// fencing token.
+var ErrStaleFence = merry.Sentinel("stale fencing token: the engine has seen a newer one")
 
-// Fencer draws fences from a replicated register: each is greater than all
-// that were drawn before, on any node.
+// Fencer issues fencing tokens from a replicated register. Each token is greater
+// than all tokens issued before, on any node.
 type Fencer interface {
 	Next(ctx context.Context) (uint64, error)
 }
 
-// Sender gives an order to an engine.
+// Sender delivers orders to engines.
 type Sender interface {
 	Send(ctx context.Context, fence uint64, order Order) error
 }
 
-// Controller carries out plans. Any node may run one: of two at once, the one
-// with the older fence is refused by every engine that has seen the newer.
+// Controller executes plans. Several nodes may run one concurrently: an engine
+// rejects orders whose fencing token is older than the newest it has seen.
 type Controller struct {
 	fencer Fencer
 	sender Sender
 	policy func() Policy
 }
 
-// NewController makes a controller.
+// NewController returns a Controller that reads the policy before every round.
 func NewController(fencer Fencer, sender Sender, policy func() Policy) *Controller {
 	return &Controller{fencer: fencer, sender: sender, policy: policy}
 }
 
-// Round is the outcome of one round.
+// Round is the outcome of one planning round.
 type Round struct {
-	// Fence is zero where there was nothing to do.
+	// Fence is the fencing token of the round, zero if the plan was empty.
 	Fence uint64
-	// Sent are the orders that engines have accepted.
+	// Sent lists the orders that engines accepted.
 	Sent []Order
-	// Failed are those that engines didn't accept; the next plan sees to them.
+	// Failed lists the orders that engines did not accept. They are not retried;
+	// the next plan starts from the state at that time.
 	Failed []FailedOrder
 }
 
-// FailedOrder is an order with the reason why it failed.
+// FailedOrder is an order and the error it failed with.
 type FailedOrder struct {
 	Order Order
 	Err   error
 }
 
-// Run plans once and sends the orders. It stops with ErrOldFence as soon as an
-// engine knows a newer fence: another node has planned since, with newer
-// knowledge.
+// Run plans once and sends the orders. After an order fails, the remaining orders
+// for the same engine are skipped. Run stops with ErrStaleFence as soon as an
+// engine reports a newer fencing token, since another node has planned later.
 func (c *Controller) Run(ctx context.Context, state State) (Round, error) {
 	orders := Plan(state, c.policy())
 	if len(orders) == 0 {
@@ -60,7 +62,7 @@
 	}
 	fence, err := c.fencer.Next(ctx)
 	if err != nil {
-		return Round{}, merry.Prependf(err, "draw a fence for %d orders", len(orders))
+		return Round{}, merry.Prependf(err, "get a fencing token for %d orders", len(orders))
 	}
 	round := Round{Fence: fence}
 	failed := make(map[string]bool)
@@ -69,7 +71,7 @@
 			continue
 		}
 		err := c.sender.Send(ctx, fence, order)
-		if errors.Is(err, ErrOldFence) {
+		if errors.Is(err, ErrStaleFence) {
 			return round, merry.Prependf(err, "send %s to %s", order.Action, order.Engine)
 		}
 		if err != nil {
--- a/coordination/placement/doc.go
+++ b/coordination/placement/doc.go
@@ -1,10 +1,10 @@
-// Package placement decides which engine of a pool loads which models and
-// adapters, and which role it has.
+// Package placement decides which models and adapters each engine of a pool
+// loads, and which role it has.
 //
-// Plan is a pure function of what the engines have and what is asked of them.
-// It makes before it breaks: nothing is unloaded whose place isn't taken
-// already. Loads are bounded, since weights come from a store that limits its
-// rate, and two thresholds with a gap between them, and a least stay, keep
-// placements from flapping. Controller sends a plan's orders with a fence, so
-// that of two nodes that plan at once the older one's orders are refused.
+// Plan is a pure function of the engines' state and the demand per model. It is
+// make-before-break: a model in demand is unloaded only where other engines
+// already serve it. The number of concurrent loads is bounded because the weight
+// store is rate-limited. Hysteresis between two thresholds and a cooldown per
+// engine prevent flapping. Controller sends the orders of a plan with a fencing
+// token, so that of two nodes planning concurrently the older one is rejected.
 package placement
--- a/coordination/placement/example_test.go
+++ b/coordination/placement/example_test.go
@@ -13,9 +13,9 @@
 	state := placement.State{
 		Now: time.Unix(10_000, 0),
 		Engines: []placement.Engine{
-			{Name: "engine-a", Zone: "hall-a", Capacity: 10, Places: 1, Models: []placement.Item{small}},
-			{Name: "engine-b", Zone: "hall-b", Capacity: 10, Places: 1, Models: []placement.Item{small}},
-			{Name: "engine-c", Zone: "hall-c", Capacity: 10, Places: 1, Models: []placement.Item{small}},
+			{Name: "engine-a", Zone: "hall-a", Capacity: 10, ModelSlots: 1, Models: []placement.Item{small}},
+			{Name: "engine-b", Zone: "hall-b", Capacity: 10, ModelSlots: 1, Models: []placement.Item{small}},
+			{Name: "engine-c", Zone: "hall-c", Capacity: 10, ModelSlots: 1, Models: []placement.Item{small}},
 		},
 		Demands: []placement.Demand{
 			{Model: small, Load: 8, MinEngines: 2},
--- a/coordination/placement/plan.go
+++ b/coordination/placement/plan.go
@@ -6,26 +6,26 @@
 	"slices"
 )
 
-// Plan returns the orders that bring the pool nearer to its demands. It is
-// empty where the pool is as it should be, and for the time being where only
-// more loads would help than the weight store bears.
+// Plan returns the orders that bring the pool closer to its demands. It returns
+// none if the pool meets them, or if more loads are needed but
+// Policy.MaxConcurrentLoads is reached.
 func Plan(state State, policy Policy) []Order {
 	p := &planner{state: &state, policy: &policy}
-	p.loadsLeft = policy.MaxLoading - p.loading()
+	p.loadsLeft = policy.MaxConcurrentLoads - p.loading()
 	p.placeAdapters()
 	p.placeModels()
-	p.dropOldVersions()
+	p.unloadUnused()
 	p.assignRoles()
 	return p.orders
 }
 
-// planner is one run of Plan.
+// planner holds the state of a single run of Plan.
 type planner struct {
 	state     *State
 	policy    *Policy
 	orders    []Order
 	loadsLeft int
-	// changed are the engines that the plan has an order for already.
+	// changed contains the engines that already have an order in this plan.
 	changed map[string]bool
 }
 
@@ -37,7 +37,7 @@
 	return count
 }
 
-func (p *planner) order(order Order) {
+func (p *planner) addOrder(order Order) {
 	if p.changed == nil {
 		p.changed = make(map[string]bool)
 	}
@@ -45,7 +45,7 @@
 	p.orders = append(p.orders, order)
 }
 
-// placeModels loads where capacity is short, the model that is shortest first.
+// placeModels schedules loads of under-provisioned models, lowest coverage first.
 func (p *planner) placeModels() {
 	demands := slices.Clone(p.state.Demands)
 	slices.SortStableFunc(demands, func(a, b Demand) int {
@@ -57,19 +57,20 @@
 		if short == "" || p.loadsLeft <= 0 {
 			continue
 		}
-		p.loadSomewhere(demand, short)
+		p.scheduleLoad(demand, short)
 	}
 }
 
-// coverage is the capacity a model has, or is going to have, in relation to its
-// load.
+// coverage returns the ratio of a model's capacity, including loads in progress,
+// to its load.
 func (p *planner) coverage(demand *Demand) float64 {
 	const smallest = 1e-9
 	return p.capacity(demand.Model) / max(demand.Load, smallest)
 }
 
-// capacity is what the engines give to a model that have it or are loading it,
-// each shared equally among its models.
+// capacity returns the total capacity available to a model on the engines that
+// have it or are loading it. Each engine's capacity is divided equally among its
+// models.
 func (p *planner) capacity(model Item) float64 {
 	total := 0.0
 	for i := range p.state.Engines {
@@ -82,7 +83,7 @@
 	return total
 }
 
-// loadingModels counts what an engine is loading that isn't an adapter.
+// loadingModels counts the models in demand that an engine is loading.
 func (p *planner) loadingModels(engine *Engine) int {
 	count := 0
 	for _, item := range engine.Loading {
@@ -102,20 +103,22 @@
 	return nil
 }
 
-// shortage says why a model needs another engine, or nothing.
+// shortage returns why a model needs another engine, or an empty string if it
+// does not.
 func (p *planner) shortage(demand *Demand) string {
-	engines := len(p.engines(demand.Model, true))
+	engines := len(p.enginesWith(demand.Model, true))
 	if engines < demand.MinEngines {
-		return fmt.Sprintf("%d engines have %s, at least %d are wanted", engines, demand.Model.Name, demand.MinEngines)
+		return fmt.Sprintf("%d engines have %s, minimum is %d", engines, demand.Model.Name, demand.MinEngines)
 	}
 	if coverage := p.coverage(demand); demand.Load > 0 && coverage < p.policy.Headroom {
-		return fmt.Sprintf("%s has %.2f of its load, %.2f is wanted", demand.Model.Name, coverage, p.policy.Headroom)
+		return fmt.Sprintf("%s has capacity for %.2f of its load, minimum is %.2f", demand.Model.Name, coverage, p.policy.Headroom)
 	}
 	return ""
 }
 
-// engines lists those that have a model, or are loading it where that counts.
-func (p *planner) engines(model Item, alsoLoading bool) []*Engine {
+// enginesWith lists the engines that have a model and, if alsoLoading is set,
+// those that are loading it. Leaving engines are left out.
+func (p *planner) enginesWith(model Item, alsoLoading bool) []*Engine {
 	var list []*Engine
 	for i := range p.state.Engines {
 		engine := &p.state.Engines[i]
@@ -126,14 +129,14 @@
 	return list
 }
 
-// loadSomewhere loads a model on an engine with a free place, or makes one on
-// an engine whose model is served well enough by others.
-func (p *planner) loadSomewhere(demand *Demand, reason string) {
-	unserved := len(p.engines(demand.Model, true)) == 0
+// scheduleLoad loads a model on an engine with a free slot, or first unloads a
+// surplus model to free one.
+func (p *planner) scheduleLoad(demand *Demand, reason string) {
+	unserved := len(p.enginesWith(demand.Model, true)) == 0
 	var best *Engine
 	for i := range p.state.Engines {
 		engine := &p.state.Engines[i]
-		if !p.takes(engine, demand.Model, unserved) {
+		if !p.canLoad(engine, demand.Model, unserved) {
 			continue
 		}
 		if best == nil || p.prefers(demand.Model, engine, best) {
@@ -143,40 +146,44 @@
 	if best == nil {
 		return
 	}
-	if !hasPlace(best, p.loadingModels(best)) {
+	if !hasFreeSlot(best, p.loadingModels(best)) {
 		surplus, _ := p.surplusModel(best)
-		p.order(Order{Engine: best.Name, Action: UnloadModel, Item: surplus, Reason: "makes room for " + demand.Model.Name})
+		p.addOrder(Order{Engine: best.Name, Action: UnloadModel, Item: surplus, Reason: "frees a slot for " + demand.Model.Name})
 	}
 	p.loadsLeft--
-	p.order(Order{Engine: best.Name, Action: LoadModel, Item: demand.Model, Reason: reason})
+	p.addOrder(Order{Engine: best.Name, Action: LoadModel, Item: demand.Model, Reason: reason})
 }
 
-func (p *planner) takes(engine *Engine, model Item, unserved bool) bool {
+// canLoad reports whether the model can be loaded on the engine. The cooldown is
+// waived for models that no engine serves.
+func (p *planner) canLoad(engine *Engine, model Item, unserved bool) bool {
 	if engine.Leaving || engine.has(model) || engine.isLoading(model) || p.changed[engine.Name] {
 		return false
 	}
-	if !unserved && !engine.rested(p.state, p.policy) {
+	if !unserved && !engine.cooldownElapsed(p.state, p.policy) {
 		return false
 	}
-	if hasPlace(engine, p.loadingModels(engine)) {
+	if hasFreeSlot(engine, p.loadingModels(engine)) {
 		return true
 	}
 	_, found := p.surplusModel(engine)
 	return found
 }
 
-func hasPlace(engine *Engine, loading int) bool { return len(engine.Models)+loading < engine.Places }
+func hasFreeSlot(engine *Engine, loading int) bool {
+	return len(engine.Models)+loading < engine.ModelSlots
+}
 
-// prefers compares two engines for a model: a free place before one to be made,
-// then the zone with fewest engines of the model, then the emptier and the
-// stronger one.
+// prefers reports whether engine a is a better target for a model than b. It
+// compares by free slot, engines with the model in the zone, number of models,
+// capacity and name.
 func (p *planner) prefers(model Item, a, b *Engine) bool {
-	freeA, freeB := hasPlace(a, p.loadingModels(a)), hasPlace(b, p.loadingModels(b))
+	freeA, freeB := hasFreeSlot(a, p.loadingModels(a)), hasFreeSlot(b, p.loadingModels(b))
 	if freeA != freeB {
 		return freeA
 	}
 	order := cmp.Or(
-		cmp.Compare(p.inZone(model, a.Zone), p.inZone(model, b.Zone)),
+		cmp.Compare(p.countInZone(model, a.Zone), p.countInZone(model, b.Zone)),
 		cmp.Compare(len(a.Models), len(b.Models)),
 		cmp.Compare(b.Capacity, a.Capacity),
 		cmp.Compare(a.Name, b.Name),
@@ -184,9 +191,9 @@
 	return order < 0
 }
 
-func (p *planner) inZone(model Item, zone string) int {
+func (p *planner) countInZone(model Item, zone string) int {
 	count := 0
-	for _, engine := range p.engines(model, true) {
+	for _, engine := range p.enginesWith(model, true) {
 		if engine.Zone == zone {
 			count++
 		}
@@ -194,10 +201,11 @@
 	return count
 }
 
-// surplusModel is a model of the engine that the others serve well enough.
-// Models that nobody asks for come first.
+// surplusModel returns the model of the engine with the highest coverage on the
+// other engines, if that exceeds Policy.UnloadHeadroom. Models without demand
+// come first.
 func (p *planner) surplusModel(engine *Engine) (Item, bool) {
-	if !engine.rested(p.state, p.policy) {
+	if !engine.cooldownElapsed(p.state, p.policy) {
 		return Item{}, false
 	}
 	var best Item
@@ -208,19 +216,21 @@
 			best, most = model, left
 		}
 	}
-	return best, most > p.policy.Surplus
+	return best, most > p.policy.UnloadHeadroom
 }
 
-// unloads reports whether the plan takes the model from the engine already: two
-// orders of one plan must not each count on the other's engine.
-func (p *planner) unloads(engine *Engine, model Item) bool {
+// alreadyUnloads reports whether the plan already unloads the model from the
+// engine. Without this check two engines could each unload a model and rely on
+// the other to keep it.
+func (p *planner) alreadyUnloads(engine *Engine, model Item) bool {
 	return slices.ContainsFunc(p.orders, func(order Order) bool {
 		return order.Action == UnloadModel && order.Engine == engine.Name && order.Item == model
 	})
 }
 
-// coverageWithout is the coverage that a model keeps if an engine unloads it:
-// that of engines which have it now. It is zero where too few would be left.
+// coverageWithout returns the coverage that a model keeps if one engine unloads
+// it, not counting loads in progress. It returns zero if fewer than
+// Demand.MinEngines would remain.
 func (p *planner) coverageWithout(model Item, without *Engine) float64 {
 	demand := p.demandOf(model)
 	if demand == nil {
@@ -228,8 +238,8 @@
 	}
 	left := 0.0
 	count := 0
-	for _, engine := range p.engines(model, false) {
-		if engine == without || p.unloads(engine, model) {
+	for _, engine := range p.enginesWith(model, false) {
+		if engine == without || p.alreadyUnloads(engine, model) {
 			continue
 		}
 		count++
@@ -239,5 +249,5 @@
 		return 0
 	}
 	const smallest = 1e-9
-	return max(left, smallest*2*p.policy.Surplus) / max(demand.Load, smallest)
+	return max(left, smallest*2*p.policy.UnloadHeadroom) / max(demand.Load, smallest)
 }
--- a/coordination/placement/plan_test.go
+++ b/coordination/placement/plan_test.go
@@ -21,8 +21,8 @@
 	adapter  = placement.Item{Name: "tune", Version: "1"}
 )
 
-// apply carries out orders at once, except that loads stay under way until
-// finishLoads.
+// apply executes the orders on the state. Loads remain in progress until
+// finishLoads is called.
 func apply(t assert.TestingT, state *placement.State, orders []placement.Order) {
 	for _, order := range orders {
 		index := slices.IndexFunc(state.Engines, func(e placement.Engine) bool { return e.Name == order.Engine })
@@ -32,7 +32,7 @@
 		case placement.LoadModel, placement.LoadAdapter:
 			engine.Loading = append(engine.Loading, order.Item)
 		case placement.UnloadModel:
-			assert.Assert(t, slices.ContainsFunc(engine.Models, is), "unloads what isn't there: %v", order)
+			assert.Assert(t, slices.ContainsFunc(engine.Models, is), "unload of a model that is not loaded: %v", order)
 			engine.Models = slices.DeleteFunc(slices.Clone(engine.Models), is)
 		case placement.UnloadAdapter:
 			engine.Adapters = slices.DeleteFunc(slices.Clone(engine.Adapters), is)
@@ -67,7 +67,7 @@
 			Role:         placement.RoleMixed,
 			Capacity:     float64(rapid.IntRange(1, 20).Draw(t, "capacity")),
 			PrefillRatio: float64(rapid.IntRange(1, 9).Draw(t, "ratio")),
-			Places:       rapid.IntRange(1, 2).Draw(t, "places"),
+			ModelSlots:   rapid.IntRange(1, 2).Draw(t, "places"),
 		}
 		total += engine.Capacity
 		state.Engines = append(state.Engines, engine)
@@ -79,41 +79,41 @@
 	return state
 }
 
-// TestPlanConvergesWithoutFlapping applies plans until none comes, then varies
-// the demand within the hysteresis and expects none.
+// TestPlanConvergesWithoutFlapping checks that repeated plans reach a state that
+// needs no further orders and serves every model, within all limits.
 func TestPlanConvergesWithoutFlapping(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		state := drawState(t)
 		policy := placement.DefaultPolicy()
 		policy.PrefillShare = rapid.SampledFrom([]float64{0, 0.3}).Draw(t, "prefill share")
-		const mostRounds = 200
+		const maxRounds = 200
 		rounds := 0
-		for ; rounds < mostRounds; rounds++ {
+		for ; rounds < maxRounds; rounds++ {
 			loading := 0
 			orders := placement.Plan(state, policy)
 			apply(t, &state, orders)
 			for i := range state.Engines {
 				loading += len(state.Engines[i].Loading)
-				assert.Assert(t, len(state.Engines[i].Models) <= state.Engines[i].Places)
+				assert.Assert(t, len(state.Engines[i].Models) <= state.Engines[i].ModelSlots)
 			}
-			assert.Assert(t, loading <= policy.MaxLoading)
+			assert.Assert(t, loading <= policy.MaxConcurrentLoads)
 			finishLoads(&state)
-			state.Now = state.Now.Add(policy.MinStay)
+			state.Now = state.Now.Add(policy.ChangeCooldown)
 			if len(orders) == 0 {
 				break
 			}
 		}
-		assert.Assert(t, rounds < mostRounds, "the plan doesn't settle")
+		assert.Assert(t, rounds < maxRounds, "plans do not converge after %d rounds", maxRounds)
 		for _, demand := range state.Demands {
 			found := slices.ContainsFunc(state.Engines, func(e placement.Engine) bool { return slices.Contains(e.Models, demand.Model) })
-			assert.Assert(t, found, "nothing serves %s", demand.Model.Name)
+			assert.Assert(t, found, "no engine serves %s", demand.Model.Name)
 		}
 		assert.Equal(t, len(placement.Plan(state, policy)), 0)
 	})
 }
 
-// TestUnloadsOnlyWhatOthersServe checks that no plan takes a demanded model's
-// last engine.
+// TestUnloadsOnlyWhatOthersServe checks that no plan unloads a model in demand from
+// its last engine.
 func TestUnloadsOnlyWhatOthersServe(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		state := drawState(t)
@@ -126,10 +126,10 @@
 			apply(t, &state, placement.Plan(state, policy))
 			after := served(&state)
 			for model := range before {
-				assert.Assert(t, after[model], "%s was unloaded everywhere", model)
+				assert.Assert(t, after[model], "%s was unloaded from its last engine", model)
 			}
 			finishLoads(&state)
-			state.Now = state.Now.Add(policy.MinStay / 3)
+			state.Now = state.Now.Add(policy.ChangeCooldown / 3)
 		}
 	})
 }
@@ -148,7 +148,7 @@
 	a, b := models[0], models[1]
 	newer := placement.Item{Name: "a", Version: "2"}
 	engine := func(name string, places int, loaded ...placement.Item) placement.Engine {
-		return placement.Engine{Name: name, Zone: "z", Capacity: 10, Places: places, Models: loaded}
+		return placement.Engine{Name: name, Zone: "z", Capacity: 10, ModelSlots: places, Models: loaded}
 	}
 	cases := []struct {
 		name    string
@@ -159,18 +159,18 @@
 	}{
 		{"nothing to do", []placement.Engine{engine("1", 1, a)}, []placement.Demand{{Model: a, Load: 5}}, nil, nil},
 		{"short of capacity", []placement.Engine{engine("1", 1, a), engine("2", 1)}, []placement.Demand{{Model: a, Load: 9}}, nil, []string{"2 load_model a"}},
-		{"within the gap nothing moves", []placement.Engine{engine("1", 1, a), engine("2", 1, a)}, []placement.Demand{{Model: a, Load: 6}, {Model: b, Load: 1}}, nil, nil},
-		{"an engine stays as it is for a while", []placement.Engine{engine("1", 1, a), engine("2", 1)}, []placement.Demand{{Model: a, Load: 9}},
+		{"no change within the hysteresis", []placement.Engine{engine("1", 1, a), engine("2", 1, a)}, []placement.Demand{{Model: a, Load: 6}, {Model: b, Load: 1}}, nil, nil},
+		{"no change during the cooldown", []placement.Engine{engine("1", 1, a), engine("2", 1)}, []placement.Demand{{Model: a, Load: 9}},
 			func(s *placement.State, _ *placement.Policy) { s.Engines[1].ChangedAt = s.Now }, nil},
-		{"but not where nothing serves the model", []placement.Engine{engine("2", 1)}, []placement.Demand{{Model: a, MinEngines: 1}},
+		{"cooldown waived for an unserved model", []placement.Engine{engine("2", 1)}, []placement.Demand{{Model: a, MinEngines: 1}},
 			func(s *placement.State, _ *placement.Policy) { s.Engines[0].ChangedAt = s.Now }, []string{"2 load_model a"}},
-		{"the weight store is busy", []placement.Engine{engine("1", 1, a), engine("2", 1)}, []placement.Demand{{Model: a, Load: 9}},
-			func(_ *placement.State, p *placement.Policy) { p.MaxLoading = 0 }, nil},
+		{"limit of concurrent loads reached", []placement.Engine{engine("1", 1, a), engine("2", 1)}, []placement.Demand{{Model: a, Load: 9}},
+			func(_ *placement.State, p *placement.Policy) { p.MaxConcurrentLoads = 0 }, nil},
 		{"leaving engines get no orders", []placement.Engine{engine("1", 1, a), engine("2", 1)}, []placement.Demand{{Model: a, Load: 9}},
 			func(s *placement.State, _ *placement.Policy) { s.Engines[1].Leaving = true }, nil},
-		{"adapters go with their model", []placement.Engine{engine("1", 1, a)}, []placement.Demand{{Model: a, Adapters: []placement.Item{adapter}}}, nil, []string{"1 load_adapter tune"}},
-		{"the old version goes once the new one is there", []placement.Engine{engine("1", 2, a, newer)}, []placement.Demand{{Model: newer, MinEngines: 1}}, nil, []string{"1 unload_model a"}},
-		{"the best at prefill gets the role", []placement.Engine{engine("1", 1), engine("2", 1)}, nil,
+		{"adapter loaded with its model", []placement.Engine{engine("1", 1, a)}, []placement.Demand{{Model: a, Adapters: []placement.Item{adapter}}}, nil, []string{"1 load_adapter tune"}},
+		{"replaced version is unloaded", []placement.Engine{engine("1", 2, a, newer)}, []placement.Demand{{Model: newer, MinEngines: 1}}, nil, []string{"1 unload_model a"}},
+		{"highest prefill ratio gets the prefill role", []placement.Engine{engine("1", 1), engine("2", 1)}, nil,
 			func(s *placement.State, p *placement.Policy) { s.Engines[1].PrefillRatio, p.PrefillShare = 5, 0.5 }, []string{"2 set_role "}},
 	}
 	for _, c := range cases {
@@ -189,24 +189,25 @@
 	}
 }
 
-// fencedPool is a pool of engines that refuse old fences.
+// fencedPool implements Fencer and Sender for engines that reject stale fencing
+// tokens.
 type fencedPool struct {
-	drawn  uint64
-	newest uint64
-	broken string
-	sent   []placement.Order
+	issued  uint64
+	newest  uint64
+	failing string
+	sent    []placement.Order
 }
 
 func (f *fencedPool) Next(context.Context) (uint64, error) {
-	f.drawn++
-	return f.drawn, nil
+	f.issued++
+	return f.issued, nil
 }
 
 func (f *fencedPool) Send(_ context.Context, fence uint64, order placement.Order) error {
 	if fence < f.newest {
-		return merry.Wrap(placement.ErrOldFence)
+		return merry.Wrap(placement.ErrStaleFence)
 	}
-	if order.Engine == f.broken {
+	if order.Engine == f.failing {
 		return merry.New("no answer")
 	}
 	f.newest = fence
@@ -214,13 +215,13 @@
 	return nil
 }
 
-func TestControllerFencesItsOrders(t *testing.T) {
+func TestControllerStopsOnStaleFence(t *testing.T) {
 	state := placement.State{
 		Now:     testTime,
-		Engines: []placement.Engine{{Name: "1", Capacity: 1, Places: 1}, {Name: "2", Capacity: 1, Places: 1}},
+		Engines: []placement.Engine{{Name: "1", Capacity: 1, ModelSlots: 1}, {Name: "2", Capacity: 1, ModelSlots: 1}},
 		Demands: []placement.Demand{{Model: models[0], MinEngines: 1}, {Model: models[1], MinEngines: 1}},
 	}
-	pool := &fencedPool{broken: "1"}
+	pool := &fencedPool{failing: "1"}
 	controller := placement.NewController(pool, pool, placement.DefaultPolicy)
 	round, err := controller.Run(t.Context(), state)
 	assert.NilError(t, err)
@@ -230,10 +231,10 @@
 
 	pool.newest = 100
 	_, err = controller.Run(t.Context(), state)
-	assert.Assert(t, errors.Is(err, placement.ErrOldFence))
+	assert.Assert(t, errors.Is(err, placement.ErrStaleFence))
 	assert.Equal(t, len(pool.sent), 1)
 
 	settled, err := controller.Run(t.Context(), placement.State{Now: testTime})
 	assert.NilError(t, err)
-	assert.Equal(t, settled.Fence, uint64(0), "a fence was drawn for nothing")
+	assert.Equal(t, settled.Fence, uint64(0), "a fencing token was issued for an empty plan")
 }
--- a/coordination/placement/state.go
+++ b/coordination/placement/state.go
@@ -5,51 +5,51 @@
 	"time"
 )
 
-// Item is a version of a model or an adapter.
+// Item identifies a model or an adapter by name and version.
 type Item struct {
 	Name    string
 	Version string
 }
 
-// Roles of an engine.
+// Engine roles.
 const (
 	RoleMixed   = "mixed"
 	RolePrefill = "prefill"
 	RoleDecode  = "decode"
 )
 
-// Engine is what is known of an engine of the pool.
+// Engine is the known state of an engine of the pool.
 type Engine struct {
 	Name string
 	Zone string
 	Role string
-	// Capacity is the work it does in relation to others, such as its measured
+	// Capacity is the engine's throughput in a unit common to all engines, such as
 	// tokens per second.
 	Capacity float64
-	// PrefillRatio is its prefill speed in relation to its decode speed.
+	// PrefillRatio is the ratio of prefill speed to decode speed.
 	PrefillRatio float64
-	// Places is how many models fit into its memory.
-	Places   int
-	Models   []Item
-	Adapters []Item
-	// Loading are models and adapters on their way from the weight store.
+	// ModelSlots is the number of models that fit into the engine's memory.
+	ModelSlots int
+	Models     []Item
+	Adapters   []Item
+	// Loading lists the models and adapters being loaded from the weight store.
 	Loading []Item
-	// Leaving engines get no orders.
+	// Leaving engines take no more work and get no orders.
 	Leaving bool
-	// ChangedAt is when its models or its role were last changed.
+	// ChangedAt is the time of the last change of models or role.
 	ChangedAt time.Time
 }
 
-// Demand is what is asked of one model.
+// Demand describes the load and the requirements of one model.
 type Demand struct {
 	Model Item
-	// Adapters must be wherever the model is.
+	// Adapters must be loaded on every engine that has the model.
 	Adapters []Item
-	// Load is the work asked for, in the unit of the engines' capacities,
-	// smoothed over minutes.
+	// Load is the requested throughput in the unit of Engine.Capacity, smoothed
+	// over minutes.
 	Load float64
-	// MinEngines have the model whatever the load, in different zones as far as
-	// there are any.
+	// MinEngines is the number of engines that must have the model regardless of
+	// load, spread over zones where possible.
 	MinEngines int
 }
 
@@ -60,40 +60,42 @@
 	Demands []Demand
 }
 
-// Policy bounds a plan.
+// Policy holds the thresholds and limits of a plan.
 type Policy struct {
-	// Headroom is the capacity a model needs in relation to its load.
+	// Headroom is the ratio of capacity to load below which a model is loaded on
+	// another engine.
 	Headroom float64
-	// Surplus is the capacity in relation to its load that a model must keep
-	// when it is unloaded somewhere. The gap between the two is the hysteresis.
-	Surplus float64
-	// MinStay is the least time between two changes of an engine's models or
-	// role, except for models that nothing else serves.
-	MinStay time.Duration
-	// MaxLoading bounds the loads under way in the whole pool.
-	MaxLoading int
-	// PrefillShare is the part of the pool's capacity that is to have the
-	// prefill role; zero leaves all roles as they are.
+	// UnloadHeadroom is the ratio of capacity to load that a model must keep on the
+	// other engines before it is unloaded from one. It is greater than Headroom to
+	// provide hysteresis.
+	UnloadHeadroom float64
+	// ChangeCooldown is the minimum time between two changes of an engine's models or
+	// role. It is waived for models that no engine serves.
+	ChangeCooldown time.Duration
+	// MaxConcurrentLoads limits the loads in progress in the whole pool.
+	MaxConcurrentLoads int
+	// PrefillShare is the target fraction of the pool's capacity with the prefill
+	// role; zero disables role changes.
 	PrefillShare float64
-	// RoleGap is by how much the share may differ before a role is changed.
-	RoleGap float64
+	// RoleTolerance is the deviation from PrefillShare above which a role changes.
+	RoleTolerance float64
 }
 
-// DefaultPolicy suits pools of ten and more engines.
+// DefaultPolicy returns a policy for pools of ten or more engines.
 func DefaultPolicy() Policy {
 	return Policy{
-		Headroom:   1.25,
-		Surplus:    1.75,
-		MinStay:    10 * time.Minute,
-		MaxLoading: 2,
-		RoleGap:    0.15,
+		Headroom:           1.25,
+		UnloadHeadroom:     1.75,
+		ChangeCooldown:     10 * time.Minute,
+		MaxConcurrentLoads: 2,
+		RoleTolerance:      0.15,
 	}
 }
 
-// Action is what an order asks of an engine.
+// Action is the kind of change that an order requests.
 type Action string
 
-// Actions, as engines name them.
+// Actions, by the names of the engine API.
 const (
 	LoadModel     Action = "load_model"
 	UnloadModel   Action = "unload_model"
@@ -102,14 +104,14 @@
 	SetRole       Action = "set_role"
 )
 
-// Order asks an engine for a change.
+// Order requests a change from an engine.
 type Order struct {
 	Engine string
 	Action Action
-	// Item is set but for SetRole, Role for SetRole alone.
+	// Item is set for all actions except SetRole, Role only for SetRole.
 	Item Item
 	Role string
-	// Reason says in one line why.
+	// Reason explains the order in one line.
 	Reason string
 }
 
@@ -117,7 +119,7 @@
 
 func (e *Engine) isLoading(item Item) bool { return slices.Contains(e.Loading, item) }
 
-// rested says whether the engine may be changed again.
-func (e *Engine) rested(state *State, policy *Policy) bool {
-	return state.Now.Sub(e.ChangedAt) >= policy.MinStay
+// cooldownElapsed reports whether the engine may be changed again.
+func (e *Engine) cooldownElapsed(state *State, policy *Policy) bool {
+	return state.Now.Sub(e.ChangedAt) >= policy.ChangeCooldown
 }
--- a/coordination/placement/upkeep.go
+++ b/coordination/placement/upkeep.go
@@ -6,12 +6,12 @@
 	"slices"
 )
 
-// placeAdapters loads the adapters of each model wherever the model is.
-// Adapters are small, so they come before further models.
+// placeAdapters schedules loads of missing adapters on every engine that has
+// their model. They take precedence over models because they are small.
 func (p *planner) placeAdapters() {
 	for i := range p.state.Demands {
 		demand := &p.state.Demands[i]
-		for _, engine := range p.engines(demand.Model, false) {
+		for _, engine := range p.enginesWith(demand.Model, false) {
 			p.placeAdaptersOn(engine, demand)
 		}
 	}
@@ -26,38 +26,38 @@
 			return
 		}
 		p.loadsLeft--
-		p.order(Order{Engine: engine.Name, Action: LoadAdapter, Item: adapter, Reason: "goes with " + demand.Model.Name})
+		p.addOrder(Order{Engine: engine.Name, Action: LoadAdapter, Item: adapter, Reason: "required by " + demand.Model.Name})
 	}
 }
 
-// dropOldVersions unloads models of which the same engine has the wanted
-// version as well, and adapters that go with no model of the engine.
-func (p *planner) dropOldVersions() {
+// unloadUnused unloads models that are replaced by another version on the same
+// engine, and adapters that no model of the engine uses.
+func (p *planner) unloadUnused() {
 	for i := range p.state.Engines {
 		engine := &p.state.Engines[i]
 		if engine.Leaving || p.changed[engine.Name] {
 			continue
 		}
-		p.dropOldModels(engine)
-		p.dropAdapters(engine)
+		p.unloadReplacedModels(engine)
+		p.unloadUnusedAdapters(engine)
 	}
 }
 
-func (p *planner) dropOldModels(engine *Engine) {
+func (p *planner) unloadReplacedModels(engine *Engine) {
 	for _, model := range engine.Models {
 		replaced := slices.ContainsFunc(engine.Models, func(other Item) bool {
 			return other.Name == model.Name && other != model && p.demandOf(other) != nil
 		})
 		if replaced && p.demandOf(model) == nil {
-			p.order(Order{Engine: engine.Name, Action: UnloadModel, Item: model, Reason: "a newer version is loaded"})
+			p.addOrder(Order{Engine: engine.Name, Action: UnloadModel, Item: model, Reason: "replaced by another loaded version"})
 		}
 	}
 }
 
-func (p *planner) dropAdapters(engine *Engine) {
+func (p *planner) unloadUnusedAdapters(engine *Engine) {
 	for _, adapter := range engine.Adapters {
 		if !p.adapterWanted(engine, adapter) {
-			p.order(Order{Engine: engine.Name, Action: UnloadAdapter, Item: adapter, Reason: "no model of the engine uses it"})
+			p.addOrder(Order{Engine: engine.Name, Action: UnloadAdapter, Item: adapter, Reason: "no model of the engine uses it"})
 		}
 	}
 }
@@ -73,17 +73,18 @@
 	return false
 }
 
-// assignRoles changes at most one engine's role, towards the wanted share of
-// prefill capacity: the engine that is relatively best, or worst, at it.
+// assignRoles changes the role of at most one engine per plan to approach
+// Policy.PrefillShare. It picks the engine with the highest PrefillRatio to gain
+// the prefill role and the one with the lowest to lose it.
 func (p *planner) assignRoles() {
 	if p.policy.PrefillShare <= 0 {
 		return
 	}
 	share := p.prefillShare()
 	switch {
-	case share < p.policy.PrefillShare-p.policy.RoleGap:
+	case share < p.policy.PrefillShare-p.policy.RoleTolerance:
 		p.changeRole(RolePrefill, func(a, b *Engine) int { return cmp.Compare(b.PrefillRatio, a.PrefillRatio) })
-	case share > p.policy.PrefillShare+p.policy.RoleGap:
+	case share > p.policy.PrefillShare+p.policy.RoleTolerance:
 		p.changeRole(RoleMixed, func(a, b *Engine) int { return cmp.Compare(a.PrefillRatio, b.PrefillRatio) })
 	}
 }
@@ -106,28 +107,28 @@
 	return prefill / total
 }
 
-// changeRole gives the role to the first engine in order that may change and
-// after which the share is nearer to what is wanted.
+// changeRole assigns the role to the first eligible engine, in the given order,
+// that brings the prefill share closer to the target.
 func (p *planner) changeRole(role string, compare func(a, b *Engine) int) {
 	var candidates []*Engine
 	for i := range p.state.Engines {
 		engine := &p.state.Engines[i]
 		isPrefill := engine.Role == RolePrefill
-		if engine.Leaving || p.changed[engine.Name] || !engine.rested(p.state, p.policy) || isPrefill == (role == RolePrefill) {
+		if engine.Leaving || p.changed[engine.Name] || !engine.cooldownElapsed(p.state, p.policy) || isPrefill == (role == RolePrefill) {
 			continue
 		}
 		candidates = append(candidates, engine)
 	}
 	slices.SortStableFunc(candidates, compare)
 	for _, engine := range candidates {
-		if p.improves(engine, role) {
-			p.order(Order{Engine: engine.Name, Action: SetRole, Role: role, Reason: "the share of prefill capacity is off by more than the gap"})
+		if p.improvesPrefillShare(engine, role) {
+			p.addOrder(Order{Engine: engine.Name, Action: SetRole, Role: role, Reason: "the share of prefill capacity deviates from the target by more than the tolerance"})
 			return
 		}
 	}
 }
 
-func (p *planner) improves(engine *Engine, role string) bool {
+func (p *planner) improvesPrefillShare(engine *Engine, role string) bool {
 	before := math.Abs(p.prefillShare() - p.policy.PrefillShare)
 	former := engine.Role
 	engine.Role = role
