--- a/coordination/fleet/fleet.go
+++ b/coordination/fleet/fleet.go
@@ -1,7 +1,8 @@
-// Package fleet keeps what one node knows of the engines and chooses among
-// them: the engines of the configuration, their lagging load, the node's own
-// work, where programs have their context, and who is leaving. The decision
-// itself is routing.Choose, a pure function of the snapshot made here.
+// Package fleet holds one node's view of the engines and selects an engine for
+// each attempt. The view covers the configured engines, their reported load, the
+// node's own pending work, the engines that cache each program's context, and the
+// engines that are leaving. The decision itself is made by [routing.Choose], a
+// pure function of the snapshot taken here.
 package fleet
 
 import (
@@ -22,7 +23,7 @@
 	"github.com/marblering/marblering/state/result"
 )
 
-// Engine is an engine of the configuration.
+// Engine is a configured engine.
 type Engine struct {
 	Name       string
 	Address    string
@@ -35,7 +36,7 @@
 	Leaving bool
 }
 
-// Load is what an engine reports of itself.
+// Load is the load report of an engine.
 type Load struct {
 	Running           int
 	Waiting           int
@@ -46,24 +47,24 @@
 	DecodeSpeed       float64
 }
 
-// Reporter asks an engine about itself.
+// Reporter queries the state of an engine.
 type Reporter interface {
-	// Load returns the engine's load report, which lags.
+	// Load returns the engine's load report, which may be out of date.
 	Load(ctx context.Context, address string) (Load, error)
-	// Leaving reports whether the engine takes no more work.
+	// Leaving reports whether the engine accepts no new work.
 	Leaving(ctx context.Context, address string) (bool, error)
 }
 
-// Admitter asks an engine's admission point, which counts exactly what the
-// engine has outstanding from all nodes.
+// Admitter requests admission from an engine's admission point, which keeps an
+// exact count of the engine's outstanding work from all nodes.
 type Admitter interface {
 	Admit(ctx context.Context, engine, request string, promptTokens, outputTokens uint64, deadline time.Time) (admitted bool, retryAfter time.Duration)
 	Leave(engine, request string)
-	// SetCapacity says what an engine may have outstanding.
+	// SetCapacity sets the limit of an engine's outstanding work.
 	SetCapacity(engine string, capacity admission.Capacity)
 }
 
-// Options holds what a Fleet is made of.
+// Options configures a Fleet.
 type Options struct {
 	Zone     string
 	Reporter Reporter
@@ -72,42 +73,41 @@
 	Now      func() time.Time
 	Random   *rand.Rand
 	Logger   *zap.Logger
-	// Owns reports whether this node is the one that polls the engine.
+	// Owns reports whether this node is responsible for polling the engine.
 	Owns func(engine string) bool
-	// PollInterval is the pause between two polls of an owned engine.
+	// PollInterval is the interval between two polls of an owned engine.
 	PollInterval time.Duration
-	// MaxQueue is the longest expected queueing before a call is shed.
+	// MaxQueue is the expected queueing time above which a call is shed.
 	MaxQueue time.Duration
-	// OnLeaving is told of an engine that says it takes no more work; nil for
-	// nobody.
+	// OnLeaving is called when an engine changes its own report of whether it is
+	// leaving. It may be nil.
 	OnLeaving func(engine string, leaving bool)
 }
 
-// Bounds of a fleet's memory. Both are chosen, not measured.
 const (
-	// localityLimit is the number of programs whose engine is remembered.
-	localityLimit = 20000
-	// eventLag is how late an engine's cache events may come.
-	eventLag = 5 * time.Second
-	// probeTimeout is how long a claim to probe an ejected engine stands.
+	// maxLocalityPrograms is the number of programs whose cached context is tracked.
+	maxLocalityPrograms = 20000
+	// maxCacheEventLag is the longest delay of an engine's cache events.
+	maxCacheEventLag = 5 * time.Second
+	// probeTimeout is the time after which the claim to probe an ejected engine expires.
 	probeTimeout = 2 * time.Second
-	// maxRefusals bounds the admission points asked for one attempt.
-	maxRefusals = 4
+	// maxAdmissionAttempts is the number of admission points tried for one attempt.
+	maxAdmissionAttempts = 4
 )
 
 // Fleet implements execution.Router.
 type Fleet struct {
 	Options
-	// table is replaced as a whole: a decision reads it without a lock.
-	table    atomic.Pointer[table]
-	writing  sync.Mutex
-	random   sync.Mutex
-	ledger   *routing.Ledger
-	locality *routing.Locality
-	speeds   *routing.Speeds
-	ejector  *limit.Ejector
-	shedder  *admission.Shedder
-	journal  *journal
+	// table is replaced as a whole so that decisions read it without a lock.
+	table       atomic.Pointer[table]
+	updateMutex sync.Mutex
+	randomMutex sync.Mutex
+	ledger      *routing.Ledger
+	locality    *routing.Locality
+	speeds      *routing.Speeds
+	ejector     *limit.Ejector
+	shedder     *admission.Shedder
+	decisions   *decisionLog
 }
 
 // table is an immutable list of engines.
@@ -119,87 +119,86 @@
 	Engine
 	load       Load
 	reportedAt time.Time
-	// ownWord is what the engine itself said last about leaving.
-	ownWord bool
-	// evidence is set where membership says that the engine is leaving: a peer
-	// or the platform's machine list said so. The engine's own word doesn't
-	// withdraw it.
-	evidence bool
+	// selfReportedLeaving is the last leaving state reported by the engine itself.
+	selfReportedLeaving bool
+	// memberLeaving is set if membership reports that the engine is leaving, as
+	// learned from a peer or the platform's machine list. The engine's own report
+	// does not clear it.
+	memberLeaving bool
 }
 
 var _ execution.Router = (*Fleet)(nil)
 
-// New makes a fleet without engines.
+// New returns a Fleet without engines.
 func New(options Options) *Fleet {
 	f := &Fleet{
-		Options:  options,
-		ledger:   routing.NewLedger(),
-		locality: routing.NewLocality(localityLimit, eventLag),
-		speeds:   routing.NewSpeeds(),
-		ejector:  limit.NewEjector(limit.DefaultEjectionPolicy()),
-		shedder:  admission.NewShedder(admission.DefaultShedPolicy()),
-		journal:  newJournal(),
+		Options:   options,
+		ledger:    routing.NewLedger(),
+		locality:  routing.NewLocality(maxLocalityPrograms, maxCacheEventLag),
+		speeds:    routing.NewSpeeds(),
+		ejector:   limit.NewEjector(limit.DefaultEjectionPolicy()),
+		shedder:   admission.NewShedder(admission.DefaultShedPolicy()),
+		decisions: newDecisionLog(),
 	}
 	f.table.Store(&table{})
 	return f
 }
 
-// SetEngines replaces the list of engines; what is known of those that stay is
-// kept.
+// SetEngines replaces the list of engines. The state of engines that remain in
+// the list is kept.
 func (f *Fleet) SetEngines(engines []Engine) {
 	f.update(func(entries []engineEntry) []engineEntry {
 		next := make([]engineEntry, 0, len(engines))
 		for _, engine := range engines {
 			entry := engineEntry{Engine: engine}
-			if index := find(entries, engine.Name); index >= 0 {
+			if index := indexOf(entries, engine.Name); index >= 0 {
 				entry = entries[index]
 				entry.Engine = engine
 			}
 			next = append(next, entry)
 		}
 		for _, former := range entries {
-			if find(next, former.Name) < 0 {
-				f.forget(former.Name)
+			if indexOf(next, former.Name) < 0 {
+				f.forgetEngine(former.Name)
 			}
 		}
 		return next
 	})
 }
 
-func (f *Fleet) forget(engine string) {
+func (f *Fleet) forgetEngine(engine string) {
 	f.ledger.Forget(engine)
 	f.locality.ForgetEngine(engine)
 	f.speeds.Forget(engine)
 	f.ejector.Remove(engine)
 }
 
-// MarkLeaving takes in what membership says of the engine: that it takes no more
-// work, or takes work again.
+// MarkLeaving records whether membership reports the engine as leaving.
 func (f *Fleet) MarkLeaving(engine string, leaving bool) {
-	f.change(engine, func(entry *engineEntry) { entry.evidence = leaving })
+	f.change(engine, func(entry *engineEntry) { entry.memberLeaving = leaving })
 }
 
-// update replaces the table by what the function makes of a copy.
+// update replaces the table with the result of applying the function to a copy.
 func (f *Fleet) update(make func([]engineEntry) []engineEntry) {
-	f.writing.Lock()
-	defer f.writing.Unlock()
+	f.updateMutex.Lock()
+	defer f.updateMutex.Unlock()
 	f.table.Store(&table{engines: make(slices.Clone(f.table.Load().engines))})
 }
 
 func (f *Fleet) change(engine string, change func(*engineEntry)) {
 	f.update(func(entries []engineEntry) []engineEntry {
-		if index := find(entries, engine); index >= 0 {
+		if index := indexOf(entries, engine); index >= 0 {
 			change(&entries[index])
 		}
 		return entries
 	})
 }
 
-func find(entries []engineEntry, name string) int {
+func indexOf(entries []engineEntry, name string) int {
 	return slices.IndexFunc(entries, func(entry engineEntry) bool { return entry.Name == name })
 }
 
-// Engines returns the engines as a decision would see them.
+// Engines returns the current state of the engines, as used by routing decisions.
 func (f *Fleet) Engines() []routing.EngineState {
 	now := f.Now()
 	entries := f.table.Load().engines
@@ -220,7 +219,7 @@
 		Role:              entry.Role,
 		Models:            entry.Models,
 		Adapters:          entry.Adapters,
-		Leaving:           entry.Leaving || entry.ownWord || entry.evidence,
+		Leaving:           entry.Leaving || entry.selfReportedLeaving || entry.memberLeaving,
 		Ejected:           f.ejector.Health(entry.Name, now) != limit.Healthy,
 		Running:           entry.load.Running,
 		Waiting:           entry.load.Waiting,
@@ -242,42 +241,43 @@
 	return 0
 }
 
-// Choose decides which engine serves the attempt and reserves the work. An
-// engine whose admission point refuses is passed over for the next best.
+// Choose selects the engine for the attempt and reserves the work. If the
+// engine's admission point refuses, it tries the next best engine.
 func (f *Fleet) Choose(ctx context.Context, query execution.Query) (execution.Choice, error) {
 	request := f.request(query)
 	var refusal *result.Error
-	for range maxRefusals {
+	for range maxAdmissionAttempts {
 		snapshot := f.snapshot()
-		decision := f.decideWithLastResort(snapshot, request)
-		f.journal.add(query.Program, decision, snapshot.Now)
+		decision := f.decideWithEjectedFallback(snapshot, request)
+		f.decisions.add(query.Program, decision, snapshot.Now)
 		if decision.Err != nil {
 			if refusal != nil {
 				return execution.Choice{}, refusal
 			}
 			return execution.Choice{}, decision.Err
 		}
-		if pause := f.shed(query, decision, snapshot.Now); pause > 0 {
-			return execution.Choice{}, overloaded(pause)
+		if pause := f.shedDelay(query, decision, snapshot.Now); pause > 0 {
+			return execution.Choice{}, overloadedError(pause)
 		}
-		name := f.journal.nextName(query.Program)
+		name := f.decisions.nextReservation(query.Program)
 		admitted, retryAfter := f.Admitter.Admit(ctx, decision.Engine, name, query.HistoryTokens+query.NewTokens, query.OutputTokens, query.Deadline)
 		if admitted {
 			return f.reserve(query, request, decision, name), nil
 		}
-		refusal = overloaded(retryAfter)
+		refusal = overloadedError(retryAfter)
 		request.Excluded = append(request.Excluded, decision.Engine)
 	}
 	return execution.Choice{}, refusal
 }
 
-func overloaded(pause time.Duration) *result.Error {
+func overloadedError(pause time.Duration) *result.Error {
 	return result.Errorf(result.Overloaded, "the engines have no room for the call").After(max(pause, time.Second))
 }
 
-// shed refuses a call early where the queues are long; programs that have begun
-// go on for longer than new ones are let in.
-func (f *Fleet) shed(query execution.Query, decision routing.Decision, now time.Time) time.Duration {
+// shedDelay returns how long the caller should wait before a retry if the call is
+// shed because of long queues, or zero if it is admitted. New programs are shed
+// before programs that have begun.
+func (f *Fleet) shedDelay(query execution.Query, decision routing.Decision, now time.Time) time.Duration {
 	best := decision.Candidates[0]
 	scored := 0
 	for _, candidate := range decision.Candidates {
@@ -285,8 +285,8 @@
 			scored++
 		}
 	}
-	f.random.Lock()
-	defer f.random.Unlock()
+	f.randomMutex.Lock()
+	defer f.randomMutex.Unlock()
 	return f.shedder.Admit(admission.Demand{
 		Begun:         query.HistoryTokens > 0,
 		ExpectedQueue: seconds(best.Queue),
@@ -300,16 +300,16 @@
 func (f *Fleet) snapshot() *routing.Snapshot {
 	return &routing.Snapshot{
 		Now:      f.Now(),
-		Engines:  f.probedEngines(),
+		Engines:  f.enginesWithProbes(),
 		Weights:  f.Weights(),
 		Pending:  f.ledger,
 		MaxQueue: f.MaxQueue,
 	}
 }
 
-// probedEngines are the engines for one decision: an ejected engine whose time
-// is over takes part where this decision may claim its probe.
-func (f *Fleet) probedEngines() []routing.EngineState {
+// enginesWithProbes returns the engines for one decision. It includes an ejected
+// engine whose ejection has expired if this decision can claim its probe.
+func (f *Fleet) enginesWithProbes() []routing.EngineState {
 	states := f.Engines()
 	now := f.Now()
 	for index := range states {
@@ -341,15 +341,15 @@
 }
 
 func (f *Fleet) decide(snapshot *routing.Snapshot, request *routing.Request) routing.Decision {
-	f.random.Lock()
-	defer f.random.Unlock()
+	f.randomMutex.Lock()
+	defer f.randomMutex.Unlock()
 	return routing.Choose(snapshot, request, f.Random)
 }
 
-// decideWithLastResort takes the ejected engines in where no other can serve the
-// request: an ejected engine may be slow, but without it a call fails for as long
-// as an ejection lasts, 10 s and more, when the engines that are left die.
-func (f *Fleet) decideWithLastResort(snapshot *routing.Snapshot, request *routing.Request) routing.Decision {
+// decideWithEjectedFallback falls back to the ejected engines if no other can
+// serve the request. Otherwise calls would fail until the ejections expire if the
+// remaining engines die.
+func (f *Fleet) decideWithEjectedFallback(snapshot *routing.Snapshot, request *routing.Request) routing.Decision {
 	decision := f.decide(snapshot, request)
 	if decision.Err == nil || decision.Err.Code != result.NoEngine {
 		return decision
@@ -370,8 +370,8 @@
 	return last
 }
 
-// cachedOn falls back to the record's holds where this node has seen nothing of
-// the program itself, as after a change of nodes.
+// cachedOn returns the engines that cache the program's context. If this node has
+// not routed the program before, it uses the holds of the program's record.
 func (f *Fleet) cachedOn(query execution.Query) []routing.Cached {
 	cached := f.locality.CachedOn(query.Program)
 	if len(cached) > 0 || query.HistoryTokens == 0 {
--- a/coordination/fleet/fleet_test.go
+++ b/coordination/fleet/fleet_test.go
@@ -18,29 +18,29 @@
 	"github.com/marblering/marblering/state/result"
 )
 
-type silentReporter struct{}
+type failingReporter struct{}
 
-func (silentReporter) Leaving(context.Context, string) (bool, error) {
+func (failingReporter) Leaving(context.Context, string) (bool, error) {
 	return false, errors.New("no report")
 }
 
-func (silentReporter) Load(context.Context, string) (fleet.Load, error) {
+func (failingReporter) Load(context.Context, string) (fleet.Load, error) {
 	return fleet.Load{}, errors.New("no report")
 }
 
-// openAdmitter admits everything but at the engines named full.
-type openAdmitter struct{ full map[string]bool }
+// fakeAdmitter admits every call except on the engines in full.
+type fakeAdmitter struct{ full map[string]bool }
 
-func (o openAdmitter) Admit(_ context.Context, engine, _ string, _, _ uint64, _ time.Time) (bool, time.Duration) {
+func (o fakeAdmitter) Admit(_ context.Context, engine, _ string, _, _ uint64, _ time.Time) (bool, time.Duration) {
 	return !o.full[engine], 5 * time.Second
 }
-func (openAdmitter) Leave(string, string)                   {}
-func (openAdmitter) SetCapacity(string, admission.Capacity) {}
+func (fakeAdmitter) Leave(string, string)                   {}
+func (fakeAdmitter) SetCapacity(string, admission.Capacity) {}
 
 func newFleet(leaving func(string, bool)) *fleet.Fleet {
 	now := time.Unix(1000, 0)
 	f := fleet.New(fleet.Options{
-		Zone: "zone-1", Reporter: silentReporter{}, Admitter: openAdmitter{map[string]bool{}}, Weights: routing.LatencyWeights,
+		Zone: "zone-1", Reporter: failingReporter{}, Admitter: fakeAdmitter{map[string]bool{}}, Weights: routing.LatencyWeights,
 		Now: func() time.Time { return now }, Random: rand.New(rand.NewPCG(1, 2)), Logger: zap.NewNop(),
 		PollInterval: time.Second, Owns: func(string) bool { return true }, OnLeaving: leaving,
 	})
@@ -73,7 +73,7 @@
 	assert.Assert(t, refusal.RetryAfter > 0)
 }
 
-func TestEngineThatSaysItLeavesIsMarkedAtOnce(t *testing.T) {
+func TestLeavingReportExcludesEngine(t *testing.T) {
 	var told []string
 	f := newFleet(func(engine string, leaving bool) { told = append(told, fmt.Sprint(engine, leaving)) })
 	choice, err := f.Choose(t.Context(), call)
@@ -104,7 +104,7 @@
 	}
 }
 
-func TestNextTurnReturnsToItsContext(t *testing.T) {
+func TestNextTurnUsesEngineWithCachedContext(t *testing.T) {
 	f := newFleet(nil)
 	choice, err := f.Choose(t.Context(), call)
 	assert.NilError(t, err)
@@ -117,7 +117,7 @@
 		assert.Equal(t, again.Engine, choice.Engine)
 		again.Release(execution.AttemptReport{Program: "p-1", Err: context.Canceled})
 	}
-	// Another node knows the program's holds from its record only.
+	// A node that has not routed the program uses the holds of its record.
 	other := newFleet(nil)
 	next.HeldBy = []string{choice.Engine}
 	again, err := other.Choose(t.Context(), next)
@@ -126,7 +126,7 @@
 	assert.Equal(t, len(other.Explain("p-1")), 1)
 }
 
-func TestEngineTakenFromTheConfigurationIsForgotten(t *testing.T) {
+func TestRemovedEngineIsForgotten(t *testing.T) {
 	f := newFleet(nil)
 	f.SetEngines(nil)
 	_, err := f.Choose(t.Context(), call)
@@ -134,10 +134,10 @@
 	assert.Equal(t, len(f.Engines()), 0)
 }
 
-func TestFullEngineIsPassedOver(t *testing.T) {
+func TestFullEngineIsSkipped(t *testing.T) {
 	f := newFleet(nil)
 	full := map[string]bool{"engine-0": true, "engine-1": true}
-	f.Admitter = openAdmitter{full}
+	f.Admitter = fakeAdmitter{full}
 	for range 10 {
 		choice, err := f.Choose(t.Context(), call)
 		assert.NilError(t, err)
@@ -151,14 +151,14 @@
 	assert.Equal(t, refusal.RetryAfter, 5*time.Second)
 }
 
-// statingReporter is an engine that says it isn't leaving.
-type statingReporter struct{ silentReporter }
+// notLeavingReporter reports that the engine is not leaving.
+type notLeavingReporter struct{ failingReporter }
 
-func (statingReporter) Leaving(context.Context, string) (bool, error) { return false, nil }
+func (notLeavingReporter) Leaving(context.Context, string) (bool, error) { return false, nil }
 
-func TestOwnWordDoesNotWithdrawWhatOthersSay(t *testing.T) {
+func TestSelfReportDoesNotOverrideMembership(t *testing.T) {
 	f := newFleet(nil)
-	f.Reporter = statingReporter{}
+	f.Reporter = notLeavingReporter{}
 	f.PollInterval = time.Millisecond
 	f.MarkLeaving("engine-0", true)
 	ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
@@ -169,9 +169,9 @@
 	}
 }
 
-// fail has calls end at the engine as if its connections were refused, until it
-// is ejected or the calls are used up.
-func fail(t *testing.T, f *fleet.Fleet, engine string, others []string) {
+// ejectEngine fails calls on the engine with refused connections until it is no
+// longer chosen, up to a fixed number of calls.
+func ejectEngine(t *testing.T, f *fleet.Fleet, engine string, others []string) {
 	t.Helper()
 	const calls = 40
 	for range calls {
@@ -187,10 +187,9 @@
 	}
 }
 
-// TestEjectedEngineServesWhereTheLastOneDied has one of two engines ejected and
-// then kills the other, which can't be ejected as well: a call that failed there
-// goes to the ejected one rather than nowhere.
-func TestEjectedEngineServesWhereTheLastOneDied(t *testing.T) {
+// TestEjectedEngineIsUsedAsFallback checks that a call that failed on the last
+// engine that isn't ejected is routed to the ejected one.
+func TestEjectedEngineIsUsedAsFallback(t *testing.T) {
 	f := newFleet(nil)
 	f.SetEngines([]fleet.Engine{
 		{Name: "slow", Address: "http://127.0.0.1:1", Zone: "zone-1", Models: []string{"model"}},
@@ -201,7 +200,7 @@
 	known, err := f.Choose(t.Context(), served)
 	assert.NilError(t, err)
 	known.Release(execution.AttemptReport{Program: call.Program, Total: time.Millisecond})
-	fail(t, f, "slow", []string{"killed"})
+	ejectEngine(t, f, "slow", []string{"killed"})
 	for range 20 {
 		choice, err := f.Choose(t.Context(), call)
 		assert.NilError(t, err)
--- a/coordination/fleet/poll.go
+++ b/coordination/fleet/poll.go
@@ -12,26 +12,29 @@
 	"github.com/marblering/marblering/coordination/admission"
 )
 
-// Polling is bounded by a node's control budget, not by the number of engines.
-// Each engine has one owner among the nodes, which asks it often; its word that
-// it leaves reaches the others by gossip, its load by the admission point. Of
-// the engines of others a node samples a bounded number, slowly, so that its
-// first choice among them isn't blind.
+// Polling limits keep a node's polling cost independent of the number of engines.
+// Each engine is polled frequently by the one node that owns it. Other nodes learn
+// that it is leaving through gossip and learn its load through the admission point.
+// A node also samples the load of a limited number of engines it does not own, to
+// have an estimate before its first call to them.
 const (
-	// loadEvery is after how many state polls an owner reads the load too.
-	loadEvery = 4
-	// pollBudget is how many polls a node sends in a round. What its own engines
-	// leave of it goes to load reports of others, at least one a round: in a small
-	// fleet a node samples them all quickly.
-	pollBudget = 10
-	// loadCost is how many polls of the state a load report counts for, by bytes.
-	loadCost = 3
-	// maxSampled bounds the engines of others that a node samples.
-	maxSampled      = 32
-	pollConcurrency = 4
+	// pollsPerLoadReport is the number of state polls per load report of an owned
+	// engine.
+	pollsPerLoadReport = 4
+	// pollsPerRound is the target number of polls per round. The remainder after the
+	// owned engines is used for load reports of sampled engines, at least one per
+	// round.
+	pollsPerRound = 10
+	// loadReportCost is the cost of a load report in state polls, by response
+	// size.
+	loadReportCost = 3
+	// maxSampledEngines is the number of engines owned by other nodes that a node
+	// samples.
+	maxSampledEngines = 32
+	pollConcurrency   = 4
 )
 
-// Serve polls the engines until the context ends. It is a suture service.
+// Serve polls the engines until the context ends. It implements suture.Service.
 func (f *Fleet) Serve(ctx context.Context) error {
 	ticker := time.NewTicker(f.PollInterval)
 	defer ticker.Stop()
@@ -45,9 +48,8 @@
 	}
 }
 
-// take returns up to count engines, so that successive rounds go through the
-// list in turn.
-func take(engines []Engine, round, count int) []Engine {
+// nextBatch returns up to count engines. Successive rounds cycle through the list.
+func nextBatch(engines []Engine, round, count int) []Engine {
 	count = min(count, len(engines))
 	taken := make([]Engine, 0, count)
 	for index := range count {
@@ -56,25 +58,26 @@
 	return taken
 }
 
-// pollRound asks every owned engine whether it leaves, some of them for their
-// load, and a few engines of other owners for theirs.
+// pollRound polls the leaving state of every owned engine and the load of some
+// owned and some sampled engines.
 func (f *Fleet) pollRound(ctx context.Context, round int) {
 	owned, sampled := f.partition()
 	group, groupContext := errgroup.WithContext(ctx)
 	group.SetLimit(pollConcurrency)
 	for index, engine := range owned {
-		withLoad := (round+index)%loadEvery == 0
+		withLoad := (round+index)%pollsPerLoadReport == 0
 		group.Go(func() error { return f.poll(groupContext, engine, withLoad) })
 	}
-	for _, engine := range take(sampled, round, max(1, (pollBudget-len(owned))/loadCost)) {
+	for _, engine := range nextBatch(sampled, round, max(1, (pollsPerRound-len(owned))/loadReportCost)) {
 		group.Go(func() error { return f.pollLoad(groupContext, engine) })
 	}
-	// poll reports no errors: one engine's silence is no reason to stop.
+	// Polls log their errors and return nil so that a failing engine does not
+	// cancel the others.
 	_ = group.Wait()
 }
 
-// partition divides the engines into those this node owns and a bounded, fixed
-// sample of the others, those of its own zone first.
+// partition splits the engines into those this node owns and a limited sample of
+// the others. The sample is stable and prefers the node's own zone.
 func (f *Fleet) partition() (owned, sampled []Engine) {
 	for _, entry := range f.table.Load().engines {
 		if f.Owns(entry.Name) {
@@ -83,7 +86,7 @@
 			sampled = append(sampled, entry.Engine)
 		}
 	}
-	if len(sampled) <= maxSampled {
+	if len(sampled) <= maxSampledEngines {
 		return owned, sampled
 	}
 	slices.SortFunc(sampled, func(left, right Engine) int {
@@ -93,12 +96,12 @@
 			}
 			return 1
 		}
-		return compareHash(f.Zone+left.Name, f.Zone+right.Name)
+		return compareHashes(f.Zone+left.Name, f.Zone+right.Name)
 	})
-	return owned, sampled[:maxSampled]
+	return owned, sampled[:maxSampledEngines]
 }
 
-func compareHash(left, right string) int {
+func compareHashes(left, right string) int {
 	leftHash, rightHash := xxhash.Sum64String(left), xxhash.Sum64String(right)
 	switch {
 	case leftHash < rightHash:
@@ -114,10 +117,10 @@
 	defer cancel()
 	leaving, err := f.Reporter.Leaving(ctx, engine.Address)
 	if err != nil {
-		f.Logger.Debug("engine did not answer", zap.String("engine", engine.Name), zap.Error(err))
+		f.Logger.Debug("failed to poll engine", zap.String("engine", engine.Name), zap.Error(err))
 		return nil
 	}
-	f.takeLeaving(engine.Name, leaving)
+	f.recordLeaving(engine.Name, leaving)
 	if !withLoad {
 		return nil
 	}
@@ -129,25 +132,26 @@
 	defer cancel()
 	load, err := f.Reporter.Load(ctx, engine.Address)
 	if err != nil {
-		f.Logger.Debug("load report not read", zap.String("engine", engine.Name), zap.Error(err))
+		f.Logger.Debug("failed to read load report", zap.String("engine", engine.Name), zap.Error(err))
 		return nil
 	}
-	f.takeLoad(engine.Name, load)
+	f.recordLoad(engine.Name, load)
 	return nil
 }
 
-// takeLeaving takes in the engine's own word.
-func (f *Fleet) takeLeaving(engine string, leaving bool) {
+// recordLeaving stores the engine's own report of whether it is leaving and
+// notifies OnLeaving of a change.
+func (f *Fleet) recordLeaving(engine string, leaving bool) {
 	entries := f.table.Load().engines
-	index := find(entries, engine)
-	if index < 0 || entries[index].ownWord == leaving {
+	index := indexOf(entries, engine)
+	if index < 0 || entries[index].selfReportedLeaving == leaving {
 		return
 	}
-	f.change(engine, func(entry *engineEntry) { entry.ownWord = leaving })
-	f.tellLeaving(engine, leaving)
+	f.change(engine, func(entry *engineEntry) { entry.selfReportedLeaving = leaving })
+	f.notifyLeaving(engine, leaving)
 }
 
-func (f *Fleet) takeLoad(engine string, load Load) {
+func (f *Fleet) recordLoad(engine string, load Load) {
 	now := f.Now()
 	f.change(engine, func(entry *engineEntry) {
 		entry.load = load
--- a/coordination/fleet/reserve.go
+++ b/coordination/fleet/reserve.go
@@ -12,7 +12,7 @@
 	"github.com/marblering/marblering/coordination/routing"
 )
 
-// reserve records the decided work until the attempt is over.
+// reserve records the work of a decision until the attempt is released.
 func (f *Fleet) reserve(query execution.Query, request *routing.Request, decision routing.Decision, name string) execution.Choice {
 	now := f.Now()
 	f.ledger.Reserve(decision.Engine, name, decision.Work, now)
@@ -31,15 +31,16 @@
 	}
 }
 
-// release gives the room back and learns from how the attempt went.
+// release frees the reservation and updates the statistics of the engine with the
+// outcome of the attempt.
 func (f *Fleet) release(decision routing.Decision, name string, report execution.AttemptReport) {
 	now := f.Now()
 	engine := decision.Engine
 	f.ledger.Release(engine, name, now)
 	f.Admitter.Leave(engine, name)
 	if report.Err == nil {
-		f.learn(engine, report)
-		f.observe(engine, limit.Outcome{Expected: decision.Expected, Duration: report.Total}, now)
+		f.recordSuccess(engine, report)
+		f.recordOutcome(engine, limit.Outcome{Expected: decision.Expected, Duration: report.Total}, now)
 		return
 	}
 	var failure *execution.EngineError
@@ -48,15 +49,15 @@
 	}
 	f.locality.Lost(report.Program, engine)
 	if report.Leaving {
-		f.takeLeaving(engine, true)
+		f.recordLeaving(engine, true)
 		return
 	}
-	f.observe(engine, limit.Outcome{Failed: true, Expected: decision.Expected, Duration: report.Total}, now)
+	f.recordOutcome(engine, limit.Outcome{Failed: true, Expected: decision.Expected, Duration: report.Total}, now)
 }
 
-// observe has the ejector judge the engine by one outcome, and says when that
-// takes the engine out.
-func (f *Fleet) observe(engine string, outcome limit.Outcome, now time.Time) {
+// recordOutcome passes an outcome to the ejector and logs if the engine is ejected
+// as a result.
+func (f *Fleet) recordOutcome(engine string, outcome limit.Outcome, now time.Time) {
 	before := f.ejector.Health(engine, now)
 	after := f.ejector.Observe(engine, outcome, now)
 	if after != limit.Ejected || before == limit.Ejected {
@@ -66,13 +67,13 @@
 		zap.Duration("took", outcome.Duration), zap.Duration("expected", outcome.Expected))
 }
 
-func (f *Fleet) tellLeaving(engine string, leaving bool) {
+func (f *Fleet) notifyLeaving(engine string, leaving bool) {
 	if f.OnLeaving != nil {
 		f.OnLeaving(engine, leaving)
 	}
 }
 
-func (f *Fleet) learn(engine string, report execution.AttemptReport) {
+func (f *Fleet) recordSuccess(engine string, report execution.AttemptReport) {
 	usage := report.Usage
 	f.locality.Answered(report.Program, engine, usage.PromptTokens+usage.OutputTokens, f.Now())
 	if usage.CachedTokens > usage.PromptTokens || report.FirstText <= 0 {
