--- a/coordination/fleet/fleet_test.go
+++ b/coordination/fleet/fleet_test.go
@@ -74,14 +74,14 @@
 }
 
 func TestLeavingReportExcludesEngine(t *testing.T) {
-	var told []string
-	f := newFleet(func(engine string, leaving bool) { told = append(told, fmt.Sprint(engine, leaving)) })
+	var reported []string
+	f := newFleet(func(engine string, leaving bool) { reported = append(reported, fmt.Sprint(engine, leaving)) })
 	choice, err := f.Choose(t.Context(), call)
 	assert.NilError(t, err)
 	choice.Release(execution.AttemptReport{
 		Program: "p-1", Leaving: true, Err: &execution.EngineError{Leaving: true, Cause: errors.New("503")},
 	})
-	assert.DeepEqual(t, told, []string{choice.Engine + "true"})
+	assert.DeepEqual(t, reported, []string{choice.Engine + "true"})
 	for range 20 {
 		next, err := f.Choose(t.Context(), call)
 		assert.NilError(t, err)
--- a/coordination/placement/main_test.go
+++ b/coordination/placement/main_test.go
@@ -8,7 +8,7 @@
 )
 
 // TestMain fixes the seed of the property tests so that their results are
-// reproducible.
+// reproducible. The -rapid.seed flag overrides it.
 func TestMain(m *testing.M) {
 	for name, value := range map[string]string{"rapid.seed": "1", "rapid.checks": "500", "rapid.nofailfile": "true"} {
 		if err := flag.Set(name, value); err != nil {
--- a/coordination/placement/plan_test.go
+++ b/coordination/placement/plan_test.go
@@ -234,7 +234,7 @@
 	assert.Assert(t, errors.Is(err, placement.ErrStaleFence))
 	assert.Equal(t, len(pool.sent), 1)
 
-	settled, err := controller.Run(t.Context(), placement.State{Now: testTime})
+	emptyRound, err := controller.Run(t.Context(), placement.State{Now: testTime})
 	assert.NilError(t, err)
-	assert.Equal(t, settled.Fence, uint64(0), "a fencing token was issued for an empty plan")
+	assert.Equal(t, emptyRound.Fence, uint64(0), "a fencing token was issued for an empty plan")
 }
