--- a/coordination/fleet/decisionlog.go
+++ b/coordination/fleet/decisionlog.go
@@ -15,8 +15,8 @@
 	maxDecisionsPerProgram = 8
 )
 
-// Explained is a routing decision kept for operators to inspect.
-type Explained struct {
+// DecisionRecord is a routing decision kept for operators to inspect.
+type DecisionRecord struct {
 	At       time.Time
 	Decision routing.Decision
 }
@@ -24,12 +24,12 @@
 // decisionLog keeps the latest routing decisions of recent programs.
 type decisionLog struct {
 	mutex   sync.Mutex
-	entries map[string][]Explained
+	entries map[string][]DecisionRecord
 	order   []string
 	counter uint64
 }
 
-func newDecisionLog() *decisionLog { return &decisionLog{entries: make(map[string][]Explained)} }
+func newDecisionLog() *decisionLog { return &decisionLog{entries: make(map[string][]DecisionRecord)} }
 
 // nextReservation returns a unique name for a reservation.
 func (l *decisionLog) nextReservation(program string) string {
@@ -47,7 +47,7 @@
 		l.evictOldest()
 		l.order = append(l.order, program)
 	}
-	known = append(known, Explained{At: at, Decision: decision})
+	known = append(known, DecisionRecord{At: at, Decision: decision})
 	if excess := len(known) - maxDecisionsPerProgram; excess > 0 {
 		known = known[excess:]
 	}
@@ -64,8 +64,8 @@
 
 // Explain returns the latest decisions of this node for the program, oldest
 // first.
-func (f *Fleet) Explain(program string) []Explained {
+func (f *Fleet) Explain(program string) []DecisionRecord {
 	f.decisions.mutex.Lock()
 	defer f.decisions.mutex.Unlock()
-	return append([]Explained(nil), f.decisions.entries[program]...)
+	return append([]DecisionRecord(nil), f.decisions.entries[program]...)
 }
--- a/node/node.go
+++ b/node/node.go
@@ -178,7 +178,7 @@
 
 // Explain returns the last routing decisions that this node made for the
 // program, oldest first.
-func (n *Node) Explain(id string) []fleet.Explained { return n.fleet.Explain(id) }
+func (n *Node) Explain(id string) []fleet.DecisionRecord { return n.fleet.Explain(id) }
 
 // Metrics returns what /metrics serves.
 func (n *Node) Metrics() prometheus.Gatherer { return n.metrics }
--- a/node/operatorexplain.go
+++ b/node/operatorexplain.go
@@ -23,7 +23,7 @@
 
 // decisionRow makes the row of one choice. The journal of choices doesn't have the
 // number of the call.
-func decisionRow(node string, explained fleet.Explained) operator.Decision {
+func decisionRow(node string, explained fleet.DecisionRecord) operator.Decision {
 	row := operator.Decision{
 		At:     explained.At,
 		Node:   node,
--- a/node/operatorrows_test.go
+++ b/node/operatorrows_test.go
@@ -52,7 +52,7 @@
 
 func TestRowOfADecision(t *testing.T) {
 	at := time.Unix(1_700_000_000, 0)
-	explained := fleet.Explained{At: at, Decision: routing.Decision{Engine: "e2", Reason: "why", Candidates: []routing.Candidate{
+	explained := fleet.DecisionRecord{At: at, Decision: routing.Decision{Engine: "e2", Reason: "why", Candidates: []routing.Candidate{
 		{
 			Engine: "e2", Cost: 1, Queue: 2, Prefill: 3, Decode: 4, Transfer: 5, Network: 6, Interference: 7, WastedCache: 8,
 			Eviction: 9, CachedTokens: 10, Source: "e3",
