--- a/coordination/fleet/fleet.go
+++ b/coordination/fleet/fleet.go
@@ -59,7 +59,7 @@
 // exact count of the engine's outstanding work from all nodes.
 type Admitter interface {
 	Admit(ctx context.Context, engine, request string, promptTokens, outputTokens uint64, deadline time.Time) (admitted bool, retryAfter time.Duration)
-	Leave(engine, request string)
+	Release(engine, request string)
 	// SetCapacity sets the limit of an engine's outstanding work.
 	SetCapacity(engine string, capacity admission.Capacity)
 }
--- a/coordination/fleet/fleet_test.go
+++ b/coordination/fleet/fleet_test.go
@@ -34,7 +34,7 @@
 func (o fakeAdmitter) Admit(_ context.Context, engine, _ string, _, _ uint64, _ time.Time) (bool, time.Duration) {
 	return !o.full[engine], 5 * time.Second
 }
-func (fakeAdmitter) Leave(string, string)                   {}
+func (fakeAdmitter) Release(string, string)                 {}
 func (fakeAdmitter) SetCapacity(string, admission.Capacity) {}
 
 func newFleet(leaving func(string, bool)) *fleet.Fleet {
--- a/coordination/fleet/reserve.go
+++ b/coordination/fleet/reserve.go
@@ -37,7 +37,7 @@
 	now := f.Now()
 	engine := decision.Engine
 	f.ledger.Release(engine, name, now)
-	f.Admitter.Leave(engine, name)
+	f.Admitter.Release(engine, name)
 	if report.Err == nil {
 		f.recordSuccess(engine, report)
 		f.recordOutcome(engine, limit.Outcome{Expected: decision.Expected, Duration: report.Total}, now)
--- a/node/limits.go
+++ b/node/limits.go
@@ -149,8 +149,8 @@
 	return verdict.Admitted, verdict.RetryAfter
 }
 
-// Leave implements fleet.Admitter.
-func (l *limits) Leave(engine, request string) { l.queueRelease(enginePrefix+engine, request) }
+// Release implements fleet.Admitter.
+func (l *limits) Release(engine, request string) { l.queueRelease(enginePrefix+engine, request) }
 
 // SetCapacity implements fleet.Admitter.
 func (l *limits) SetCapacity(engine string, capacity admission.Capacity) {
