--- a/state/history/assemble.go
+++ b/state/history/assemble.go
@@ -10,16 +10,16 @@
 	"github.com/marblering/marblering/state/replica"
 )
 
-// ErrBrokenChain means that a turn can't stand where the chain names it: it is another
-// program's, or its sequence number is out of order.
+// ErrBrokenChain means that a turn can't be part of the chain: it belongs to another
+// program, its sequence number is out of order, or it doesn't link to the turn before it.
 var ErrBrokenChain = merry.Sentinel("history chain is broken")
 
-// Assemble walks the chain of the program from the head back through the stored turns and
-// returns the turns in order of sequence. It ignores turns that aren't on the chain, which
-// attempts leave that lost, and corrupt copies of a turn of which another copy is whole.
+// Assemble follows the program's chain from the head back through the stored turns and
+// returns the turns in order of sequence. It ignores turns that aren't on the chain, such
+// as those of superseded attempts, and corrupt copies of a turn that also has an intact one.
 //
-// Where a turn is absent or has no whole copy, missing names it and the result is the part
-// of the chain after it: only the missing turn says which turns come before.
+// If a turn is absent or has no intact copy, missing holds its digest and turns holds only
+// the later part of the chain: the link to the earlier turns is in the missing turn.
 func Assemble(program string, head []byte, stored iter.Seq[replica.Turn]) (turns []*statev1.Turn, missing []Digest, err error) {
 	copies := indexByDigest(stored)
 	next := head
@@ -28,7 +28,7 @@
 		if err != nil {
 			return nil, nil, merry.Prependf(err, "history of program %q", program)
 		}
-		turn := firstWhole(copies[digest], digest)
+		turn := firstIntact(copies[digest], digest)
 		if turn == nil {
 			missing = append(missing, digest)
 			break
@@ -49,7 +49,7 @@
 }
 
 // indexByDigest groups the objects by the digest under which they are stored. Several
-// replicas may each have given a copy.
+// replicas may each have returned a copy.
 func indexByDigest(stored iter.Seq[replica.Turn]) map[Digest][][]byte {
 	copies := make(map[Digest][][]byte)
 	for turn := range stored {
@@ -58,8 +58,8 @@
 	return copies
 }
 
-// firstWhole returns the turn of the first object that isn't corrupt, or nil.
-func firstWhole(objects [][]byte, digest Digest) *statev1.Turn {
+// firstIntact decodes the first object that isn't corrupt. It returns nil if there is none.
+func firstIntact(objects [][]byte, digest Digest) *statev1.Turn {
 	for _, object := range objects {
 		if turn, err := Decode(object, digest); err == nil {
 			return turn
@@ -68,23 +68,24 @@
 	return nil
 }
 
-// checkProgram returns ErrBrokenChain for a turn that can't be the program's.
+// checkProgram returns ErrBrokenChain if the turn belongs to another program or has no
+// sequence number.
 func checkProgram(program string, turn *statev1.Turn) error {
 	if turn.GetProgram() != program {
-		return merry.Prependf(ErrBrokenChain, "the chain of program %q leads to turn %d of program %q",
+		return merry.Prependf(ErrBrokenChain, "chain of program %q contains turn %d of program %q",
 			program, turn.GetSequence(), turn.GetProgram())
 	}
 	if turn.GetSequence() == 0 {
-		return merry.Prependf(ErrBrokenChain, "the chain of program %q has a turn without a sequence number", program)
+		return merry.Prependf(ErrBrokenChain, "chain of program %q contains a turn without a sequence number", program)
 	}
 	return nil
 }
 
 // checkOrder returns ErrBrokenChain unless the earlier turn has the lower sequence number.
-// It allows gaps: a call that failed takes a sequence number and leaves no turn.
+// Gaps are allowed: a failed call uses up a sequence number without storing a turn.
 func checkOrder(earlier, later *statev1.Turn) error {
 	if earlier.GetSequence() >= later.GetSequence() {
-		return merry.Prependf(ErrBrokenChain, "turn %d of program %q follows turn %d",
+		return merry.Prependf(ErrBrokenChain, "turn %d of program %q can't follow turn %d: sequence numbers must increase",
 			later.GetSequence(), later.GetProgram(), earlier.GetSequence())
 	}
 	return nil
