--- a/state/history/cache.go
+++ b/state/history/cache.go
@@ -5,18 +5,18 @@
 	"sync"
 )
 
-// Cache keeps the chains of the programs that were used last, within a bound of memory. It
-// is safe for concurrent use.
+// Cache is an LRU cache of chains, one for each program, with a memory limit. It is safe
+// for concurrent use.
 //
-// A cache can't return an outdated history: a lookup names the head that the program's
-// record holds, and a chain that doesn't contain this head isn't returned.
+// A lookup never returns an outdated history: the caller passes the head from the program's
+// record, and a chain that doesn't contain it isn't returned.
 type Cache struct {
 	mu sync.Mutex
-	// limit and used are in bytes of memory, as Chain.Bytes counts them.
-	limit    int
-	used     int
-	entries  map[string]*list.Element
-	recently *list.List // of *cacheEntry, the most recently used first
+	// limitBytes and used count memory as Chain.Bytes does.
+	limitBytes int
+	usedBytes  int
+	entries    map[string]*list.Element
+	recency    *list.List // of *cacheEntry, most recently used first
 }
 
 type cacheEntry struct {
@@ -24,16 +24,16 @@
 	chain   *Chain
 }
 
-// NewCache makes a cache whose chains occupy at most about limit bytes of memory.
+// NewCache returns an empty cache whose chains occupy at most about limit bytes of memory.
 func NewCache(limit int) *Cache {
 	return &Cache{
-		limit:    limit,
-		entries:  make(map[string]*list.Element),
-		recently: list.New(),
+		limitBytes: limit,
+		entries:    make(map[string]*list.Element),
+		recency:    list.New(),
 	}
 }
 
-// Lookup returns the program's chain up to the head. An empty head names the empty
+// Lookup returns the program's chain up to the head. An empty head stands for the empty
 // history, which is always found.
 func (c *Cache) Lookup(program string, head []byte) (chain *Chain, found bool) {
 	if len(head) == 0 {
@@ -47,32 +47,32 @@
 	}
 	chain, found = element.Value.(*cacheEntry).chain.upTo(head)
 	if found {
-		c.recently.MoveToFront(element)
+		c.recency.MoveToFront(element)
 	}
 	return chain, found
 }
 
-// Store keeps the chain as the program's newest, in place of an earlier one. It doesn't
-// keep a chain that exceeds the limit by itself.
+// Store replaces the program's cached chain and evicts the least recently used chains that
+// no longer fit. A chain larger than the whole cache isn't stored.
 func (c *Cache) Store(program string, chain *Chain) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.remove(program)
-	if chain == nil || chain.Bytes() > c.limit {
+	if chain == nil || chain.Bytes() > c.limitBytes {
 		return
 	}
-	c.entries[program] = c.recently.PushFront(&cacheEntry{program: program, chain: chain})
-	c.used += chain.Bytes()
-	for c.used > c.limit {
-		c.remove(c.recently.Back().Value.(*cacheEntry).program)
+	c.entries[program] = c.recency.PushFront(&cacheEntry{program: program, chain: chain})
+	c.usedBytes += chain.Bytes()
+	for c.usedBytes > c.limitBytes {
+		c.remove(c.recency.Back().Value.(*cacheEntry).program)
 	}
 }
 
-// Bytes returns about how many bytes of memory the kept chains occupy.
+// Bytes returns the approximate memory size of the cached chains.
 func (c *Cache) Bytes() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.used
+	return c.usedBytes
 }
 
 func (c *Cache) remove(program string) {
@@ -81,6 +81,6 @@
 		return
 	}
 	delete(c.entries, program)
-	entry := c.recently.Remove(element).(*cacheEntry)
-	c.used -= entry.chain.Bytes()
+	entry := c.recency.Remove(element).(*cacheEntry)
+	c.usedBytes -= entry.chain.Bytes()
 }
