--- a/state/history/chain.go
+++ b/state/history/chain.go
@@ -8,30 +8,30 @@
 	statev1 "github.com/marblering/marblering/api/state/v1"
 )
 
-// turnOverheadBytes is how much memory a turn of a chain is taken to need beyond its
-// messages and answer (chosen, not measured).
+// turnOverheadBytes is the estimated memory that a turn of a chain takes in addition to its
+// messages and answer.
 const turnOverheadBytes = 512
 
 // Chain is the verified history of one program up to one turn. It is immutable:
-// extending it makes a new chain that shares all the earlier turns, so that the
-// cost of a turn doesn't depend on the length of the history. A nil chain is
+// extending it returns a new chain that shares all the earlier turns, so the cost
+// of adding a turn doesn't depend on the length of the history. A nil chain is
 // the empty history.
 type Chain struct {
 	previous *Chain
 	turn     *statev1.Turn
 	digest   Digest
-	// messages are those of this turn alone.
+	// messages holds the messages of this turn only.
 	messages []json.RawMessage
-	// The totals cover this turn and all earlier ones. The bytes are of memory, the
-	// tokens by EstimateTokens.
+	// Totals of this turn and all earlier ones: bytes of memory, and tokens as
+	// EstimateTokens counts them.
 	turns        int
 	messageCount int
 	bytes        int
 	tokens       uint64
 }
 
-// NewChain makes a chain of the turns that [Assemble] returned for the head with nothing
-// missing. It returns [ErrBrokenChain] where the turns don't follow one another.
+// NewChain builds a chain from the turns that [Assemble] returned for the head with none
+// missing. It returns [ErrBrokenChain] if the turns don't follow one another.
 func NewChain(program string, head []byte, turns []*statev1.Turn) (*Chain, error) {
 	var chain *Chain
 	for i, turn := range turns {
@@ -51,8 +51,8 @@
 	return chain, nil
 }
 
-// Extend returns the chain with one more turn, whose digest is that of [Encode]. It
-// returns [ErrBrokenChain] where the turn doesn't follow the chain. The turn must not be
+// Extend returns the chain with one more turn, whose digest was returned by
+// [Encode]. It returns [ErrBrokenChain] if the turn doesn't follow the chain. The turn must not be
 // modified afterwards.
 func (c *Chain) Extend(program string, turn *statev1.Turn, digest Digest) (*Chain, error) {
 	if err := c.checkNext(program, turn); err != nil {
@@ -74,13 +74,13 @@
 	}, nil
 }
 
-// checkNext returns ErrBrokenChain unless the turn follows the chain's newest.
+// checkNext returns ErrBrokenChain unless the turn follows the newest turn of the chain.
 func (c *Chain) checkNext(program string, turn *statev1.Turn) error {
 	if err := checkProgram(program, turn); err != nil {
 		return err
 	}
 	if string(turn.GetPrevious()) != string(c.Head()) {
-		return merry.Prependf(ErrBrokenChain, "turn %d of program %q names %x as the turn before it, not %x",
+		return merry.Prependf(ErrBrokenChain, "turn %d of program %q has previous digest %x, want %x",
 			turn.GetSequence(), program, turn.GetPrevious(), c.Head())
 	}
 	if c == nil {
@@ -89,8 +89,8 @@
 	return checkOrder(c.turn, turn)
 }
 
-// Head returns the digest of the newest turn as records keep it; nil for the
-// empty history.
+// Head returns the digest of the newest turn in the form that records store, or nil
+// for the empty history.
 func (c *Chain) Head() []byte {
 	if c == nil {
 		return nil
@@ -98,7 +98,7 @@
 	return c.digest.Bytes()
 }
 
-// Newest returns the last turn, nil for the empty history. It must not be modified.
+// Newest returns the last turn, or nil for the empty history. It must not be modified.
 func (c *Chain) Newest() *statev1.Turn {
 	if c == nil {
 		return nil
@@ -114,7 +114,7 @@
 	return c.turns
 }
 
-// Bytes returns about how many bytes of memory the chain occupies.
+// Bytes returns the approximate memory size of the chain.
 func (c *Chain) Bytes() int {
 	if c == nil {
 		return 0
@@ -122,8 +122,8 @@
 	return c.bytes
 }
 
-// Tokens returns the estimated number of tokens of all messages, by
-// [EstimateTokens].
+// Tokens returns the estimated number of tokens of all messages, as
+// [EstimateTokens] counts them.
 func (c *Chain) Tokens() uint64 {
 	if c == nil {
 		return 0
@@ -140,7 +140,7 @@
 
 // Messages returns the whole conversation in order: the messages that the caller added
 // in each turn, followed by the answer. They share the chain's memory and must not be
-// modified; the slice is the caller's own.
+// modified; the slice itself is new.
 func (c *Chain) Messages() []json.RawMessage {
 	messages := make([]json.RawMessage, c.countMessages())
 	end := len(messages)
@@ -160,7 +160,7 @@
 	return turns
 }
 
-// upTo returns the part of the chain that ends at the head. Found is false where no turn
+// upTo returns the part of the chain that ends at the head. Found is false if no turn
 // of the chain has this digest.
 func (c *Chain) upTo(head []byte) (part *Chain, found bool) {
 	if len(head) == 0 {
