--- a/state/history/encode.go
+++ b/state/history/encode.go
@@ -1,15 +1,15 @@
-// Package history keeps the conversation of a program as a chain of turns.
+// Package history represents the conversation of a program as a hash chain of turns.
 //
 // A turn is the protobuf message [statev1.Turn]: the messages that a caller
-// added and the answer to them. It is named by the SHA-256 digest of its
-// encoding and carries the program's id and the digest of the turn before it.
-// A program's record holds the digest of the newest turn, the head: whoever
-// has the head can check every turn of the chain, so that a corrupted turn, or
-// one of another program, is never taken for the program's own.
+// added and the answer to them. It is identified by the SHA-256 digest of its
+// encoding and contains the program's id and the digest of the previous turn.
+// A program's record holds the digest of the newest turn, the head. The head
+// is enough to verify every turn of the chain, so a corrupt turn or a turn of
+// another program is never accepted as part of the history.
 //
-// The package owns the stored form of turns, the check of a chain and a cache of chains.
-// It does no I/O: coordination/archive stores and reads turns, state/replica keeps them.
-// It relies on api/state for the fields of a turn. docs/design/history.md has the reasons.
+// The package defines the stored form of turns, verifies chains and caches them. It does
+// no I/O: coordination/archive writes and reads turns, and state/replica stores them.
+// The fields of a turn are defined in api/state. See docs/design/history.md for the design.
 package history
 
 import (
@@ -24,61 +24,60 @@
 	statev1 "github.com/marblering/marblering/api/state/v1"
 )
 
-// MaxTurnBytes is the greatest size of one encoded turn before compression. It also bounds
-// what decoding one object may allocate. A request's body has at most half as many bytes
-// by default, a usual turn 14 kB.
+// MaxTurnBytes is the maximum size of an encoded turn before compression. It also limits
+// the memory for decompressing an object. It is twice the default limit of a request's body.
 const MaxTurnBytes = 16 << 20
 
-// codecConcurrency bounds how many turns are compressed or decompressed at one time, and
-// thereby the memory of the codec's work buffers (chosen, not measured).
+// codecConcurrency limits how many turns are compressed or decompressed at the same time,
+// and thereby the memory for the codec's buffers.
 const codecConcurrency = 4
 
-// codecWindowBytes is how far back the compressor looks for repetitions. Turns are some
-// tens of kilobytes, so that a wider window would only take memory (chosen, not measured).
+// codecWindowBytes is the window size of the compressor. It exceeds the size of a typical
+// turn; a larger window would only take more memory.
 const codecWindowBytes = 256 << 10
 
-// Formats of an object. Its first byte names the format.
+// Formats of an object, given by its first byte.
 const (
-	// formatPlain is the encoding as it is.
+	// formatPlain is the uncompressed encoding.
 	formatPlain byte = 0
 	// formatZstd is the encoding compressed with zstd.
 	formatZstd byte = 1
 )
 
-// Errors of encoding and decoding; test for them with errors.Is.
+// Errors of encoding and decoding, for use with errors.Is.
 var (
 	// ErrTooLarge means that a turn's encoding exceeds MaxTurnBytes.
 	ErrTooLarge = merry.Sentinel("turn exceeds the size limit")
-	// ErrCorrupt means that an object isn't the one that its digest names.
+	// ErrCorrupt means that an object can't be decoded or doesn't match its digest.
 	ErrCorrupt = merry.Sentinel("turn object is corrupt")
 )
 
-// Digest is the SHA-256 digest of a turn's encoding. It names the turn.
+// Digest is the SHA-256 digest of a turn's encoding. It identifies the turn.
 type Digest [sha256.Size]byte
 
 // String returns the digest in hexadecimal.
 func (d Digest) String() string { return hex.EncodeToString(d[:]) }
 
-// Bytes returns the digest as a new slice, the form in which records keep it.
+// Bytes returns the digest as a new slice, the form that records store.
 func (d Digest) Bytes() []byte { return append([]byte(nil), d[:]...) }
 
-// ParseDigest converts the form in which records and turns keep a digest. It
-// refuses a slice of any other length than [sha256.Size].
+// ParseDigest converts a digest from the form that records and turns store. It
+// returns an error unless the slice has [sha256.Size] bytes.
 func ParseDigest(raw []byte) (Digest, error) {
 	if len(raw) != sha256.Size {
-		return Digest{}, merry.Errorf("digest has %d bytes, not %d", len(raw), sha256.Size)
+		return Digest{}, merry.Errorf("digest has %d bytes, want %d", len(raw), sha256.Size)
 	}
 	return Digest(raw), nil
 }
 
-// codec holds the compressor and decompressor; both are safe for concurrent
-// use and expensive to make.
+// codec holds the compressor and decompressor. Both are safe for concurrent use
+// and expensive to create.
 type codec struct {
 	encoder *zstd.Encoder
 	decoder *zstd.Decoder
 }
 
-// sharedCodec makes the codec at its first use. The codec keeps nothing from one object to
+// sharedCodec creates the codec on first use. The codec carries no state from one object to
 // the next.
 var sharedCodec = sync.OnceValues(newCodec)
 
@@ -89,19 +88,19 @@
 		zstd.WithWindowSize(codecWindowBytes),
 		zstd.WithLowerEncoderMem(true))
 	if err != nil {
-		return codec{}, merry.Prepend(err, "making the turn compressor")
+		return codec{}, merry.Prepend(err, "creating the turn compressor")
 	}
 	decoder, err := zstd.NewReader(nil,
 		zstd.WithDecoderConcurrency(codecConcurrency),
 		zstd.WithDecoderMaxMemory(MaxTurnBytes))
 	if err != nil {
-		return codec{}, merry.Prepend(err, "making the turn decompressor")
+		return codec{}, merry.Prepend(err, "creating the turn decompressor")
 	}
 	return codec{encoder: encoder, decoder: decoder}, nil
 }
 
-// Encode returns the object under which the turn is stored and the digest that
-// names it. Equal turns give equal objects. It returns [ErrTooLarge] for a turn
+// Encode returns the object in which the turn is stored and the digest that
+// identifies it. Equal turns give equal objects. It returns [ErrTooLarge] for a turn
 // whose encoding exceeds [MaxTurnBytes].
 func Encode(turn *statev1.Turn) (object []byte, digest Digest, err error) {
 	encoding, err := proto.MarshalOptions{Deterministic: true}.Marshal(turn)
@@ -109,7 +108,7 @@
 		return nil, Digest{}, merry.Prependf(err, "encoding turn %d of program %q", turn.GetSequence(), turn.GetProgram())
 	}
 	if len(encoding) > MaxTurnBytes {
-		return nil, Digest{}, merry.Prependf(ErrTooLarge, "turn %d of program %q has %d bytes of at most %d",
+		return nil, Digest{}, merry.Prependf(ErrTooLarge, "turn %d of program %q has %d bytes, limit %d",
 			turn.GetSequence(), turn.GetProgram(), len(encoding), MaxTurnBytes)
 	}
 	object, err = compress(encoding)
@@ -119,7 +118,8 @@
 	return object, sha256.Sum256(encoding), nil
 }
 
-// compress returns the object of an encoding, plain where compression doesn't shorten it.
+// compress returns the object for an encoding, uncompressed if compression doesn't make it
+// smaller.
 func compress(encoding []byte) ([]byte, error) {
 	codec, err := sharedCodec()
 	if err != nil {
@@ -132,19 +132,19 @@
 	return append([]byte{formatPlain}, encoding...), nil
 }
 
-// Decode returns the turn of an object. It returns [ErrCorrupt] where the
-// object isn't the one that the digest names.
+// Decode returns the turn that an object holds. It returns [ErrCorrupt] if the
+// object can't be decoded or doesn't match the digest.
 func Decode(object []byte, digest Digest) (*statev1.Turn, error) {
 	encoding, err := decompress(object)
 	if err != nil {
 		return nil, merry.Prependf(err, "turn %s", digest)
 	}
 	if actual := Digest(sha256.Sum256(encoding)); actual != digest {
-		return nil, merry.Prependf(ErrCorrupt, "turn %s has the content of %s", digest, actual)
+		return nil, merry.Prependf(ErrCorrupt, "object of turn %s has digest %s", digest, actual)
 	}
 	turn := &statev1.Turn{}
 	if err := proto.Unmarshal(encoding, turn); err != nil {
-		return nil, merry.Prependf(ErrCorrupt, "turn %s can't be parsed: %v", digest, err)
+		return nil, merry.Prependf(ErrCorrupt, "parsing turn %s: %v", digest, err)
 	}
 	return turn, nil
 }
@@ -152,7 +152,7 @@
 // decompress returns the encoding that the object holds.
 func decompress(object []byte) ([]byte, error) {
 	if len(object) == 0 {
-		return nil, merry.Prepend(ErrCorrupt, "the object is empty")
+		return nil, merry.Prepend(ErrCorrupt, "object is empty")
 	}
 	content := object[1:]
 	switch object[0] {
@@ -161,7 +161,7 @@
 	case formatZstd:
 		return decompressZstd(content)
 	default:
-		return nil, merry.Prependf(ErrCorrupt, "the object has unknown format %d", object[0])
+		return nil, merry.Prependf(ErrCorrupt, "object has unknown format %d", object[0])
 	}
 }
 
