--- a/state/history/messages.go
+++ b/state/history/messages.go
@@ -11,17 +11,16 @@
 	statev1 "github.com/marblering/marblering/api/state/v1"
 )
 
-// Parameters of EstimateTokens: English text has about four bytes for each token in the
-// usual byte-pair vocabularies, and a chat template adds a few tokens around each message
-// (chosen, not compared with a tokenizer).
+// Parameters of EstimateTokens: English text has about four bytes per token in common
+// byte-pair vocabularies, and a chat template adds a few tokens around each message.
 const (
 	bytesPerToken    = 4
 	tokensPerMessage = 4
 )
 
-// EstimateTokens returns the number of tokens that the messages are taken to have before
-// an engine has counted them: a quarter of the bytes of each, rounded up, and four for
-// each message. Budgets are reserved by it. It is no upper bound.
+// EstimateTokens estimates the number of tokens of the messages before an engine has
+// counted them: a quarter of the bytes of each message, rounded up, plus four per message.
+// Budgets are reserved from this estimate. It isn't an upper bound.
 func EstimateTokens(messages []json.RawMessage) uint64 {
 	var total uint64
 	for _, message := range messages {
@@ -32,7 +31,7 @@
 }
 
 // turnMessages returns the messages that the caller added in the turn, followed by the
-// answer. They share the turn's memory.
+// answer. They alias the turn's memory.
 func turnMessages(turn *statev1.Turn) ([]json.RawMessage, error) {
 	messages, err := splitArray(turn.GetMessages())
 	if err != nil {
@@ -44,7 +43,7 @@
 	return messages, nil
 }
 
-// splitArray returns the elements of a JSON array. They share the array's memory.
+// splitArray returns the elements of a JSON array. They alias the array's memory.
 func splitArray(array []byte) ([]json.RawMessage, error) {
 	if len(array) == 0 {
 		return nil, nil
@@ -55,7 +54,7 @@
 		return nil, merry.Prepend(err, "parsing a JSON array")
 	}
 	if opening != json.Delim('[') {
-		return nil, merry.Errorf("JSON array wanted, found %v", opening)
+		return nil, merry.Errorf("expected a JSON array, found %v", opening)
 	}
 	var elements []json.RawMessage
 	for decoder.More() {
@@ -70,7 +69,7 @@
 		return nil, merry.Prepend(err, "parsing the end of a JSON array")
 	}
 	if _, err := decoder.Token(); !errors.Is(err, io.EOF) {
-		return nil, merry.Errorf("there is more data after a JSON array, at byte %d", decoder.InputOffset())
+		return nil, merry.Errorf("unexpected data after the JSON array, at byte %d", decoder.InputOffset())
 	}
 	return elements, nil
 }
