--- a/state/history/bench_test.go
+++ b/state/history/bench_test.go
@@ -13,10 +13,11 @@
 	"github.com/marblering/marblering/state/history"
 )
 
-// turnTextBytes makes 88 turns come to about 310,000 tokens of four bytes.
+// turnTextBytes is the text size per turn at which 88 turns hold about 310,000 tokens of
+// four bytes.
 const turnTextBytes = 310_000 * 4 / 88
 
-// prose returns text that compresses about as well as prose.
+// prose returns random text that compresses about as well as English prose.
 func prose(random *rand.Rand, size int) string {
 	const letters = "etaoinshrdlucmfwypvbgkjqxz"
 	vocabulary := make([]string, 4000)
@@ -44,26 +45,26 @@
 	return c
 }
 
-// bomb is an object that decompresses to more than a turn may have.
-func bomb(t testing.TB) []byte {
+// oversizedObject returns a small object that decompresses to more than MaxTurnBytes.
+func oversizedObject(t testing.TB) []byte {
 	encoder, err := zstd.NewWriter(nil)
 	assert.NilError(t, err)
 	return encoder.EncodeAll(make([]byte, history.MaxTurnBytes+1), []byte{1})
 }
 
-var lengths = []int{1, 10, 88}
+var historyLengths = []int{1, 10, 88}
 
-// BenchmarkTurn measures what one more turn costs after a history of some
-// turns: encoding, the object's size, and extending the cached chain.
+// BenchmarkTurn measures the cost of the last turn of histories of several lengths:
+// encoding it, extending the cached chain, and the size of the stored object.
 func BenchmarkTurn(b *testing.B) {
-	for _, length := range lengths {
+	for _, length := range historyLengths {
 		b.Run(fmt.Sprintf("history=%d", length), func(b *testing.B) {
 			c := longConversation(b, length)
 			turn := c.turns[length-1]
 			chain, err := history.NewChain("own", turn.GetPrevious(), c.turns[:length-1])
 			assert.NilError(b, err)
 			cache := history.NewCache(64 << 20)
-			stored := 0
+			storedBytes := 0
 			b.ReportAllocs()
 			for b.Loop() {
 				object, digest, err := history.Encode(turn)
@@ -71,18 +72,18 @@
 				longer, err := chain.Extend("own", turn, digest)
 				assert.NilError(b, err)
 				cache.Store("own", longer)
-				stored = len(object)
+				storedBytes = len(object)
 			}
-			b.ReportMetric(float64(stored), "stored_B")
+			b.ReportMetric(float64(storedBytes), "stored_B")
 			b.ReportMetric(float64(len(turn.GetMessages())+len(turn.GetAnswer())), "plain_B")
 		})
 	}
 }
 
-// BenchmarkHistory measures reading the whole conversation back, from the
-// cache and from the stored objects.
+// BenchmarkHistory measures reading a complete conversation from the cache and
+// from the stored objects.
 func BenchmarkHistory(b *testing.B) {
-	for _, length := range lengths {
+	for _, length := range historyLengths {
 		c := longConversation(b, length)
 		chain, err := history.NewChain("own", c.head(), c.turns)
 		assert.NilError(b, err)
--- a/state/history/example_test.go
+++ b/state/history/example_test.go
@@ -9,8 +9,8 @@
 	"github.com/marblering/marblering/state/replica"
 )
 
-// A turn is encoded before it is stored; whoever knows the head reads it back
-// and verifies it.
+// A turn is encoded before it is stored. The head is enough to read it back and
+// verify it.
 func Example() {
 	turn := &statev1.Turn{
 		Program:  "program-1",
--- a/state/history/history_test.go
+++ b/state/history/history_test.go
@@ -16,15 +16,15 @@
 	"github.com/marblering/marblering/state/replica"
 )
 
-// conversation is a chain as replicas hold it.
+// conversation holds the turns of a chain and their stored form.
 type conversation struct {
 	program string
 	turns   []*statev1.Turn
 	stored  []replica.Turn
 }
 
-// add appends a turn that follows the previous digest, at the next sequence
-// number but for a gap.
+// add appends a turn that links to the previous digest. Its sequence number
+// skips gap numbers after the last turn's.
 func (c *conversation) add(t rapid.TB, previous []byte, gap uint64, text string) {
 	sequence := gap + 1
 	if len(c.turns) > 0 {
@@ -38,10 +38,10 @@
 		Answer:   []byte(`{"role":"assistant","content":"Yes."}`),
 	}
 	c.turns = append(c.turns, turn)
-	c.stored = append(c.stored, store(t, turn))
+	c.stored = append(c.stored, toReplicaTurn(t, turn))
 }
 
-func store(t rapid.TB, turn *statev1.Turn) replica.Turn {
+func toReplicaTurn(t rapid.TB, turn *statev1.Turn) replica.Turn {
 	object, digest, err := history.Encode(turn)
 	assert.NilError(t, err)
 	return replica.Turn{Program: turn.GetProgram(), Sequence: turn.GetSequence(), Digest: digest, Object: object}
@@ -54,7 +54,7 @@
 	return history.Digest(c.stored[len(c.stored)-1].Digest).Bytes()
 }
 
-// messagesOf returns what the caller and the model said in the turns.
+// messagesOf returns the messages and answers of the turns in order.
 func messagesOf(t rapid.TB, turns []*statev1.Turn) []json.RawMessage {
 	messages := []json.RawMessage{}
 	for _, turn := range turns {
@@ -65,9 +65,9 @@
 	return messages
 }
 
-func drawConversation(t *rapid.T, program string, least int) *conversation {
+func drawConversation(t *rapid.T, program string, minTurns int) *conversation {
 	c := &conversation{program: program}
-	for range rapid.IntRange(least, 6).Draw(t, "turns of "+program) {
+	for range rapid.IntRange(minTurns, 6).Draw(t, "turns of "+program) {
 		c.add(t, c.head(), rapid.Uint64Range(0, 2).Draw(t, "gap"), rapid.String().Draw(t, "text"))
 	}
 	return c
@@ -77,21 +77,21 @@
 	assert.Assert(t, slices.EqualFunc(actual, expected, func(a, b *statev1.Turn) bool { return proto.Equal(a, b) }))
 }
 
-// TestChainIsFoundAmongEverything: the chain comes back whole and in order from
-// a pile with turns of another program, orphans, repeats and corrupt copies.
-func TestChainIsFoundAmongEverything(t *testing.T) {
+// TestAssembleIgnoresUnrelatedTurns checks that the complete chain is returned in
+// order despite turns of another program, orphans, duplicates and corrupt copies.
+func TestAssembleIgnoresUnrelatedTurns(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		own, other := drawConversation(t, "own", 0), drawConversation(t, "other", 0)
-		pile := slices.Concat(own.stored, own.stored, other.stored)
+		stored := slices.Concat(own.stored, own.stored, other.stored)
 		for i, turn := range own.turns {
 			orphan := proto.CloneOf(turn)
 			orphan.Answer = []byte(`{"role":"assistant","content":"No."}`)
 			corrupt := own.stored[i]
 			corrupt.Object = corrupt.Object[1:]
-			pile = append(pile, store(t, orphan), corrupt)
+			stored = append(stored, toReplicaTurn(t, orphan), corrupt)
 		}
-		pile = rapid.Permutation(pile).Draw(t, "pile")
-		turns, missing, err := history.Assemble("own", own.head(), slices.Values(pile))
+		stored = rapid.Permutation(stored).Draw(t, "stored")
+		turns, missing, err := history.Assemble("own", own.head(), slices.Values(stored))
 		assert.NilError(t, err)
 		assert.Equal(t, len(missing), 0)
 		checkTurns(t, turns, own.turns)
@@ -107,8 +107,9 @@
 	})
 }
 
-// TestMissingTurnIsNamed: without one turn the rest after it is returned.
-func TestMissingTurnIsNamed(t *testing.T) {
+// TestAssembleReportsMissingTurn checks that the digest of a missing turn and the
+// turns after it are returned.
+func TestAssembleReportsMissingTurn(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := drawConversation(t, "own", 1)
 		lost := rapid.IntRange(0, len(c.stored)-1).Draw(t, "lost")
@@ -120,23 +121,22 @@
 	})
 }
 
-// TestMixedChainNeverVerifies: a chain with a turn of another program, or with
-// a turn out of order, is refused wherever that turn stands, also when all the
-// digests fit.
-func TestMixedChainNeverVerifies(t *testing.T) {
+// TestInvalidChainIsRejected guards against accepting a turn of another program or
+// a turn out of order, at any place in the chain, when all digests match.
+func TestInvalidChainIsRejected(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := drawConversation(t, "own", 1)
-		wrong := proto.CloneOf(c.turns[len(c.turns)-1])
-		wrong.Previous = c.head()
+		invalid := proto.CloneOf(c.turns[len(c.turns)-1])
+		invalid.Previous = c.head()
 		if rapid.Bool().Draw(t, "other program") {
-			wrong.Program = "other"
-			wrong.Sequence++
+			invalid.Program = "other"
+			invalid.Sequence++
 		} else {
-			wrong.Sequence -= rapid.Uint64Range(0, wrong.Sequence).Draw(t, "step back")
+			invalid.Sequence -= rapid.Uint64Range(0, invalid.Sequence).Draw(t, "step back")
 		}
-		c.turns, c.stored = append(c.turns, wrong), append(c.stored, store(t, wrong))
+		c.turns, c.stored = append(c.turns, invalid), append(c.stored, toReplicaTurn(t, invalid))
 		for range rapid.IntRange(0, 2).Draw(t, "turns after it") {
-			c.add(t, c.head(), wrong.GetSequence()+uint64(len(c.turns)), "later")
+			c.add(t, c.head(), invalid.GetSequence()+uint64(len(c.turns)), "later")
 		}
 		_, _, err := history.Assemble("own", c.head(), slices.Values(c.stored))
 		assert.ErrorIs(t, err, history.ErrBrokenChain)
@@ -145,15 +145,15 @@
 	})
 }
 
-func TestTurnThatDoesNotFollowIsRefused(t *testing.T) {
+func TestUnlinkedTurnIsRejected(t *testing.T) {
 	c := &conversation{program: "own"}
 	c.add(t, nil, 0, "first")
 	c.add(t, c.head(), 0, "second")
-	stray := &conversation{program: "own", turns: slices.Clone(c.turns[:1])}
-	stray.add(t, nil, 5, "follows nothing")
+	unlinked := &conversation{program: "own", turns: slices.Clone(c.turns[:1])}
+	unlinked.add(t, nil, 5, "unlinked")
 	chain, err := history.NewChain("own", c.head(), c.turns)
 	assert.NilError(t, err)
-	_, err = chain.Extend("own", stray.turns[1], stray.stored[0].Digest)
+	_, err = chain.Extend("own", unlinked.turns[1], unlinked.stored[0].Digest)
 	assert.ErrorIs(t, err, history.ErrBrokenChain)
 	_, err = history.NewChain("own", c.head()[:7], c.turns)
 	assert.ErrorContains(t, err, "7 bytes")
@@ -161,18 +161,18 @@
 	assert.ErrorContains(t, err, "7 bytes")
 }
 
-// TestCorruptObjectNeverDecodes: any change of an object's bytes either leaves
-// the turn as it was or is refused.
-func TestCorruptObjectNeverDecodes(t *testing.T) {
+// TestCorruptObjectIsRejected checks that decoding an object with changed bytes
+// fails unless the decoded turn is unchanged.
+func TestCorruptObjectIsRejected(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := &conversation{program: "own"}
 		c.add(t, nil, 0, strings.Repeat(rapid.String().Draw(t, "text"), rapid.IntRange(1, 50).Draw(t, "times")))
 		object, digest := slices.Clone(c.stored[0].Object), history.Digest(c.stored[0].Digest)
-		place := rapid.IntRange(0, len(object)-1).Draw(t, "place")
+		position := rapid.IntRange(0, len(object)-1).Draw(t, "position")
 		if rapid.Bool().Draw(t, "cut") {
-			object = object[:place]
+			object = object[:position]
 		} else {
-			object[place] ^= rapid.ByteRange(1, 255).Draw(t, "change")
+			object[position] ^= rapid.ByteRange(1, 255).Draw(t, "change")
 		}
 		turn, err := history.Decode(object, digest)
 		if err == nil {
@@ -185,7 +185,7 @@
 	})
 }
 
-func TestLargeTurns(t *testing.T) {
+func TestTurnSizeLimit(t *testing.T) {
 	turn := &statev1.Turn{Messages: make([]byte, history.MaxTurnBytes+1)}
 	_, _, err := history.Encode(turn)
 	assert.ErrorIs(t, err, history.ErrTooLarge)
@@ -197,12 +197,12 @@
 	assert.NilError(t, err)
 	assert.Assert(t, proto.Equal(decoded, turn))
 
-	_, err = history.Decode(bomb(t), digest)
+	_, err = history.Decode(oversizedObject(t), digest)
 	assert.ErrorIs(t, err, history.ErrCorrupt)
 	assert.ErrorContains(t, err, "decompressing")
 }
 
-func TestMessagesThatAreNoArray(t *testing.T) {
+func TestMalformedMessagesAreRejected(t *testing.T) {
 	for _, broken := range []string{`{}`, `[{}`, `[{},]`, `7`, `[{}]x`} {
 		turns := []*statev1.Turn{{Program: "own", Sequence: 3, Messages: []byte(broken)}}
 		_, err := history.NewChain("own", make([]byte, 32), turns)
@@ -222,23 +222,23 @@
 	}
 	size := chains["a"].Bytes()
 	cache := history.NewCache(2 * size)
-	holds := func(program string) bool {
+	cached := func(program string) bool {
 		_, found := cache.Lookup(program, chains[program].Head())
 		return found
 	}
 	cache.Store("a", chains["a"])
 	cache.Store("b", chains["b"])
-	assert.Assert(t, holds("a"))
+	assert.Assert(t, cached("a"))
 	cache.Store("c", chains["c"])
-	assert.Assert(t, holds("a") && holds("c") && !holds("b"))
+	assert.Assert(t, cached("a") && cached("c") && !cached("b"))
 	assert.Equal(t, cache.Bytes(), 2*size)
 
 	cache.Store("a", chains["a"])
 	assert.Equal(t, cache.Bytes(), 2*size)
 	first := chains["a"].Newest().GetPrevious()
-	part, found := cache.Lookup("a", first)
+	prefix, found := cache.Lookup("a", first)
 	assert.Assert(t, found)
-	assert.Equal(t, part.Len(), 1)
+	assert.Equal(t, prefix.Len(), 1)
 	_, found = cache.Lookup("c", first)
 	assert.Assert(t, !found)
 	empty, found := cache.Lookup("unknown", nil)
--- a/state/history/main_test.go
+++ b/state/history/main_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// TestMain fixes the seed of the property tests, so that they give the same
-// verdict every time; -rapid.seed on the command line goes first.
+// TestMain fixes the seed of the property tests to make them reproducible. The
+// flag -rapid.seed on the command line overrides it.
 func TestMain(m *testing.M) {
 	for name, value := range map[string]string{"rapid.seed": "1", "rapid.nofailfile": "true"} {
 		if err := flag.Set(name, value); err != nil {
--- a/state/history/stored_test.go
+++ b/state/history/stored_test.go
@@ -14,8 +14,8 @@
 	"github.com/marblering/marblering/state/history"
 )
 
-// storedTurns are a turn with every field set, one that compresses well, and one that
-// is stored as it is, since it would only become larger.
+// storedTurns returns a turn with every field set, one that compresses well, and one that
+// is stored uncompressed because compression would make it larger.
 func storedTurns() []*statev1.Turn {
 	return []*statev1.Turn{
 		{
@@ -28,26 +28,26 @@
 	}
 }
 
-// TestStoredObjectsAreRead: the turns that were stored in testdata are read in full.
-func TestStoredObjectsAreRead(t *testing.T) {
+// TestDecodeStoredObjects checks that objects in testdata decode to the same turns.
+func TestDecodeStoredObjects(t *testing.T) {
 	lines := strings.Split(strings.TrimSpace(string(golden.Get(t, "objects.golden"))), "\n")
 	assert.Equal(t, len(lines), len(storedTurns()))
 	for index, expected := range storedTurns() {
 		var object, digest []byte
 		_, err := fmt.Sscanf(lines[index], "digest %x object %x", &digest, &object)
 		assert.NilError(t, err)
-		named, err := history.ParseDigest(digest)
+		parsed, err := history.ParseDigest(digest)
 		assert.NilError(t, err)
-		decoded, err := history.Decode(object, named)
+		decoded, err := history.Decode(object, parsed)
 		assert.NilError(t, err)
 		assert.Assert(t, proto.Equal(decoded, expected))
 	}
 }
 
-// TestStoredObjectsAreWritten pins the bytes that are written now. Another version of
-// the compressor may change the objects, as long as TestStoredObjectsAreRead passes;
-// the digests may never change, since records name turns by them.
-func TestStoredObjectsAreWritten(t *testing.T) {
+// TestEncodedObjectsAreStable compares the encoded objects with testdata. Another version
+// of the compressor may change the objects, provided that TestDecodeStoredObjects passes.
+// The digests must never change, because records refer to turns by digest.
+func TestEncodedObjectsAreStable(t *testing.T) {
 	var text strings.Builder
 	for _, turn := range storedTurns() {
 		object, digest, err := history.Encode(turn)
