--- a/state/history/encode.go
+++ b/state/history/encode.go
@@ -25,7 +25,7 @@
 )
 
 // MaxTurnBytes is the maximum size of an encoded turn before compression. It also limits
-// the memory for decompressing an object. It is twice the default limit of a request's body.
+// the memory for decompressing an object. It is twice the default of request_size_limit.
 const MaxTurnBytes = 16 << 20
 
 // codecConcurrency limits how many turns are compressed or decompressed at the same time,
