--- a/protocol/objectapi/client.go
+++ b/protocol/objectapi/client.go
@@ -94,14 +94,14 @@
 	action := "read " + path
 	response, err := c.send(ctx, http.MethodGet, path, Condition{}, nil)
 	if err != nil {
-		return &Unavailable{Action: action, Cause: err}
+		return &UnavailableError{Action: action, Cause: err}
 	}
 	defer discard(response)
 	if response.StatusCode != http.StatusOK {
 		return statusError(action, response, false)
 	}
 	if err := json.NewDecoder(response.Body).Decode(into); err != nil {
-		return &Unavailable{Action: action, Cause: err}
+		return &UnavailableError{Action: action, Cause: err}
 	}
 	return nil
 }
@@ -123,7 +123,7 @@
 		return Object{}, err
 	}
 	if err != nil {
-		return Object{}, &Unresolved{Action: action, Cause: err}
+		return Object{}, &UnknownOutcomeError{Action: action, Cause: err}
 	}
 	if response.StatusCode == http.StatusConflict {
 		return Object{}, &Conflict{Current: object}
@@ -155,9 +155,9 @@
 func lostWrite(action string, err error) error {
 	var operation *net.OpError
 	if errors.As(err, &operation) && operation.Op == "dial" {
-		return &Unavailable{Action: action, Cause: err}
+		return &UnavailableError{Action: action, Cause: err}
 	}
-	return &Unresolved{Action: action, Cause: err}
+	return &UnknownOutcomeError{Action: action, Cause: err}
 }
 
 // statusError makes the error for a status that is neither success nor conflict.
@@ -165,23 +165,23 @@
 // error a write may have been done.
 func statusError(action string, response *http.Response, write bool) error {
 	text, _ := io.ReadAll(io.LimitReader(response.Body, maxErrorBytes))
-	refused := &Refused{Action: action, Status: response.StatusCode, Message: strings.TrimSpace(string(text))}
+	refused := &RejectedError{Action: action, Status: response.StatusCode, Message: strings.TrimSpace(string(text))}
 	switch {
 	case response.StatusCode == http.StatusServiceUnavailable:
-		return &Unavailable{Action: action, Cause: refused}
+		return &UnavailableError{Action: action, Cause: refused}
 	case response.StatusCode < http.StatusInternalServerError:
 		return refused
 	case write:
-		return &Unresolved{Action: action, Cause: refused}
+		return &UnknownOutcomeError{Action: action, Cause: refused}
 	}
-	return &Unavailable{Action: action, Cause: refused}
+	return &UnavailableError{Action: action, Cause: refused}
 }
 
 // nameMissing turns a refusal with 404 into NotFound.
 func nameMissing(err error, kind, name string) error {
-	var refused *Refused
+	var refused *RejectedError
 	if errors.As(err, &refused) && refused.Status == http.StatusNotFound {
-		return &NotFound{Kind: kind, Name: name}
+		return &NotFoundError{Kind: kind, Name: name}
 	}
 	return err
 }
--- a/protocol/objectapi/client_test.go
+++ b/protocol/objectapi/client_test.go
@@ -72,7 +72,7 @@
 	_, err = p.client.Delete(ctx, "pool", "a", second.Version)
 	assert.NilError(t, err)
 
-	var missing *objectapi.NotFound
+	var missing *objectapi.NotFoundError
 	_, err = p.client.Get(ctx, "pool", "a")
 	assert.Assert(t, errors.As(err, &missing))
 	_, err = p.client.Put(ctx, "pool", "a", objectapi.IfVersion(second.Version), body("c4"))
@@ -99,8 +99,8 @@
 
 func TestUnavailableIsToldFromUnresolved(t *testing.T) {
 	p, ctx := newPlatform(t), testContext(t)
-	var unavailable *objectapi.Unavailable
-	var unresolved *objectapi.Unresolved
+	var unavailable *objectapi.UnavailableError
+	var unresolved *objectapi.UnknownOutcomeError
 
 	p.setDown(true)
 	_, err := p.client.Put(ctx, "pool", "a", objectapi.IfAbsent(), body("c1"))
@@ -184,7 +184,7 @@
 	assert.Equal(t, strings.Join(seen, ","), "a,b")
 
 	p.store.SetFaults(objectstore.Faults{Compact: true})
-	var old *objectapi.TooOld
+	var old *objectapi.RevisionTooOldError
 	err = p.client.Watch(ctx, 1, 0, func(objectapi.Event) error { return nil })
 	assert.Assert(t, errors.As(err, &old))
 }
@@ -195,7 +195,7 @@
 		p.setDown(true)
 		return nil
 	})
-	var unavailable *objectapi.Unavailable
+	var unavailable *objectapi.UnavailableError
 	assert.Assert(t, errors.As(err, &unavailable))
 }
 
@@ -207,7 +207,7 @@
 	defer silent.Close()
 	client := objectapi.NewClient(silent.URL, silent.Client())
 	err := client.Watch(testContext(t), 0, 20*time.Millisecond, func(objectapi.Event) error { return nil })
-	assert.ErrorIs(t, err, objectapi.ErrSilent)
+	assert.ErrorIs(t, err, objectapi.ErrWatchIdle)
 }
 
 func TestStatsCountReaders(t *testing.T) {
--- a/protocol/objectapi/doc.go
+++ b/protocol/objectapi/doc.go
@@ -5,6 +5,6 @@
 // ([Client.PutResolved]) and gives configuration its store ([Platform]). It keeps
 // no state and relies on an HTTP client that is passed in.
 //
-// Errors tell apart what certainly wasn't done ([Conflict], [NotFound],
-// [Refused], [Unavailable]) from what may have been done ([Unresolved]).
+// Errors tell apart what certainly wasn't done ([Conflict], [NotFoundError],
+// [RejectedError], [UnavailableError]) from what may have been done ([UnknownOutcomeError]).
 package objectapi
--- a/protocol/objectapi/errors.go
+++ b/protocol/objectapi/errors.go
@@ -13,64 +13,64 @@
 	return fmt.Sprintf("object %s/%s is at version %d", e.Current.Kind, e.Current.Name, e.Current.Version)
 }
 
-// NotFound says that the object doesn't exist: nothing was done.
-type NotFound struct {
+// NotFoundError says that the object doesn't exist: nothing was done.
+type NotFoundError struct {
 	Kind string
 	Name string
 }
 
 // Error names the object.
-func (e *NotFound) Error() string {
+func (e *NotFoundError) Error() string {
 	return fmt.Sprintf("object %s/%s doesn't exist", e.Kind, e.Name)
 }
 
-// TooOld says that the object API no longer has the events after the revision of
+// RevisionTooOldError says that the object API no longer has the events after the revision of
 // a watch: everything must be listed again.
-type TooOld struct {
+type RevisionTooOldError struct {
 	// From is the revision of the watch.
 	From uint64
 }
 
 // Error names the revision.
-func (e *TooOld) Error() string {
+func (e *RevisionTooOldError) Error() string {
 	return fmt.Sprintf("revision %d is too old to watch from", e.From)
 }
 
-// Unavailable says that the request certainly wasn't done: no connection was
+// UnavailableError says that the request certainly wasn't done: no connection was
 // made, or the object API said that it doesn't serve now.
-type Unavailable struct {
+type UnavailableError struct {
 	// Action is what was tried, such as "read /machines".
 	Action string
 	Cause  error
 }
 
 // Error says what was tried and why it failed.
-func (e *Unavailable) Error() string {
+func (e *UnavailableError) Error() string {
 	return fmt.Sprintf("%s: object API unavailable, nothing done: %v", e.Action, e.Cause)
 }
 
 // Unwrap returns the cause.
-func (e *Unavailable) Unwrap() error { return e.Cause }
+func (e *UnavailableError) Unwrap() error { return e.Cause }
 
-// Unresolved says that the answer was lost: the request may have taken effect,
+// UnknownOutcomeError says that the answer was lost: the request may have taken effect,
 // or may still do so.
-type Unresolved struct {
+type UnknownOutcomeError struct {
 	// Action is what was tried, such as "put /api/pool/old".
 	Action string
 	Cause  error
 }
 
 // Error says what was tried and what was lost.
-func (e *Unresolved) Error() string {
+func (e *UnknownOutcomeError) Error() string {
 	return fmt.Sprintf("%s: answer lost, it may have taken effect: %v", e.Action, e.Cause)
 }
 
 // Unwrap returns the cause.
-func (e *Unresolved) Unwrap() error { return e.Cause }
+func (e *UnknownOutcomeError) Unwrap() error { return e.Cause }
 
-// Refused says that the object API found the request at fault: nothing was
+// RejectedError says that the object API found the request at fault: nothing was
 // done, and the same request will be refused again.
-type Refused struct {
+type RejectedError struct {
 	// Action is what was tried, such as "put /api/pool/old".
 	Action string
 	// Status is the HTTP status.
@@ -80,6 +80,6 @@
 }
 
 // Error says what was tried and what the object API answered.
-func (e *Refused) Error() string {
+func (e *RejectedError) Error() string {
 	return fmt.Sprintf("%s: refused with status %d: %s", e.Action, e.Status, e.Message)
 }
--- a/protocol/objectapi/platform.go
+++ b/protocol/objectapi/platform.go
@@ -36,7 +36,7 @@
 // Get returns one object. One that doesn't exist is Deleted with version 0.
 func (p *Platform) Get(ctx context.Context, key configuration.Key) (configuration.Object, error) {
 	object, err := p.client.Get(ctx, string(key.Kind), key.Name)
-	var missing *NotFound
+	var missing *NotFoundError
 	if errors.As(err, &missing) {
 		return configuration.Object{Key: key, Deleted: true}, nil
 	}
@@ -71,7 +71,7 @@
 // doesn't exist.
 func (p *Platform) Put(ctx context.Context, key configuration.Key, expected uint64, body json.RawMessage) (configuration.Object, error) {
 	object, err := p.client.PutResolved(ctx, string(key.Kind), key.Name, ConditionFor(expected), body)
-	var missing *NotFound
+	var missing *NotFoundError
 	if errors.As(err, &missing) {
 		absent := configuration.Object{Key: key, Deleted: true}
 		return configuration.Object{}, &configuration.ConflictError{Current: absent}
@@ -107,10 +107,10 @@
 // translate turns this package's errors into those of package configuration.
 func translate(err error) error {
 	var conflict *Conflict
-	var old *TooOld
-	var unavailable *Unavailable
-	var unresolved *Unresolved
-	var refused *Refused
+	var old *RevisionTooOldError
+	var unavailable *UnavailableError
+	var unresolved *UnknownOutcomeError
+	var refused *RejectedError
 	switch {
 	case errors.As(err, &conflict):
 		return &configuration.ConflictError{Current: convert(conflict.Current)}
--- a/protocol/objectapi/resolve.go
+++ b/protocol/objectapi/resolve.go
@@ -54,7 +54,7 @@
 // done, *Unresolved that PutResolved couldn't find out.
 func (c *Client) PutResolved(ctx context.Context, kind, name string, condition Condition, body json.RawMessage) (Object, error) {
 	commandID := Writer(body).CommandID
-	var lost *Unresolved
+	var lost *UnknownOutcomeError
 	for pause := firstPause; ; pause = min(2*pause, longestPause) {
 		object, err := c.Put(ctx, kind, name, condition, body)
 		if err == nil {
@@ -64,7 +64,7 @@
 		if errors.As(err, &conflict) {
 			return settleConflict(conflict, commandID, lost)
 		}
-		var missing *NotFound
+		var missing *NotFoundError
 		if !errors.As(err, &lost) && lost == nil {
 			return Object{}, err
 		}
@@ -80,7 +80,7 @@
 
 // settleConflict decides what a conflict says of the command: it was done, it
 // wasn't, or, where the answer of an earlier try was lost, nobody knows.
-func settleConflict(conflict *Conflict, commandID string, lost *Unresolved) (Object, error) {
+func settleConflict(conflict *Conflict, commandID string, lost *UnknownOutcomeError) (Object, error) {
 	writer := Writer(conflict.Current.Body)
 	if writer.Includes(commandID) {
 		return conflict.Current, nil
--- a/protocol/objectapi/watch.go
+++ b/protocol/objectapi/watch.go
@@ -10,9 +10,9 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// ErrSilent ends a watch that got neither an event nor a bookmark for too long,
+// ErrWatchIdle ends a watch that got neither an event nor a bookmark for too long,
 // so that its connection counts as dead.
-var ErrSilent = merry.Sentinel("the watch was silent for too long")
+var ErrWatchIdle = merry.Sentinel("the watch was silent for too long")
 
 // Watch calls visit for every event after the revision, in order, until visit
 // fails, the connection fails or the context ends. It always returns an error:
@@ -21,7 +21,7 @@
 func (c *Client) Watch(ctx context.Context, from uint64, silence time.Duration, visit func(Event) error) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	guard := newSilenceGuard(silence, cancel)
+	guard := newIdleTimer(silence, cancel)
 	defer guard.stop()
 	err := c.watch(ctx, from, guard, visit)
 	if cause := context.Cause(ctx); cause != nil {
@@ -30,18 +30,18 @@
 	return err
 }
 
-func (c *Client) watch(ctx context.Context, from uint64, guard *silenceGuard, visit func(Event) error) error {
+func (c *Client) watch(ctx context.Context, from uint64, guard *idleTimer, visit func(Event) error) error {
 	path := fmt.Sprintf("/watch?from=%d", from)
 	action := "read " + path
 	response, err := c.send(ctx, http.MethodGet, path, Condition{}, nil)
 	if err != nil {
-		return &Unavailable{Action: action, Cause: err}
+		return &UnavailableError{Action: action, Cause: err}
 	}
 	defer response.Body.Close()
 	switch response.StatusCode {
 	case http.StatusOK:
 	case http.StatusGone:
-		return &TooOld{From: from}
+		return &RevisionTooOldError{From: from}
 	default:
 		return statusError(action, response, false)
 	}
@@ -49,39 +49,39 @@
 	for {
 		var event Event
 		if err := decoder.Decode(&event); err != nil {
-			return &Unavailable{Action: action, Cause: err}
+			return &UnavailableError{Action: action, Cause: err}
 		}
-		guard.heard()
+		guard.reset()
 		if err := visit(event); err != nil {
 			return err
 		}
 	}
 }
 
-// silenceGuard cancels a context when nothing was heard for the limit.
-type silenceGuard struct {
+// idleTimer cancels a context when nothing was heard for the limit.
+type idleTimer struct {
 	limit time.Duration
 	// timer is nil where there is no limit.
 	timer *time.Timer
 }
 
-func newSilenceGuard(limit time.Duration, cancel context.CancelCauseFunc) *silenceGuard {
+func newIdleTimer(limit time.Duration, cancel context.CancelCauseFunc) *idleTimer {
 	if limit <= 0 {
-		return &silenceGuard{}
+		return &idleTimer{}
 	}
-	return &silenceGuard{
+	return &idleTimer{
 		limit: limit,
-		timer: time.AfterFunc(limit, func() { cancel(ErrSilent) }),
+		timer: time.AfterFunc(limit, func() { cancel(ErrWatchIdle) }),
 	}
 }
 
-func (g *silenceGuard) heard() {
+func (g *idleTimer) reset() {
 	if g.timer != nil {
 		g.timer.Reset(g.limit)
 	}
 }
 
-func (g *silenceGuard) stop() {
+func (g *idleTimer) stop() {
 	if g.timer != nil {
 		g.timer.Stop()
 	}
