--- a/protocol/objectapi/client_test.go
+++ b/protocol/objectapi/client_test.go
@@ -16,7 +16,7 @@
 	"github.com/marblering/marblering/protocol/objectapi"
 )
 
-const patience = 30 * time.Second
+const testTimeout = 30 * time.Second
 
 type platform struct {
 	store  *objectstore.Server
@@ -32,7 +32,7 @@
 	return &platform{store: store, server: server, client: objectapi.NewClient(server.URL, server.Client())}
 }
 
-func (p *platform) loseAnswers(count int) {
+func (p *platform) dropResponses(count int) {
 	p.store.SetFaults(objectstore.Faults{LoseAnswers: &count})
 }
 
@@ -41,16 +41,16 @@
 }
 
 func testContext(t *testing.T) context.Context {
-	ctx, cancel := context.WithTimeout(t.Context(), patience)
+	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	t.Cleanup(cancel)
 	return ctx
 }
 
 func body(commandID string, previous ...string) json.RawMessage {
-	marked := struct {
+	header := struct {
 		WrittenBy objectapi.WrittenBy `json:"written_by"`
 	}{objectapi.WrittenBy{CommandID: commandID, Operator: "ann", Previous: previous}}
-	data, _ := json.Marshal(marked)
+	data, _ := json.Marshal(header)
 	return data
 }
 
@@ -63,7 +63,7 @@
 	var conflict *objectapi.Conflict
 	_, err = p.client.Put(ctx, "pool", "a", objectapi.IfAbsent(), body("c2"))
 	assert.Assert(t, errors.As(err, &conflict))
-	assert.Equal(t, objectapi.Writer(conflict.Current.Body).CommandID, "c1")
+	assert.Equal(t, objectapi.ParseWrittenBy(conflict.Current.Body).CommandID, "c1")
 
 	second, err := p.client.Put(ctx, "pool", "a", objectapi.IfVersion(first.Version), body("c3"))
 	assert.NilError(t, err)
@@ -79,7 +79,7 @@
 	assert.Assert(t, errors.As(err, &missing))
 }
 
-func TestListIsAtOneRevision(t *testing.T) {
+func TestListReturnsOneRevision(t *testing.T) {
 	p, ctx := newPlatform(t), testContext(t)
 	for _, name := range []string{"b", "a"} {
 		_, err := p.client.Put(ctx, "pool", name, objectapi.IfAbsent(), body("c-"+name))
@@ -97,21 +97,21 @@
 	assert.Equal(t, pools.Items[0].Name, "a")
 }
 
-func TestUnavailableIsToldFromUnresolved(t *testing.T) {
+func TestWriteErrorsTellFailureFromUnknownOutcome(t *testing.T) {
 	p, ctx := newPlatform(t), testContext(t)
 	var unavailable *objectapi.UnavailableError
-	var unresolved *objectapi.UnknownOutcomeError
+	var unknownOutcome *objectapi.UnknownOutcomeError
 
 	p.setDown(true)
 	_, err := p.client.Put(ctx, "pool", "a", objectapi.IfAbsent(), body("c1"))
 	assert.Assert(t, errors.As(err, &unavailable))
 	p.setDown(false)
 
-	p.loseAnswers(1)
+	p.dropResponses(1)
 	_, err = p.client.Put(ctx, "pool", "a", objectapi.IfAbsent(), body("c1"))
-	assert.Assert(t, errors.As(err, &unresolved))
+	assert.Assert(t, errors.As(err, &unknownOutcome))
 	_, err = p.client.Get(ctx, "pool", "a")
-	assert.NilError(t, err, "a lost answer's write has taken effect")
+	assert.NilError(t, err, "the write whose response was lost has taken effect")
 
 	p.server.Close()
 	_, err = p.client.Put(ctx, "pool", "b", objectapi.IfAbsent(), body("c2"))
@@ -122,15 +122,15 @@
 	cases := []struct {
 		name string
 		lost int
-		// between happens before the command's own write.
+		// before lists commands that write the object first.
 		before []string
 		wins   bool
 	}{
 		{name: "plain", wins: true},
-		{name: "answer lost once", lost: 1, wins: true},
-		{name: "answer lost twice", lost: 2, wins: true},
+		{name: "response lost once", lost: 1, wins: true},
+		{name: "response lost twice", lost: 2, wins: true},
 		{name: "another wrote first", before: []string{"other"}},
-		{name: "another wrote first and answers are lost", lost: 1, before: []string{"other"}},
+		{name: "another wrote first and a response is lost", lost: 1, before: []string{"other"}},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -139,20 +139,20 @@
 				_, err := p.client.Put(ctx, "pool", "a", objectapi.IfAbsent(), body(command))
 				assert.NilError(t, err)
 			}
-			p.loseAnswers(test.lost)
+			p.dropResponses(test.lost)
 			object, err := p.client.PutResolved(ctx, "pool", "a", objectapi.IfAbsent(), body("mine"))
 			var conflict *objectapi.Conflict
 			assert.Equal(t, err == nil, test.wins)
 			assert.Equal(t, errors.As(err, &conflict), !test.wins)
 			if test.wins {
-				assert.Equal(t, objectapi.Writer(object.Body).CommandID, "mine")
+				assert.Equal(t, objectapi.ParseWrittenBy(object.Body).CommandID, "mine")
 				assert.Equal(t, object.Version, uint64(1), "the write was done once")
 			}
 		})
 	}
 }
 
-func TestPutResolvedFindsItsIDBehindALaterWrite(t *testing.T) {
+func TestPutResolvedSucceedsAfterLaterWrite(t *testing.T) {
 	p, ctx := newPlatform(t), testContext(t)
 	first, err := p.client.Put(ctx, "pool", "a", objectapi.IfAbsent(), body("mine"))
 	assert.NilError(t, err)
@@ -167,26 +167,26 @@
 	_, err := p.client.Put(ctx, "pool", "a", objectapi.IfAbsent(), body("c1"))
 	assert.NilError(t, err)
 
-	enough := errors.New("enough")
+	errStop := errors.New("enough")
 	var seen []string
-	err = p.client.Watch(ctx, 0, patience, func(event objectapi.Event) error {
+	err = p.client.Watch(ctx, 0, testTimeout, func(event objectapi.Event) error {
 		if event.Object == nil {
 			return nil
 		}
 		seen = append(seen, event.Object.Name)
 		if len(seen) == 2 {
-			return enough
+			return errStop
 		}
 		_, err := p.client.Put(ctx, "pool", "b", objectapi.IfAbsent(), body("c2"))
 		return err
 	})
-	assert.ErrorIs(t, err, enough)
+	assert.ErrorIs(t, err, errStop)
 	assert.Equal(t, strings.Join(seen, ","), "a,b")
 
 	p.store.SetFaults(objectstore.Faults{Compact: true})
-	var old *objectapi.RevisionTooOldError
+	var tooOld *objectapi.RevisionTooOldError
 	err = p.client.Watch(ctx, 1, 0, func(objectapi.Event) error { return nil })
-	assert.Assert(t, errors.As(err, &old))
+	assert.Assert(t, errors.As(err, &tooOld))
 }
 
 func TestWatchEndsWhenTheStoreGoesDown(t *testing.T) {
@@ -199,7 +199,7 @@
 	assert.Assert(t, errors.As(err, &unavailable))
 }
 
-func TestWatchEndsInSilence(t *testing.T) {
+func TestWatchEndsAfterIdleTimeout(t *testing.T) {
 	silent := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_ = http.NewResponseController(w).Flush()
 		<-r.Context().Done()
--- a/protocol/objectapi/doc.go
+++ b/protocol/objectapi/doc.go
@@ -1,10 +1,10 @@
-// Package objectapi is the client of the platform's object API, which
-// docs/ARCHITECTURE.md lists under "Object API dialect".
+// Package objectapi is a client for the platform's object API. The protocol is
+// described in docs/ARCHITECTURE.md under "Object API dialect".
 //
-// It owns the wire types of that dialect, settles writes whose answer was lost
-// ([Client.PutResolved]) and gives configuration its store ([Platform]). It keeps
-// no state and relies on an HTTP client that is passed in.
+// The package defines the wire types, retries writes whose response was lost
+// ([Client.PutResolved]) and implements the store of package configuration
+// ([Platform]). It keeps no state.
 //
-// Errors tell apart what certainly wasn't done ([Conflict], [NotFoundError],
-// [RejectedError], [UnavailableError]) from what may have been done ([UnknownOutcomeError]).
+// The error types distinguish requests that certainly weren't done ([Conflict], [NotFoundError],
+// [RejectedError], [UnavailableError]) from those that may have taken effect ([UnknownOutcomeError]).
 package objectapi
--- a/protocol/objectapi/errors.go
+++ b/protocol/objectapi/errors.go
@@ -2,18 +2,18 @@
 
 import "fmt"
 
-// Conflict says that the condition of a write didn't hold: nothing was done.
+// Conflict is returned if the condition of a write didn't hold. Nothing was done.
 type Conflict struct {
-	// Current is the object as it stands.
+	// Current is the stored object.
 	Current Object
 }
 
-// Error names the object and the version that it has.
+// Error names the object and its current version.
 func (e *Conflict) Error() string {
 	return fmt.Sprintf("object %s/%s is at version %d", e.Current.Kind, e.Current.Name, e.Current.Version)
 }
 
-// NotFoundError says that the object doesn't exist: nothing was done.
+// NotFoundError is returned if the object doesn't exist. Nothing was done.
 type NotFoundError struct {
 	Kind string
 	Name string
@@ -24,10 +24,10 @@
 	return fmt.Sprintf("object %s/%s doesn't exist", e.Kind, e.Name)
 }
 
-// RevisionTooOldError says that the object API no longer has the events after the revision of
-// a watch: everything must be listed again.
+// RevisionTooOldError is returned if the object API no longer has the events after
+// the revision of a watch. The caller must list all objects again.
 type RevisionTooOldError struct {
-	// From is the revision of the watch.
+	// From is the revision that the watch started from.
 	From uint64
 }
 
@@ -36,15 +36,16 @@
 	return fmt.Sprintf("revision %d is too old to watch from", e.From)
 }
 
-// UnavailableError says that the request certainly wasn't done: no connection was
-// made, or the object API said that it doesn't serve now.
+// UnavailableError is returned if the request certainly wasn't done: no connection
+// was made, or the object API answered that it is unavailable. For a read, which
+// changes nothing, it also covers lost responses and server errors.
 type UnavailableError struct {
-	// Action is what was tried, such as "read /machines".
+	// Action is the failed request, such as "read /machines".
 	Action string
 	Cause  error
 }
 
-// Error says what was tried and why it failed.
+// Error describes the request and the cause.
 func (e *UnavailableError) Error() string {
 	return fmt.Sprintf("%s: object API unavailable, nothing done: %v", e.Action, e.Cause)
 }
@@ -52,34 +53,34 @@
 // Unwrap returns the cause.
 func (e *UnavailableError) Unwrap() error { return e.Cause }
 
-// UnknownOutcomeError says that the answer was lost: the request may have taken effect,
-// or may still do so.
+// UnknownOutcomeError is returned if no usable response to a write arrived: the
+// write may have taken effect, or may still do so.
 type UnknownOutcomeError struct {
-	// Action is what was tried, such as "put /api/pool/old".
+	// Action is the failed request, such as "put /api/pool/old".
 	Action string
 	Cause  error
 }
 
-// Error says what was tried and what was lost.
+// Error describes the request and the cause.
 func (e *UnknownOutcomeError) Error() string {
-	return fmt.Sprintf("%s: answer lost, it may have taken effect: %v", e.Action, e.Cause)
+	return fmt.Sprintf("%s: outcome unknown, the write may have taken effect: %v", e.Action, e.Cause)
 }
 
 // Unwrap returns the cause.
 func (e *UnknownOutcomeError) Unwrap() error { return e.Cause }
 
-// RejectedError says that the object API found the request at fault: nothing was
-// done, and the same request will be refused again.
+// RejectedError is returned if the object API rejected the request as invalid.
+// Nothing was done, and repeating the request fails again.
 type RejectedError struct {
-	// Action is what was tried, such as "put /api/pool/old".
+	// Action is the failed request, such as "put /api/pool/old".
 	Action string
 	// Status is the HTTP status.
 	Status int
-	// Message is the body of the answer.
+	// Message is the response body, truncated to maxDrainedBytes.
 	Message string
 }
 
-// Error says what was tried and what the object API answered.
+// Error describes the request and the response.
 func (e *RejectedError) Error() string {
-	return fmt.Sprintf("%s: refused with status %d: %s", e.Action, e.Status, e.Message)
+	return fmt.Sprintf("%s: rejected with status %d: %s", e.Action, e.Status, e.Message)
 }
--- a/protocol/objectapi/golden_test.go
+++ b/protocol/objectapi/golden_test.go
@@ -18,11 +18,11 @@
 	"github.com/marblering/marblering/protocol/objectapi"
 )
 
-// TestWireTypesStayAsTheyAre holds the JSON forms to testdata/types.golden; go
-// test ./protocol/objectapi -update writes it.
-func TestWireTypesStayAsTheyAre(t *testing.T) {
+// TestWireTypesMatchGolden compares the JSON encodings with
+// testdata/types.golden. go test ./protocol/objectapi -update rewrites the file.
+func TestWireTypesMatchGolden(t *testing.T) {
 	object := objectapi.Object{Kind: "pool", Name: "a", Version: 3, Revision: 4, Body: json.RawMessage(`{"zones":["<z1>"]}`)}
-	var page strings.Builder
+	var output strings.Builder
 	for _, value := range []any{
 		object,
 		objectapi.List{Revision: 4, Items: []objectapi.Object{object}},
@@ -35,13 +35,13 @@
 	} {
 		encoded, err := json.Marshal(value)
 		assert.NilError(t, err)
-		fmt.Fprintf(&page, "%T\n%s\n\n", value, encoded)
+		fmt.Fprintf(&output, "%T\n%s\n\n", value, encoded)
 	}
-	golden.Assert(t, page.String(), "types.golden")
+	golden.Assert(t, output.String(), "types.golden")
 }
 
-// objectBodies are bodies of each kind: one with all fields, one with those
-// that are required.
+// objectBodies lists bodies of each kind: one with all fields, one with only the
+// required fields.
 var objectBodies = []struct {
 	kind         configuration.Kind
 	name         string
@@ -79,9 +79,9 @@
 	},
 }
 
-// TestObjectBodiesStayAsTheyAre holds the bodies of all kinds, with their
-// defaults, to testdata/bodies.golden.
-func TestObjectBodiesStayAsTheyAre(t *testing.T) {
+// TestObjectBodiesMatchGolden compares the decoded bodies of all kinds,
+// with their defaults, with testdata/bodies.golden.
+func TestObjectBodiesMatchGolden(t *testing.T) {
 	var page strings.Builder
 	seen := make(map[configuration.Kind]bool)
 	for _, object := range objectBodies {
@@ -101,14 +101,14 @@
 	golden.Assert(t, page.String(), "bodies.golden")
 }
 
-// TestRequestsStayAsTheyAre holds what the client sends, and what commands
-// write with it, to testdata/requests.golden.
-func TestRequestsStayAsTheyAre(t *testing.T) {
+// TestRequestsMatchGolden compares the requests of the client, and those that
+// commands send through it, with testdata/requests.golden.
+func TestRequestsMatchGolden(t *testing.T) {
 	var page strings.Builder
 	store := objectstore.New(objectstore.Options{Seed: 1})
 	server := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		page.WriteString(request.Method + " " + request.RequestURI + "\n")
-		request.Header.Del("User-Agent") // the Go release's
+		request.Header.Del("User-Agent") // depends on the Go release
 		assert.Check(t, request.Header.Write(&page))
 		body, err := io.ReadAll(request.Body)
 		assert.Check(t, err)
--- a/protocol/objectapi/object.go
+++ b/protocol/objectapi/object.go
@@ -6,33 +6,34 @@
 type Object struct {
 	Kind string `json:"kind"`
 	Name string `json:"name"`
-	// Version is the revision of the store at which the object was last written.
+	// Version is the store's revision at which the object was last written.
 	Version uint64 `json:"version"`
-	// Revision is the same, or that of the removal of a removed object.
+	// Revision equals Version, or is the revision of the removal if the object was
+	// removed.
 	Revision uint64          `json:"revision"`
 	Body     json.RawMessage `json:"body"`
 }
 
-// List has objects as they were at one revision of the store.
+// List holds objects as they were at one revision of the store.
 type List struct {
 	Revision uint64   `json:"revision"`
 	Items    []Object `json:"items"`
 }
 
-// Event is one change of the store, or a bookmark.
+// Event is one change in the store, or a bookmark.
 type Event struct {
 	Revision uint64 `json:"revision"`
-	// Object is nil in a bookmark, which says that every change up to the
+	// Object is nil in a bookmark, which means that every change up to the
 	// revision has been sent.
 	Object *Object `json:"object"`
-	// Deleted is set where the object was removed.
+	// Deleted is true if the object was removed.
 	Deleted bool `json:"deleted"`
 }
 
 // States of machines.
 const (
 	MachineLive = "live"
-	// MachineLeaving: the platform is about to take the machine away.
+	// MachineLeaving means that the platform is about to remove the machine.
 	MachineLeaving = "leaving"
 )
 
@@ -44,7 +45,7 @@
 	State   string `json:"state"`
 }
 
-// Condition is what a write requires of the object as it stands.
+// Condition is the precondition of a write on the stored object.
 type Condition struct {
 	absent  bool
 	version uint64
@@ -53,10 +54,10 @@
 // IfAbsent requires that the object doesn't exist.
 func IfAbsent() Condition { return Condition{absent: true} }
 
-// IfVersion requires that the object exists at the version.
+// IfVersion requires that the object exists at the given version.
 func IfVersion(version uint64) Condition { return Condition{version: version} }
 
-// ConditionFor is IfAbsent for version 0 and IfVersion for any other.
+// ConditionFor returns IfAbsent for version 0 and IfVersion otherwise.
 func ConditionFor(version uint64) Condition {
 	if version == 0 {
 		return IfAbsent()
--- a/protocol/objectapi/platform_test.go
+++ b/protocol/objectapi/platform_test.go
@@ -18,7 +18,7 @@
 	"github.com/marblering/marblering/state/result"
 )
 
-// loneNode is a node without peers and without shards.
+// loneNode is a node without peers or shards.
 type loneNode struct{ configuration.Peers }
 
 func (loneNode) Self() configuration.Peer               { return configuration.Peer{} }
@@ -49,7 +49,7 @@
 	return result.OK
 }
 
-func TestAcceptOverTheObjectAPI(t *testing.T) {
+func TestAcceptorUsesObjectAPI(t *testing.T) {
 	p, ctx := newPlatform(t), testContext(t)
 	acceptor := newAcceptor(t, p)
 
@@ -58,8 +58,8 @@
 	assert.Equal(t, codeOf(err), result.PlatformUnavailable)
 	p.setDown(false)
 
-	// The answers of both writes, the command's record and its object, are lost.
-	p.loseAnswers(2)
+	// The responses to both writes, of the command's record and its object, are lost.
+	p.dropResponses(2)
 	first, err := acceptor.Accept(ctx, nodeChange("c1", 0))
 	assert.NilError(t, err)
 	repeated, err := acceptor.Accept(ctx, nodeChange("c1", 0))
@@ -80,15 +80,15 @@
 	assert.NilError(t, err)
 }
 
-func TestRacingCommands(t *testing.T) {
+func TestConcurrentCommandsHaveOneWinner(t *testing.T) {
 	p, ctx := newPlatform(t), testContext(t)
-	const racers = 6
-	errs := make([]error, racers)
+	const commandCount = 6
+	errs := make([]error, commandCount)
 	var group sync.WaitGroup
-	for racer := range racers {
+	for index := range commandCount {
 		acceptor := newAcceptor(t, p)
 		group.Go(func() {
-			_, errs[racer] = acceptor.Accept(context.WithoutCancel(ctx), nodeChange(fmt.Sprint("c", racer), 0))
+			_, errs[index] = acceptor.Accept(context.WithoutCancel(ctx), nodeChange(fmt.Sprint("c", index), 0))
 		})
 	}
 	group.Wait()
--- a/protocol/objectapi/resolve.go
+++ b/protocol/objectapi/resolve.go
@@ -10,83 +10,82 @@
 	"github.com/marblering/marblering/coordination/sleep"
 )
 
-// WrittenBy says in a body which command wrote it, so that a command whose
-// answer was lost can tell its own write from another's.
+// WrittenBy records in a body which command wrote it, so that a command whose
+// response was lost can recognize its own write.
 type WrittenBy struct {
 	CommandID string `json:"command_id"`
-	// Operator is who gave the command.
+	// Operator names who issued the command.
 	Operator string `json:"operator"`
-	// Previous are the ids of the commands that wrote the versions before,
-	// newest first.
+	// Previous lists the ids of the commands that wrote earlier versions, newest
+	// first.
 	Previous []string `json:"previous,omitempty"`
 }
 
-// Includes tells whether the command wrote this version or one of those before
-// it. The empty id wrote none.
+// Includes reports whether the command wrote this version or one listed in
+// Previous. It is false for an empty id.
 func (w WrittenBy) Includes(commandID string) bool {
 	return commandID != "" && (w.CommandID == commandID || slices.Contains(w.Previous, commandID))
 }
 
-// Writer returns which command wrote the body; the zero value where the body
-// doesn't say.
-func Writer(body json.RawMessage) WrittenBy {
-	var marked struct {
+// ParseWrittenBy returns the "written_by" field of the body, or the zero value if
+// it has none.
+func ParseWrittenBy(body json.RawMessage) WrittenBy {
+	var header struct {
 		WrittenBy WrittenBy `json:"written_by"`
 	}
-	// A body that isn't an object doesn't say who wrote it.
-	_ = json.Unmarshal(body, &marked)
-	return marked.WrittenBy
+	// A body that isn't a JSON object has no such field.
+	_ = json.Unmarshal(body, &header)
+	return header.WrittenBy
 }
 
-// Pauses between the tries of PutResolved; each is twice the one before. Chosen,
-// not measured.
+// Exponential backoff between the attempts of PutResolved.
 const (
-	firstPause   = 50 * time.Millisecond
-	longestPause = time.Second
+	initialBackoff = 50 * time.Millisecond
+	maxBackoff     = time.Second
 )
 
-// PutResolved is Put for a body that carries its command id in "written_by".
-// Where the answer is lost it sends the write again, until it knows whether the
-// command was done or the context ends. A repeat of a command that was done
-// before returns the object as it stands, which a later command may have written.
+// PutResolved is Put for a body that carries its command id in "written_by". If
+// the response is lost, it repeats the write until it knows whether the command
+// was done or the context ends. Repeating a command that was already done returns
+// the stored object, which a later command may have written.
 //
-// *Conflict, *NotFound, *Refused and *Unavailable say that the command wasn't
-// done, *Unresolved that PutResolved couldn't find out.
+// *Conflict, *NotFoundError, *RejectedError and *UnavailableError mean that the
+// command wasn't done; *UnknownOutcomeError means that it may have been.
 func (c *Client) PutResolved(ctx context.Context, kind, name string, condition Condition, body json.RawMessage) (Object, error) {
-	commandID := Writer(body).CommandID
+	commandID := ParseWrittenBy(body).CommandID
 	var lost *UnknownOutcomeError
-	for pause := firstPause; ; pause = min(2*pause, longestPause) {
+	for backoff := initialBackoff; ; backoff = min(2*backoff, maxBackoff) {
 		object, err := c.Put(ctx, kind, name, condition, body)
 		if err == nil {
 			return object, nil
 		}
 		var conflict *Conflict
 		if errors.As(err, &conflict) {
-			return settleConflict(conflict, commandID, lost)
+			return resolveConflict(conflict, commandID, lost)
 		}
 		var missing *NotFoundError
 		if !errors.As(err, &lost) && lost == nil {
 			return Object{}, err
 		}
 		if errors.As(err, &missing) {
-			// The object was removed, and with it the word on who wrote it.
+			// The object was removed, and the record of its writers with it.
 			return Object{}, lost
 		}
-		if sleep.For(ctx, pause) != nil {
+		if sleep.For(ctx, backoff) != nil {
 			return Object{}, lost
 		}
 	}
 }
 
-// settleConflict decides what a conflict says of the command: it was done, it
-// wasn't, or, where the answer of an earlier try was lost, nobody knows.
-func settleConflict(conflict *Conflict, commandID string, lost *UnknownOutcomeError) (Object, error) {
-	writer := Writer(conflict.Current.Body)
+// resolveConflict determines from a conflict whether the command was done, wasn't
+// done or, if the response to an earlier attempt was lost, may have been done.
+func resolveConflict(conflict *Conflict, commandID string, lost *UnknownOutcomeError) (Object, error) {
+	writer := ParseWrittenBy(conflict.Current.Body)
 	if writer.Includes(commandID) {
 		return conflict.Current, nil
 	}
 	if lost != nil && writer.CommandID == "" {
-		// Whoever wrote this version left no list of the commands before it.
+		// This version doesn't record which commands wrote the earlier ones.
 		return Object{}, lost
 	}
 	return Object{}, conflict
--- a/protocol/objectapi/watch.go
+++ b/protocol/objectapi/watch.go
@@ -10,27 +10,27 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// ErrWatchIdle ends a watch that got neither an event nor a bookmark for too long,
-// so that its connection counts as dead.
-var ErrWatchIdle = merry.Sentinel("the watch was silent for too long")
+// ErrWatchIdle ends a watch that received neither an event nor a bookmark within
+// its idle timeout.
+var ErrWatchIdle = merry.Sentinel("no event or bookmark within the idle timeout of the watch")
 
 // Watch calls visit for every event after the revision, in order, until visit
 // fails, the connection fails or the context ends. It always returns an error:
-// *TooOld where the object API no longer has the events after the revision, and
-// ErrSilent where nothing came for the duration of silence (0 for no limit).
-func (c *Client) Watch(ctx context.Context, from uint64, silence time.Duration, visit func(Event) error) error {
+// *RevisionTooOldError if the object API no longer has the events after the
+// revision, and ErrWatchIdle if nothing arrived for idleTimeout (0 for no limit).
+func (c *Client) Watch(ctx context.Context, from uint64, idleTimeout time.Duration, visit func(Event) error) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	guard := newIdleTimer(silence, cancel)
-	defer guard.stop()
-	err := c.watch(ctx, from, guard, visit)
+	timer := newIdleTimer(idleTimeout, cancel)
+	defer timer.stop()
+	err := c.watch(ctx, from, timer, visit)
 	if cause := context.Cause(ctx); cause != nil {
 		return merry.Prependf(cause, "watch from revision %d", from)
 	}
 	return err
 }
 
-func (c *Client) watch(ctx context.Context, from uint64, guard *idleTimer, visit func(Event) error) error {
+func (c *Client) watch(ctx context.Context, from uint64, timer *idleTimer, visit func(Event) error) error {
 	path := fmt.Sprintf("/watch?from=%d", from)
 	action := "read " + path
 	response, err := c.send(ctx, http.MethodGet, path, Condition{}, nil)
@@ -51,17 +51,17 @@
 		if err := decoder.Decode(&event); err != nil {
 			return &UnavailableError{Action: action, Cause: err}
 		}
-		guard.reset()
+		timer.reset()
 		if err := visit(event); err != nil {
 			return err
 		}
 	}
 }
 
-// idleTimer cancels a context when nothing was heard for the limit.
+// idleTimer cancels a context unless it is reset within the limit.
 type idleTimer struct {
 	limit time.Duration
-	// timer is nil where there is no limit.
+	// timer is nil if there is no limit.
 	timer *time.Timer
 }
 
