--- a/transport/nodepeer/client.go
+++ b/transport/nodepeer/client.go
@@ -12,7 +12,7 @@
 	"github.com/marblering/marblering/transport/peer"
 )
 
-// Client sends requests to other nodes of marblering serve. It is safe for
+// Client sends requests to other nodes that run marblering serve. It is safe for
 // concurrent use.
 type Client struct {
 	*peer.Client
@@ -20,12 +20,13 @@
 
 var _ execution.Peers = (*Client)(nil)
 
-// NewClient makes a client whose requests end after the timeout at the latest.
+// NewClient returns a client whose requests fail after the timeout.
 func NewClient(httpClient *http.Client, timeout time.Duration, metrics *peer.Metrics) *Client {
 	return &Client{Client: peer.NewClient(httpClient, timeout, metrics)}
 }
 
-// AttemptStatus implements execution.Peers.
+// AttemptStatus implements execution.Peers. A failed request is reported as
+// AttemptUnreachable.
 func (c *Client) AttemptStatus(ctx context.Context, address, executor, program string, sequence uint64, attempt uint32) execution.AttemptState {
 	ctx, cancel := c.WithTimeout(ctx)
 	defer cancel()
@@ -44,8 +45,8 @@
 	return execution.AttemptLost
 }
 
-// FetchConfiguration asks the node at the address for what is newer than the
-// known version.
+// FetchConfiguration requests from the node at the address the configuration
+// that is newer than the version in the request.
 func (c *Client) FetchConfiguration(ctx context.Context, address string, request *peerv1.FetchConfigurationRequest) (*peerv1.FetchConfigurationResponse, error) {
 	ctx, cancel := c.WithTimeout(ctx)
 	defer cancel()
@@ -56,7 +57,7 @@
 	return response.Msg, nil
 }
 
-// InstallConfiguration gives the node at the address configuration objects.
+// InstallConfiguration sends configuration objects to the node at the address.
 func (c *Client) InstallConfiguration(ctx context.Context, address string, request *peerv1.InstallConfigurationRequest) (*peerv1.InstallConfigurationResponse, error) {
 	ctx, cancel := c.WithTimeout(ctx)
 	defer cancel()
@@ -67,7 +68,7 @@
 	return response.Msg, nil
 }
 
-// Reserve asks the admission point at the address for room.
+// Reserve requests engine capacity from the admission point at the address.
 func (c *Client) Reserve(ctx context.Context, address string, request *peerv1.ReserveRequest) (*peerv1.ReserveResponse, error) {
 	ctx, cancel := c.WithTimeout(ctx)
 	defer cancel()
@@ -78,7 +79,7 @@
 	return response.Msg, nil
 }
 
-// Release gives room back to the admission point at the address.
+// Release returns reserved capacity to the admission point at the address.
 func (c *Client) Release(ctx context.Context, address string, request *peerv1.ReleaseRequest) error {
 	ctx, cancel := c.WithTimeout(ctx)
 	defer cancel()
@@ -86,7 +87,7 @@
 	return err
 }
 
-// Grant asks the node at the address for a slice of a tenant's rate.
+// Grant requests a share of a tenant's rate limit from the node at the address.
 func (c *Client) Grant(ctx context.Context, address string, request *peerv1.GrantRequest) (*peerv1.GrantResponse, error) {
 	ctx, cancel := c.WithTimeout(ctx)
 	defer cancel()
--- a/transport/nodepeer/doc.go
+++ b/transport/nodepeer/doc.go
@@ -1,7 +1,7 @@
-// Package nodepeer has what only nodes of marblering serve ask each other: the
-// status of attempts, room at engines, slices of tenants' rates, and
-// configuration. Package peer has what they share with gateways and storage
-// nodes; Client and NewHandler build on its.
+// Package nodepeer implements the requests that only nodes running marblering
+// serve send each other: the status of attempts, engine capacity, shares of
+// tenants' rate limits, and configuration. Client and NewHandler extend those of
+// package peer, which also serve gateways and storage nodes.
 //
-// It owns no state of its own.
+// The package keeps no state.
 package nodepeer
--- a/transport/nodepeer/server.go
+++ b/transport/nodepeer/server.go
@@ -11,8 +11,8 @@
 	"github.com/marblering/marblering/transport/peer"
 )
 
-// Node answers what isn't about a shard. The messages are those of the wire:
-// each of them is owned by one coordination package.
+// Node handles the requests that don't concern a shard. It takes and returns the
+// protocol's messages, each of which belongs to one coordination package.
 type Node interface {
 	peer.Exchanger
 	AttemptStatus(request *peerv1.AttemptStatusRequest) *peerv1.AttemptStatusResponse
@@ -23,7 +23,8 @@
 	InstallConfiguration(request *peerv1.InstallConfigurationRequest) (*peerv1.InstallConfigurationResponse, error)
 }
 
-// NewHandler serves the internal protocol of a node of marblering serve.
+// NewHandler returns the handler for the internal protocol of a node that runs
+// marblering serve.
 func NewHandler(replica peer.Replica, installer peer.Installer, node Node, metrics *peer.Metrics) http.Handler {
 	mux := http.NewServeMux()
 	peer.MountReplica(mux, replica, installer, metrics)
@@ -31,44 +32,45 @@
 	return mux
 }
 
-// server serves the node service of the internal protocol.
+// server implements the node service of the internal protocol.
 type server struct {
 	peerv1connect.UnimplementedNodeServiceHandler
 	node Node
 }
 
-// Exchange serves one round of gossip.
+// Exchange handles one gossip round.
 func (s *server) Exchange(ctx context.Context, request *connect.Request[peerv1.ExchangeRequest]) (*connect.Response[peerv1.ExchangeResponse], error) {
 	return peer.HandleExchange(ctx, s.node, request)
 }
 
-// AttemptStatus tells whether an attempt runs here.
+// AttemptStatus reports whether an attempt is running on this node.
 func (s *server) AttemptStatus(_ context.Context, request *connect.Request[peerv1.AttemptStatusRequest]) (*connect.Response[peerv1.AttemptStatusResponse], error) {
 	return connect.NewResponse(s.node.AttemptStatus(request.Msg)), nil
 }
 
-// Reserve takes room at this node's admission point.
+// Reserve reserves engine capacity at this node's admission point.
 func (s *server) Reserve(_ context.Context, request *connect.Request[peerv1.ReserveRequest]) (*connect.Response[peerv1.ReserveResponse], error) {
 	return connect.NewResponse(s.node.Reserve(request.Msg)), nil
 }
 
-// Release gives the room back.
+// Release returns reserved capacity.
 func (s *server) Release(_ context.Context, request *connect.Request[peerv1.ReleaseRequest]) (*connect.Response[peerv1.ReleaseResponse], error) {
 	return connect.NewResponse(s.node.Release(request.Msg)), nil
 }
 
-// Grant gives a slice of a tenant's rate.
+// Grant assigns a share of a tenant's rate limit.
 func (s *server) Grant(_ context.Context, request *connect.Request[peerv1.GrantRequest]) (*connect.Response[peerv1.GrantResponse], error) {
 	return connect.NewResponse(s.node.Grant(request.Msg)), nil
 }
 
-// FetchConfiguration returns what is newer than the known version.
+// FetchConfiguration returns the configuration that is newer than the version in
+// the request.
 func (s *server) FetchConfiguration(_ context.Context, request *connect.Request[peerv1.FetchConfigurationRequest]) (*connect.Response[peerv1.FetchConfigurationResponse], error) {
 	return connect.NewResponse(s.node.FetchConfiguration(request.Msg)), nil
 }
 
-// InstallConfiguration takes configuration objects. Objects that can't be installed fail with
-// connect.CodeInvalidArgument.
+// InstallConfiguration installs configuration objects. It fails with
+// connect.CodeInvalidArgument if they can't be installed.
 func (s *server) InstallConfiguration(_ context.Context, request *connect.Request[peerv1.InstallConfigurationRequest]) (*connect.Response[peerv1.InstallConfigurationResponse], error) {
 	response, err := s.node.InstallConfiguration(request.Msg)
 	if err != nil {
