--- a/node/bootstrap.go
+++ b/node/bootstrap.go
@@ -108,7 +108,7 @@
 	createContext, cancel := context.WithTimeout(ctx, b.timeout)
 	defer cancel()
 	_, err = b.platform.PutResolved(createContext, string(configuration.KindShardMap), configuration.SingletonName, objectapi.IfAbsent(), body)
-	var conflict *objectapi.Conflict
+	var conflict *objectapi.ConflictError
 	switch {
 	case err == nil:
 		b.report("shard map created", zap.Uint32("shards", b.shards), zap.Int("nodes", len(candidates)))
--- a/protocol/objectapi/client.go
+++ b/protocol/objectapi/client.go
@@ -127,7 +127,7 @@
 		return Object{}, &UnknownOutcomeError{Action: action, Cause: err}
 	}
 	if response.StatusCode == http.StatusConflict {
-		return Object{}, &Conflict{Current: object}
+		return Object{}, &ConflictError{Current: object}
 	}
 	return object, nil
 }
--- a/protocol/objectapi/client_test.go
+++ b/protocol/objectapi/client_test.go
@@ -60,7 +60,7 @@
 	assert.NilError(t, err)
 	assert.Equal(t, first.Version, uint64(1))
 
-	var conflict *objectapi.Conflict
+	var conflict *objectapi.ConflictError
 	_, err = p.client.Put(ctx, "pool", "a", objectapi.IfAbsent(), body("c2"))
 	assert.Assert(t, errors.As(err, &conflict))
 	assert.Equal(t, objectapi.ParseWrittenBy(conflict.Current.Body).CommandID, "c1")
@@ -141,7 +141,7 @@
 			}
 			p.dropResponses(test.lost)
 			object, err := p.client.PutResolved(ctx, "pool", "a", objectapi.IfAbsent(), body("mine"))
-			var conflict *objectapi.Conflict
+			var conflict *objectapi.ConflictError
 			assert.Equal(t, err == nil, test.wins)
 			assert.Equal(t, errors.As(err, &conflict), !test.wins)
 			if test.wins {
--- a/protocol/objectapi/doc.go
+++ b/protocol/objectapi/doc.go
@@ -5,6 +5,6 @@
 // ([Client.PutResolved]) and implements the store of package configuration
 // ([Platform]). It keeps no state.
 //
-// The error types distinguish requests that certainly weren't done ([Conflict], [NotFoundError],
+// The error types distinguish requests that certainly weren't done ([ConflictError], [NotFoundError],
 // [RejectedError], [UnavailableError]) from those that may have taken effect ([UnknownOutcomeError]).
 package objectapi
--- a/protocol/objectapi/errors.go
+++ b/protocol/objectapi/errors.go
@@ -2,14 +2,14 @@
 
 import "fmt"
 
-// Conflict is returned if the condition of a write didn't hold. Nothing was done.
-type Conflict struct {
+// ConflictError is returned if the condition of a write didn't hold. Nothing was done.
+type ConflictError struct {
 	// Current is the stored object.
 	Current Object
 }
 
 // Error names the object and its current version.
-func (e *Conflict) Error() string {
+func (e *ConflictError) Error() string {
 	return fmt.Sprintf("object %s/%s is at version %d", e.Current.Kind, e.Current.Name, e.Current.Version)
 }
 
--- a/protocol/objectapi/platform.go
+++ b/protocol/objectapi/platform.go
@@ -107,7 +107,7 @@
 // toConfigurationError converts errors of this package to those of package
 // configuration.
 func toConfigurationError(err error) error {
-	var conflict *Conflict
+	var conflict *ConflictError
 	var tooOld *RevisionTooOldError
 	var unavailable *UnavailableError
 	var unknownOutcome *UnknownOutcomeError
--- a/protocol/objectapi/resolve.go
+++ b/protocol/objectapi/resolve.go
@@ -59,7 +59,7 @@
 		if err == nil {
 			return object, nil
 		}
-		var conflict *Conflict
+		var conflict *ConflictError
 		if errors.As(err, &conflict) {
 			return resolveConflict(conflict, commandID, lost)
 		}
@@ -79,7 +79,7 @@
 
 // resolveConflict determines from a conflict whether the command was done, wasn't
 // done or, if the response to an earlier attempt was lost, may have been done.
-func resolveConflict(conflict *Conflict, commandID string, lost *UnknownOutcomeError) (Object, error) {
+func resolveConflict(conflict *ConflictError, commandID string, lost *UnknownOutcomeError) (Object, error) {
 	writer := ParseWrittenBy(conflict.Current.Body)
 	if writer.Includes(commandID) {
 		return conflict.Current, nil
