--- a/node/bootstrap.go
+++ b/node/bootstrap.go
@@ -107,7 +107,7 @@
 	}
 	createContext, cancel := context.WithTimeout(ctx, b.timeout)
 	defer cancel()
-	_, err = b.platform.PutResolved(createContext, string(configuration.KindShardMap), configuration.SingletonName, objectapi.IfAbsent(), body)
+	_, err = b.platform.PutWithRetry(createContext, string(configuration.KindShardMap), configuration.SingletonName, objectapi.IfAbsent(), body)
 	var conflict *objectapi.ConflictError
 	switch {
 	case err == nil:
--- a/protocol/objectapi/client_test.go
+++ b/protocol/objectapi/client_test.go
@@ -140,7 +140,7 @@
 				assert.NilError(t, err)
 			}
 			p.dropResponses(test.lost)
-			object, err := p.client.PutResolved(ctx, "pool", "a", objectapi.IfAbsent(), body("mine"))
+			object, err := p.client.PutWithRetry(ctx, "pool", "a", objectapi.IfAbsent(), body("mine"))
 			var conflict *objectapi.ConflictError
 			assert.Equal(t, err == nil, test.wins)
 			assert.Equal(t, errors.As(err, &conflict), !test.wins)
@@ -158,7 +158,7 @@
 	assert.NilError(t, err)
 	_, err = p.client.Put(ctx, "pool", "a", objectapi.IfVersion(first.Version), body("other", "mine"))
 	assert.NilError(t, err)
-	_, err = p.client.PutResolved(ctx, "pool", "a", objectapi.IfAbsent(), body("mine"))
+	_, err = p.client.PutWithRetry(ctx, "pool", "a", objectapi.IfAbsent(), body("mine"))
 	assert.NilError(t, err)
 }
 
--- a/protocol/objectapi/doc.go
+++ b/protocol/objectapi/doc.go
@@ -2,7 +2,7 @@
 // described in docs/ARCHITECTURE.md under "Object API dialect".
 //
 // The package defines the wire types, retries writes whose response was lost
-// ([Client.PutResolved]) and implements the store of package configuration
+// ([Client.PutWithRetry]) and implements the store of package configuration
 // ([Platform]). It keeps no state.
 //
 // The error types distinguish requests that certainly weren't done ([ConflictError], [NotFoundError],
--- a/protocol/objectapi/platform.go
+++ b/protocol/objectapi/platform.go
@@ -70,7 +70,7 @@
 // Put writes the body if the object is at the expected version; 0 means that it
 // must not exist.
 func (p *Platform) Put(ctx context.Context, key configuration.Key, expected uint64, body json.RawMessage) (configuration.Object, error) {
-	object, err := p.client.PutResolved(ctx, string(key.Kind), key.Name, ConditionFor(expected), body)
+	object, err := p.client.PutWithRetry(ctx, string(key.Kind), key.Name, ConditionFor(expected), body)
 	var missing *NotFoundError
 	if errors.As(err, &missing) {
 		absent := configuration.Object{Key: key, Deleted: true}
--- a/protocol/objectapi/resolve.go
+++ b/protocol/objectapi/resolve.go
@@ -44,14 +44,14 @@
 	maxBackoff     = time.Second
 )
 
-// PutResolved is Put for a body that carries its command id in "written_by". If
+// PutWithRetry is Put for a body that carries its command id in "written_by". If
 // the response is lost, it repeats the write until it knows whether the command
 // was done or the context ends. Repeating a command that was already done returns
 // the stored object, which a later command may have written.
 //
 // *Conflict, *NotFoundError, *RejectedError and *UnavailableError mean that the
 // command wasn't done; *UnknownOutcomeError means that it may have been.
-func (c *Client) PutResolved(ctx context.Context, kind, name string, condition Condition, body json.RawMessage) (Object, error) {
+func (c *Client) PutWithRetry(ctx context.Context, kind, name string, condition Condition, body json.RawMessage) (Object, error) {
 	commandID := ParseWrittenBy(body).CommandID
 	var lost *UnknownOutcomeError
 	for backoff := initialBackoff; ; backoff = min(2*backoff, maxBackoff) {
