--- a/node/build.go
+++ b/node/build.go
@@ -26,7 +26,7 @@
 	}
 	peerMetrics := peer.NewMetrics(n.metrics)
 	n.peers = nodepeer.NewClient(n.connections.client(endPeer), n.settings.PeerTimeout, peerMetrics)
-	platform := objectapi.NewClient(n.settings.ObjectAPI, n.connections.client(endPlatform)).Named(n.settings.Name)
+	platform := objectapi.NewClient(n.settings.ObjectAPI, n.connections.client(endPlatform)).WithNodeName(n.settings.Name)
 	engineClient := engineapi.NewClient(n.connections.client(endEngine))
 	n.installer = shard.NewInstaller(n.replica, n.peers, n.logger)
 	n.buildMembership()
--- a/protocol/objectapi/client.go
+++ b/protocol/objectapi/client.go
@@ -40,9 +40,9 @@
 	return &Client{base: strings.TrimRight(base, "/"), http: client}
 }
 
-// Named returns a copy of the client that sends the node's name with every
+// WithNodeName returns a copy of the client that sends the node's name with every
 // request.
-func (c *Client) Named(node string) *Client {
+func (c *Client) WithNodeName(node string) *Client {
 	result := *c
 	result.node = node
 	return &result
--- a/protocol/objectapi/client_test.go
+++ b/protocol/objectapi/client_test.go
@@ -213,7 +213,7 @@
 func TestStatsCountReaders(t *testing.T) {
 	p, ctx := newPlatform(t), testContext(t)
 	for _, node := range []string{"n1", "n2", "n1"} {
-		_, err := p.client.Named(node).ListAll(ctx)
+		_, err := p.client.WithNodeName(node).ListAll(ctx)
 		assert.NilError(t, err)
 	}
 	stats := p.store.Stats()
--- a/protocol/objectapi/golden_test.go
+++ b/protocol/objectapi/golden_test.go
@@ -118,7 +118,7 @@
 	}))
 	t.Cleanup(server.Close)
 	ctx := testContext(t)
-	p := &platform{store: store, server: server, client: objectapi.NewClient(server.URL+"/", server.Client()).Named("n1")}
+	p := &platform{store: store, server: server, client: objectapi.NewClient(server.URL+"/", server.Client()).WithNodeName("n1")}
 
 	written, err := p.client.Put(ctx, "pool", "a.b", objectapi.IfAbsent(), body("c1"))
 	assert.NilError(t, err)
