--- a/node/machines.go
+++ b/node/machines.go
@@ -53,7 +53,7 @@
 func (w *machineWatch) read(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, w.timeout)
 	defer cancel()
-	listed, err := w.platform.Machines(ctx)
+	listed, err := w.platform.ListMachines(ctx)
 	if err != nil {
 		w.logger.Debug("machine list not read", zap.Error(err))
 		return
--- a/protocol/objectapi/client.go
+++ b/protocol/objectapi/client.go
@@ -69,8 +69,8 @@
 	return object, convertNotFound(err, kind, name)
 }
 
-// Machines returns the platform's list of machines, which may be out of date.
-func (c *Client) Machines(ctx context.Context) ([]Machine, error) {
+// ListMachines returns the platform's list of machines, which may be out of date.
+func (c *Client) ListMachines(ctx context.Context) ([]Machine, error) {
 	var response struct {
 		Machines []Machine `json:"machines"`
 	}
--- a/protocol/objectapi/golden_test.go
+++ b/protocol/objectapi/golden_test.go
@@ -130,7 +130,7 @@
 	assert.NilError(t, err)
 	_, err = p.client.ListAll(ctx)
 	assert.NilError(t, err)
-	_, err = p.client.Machines(ctx)
+	_, err = p.client.ListMachines(ctx)
 	assert.NilError(t, err)
 	_, err = p.client.Delete(ctx, "pool", "a.b", written.Version)
 	assert.NilError(t, err)
