--- a/coordination/backend/doc.go
+++ b/coordination/backend/doc.go
@@ -13,5 +13,5 @@
 // The rules are functions without I/O: whether an instance may be used (eligibility.go),
 // which one a request goes to (choose.go), when one counts as stalled (health.go), when
 // one is ejected (ejection.go), which expired entries are kept (massexpiry.go), and which
-// of two entries belongs to the newer incarnation (life.go).
+// of two entries belongs to the newer incarnation (incarnation.go).
 package backend
--- a/coordination/backend/massexpiry.go
+++ b/coordination/backend/massexpiry.go
@@ -49,8 +49,8 @@
 }
 
 // retain reports whether an instance without an entry is kept. massExpiry is set if the
-// instance is part of a mass expiry now. An instance once retained is kept until LapseTime
-// is over, whatever vanishes later.
+// instance is part of a mass expiry now. An instance once retained is kept until
+// ExpiryGracePeriod is over, whatever vanishes later.
 func (l *load) retain(massExpiry bool, now time.Time) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
--- a/coordination/backend/massexpiry_test.go
+++ b/coordination/backend/massexpiry_test.go
@@ -42,7 +42,7 @@
 }
 
 // TestExpiredInstancesAreKept checks that instances are kept after a mass expiry until
-// their entries return or LapseTime is over.
+// their entries return or ExpiryGracePeriod is over.
 func TestExpiredInstancesAreKept(t *testing.T) {
 	f := newExpiryFixture(9)
 	f.list(f.all[:2])
--- a/coordination/backend/ending.go
+++ b/coordination/backend/outcome.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// Outcome is the result of a request as a signal of its instance's health: Answered,
-// Broken, Waited or Unjudged.
-type Outcome interface{ isEnding() }
+// Outcome is the result of a request as a signal of its instance's health: Completed,
+// Failed, NoResponse or Inconclusive.
+type Outcome interface{ isOutcome() }
 
 // Completed is a complete response.
 type Completed struct {
@@ -27,7 +27,7 @@
 // indicates load.
 type Inconclusive struct{}
 
-func (Completed) isEnding()    {}
-func (Failed) isEnding()       {}
-func (NoResponse) isEnding()   {}
-func (Inconclusive) isEnding() {}
+func (Completed) isOutcome()    {}
+func (Failed) isOutcome()       {}
+func (NoResponse) isOutcome()   {}
+func (Inconclusive) isOutcome() {}
--- a/coordination/backend/pool.go
+++ b/coordination/backend/pool.go
@@ -45,7 +45,8 @@
 
 // Replace sets the instances that requests are sent to. Instances that vanished in a mass
 // expiry are kept. It returns the IDs of the removed instances and the number of instances
-// kept without an entry: if there are any, Expire must be called after LapseTime.
+// kept without an entry: if there are any, Expire must be called after
+// ExpiryGracePeriod.
 func (p *Pool) Replace(instances []Instance) (removed []string, kept int) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
--- a/coordination/directory/directory.go
+++ b/coordination/directory/directory.go
@@ -3,7 +3,7 @@
 //
 // The store only decides which node creates the initial sets, by a conditional write.
 // Members of a set decide its later changes (package shard), so the sets in the store may
-// be outdated. Plan decides without I/O what a storage node writes, Keeper writes it, and
+// be outdated. Plan decides without I/O what a storage node writes, Writer writes it, and
 // Lookup is each node's local copy of the sets.
 //
 // The package owns the objects of KindNodes and KindSets, and reads them through
--- a/coordination/directory/lookup.go
+++ b/coordination/directory/lookup.go
@@ -99,7 +99,8 @@
 	}
 }
 
-// Locate returns the shard that holds the id; shard.Nowhere before the sets were created.
+// Locate returns the shard that holds the id, or shard.UnknownShard before the sets
+// were created.
 func (l *Lookup) Locate(id string) uint32 {
 	if views := l.shardMap.Load(); views != nil {
 		return views.Locate(id)
--- a/coordination/directory/keeper.go
+++ b/coordination/directory/writer.go
@@ -63,7 +63,7 @@
 	randomDelay func(time.Duration) time.Duration
 }
 
-// NewWriter returns a keeper for the node self. Function shardMap returns the node's map
+// NewWriter returns a writer for the node self. Function shardMap returns the node's map
 // of the sets; nil before the sets are known.
 func NewWriter(self register.Member, objects Objects, shardMap func() *shard.Map, settings Settings, now func() time.Time, logger *zap.Logger) *Writer {
 	return &Writer{
--- a/coordination/directory/keeper_test.go
+++ b/coordination/directory/writer_test.go
@@ -21,7 +21,7 @@
 // publishLatency is the time until published sets reach a node.
 const publishLatency = 20 * time.Millisecond
 
-// sharedStore is a store that only holds the replica sets, shared by several keepers.
+// sharedStore is a store that only holds the replica sets, shared by several writers.
 type sharedStore struct {
 	mutex     sync.Mutex
 	revision  int64
@@ -49,7 +49,7 @@
 	return nil
 }
 
-// publish stores the sets and delivers them to the keepers after publishLatency.
+// publish stores the sets and delivers them to the writers after publishLatency.
 func (s *sharedStore) publish(spec []byte) {
 	s.revision++
 	s.spec = spec
--- a/coordination/follow/counted.go
+++ b/coordination/follow/counted.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Counter is the part of prometheus.Counter that Counted needs.
+// Counter is the part of prometheus.Counter that NewCountingSource needs.
 type Counter interface{ Inc() }
 
 // NewCountingSource wraps a source and counts every call to it, since each is load on the store
--- a/coordination/follow/follower.go
+++ b/coordination/follow/follower.go
@@ -194,7 +194,7 @@
 }
 
 // needsListing reports whether a failed call requires a new listing: a lost response may
-// have held changes. After ErrNobodyAsked the watch goes on instead. Another node refuses
+// have held changes. After ErrNotQueried the watch goes on instead. Another node refuses
 // a listing while its revision is older than the known one, which is common even when it
 // misses no change, since the revision covers all kinds of objects; listing would then
 // always end at the store itself.
--- a/coordination/follow/follower_test.go
+++ b/coordination/follow/follower_test.go
@@ -189,7 +189,7 @@
 	assert.DeepEqual(t, applied, [][]string{{"a3", "b4"}, {"a7"}})
 }
 
-// TestNoListingWithoutQuery checks that ErrNobodyAsked causes no new listing, while any
+// TestNoListingWithoutQuery checks that ErrNotQueried causes no new listing, while any
 // other failure does.
 func TestNoListingWithoutQuery(t *testing.T) {
 	calls, _ := runScript(listStep(7), errorStep(fmt.Errorf("no holder: %w", ErrNotQueried)), changeStep(9), errorStep(errors.New("cut")), listStep(9))
--- a/coordination/follow/settings.go
+++ b/coordination/follow/settings.go
@@ -14,7 +14,7 @@
 	// BatchDelay is the pause after changes, so that further changes shortly afterwards
 	// arrive in one response.
 	BatchDelay time.Duration
-	// MinBackoff and MaxPause limit the exponential backoff after failed calls.
+	// MinBackoff and MaxBackoff limit the exponential backoff after failed calls.
 	MinBackoff time.Duration
 	MaxBackoff time.Duration
 }
--- a/coordination/follow/source.go
+++ b/coordination/follow/source.go
@@ -19,7 +19,7 @@
 	// List returns all objects. They may be as old as Snapshot.Age.
 	List(ctx context.Context) (Snapshot, error)
 	// Watch returns the changes since a revision as soon as there are any, or no changes
-	// after about the given wait. It returns ErrHistoryGone if the store no longer has
-	// all of them.
+	// after about the given wait. It returns ErrHistoryCompacted if the store no
+	// longer has all of them.
 	Watch(ctx context.Context, from int64, wait time.Duration) (Changes, error)
 }
--- a/coordination/limit/adaptive.go
+++ b/coordination/limit/adaptive.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// AdaptivePolicy configures an Adaptive limit.
+// AdaptivePolicy configures an AdaptiveLimit.
 type AdaptivePolicy struct {
 	// Start, Min and Max are the initial, smallest and largest limit, in operations in
 	// flight.
--- a/coordination/limit/ejection.go
+++ b/coordination/limit/ejection.go
@@ -17,11 +17,11 @@
 	// FailureRate is the moving average of the fraction of failed calls at which an engine
 	// is ejected. Zero disables this rule.
 	FailureRate float64
-	// MinSamples is the number of calls required before SlowFactor and FaultShare apply to
+	// MinSamples is the number of calls required before SlowFactor and FailureRate apply to
 	// an engine.
 	MinSamples int
 	// BaseEjectionTime is the duration of a first ejection. It doubles with each ejection that
-	// follows within MaxTime of the engine's return, up to MaxTime.
+	// follows within MaxEjectionTime of the engine's return, up to MaxEjectionTime.
 	BaseEjectionTime time.Duration
 	MaxEjectionTime  time.Duration
 	// MaxEjectedFraction is the fraction of the engines that may be ejected or probed at once,
@@ -92,7 +92,8 @@
 	samples     int
 	failureRate float64
 	calls       int
-	// recentEjections counts the ejections since the engine was last healthy for MaxTime.
+	// recentEjections counts the ejections since the engine was last healthy for
+	// MaxEjectionTime.
 	consecutiveFailures int
 	recentEjections     int
 	health              EngineHealth
@@ -158,8 +159,8 @@
 	return true
 }
 
-// Add adds an engine before any of its calls has ended, so that MaxFraction refers to the
-// whole fleet.
+// Add adds an engine before any of its calls has ended, so that MaxEjectedFraction
+// refers to the whole fleet.
 func (e *Ejector) Add(engine string) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -212,7 +213,7 @@
 	return slowness[(len(slowness)-1)/2]
 }
 
-// mayEject reports whether MaxFraction allows another ejection.
+// mayEject reports whether MaxEjectedFraction allows another ejection.
 func (e *Ejector) mayEject() bool {
 	ejected := 0
 	for _, record := range e.engines {
@@ -252,7 +253,7 @@
 }
 
 // advance starts probing an engine whose ejection is over, and resets recentEjections of
-// an engine that has been healthy for MaxTime.
+// an engine that has been healthy for MaxEjectionTime.
 func (r *engineRecord) advance(now time.Time) {
 	if now.Before(r.until) {
 		return
--- a/coordination/membership/settings.go
+++ b/coordination/membership/settings.go
@@ -68,7 +68,7 @@
 	// minimumProbeInterval is the minimum time between a probe of a node and a further
 	// requested probe of it.
 	minimumProbeInterval = 500 * time.Millisecond
-	// isolatedRejoinInterval replaces Settings.ContactInterval while a node has no peers.
+	// isolatedRejoinInterval replaces Settings.RejoinInterval while a node has no peers.
 	isolatedRejoinInterval = 500 * time.Millisecond
 )
 
--- a/coordination/mirror/changes.go
+++ b/coordination/mirror/changes.go
@@ -64,7 +64,7 @@
 	// and removed between two of them were never seen here, so only callers at one of these
 	// revisions can be sent changes; others are sent the whole snapshot.
 	revisions []int64
-	// upstream feeds the kind; nil before Through.
+	// upstream feeds the kind; nil before SetUpstream.
 	upstream Upstream
 	// changed is closed, and replaced, when the state changes.
 	changed chan struct{}
--- a/coordination/mirror/source.go
+++ b/coordination/mirror/source.go
@@ -261,8 +261,8 @@
 	return "the store itself"
 }
 
-// recordStoreCall records the result of a call to the store. ErrHistoryGone counts as an
-// answer.
+// recordStoreCall records the result of a call to the store. ErrHistoryCompacted counts
+// as an answer.
 func (s *Source) recordStoreCall(at int64, err error) {
 	now := s.holders.now()
 	switch {
--- a/coordination/quota/account.go
+++ b/coordination/quota/account.go
@@ -78,7 +78,7 @@
 
 // take decides on a request for permits:
 //
-//   - A new program is refused (Crowded) unless half of the burst is available, or the
+//   - A new program is refused (Reserved) unless half of the burst is available, or the
 //     rate is expected to sustain it to its end along with the running programs. A
 //     program that is cut off midway has wasted its permits.
 //   - Any request is refused (Exhausted) if the bucket has no permit.
--- a/coordination/register/exchange.go
+++ b/coordination/register/exchange.go
@@ -23,14 +23,15 @@
 	members *multicast.Round
 	answers chan answer
 	// hedgeDue receives a value when the members asked so far take longer than
-	// Thrift.Delay; nil if all members are asked at once.
+	// ThriftyQuorum.HedgeDelay; nil if all members are asked at once.
 	hedgeDue       chan struct{}
 	stopHedgeTimer func() bool
 	// pending counts the requests under way, plus one while the round waits for them.
 	pending atomic.Int32
 }
 
-// startExchange sends the request to all members, or to a majority with Settings.Thrift.
+// startExchange sends the request to all members, or to a majority with
+// Settings.ThriftyQuorum.
 // A fast round always asks all members, since it needs all answers.
 func (r *round) startExchange(request Request) *exchange {
 	settings := r.client.settings
--- a/coordination/register/message.go
+++ b/coordination/register/message.go
@@ -63,7 +63,7 @@
 // ErrDuplicateMember means that a view contains a node or an incarnation twice.
 var ErrDuplicateMember = merry.Sentinel("register: the view contains a node twice")
 
-// Validate returns ErrRepeatedMember for a view that counts a node twice, such as its old
+// Validate returns ErrDuplicateMember for a view that counts a node twice, such as its old
 // and its new incarnation: a majority of such a view may be a minority of the nodes.
 func (v View) Validate() error {
 	for index, member := range v.Members {
--- a/coordination/register/thrift.go
+++ b/coordination/register/thriftyquorum.go
@@ -51,7 +51,7 @@
 
 // memberOrder returns the indexes of the members in the order in which they are asked: the
 // local member first, then the others by rank, with those that failed lately last. Without
-// Settings.Thrift all are asked at once, in the order of the view.
+// Settings.ThriftyQuorum all are asked at once, in the order of the view.
 func (c *Client) memberOrder(view View, key string) []int {
 	indexes := make([]int, len(view.Members))
 	for i := range indexes {
--- a/coordination/shard/map.go
+++ b/coordination/shard/map.go
@@ -24,7 +24,7 @@
 // (copy-on-write); a view is only replaced by one of a later epoch.
 //
 // The number of shards is fixed when the initial sets are created. Until a map knows it, the
-// map has no views and locates every program in Nowhere.
+// map has no views and locates every program in UnknownShard.
 type Map struct {
 	writeMutex sync.Mutex
 	views      atomic.Pointer[[]register.View]
@@ -52,8 +52,8 @@
 	}
 }
 
-// Locate returns the shard of the program's root, or Nowhere while the number of shards is
-// unknown. Falling back to an actual shard would apply changes to a register that no other
+// Locate returns the shard of the program's root, or UnknownShard while the number of
+// shards is unknown. Falling back to an actual shard would apply changes to a register that no other
 // node reads, and so let turns start that no budget counts.
 func (m *Map) Locate(id string) uint32 {
 	count := m.Count()
--- a/coordination/shard/plan.go
+++ b/coordination/shard/plan.go
@@ -41,7 +41,7 @@
 	// ReplaceAfter is how long a node must have been gone before its replicas are replaced, so
 	// that short network outages and restarts with data move nothing.
 	ReplaceAfter time.Duration
-	// ReplaceAfterStandby applies instead of GoneAfter if there is a usable node outside the set
+	// ReplaceAfterStandby applies instead of ReplaceAfter if there is a usable node outside the set
 	// that started shortly before the member stopped answering, or later, and therefore is
 	// probably its replacement. Zero disables it.
 	ReplaceAfterStandby time.Duration
--- a/coordination/shard/replacement_test.go
+++ b/coordination/shard/replacement_test.go
@@ -10,9 +10,8 @@
 	"github.com/marblering/marblering/coordination/shard"
 )
 
-// TestPlanReplacesSoonerIfReplacementStarted checks that a member that is gone is replaced
-// after ReplacedAfter in every shard, including those that the replacement joins after it
-// has joined another one.
+// TestPlanReplacesSoonerIfReplacementStarted checks that a gone member is replaced after
+// ReplaceAfterStandby in every shard, even if the replacement has joined another one.
 func TestPlanReplacesSoonerIfReplacementStarted(t *testing.T) {
 	settings := planSettings()
 	settings.ReplaceAfterStandby = time.Second
--- a/coordination/tokenbudget/ledger.go
+++ b/coordination/tokenbudget/ledger.go
@@ -26,7 +26,7 @@
 	// its reserve released.
 	IdleTimeout time.Duration
 	// ReleaseTimeout bounds one attempt to release a reserve. ReleasePause follows the first
-	// failed attempt and doubles with each. ReleaseTries is the number of attempts. A
+	// failed attempt and doubles with each. MaxReleaseAttempts is the number of attempts. A
 	// reserve that can't be released stays charged to its program.
 	ReleaseTimeout     time.Duration
 	ReleasePause       time.Duration
@@ -72,7 +72,7 @@
 	accounts       map[string]*account
 	accountsOpened uint64
 	// flushing is set once new turns are refused and accounts are released without waiting
-	// for IdleTime.
+	// for IdleTimeout.
 	flushing bool
 	// unreleased counts the accounts whose reserve isn't released yet.
 	unreleased int
@@ -107,7 +107,7 @@
 }
 
 // Reserve lets a turn of the program begin that generates at most reservation.Most tokens. It
-// returns budget.ErrSpent, budget.ErrReserved, ErrOverloaded, or an error that says that the
+// returns budget.ErrExhausted, budget.ErrReserved, ErrOverloaded, or an error that says that the
 // record can't be reached or that this node is stopping. After success, End must be called.
 func (l *Ledger) Reserve(ctx context.Context, reservation Reservation) error {
 	current := l.openAccount(reservation.Program)
--- a/coordination/turnstore/store.go
+++ b/coordination/turnstore/store.go
@@ -104,8 +104,8 @@
 
 // History returns the turn with the id and all its ancestors, the oldest first. It reads the
 // shard of the program first and then all others, since ancestors may belong to another
-// program. It returns ErrUnknown if a turn isn't stored, and ErrUnavailable if that can't
-// be determined in time.
+// program. It returns ErrTurnNotFound if a turn isn't stored, and ErrUnavailable if that
+// can't be determined in time.
 func (s *Store) History(ctx context.Context, program, id string) ([]*statev1.RetainedTurn, error) {
 	if err := s.awaitReplicaSetsForRead(ctx); err != nil {
 		return nil, err
--- a/node/gateway/followplan.go
+++ b/node/gateway/followplan.go
@@ -33,7 +33,7 @@
 	replicaSetMaxAge = 30 * time.Second
 )
 
-// Bounds of mirror.Patience, the time for which a gateway asks holders alone before it asks
+// Bounds of mirror.FallbackDelays, the time for which a gateway asks holders alone before it asks
 // the store. A source waits for a random time of one to two times its patience.
 const (
 	// maxUnreachedPatience bounds the patience while no holder answers. It leaves time to
@@ -83,7 +83,7 @@
 //
 // Each change costs the store one call per node that watches it. Gateways therefore watch
 // the storage nodes, which mirror the store, and call the store only if no storage node was
-// usable for some time (mirror.Patience). The bounds follow from the settings:
+// usable for some time (mirror.FallbackDelays). The bounds follow from the settings:
 //
 //   - ApplyLimit, within which a change must be applied, bounds the age of the answer of a
 //     holder and the pause between calls to the store.
--- a/node/storage/mirroring.go
+++ b/node/storage/mirroring.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	// maxMirrorWatchSlack is the maximum WatchSlack for mirrored objects: how much longer
+	// maxMirrorWatchSlack is the maximum WatchGrace for mirrored objects: how much longer
 	// than the requested wait a watch call at the store may take.
 	maxMirrorWatchSlack = 400 * time.Millisecond
 	// maxMirrorListReserve is the maximum time that is reserved within the apply limit for
--- a/settings/gateway.go
+++ b/settings/gateway.go
@@ -40,7 +40,7 @@
 	// QuotaOverage is the fraction of its quota by which a tenant may exceed it within
 	// QuotaWindow.
 	QuotaOverage float64 `koanf:"quota_over" validate:"min=0,max=1"`
-	// QuotaSlack is the number of requests allowed beyond QuotaOver within QuotaWindow.
+	// QuotaSlack is the number of requests allowed beyond QuotaOverage within QuotaWindow.
 	QuotaSlack int `koanf:"quota_slack" validate:"min=0,max=100000"`
 	// DrainTimeout bounds a graceful shutdown, after which the process is killed.
 	DrainTimeout time.Duration `koanf:"drain_timeout" validate:"min=1s,max=25h"`
--- a/state/budget/budget.go
+++ b/state/budget/budget.go
@@ -39,7 +39,7 @@
 type ReserveRequest struct {
 	// Holder identifies one process of the holder.
 	Holder string
-	// Spent is the total that the holder's ended turns have generated, UnderWay the
+	// Spent is the total that the holder's ended turns have generated, Running the
 	// maximum that its running turns may generate.
 	Spent   uint64
 	Running uint64
@@ -50,7 +50,7 @@
 // Reserve records the holder's spending and sets its reserve to cover its running turns
 // and the new one, and future turns if enough tokens are left. It grants a turn as long as
 // any token is left, so all turns together generate less than the limit plus the maximum
-// of one turn. It returns ErrSpent or ErrReserved if the turn must not begin, and records
+// of one turn. It returns ErrExhausted or ErrReserved if the turn must not begin, and records
 // the spending in that case too. Reserve is idempotent. The limit is in tokens; the record
 // keeps the lowest limit that it was given.
 func Reserve(record *statev1.TokenBudget, limit uint64, draw ReserveRequest) error {
@@ -84,7 +84,7 @@
 }
 
 // refusalReason returns ErrReserved if the turn could be granted without the reserves of
-// other holders, and ErrSpent otherwise.
+// other holders, and ErrExhausted otherwise.
 func refusalReason(record *statev1.TokenBudget, holder *statev1.TokenHolder) error {
 	if Committed(record)-reservedByOthers(record, holder) < record.GetLimit() {
 		return ErrReserved
--- a/state/budget/budget_test.go
+++ b/state/budget/budget_test.go
@@ -86,7 +86,7 @@
 }
 
 // begin starts a turn from the holder's reserve, or reserves tokens first. It checks that
-// Decided agrees with Reserve and that Reserve is idempotent.
+// ReserveResult agrees with Reserve and that Reserve is idempotent.
 func begin(t *rapid.T, record *statev1.TokenBudget, h *holderModel, limit, turnMax uint64) {
 	if h.reserved < h.underWay+turnMax {
 		draw := budget.ReserveRequest{Holder: h.name, Spent: h.spent, Running: h.underWay, TurnTokens: turnMax}
--- a/state/budget/standing.go
+++ b/state/budget/standing.go
@@ -7,7 +7,7 @@
 	statev1 "github.com/marblering/marblering/api/state/v1"
 )
 
-// maxListedHolders is the maximum number of holders that Standing lists. A replica set has
+// maxListedHolders is the maximum number of holders that Describe lists. A replica set has
 // at most five members; further holders are earlier processes of theirs.
 const maxListedHolders = 8
 
--- a/state/turn/turn.go
+++ b/state/turn/turn.go
@@ -45,7 +45,7 @@
 }
 
 // Encode returns the stored form of the turn and its digest. It returns an error for a
-// turn whose encoding exceeds MaxBytes.
+// turn whose encoding exceeds MaxEncodedBytes.
 func (c *Codec) Encode(retained *statev1.RetainedTurn) (object []byte, digest [sha256.Size]byte, err error) {
 	plain, err := proto.MarshalOptions{Deterministic: true}.Marshal(retained)
 	if err != nil {
--- a/telemetry/bounded.go
+++ b/telemetry/bounded.go
@@ -91,7 +91,7 @@
 	}))
 }
 
-// Limits of the logger that Following returns. While the store is unreachable, each follower
+// Limits of the logger that RateLimitedForFollowers returns. While the store is unreachable, each follower
 // tries other holders several times a second.
 const (
 	followerLogRate  = 10 // lines per second
--- a/telemetry/registry.go
+++ b/telemetry/registry.go
@@ -22,7 +22,7 @@
 // directly to the store, labelled by the kind of objects.
 const StoreCallsMetric = "marblering_store_calls_total"
 
-// NewStoreCallsCounter returns the counter named StoreCalls. The caller registers it.
+// NewStoreCallsCounter returns the counter named StoreCallsMetric. The caller registers it.
 func NewStoreCallsCounter() *prometheus.CounterVec {
 	return prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: StoreCallsMetric, Help: "Listings and watches that the store itself was asked for, by kind of objects.",
--- a/transport/relay/doc.go
+++ b/transport/relay/doc.go
@@ -3,7 +3,7 @@
 // the requests in flight. Other packages decide who is served and by which backend:
 // routetable matches routes, tenant and quota check keys and rates, conversation handles
 // turns of programs, backend selects an instance and upstream sends the request to it.
-// A Dialect maps the headers of a deployment.
+// A HeaderCodec maps the headers of a deployment.
 //
 // Decisions are separate from I/O: attemptResult.next decides whether to retry (retry.go),
 // unavailableReason sets the result code and retry delay of temporary errors
