--- a/coordination/backend/doc.go
+++ b/coordination/backend/doc.go
@@ -5,7 +5,7 @@
 // It owns this node's state of each instance: the requests in flight, how earlier ones
 // ended, and whether the instance is ejected. The set of instances is replaced as a whole
 // (Pool.Replace) and read by requests without locks. The package opens no connections: the
-// sender of a request reports how it ended (Ending).
+// sender of a request reports how it ended (Outcome).
 //
 // Outlier detection, which compares an instance with the others of its service, comes from
 // package coordination/limit.
--- a/coordination/backend/health.go
+++ b/coordination/backend/health.go
@@ -81,8 +81,8 @@
 // observe records how a request of the route ended and returns the instance's health
 // afterwards. Errors of the instance count as failures. Waits, including those of
 // abandoned requests, are compared with the baseline of the route.
-func (h *serviceHealth) observe(instance, route string, ending Outcome, now time.Time) limit.EngineHealth {
-	switch e := ending.(type) {
+func (h *serviceHealth) observe(instance, route string, outcome Outcome, now time.Time) limit.EngineHealth {
+	switch e := outcome.(type) {
 	case Completed:
 		outcome := limit.Outcome{Failed: e.ServerError, Duration: e.Wait}
 		if !e.ServerError {
--- a/coordination/backend/health_test.go
+++ b/coordination/backend/health_test.go
@@ -54,7 +54,7 @@
 // TestOutlierIsEjected covers instances that are slow, hang or fail while the others of
 // their service don't.
 func TestOutlierIsEjected(t *testing.T) {
-	for name, ending := range map[string]backend.Outcome{
+	for name, outcome := range map[string]backend.Outcome{
 		"slow":   backend.Completed{Wait: 500 * time.Millisecond},
 		"hangs":  backend.NoResponse{Wait: 3 * time.Second},
 		"faulty": backend.Completed{Wait: 20 * time.Millisecond, ServerError: true},
@@ -67,7 +67,7 @@
 			assert.Assert(t, distribution(t, pool)["i2"] > 0)
 			serve(t, pool, 4, 5, func(instance string, round int) backend.Outcome {
 				if instance == "i2" {
-					return ending
+					return outcome
 				}
 				return respondFast(instance, round)
 			})
@@ -100,7 +100,7 @@
 // TestOverloadEjectsNothing guards against ejections if all instances of a service are
 // slow or time out.
 func TestOverloadEjectsNothing(t *testing.T) {
-	for name, ending := range map[string]backend.Outcome{
+	for name, outcome := range map[string]backend.Outcome{
 		"slow":    backend.Completed{Wait: 2 * time.Second},
 		"timeout": backend.NoResponse{Wait: 3 * time.Second},
 	} {
@@ -108,7 +108,7 @@
 			pool := newPool(newClock(), 4)
 			serve(t, pool, 4, 10, respondFast)
 			for range 40 {
-				serve(t, pool, 4, 1, func(string, int) backend.Outcome { return ending })
+				serve(t, pool, 4, 1, func(string, int) backend.Outcome { return outcome })
 				for i := range 4 {
 					c := acquireAt(t, pool, fmt.Sprint("i", i), 4)
 					assert.Equal(t, c.Release(backend.Inconclusive{}), limit.Healthy)
--- a/coordination/backend/incarnation.go
+++ b/coordination/backend/incarnation.go
@@ -20,8 +20,8 @@
 
 // isSame reports whether both may be the same incarnation. An unknown start time matches
 // any other, since older backends don't report it.
-func (l Incarnation) isSame(other Incarnation) bool {
-	return l.ID == other.ID && (l.Started.IsZero() || other.Started.IsZero() || l.Started.Equal(other.Started))
+func (i Incarnation) isSame(other Incarnation) bool {
+	return i.ID == other.ID && (i.Started.IsZero() || other.Started.IsZero() || i.Started.Equal(other.Started))
 }
 
 // Restart describes an instance that was restarted under its ID.
--- a/coordination/backend/instance.go
+++ b/coordination/backend/instance.go
@@ -13,7 +13,7 @@
 	// ID is unique among all instances, while an address may be reused.
 	ID string
 	// Started is the start time of the process by its own clock; zero if unknown. A
-	// restarted instance may keep its ID, see Life.
+	// restarted instance may keep its ID, see Incarnation.
 	Started time.Time
 	Service string
 	// Address is an IP address and port.
@@ -82,9 +82,9 @@
 }
 
 // loadFor returns the load of the incarnation from the snapshot, or a new one.
-func (s *snapshot) loadFor(life Incarnation) *load {
+func (s *snapshot) loadFor(incarnation Incarnation) *load {
 	if s != nil {
-		if known, found := s.byID[life.ID]; found && known.Incarnation().isSame(life) {
+		if known, found := s.byID[incarnation.ID]; found && known.Incarnation().isSame(incarnation) {
 			return known.load
 		}
 	}
--- a/coordination/backend/pool.go
+++ b/coordination/backend/pool.go
@@ -19,7 +19,7 @@
 type Pool struct {
 	now    func() time.Time
 	policy limit.EjectionPolicy
-	// onEjected is called for each ejected instance, with the ending that caused it.
+	// onEjected is called for each ejected instance, with the outcome that caused it.
 	onEjected func(Instance, Outcome)
 	// onRestarted is called for each instance that was restarted under its ID.
 	onRestarted func(Restart)
@@ -101,8 +101,8 @@
 
 // MarkAddressLost records that another instance was found at the address of this incarnation, which
 // from then on gets requests only as a last resort.
-func (p *Pool) MarkAddressLost(life Incarnation) {
-	if known, found := p.current.Load().byID[life.ID]; found && known.Incarnation().isSame(life) {
+func (p *Pool) MarkAddressLost(incarnation Incarnation) {
+	if known, found := p.current.Load().byID[incarnation.ID]; found && known.Incarnation().isSame(incarnation) {
 		known.load.addressLost.Store(true)
 	}
 }
@@ -111,7 +111,7 @@
 // its ID. It must be called before the pool is used.
 func (p *Pool) OnRestarted(callback func(Restart)) { p.onRestarted = callback }
 
-// OnEjected sets the function that is called for each ejected instance, with the ending
+// OnEjected sets the function that is called for each ejected instance, with the outcome
 // that caused it. It must be called before the pool is used.
 func (p *Pool) OnEjected(callback func(Instance, Outcome)) { p.onEjected = callback }
 
@@ -199,7 +199,7 @@
 
 // Release ends the assignment and returns the instance's health afterwards. Only the first
 // call has an effect.
-func (c *Assignment) Release(ending Outcome) limit.EngineHealth {
+func (c *Assignment) Release(outcome Outcome) limit.EngineHealth {
 	now := c.pool.now()
 	if c.released.Swap(true) {
 		return c.health.ejector.Health(c.Instance.ID, now)
@@ -209,9 +209,9 @@
 		return c.health.ejector.Health(c.Instance.ID, now)
 	}
 	before := c.health.ejector.Health(c.Instance.ID, now)
-	after := c.health.observe(c.Instance.ID, c.route, ending, now)
+	after := c.health.observe(c.Instance.ID, c.route, outcome, now)
 	if before != limit.Ejected && after == limit.Ejected {
-		c.pool.onEjected(c.Instance, ending)
+		c.pool.onEjected(c.Instance, outcome)
 	}
 	return after
 }
--- a/coordination/conversation/budget_simulation_test.go
+++ b/coordination/conversation/budget_simulation_test.go
@@ -286,10 +286,8 @@
 	return budget.Committed(record)
 }
 
-// TestBudgetIsCountedThoughMessagesAreLate checks that, whatever is abandoned, repeated or
-// delivered late between gateways and hosts, a program generates less than its budget plus
-// the most of one turn, is refused only if its budget is spent, and is charged with exactly
-// what its callers received.
+// TestBudgetIsCountedThoughMessagesAreLate checks limits, refusals and charges of budgets while
+// messages between gateways and hosts are abandoned, repeated or late.
 func TestBudgetIsCountedThoughMessagesAreLate(t *testing.T) {
 	for seed := range uint64(200) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
--- a/coordination/directory/plan_test.go
+++ b/coordination/directory/plan_test.go
@@ -60,8 +60,8 @@
 func publishedSnapshot(t *testing.T, sets Sets) follow.Snapshot {
 	t.Helper()
 	store := &sharedStore{}
-	keeper := &Writer{}
-	assert.NilError(t, keeper.encodeAndWrite(sets, func(spec []byte) error { store.spec = spec; return nil }))
+	writer := &Writer{}
+	assert.NilError(t, writer.encodeAndWrite(sets, func(spec []byte) error { store.spec = spec; return nil }))
 	return follow.Snapshot{At: 1, Objects: []follow.Object{{Name: SetsName, Revision: 1, Spec: store.spec}}}
 }
 
--- a/coordination/directory/start_test.go
+++ b/coordination/directory/start_test.go
@@ -77,15 +77,15 @@
 		store := &startupStore{}
 		store.announce(t, members)
 		views := shard.NewMap(0)
-		keeper := NewWriter(members[0], store, func() *shard.Map { return views },
+		writer := NewWriter(members[0], store, func() *shard.Map { return views },
 			Settings{Shards: 4, Factor: 5, StableFor: 800 * time.Millisecond, DegradedAfter: 6 * time.Second}, time.Now, zap.NewNop())
 		var serving sync.WaitGroup
-		serving.Go(func() { _ = keeper.Serve(ctx) })
-		keeper.ApplySets(follow.Snapshot{})
+		serving.Go(func() { _ = writer.Serve(ctx) })
+		writer.ApplySets(follow.Snapshot{})
 		outdated, err := store.List(ctx, KindNodes)
 		assert.NilError(t, err)
 		outdated.Objects = outdated.Objects[:6]
-		keeper.ApplyNodes(outdated)
+		writer.ApplyNodes(outdated)
 		time.Sleep(5 * time.Second)
 		synctest.Wait()
 		cancel()
@@ -103,19 +103,18 @@
 	})
 }
 
-// TestDelayedListingCausesNoRepeatedAnnouncement guards against a node that announces
-// itself repeatedly while the listing doesn't show it yet. It announces itself again if
-// its object was deleted without notice.
+// TestDelayedListingCausesNoRepeatedAnnouncement guards against repeated announcements while the
+// listing is delayed. A node whose object was deleted must announce itself again.
 func TestDelayedListingCausesNoRepeatedAnnouncement(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		self := storageNodes(1, 1)[0]
 		store := &startupStore{}
 		views := shard.NewMap(0)
-		keeper := NewWriter(self, store, func() *shard.Map { return views }, Settings{Shards: 4, Factor: 5}, time.Now, zap.NewNop())
+		writer := NewWriter(self, store, func() *shard.Map { return views }, Settings{Shards: 4, Factor: 5}, time.Now, zap.NewNop())
 		var serving sync.WaitGroup
-		serving.Go(func() { _ = keeper.Serve(ctx) })
-		keeper.ApplyNodes(follow.Snapshot{})
+		serving.Go(func() { _ = writer.Serve(ctx) })
+		writer.ApplyNodes(follow.Snapshot{})
 		time.Sleep(2500 * time.Millisecond)
 		store.mutex.Lock()
 		assert.Equal(t, store.announcements, 1)
--- a/coordination/directory/writer.go
+++ b/coordination/directory/writer.go
@@ -73,60 +73,60 @@
 }
 
 // String returns the service name for the supervisor's log messages.
-func (k *Writer) String() string { return "directory keeper" }
+func (w *Writer) String() string { return "directory keeper" }
 
 // ApplyNodes records the announced storage nodes. A snapshot older than the last one is
 // ignored.
-func (k *Writer) ApplyNodes(snapshot follow.Snapshot) {
+func (w *Writer) ApplyNodes(snapshot follow.Snapshot) {
 	nodes, revisions := DecodeNodes(snapshot)
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	if k.input.NodesListed && snapshot.At < k.nodesRevision {
+	w.mutex.Lock()
+	defer w.mutex.Unlock()
+	if w.input.NodesListed && snapshot.At < w.nodesRevision {
 		return
 	}
-	k.input.Nodes, k.revisions, k.nodesRevision = nodes, revisions, snapshot.At
-	k.input.NodesListed = true
-	k.input.NodesChangedAt = k.now()
-	k.notify()
+	w.input.Nodes, w.revisions, w.nodesRevision = nodes, revisions, snapshot.At
+	w.input.NodesListed = true
+	w.input.NodesChangedAt = w.now()
+	w.notify()
 }
 
 // ApplySets records the published sets. Invalid sets are logged and ignored.
-func (k *Writer) ApplySets(snapshot follow.Snapshot) {
+func (w *Writer) ApplySets(snapshot follow.Snapshot) {
 	published, found, err := DecodeSets(snapshot)
 	if err != nil {
-		k.logger.Error("invalid replica sets ignored", zap.Int64("revision", snapshot.At), zap.Error(err))
+		w.logger.Error("invalid replica sets ignored", zap.Int64("revision", snapshot.At), zap.Error(err))
 		return
 	}
-	k.mutex.Lock()
-	k.input.SetsListed = true
-	k.input.Published = nil
+	w.mutex.Lock()
+	w.input.SetsListed = true
+	w.input.Published = nil
 	if found {
-		k.input.Published = &published
+		w.input.Published = &published
 	}
-	k.mutex.Unlock()
-	k.notify()
+	w.mutex.Unlock()
+	w.notify()
 }
 
-func (k *Writer) notify() {
+func (w *Writer) notify() {
 	select {
-	case k.changed <- struct{}{}:
+	case w.changed <- struct{}{}:
 	default:
 	}
 }
 
 // Serve plans and writes until the context ends.
-func (k *Writer) Serve(ctx context.Context) error {
+func (w *Writer) Serve(ctx context.Context) error {
 	for ctx.Err() == nil {
-		wrote := k.executePlan(ctx)
-		pause := k.nextDelay()
+		wrote := w.executePlan(ctx)
+		pause := w.nextDelay()
 		if wrote {
 			// Jitter keeps nodes with the same input from writing at the same time.
-			pause = meanWritePause/2 + k.randomDelay(meanWritePause)
+			pause = meanWritePause/2 + w.randomDelay(meanWritePause)
 		}
 		timer := time.NewTimer(pause)
 		select {
 		case <-timer.C:
-		case <-k.changed:
+		case <-w.changed:
 			timer.Stop()
 		case <-ctx.Done():
 			timer.Stop()
@@ -136,19 +136,19 @@
 }
 
 // nextDelay returns the time until the next plan unless the input changes earlier.
-func (k *Writer) nextDelay() time.Duration {
-	if k.publishAt.IsZero() {
+func (w *Writer) nextDelay() time.Duration {
+	if w.publishAt.IsZero() {
 		return maxPlanInterval
 	}
-	return min(maxPlanInterval, max(k.publishAt.Sub(k.now()), 0))
+	return min(maxPlanInterval, max(w.publishAt.Sub(w.now()), 0))
 }
 
 // executePlan plans, executes the action if it is due, and reports whether it tried to
 // write.
-func (k *Writer) executePlan(ctx context.Context) bool {
-	input, revision := k.currentInput()
-	action, sets := Plan(input, k.settings)
-	if !k.isDue(action) {
+func (w *Writer) executePlan(ctx context.Context) bool {
+	input, revision := w.currentInput()
+	action, sets := Plan(input, w.settings)
+	if !w.isDue(action) {
 		return false
 	}
 	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
@@ -156,66 +156,66 @@
 	var err error
 	switch action {
 	case Announce:
-		err = k.announce(ctx, revision)
+		err = w.announce(ctx, revision)
 	case Bootstrap:
-		err = k.bootstrap(ctx, input.Nodes, sets)
+		err = w.bootstrap(ctx, input.Nodes, sets)
 	case Publish:
-		err = k.encodeAndWrite(sets, func(spec []byte) error {
-			return k.objects.Replace(ctx, KindSets, SetsName, spec, input.Published.Revision)
+		err = w.encodeAndWrite(sets, func(spec []byte) error {
+			return w.objects.Replace(ctx, KindSets, SetsName, spec, input.Published.Revision)
 		})
 	}
-	k.logger.Info("directory write finished", zap.Int("action", int(action)), zap.Int("nodes", len(input.Nodes)),
+	w.logger.Info("directory write finished", zap.Int("action", int(action)), zap.Int("nodes", len(input.Nodes)),
 		zap.Int("views", len(sets.Views)), zap.Error(err))
 	return true
 }
 
 // isDue reports whether the action is to be executed now. Bootstrap and Publish wait for
 // a random delay, in which another node may write the sets.
-func (k *Writer) isDue(action Action) bool {
+func (w *Writer) isDue(action Action) bool {
 	switch action {
 	case None:
-		k.publishAt = time.Time{}
+		w.publishAt = time.Time{}
 		return false
 	case Announce:
-		k.publishAt = time.Time{}
-		return k.announcedAt.IsZero() || k.now().Sub(k.announcedAt) >= announceInterval
+		w.publishAt = time.Time{}
+		return w.announcedAt.IsZero() || w.now().Sub(w.announcedAt) >= announceInterval
 	}
-	if k.publishAt.IsZero() {
-		k.publishAt = k.now().Add(k.randomDelay(maxPublishDelay))
+	if w.publishAt.IsZero() {
+		w.publishAt = w.now().Add(w.randomDelay(maxPublishDelay))
 	}
-	return !k.now().Before(k.publishAt)
+	return !w.now().Before(w.publishAt)
 }
 
 // currentInput returns the input for a plan, and the revision of this node's object; zero
 // if there is none.
-func (k *Writer) currentInput() (PlanInput, int64) {
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	input := k.input
-	input.Now = k.now()
-	if views := k.shardMap(); views != nil {
+func (w *Writer) currentInput() (PlanInput, int64) {
+	w.mutex.Lock()
+	defer w.mutex.Unlock()
+	input := w.input
+	input.Now = w.now()
+	if views := w.shardMap(); views != nil {
 		input.Views = views.Views()
 	}
-	return input, k.revisions[k.self.Node]
+	return input, w.revisions[w.self.Node]
 }
 
 // announce creates this node's object, or replaces the one of an earlier process of this
 // node.
-func (k *Writer) announce(ctx context.Context, revision int64) error {
-	spec, err := json.Marshal(Node{Member: k.self})
+func (w *Writer) announce(ctx context.Context, revision int64) error {
+	spec, err := json.Marshal(Node{Member: w.self})
 	if err != nil {
 		return err
 	}
 	if revision != 0 {
-		return k.objects.Replace(ctx, KindNodes, k.self.Node, spec, revision)
+		return w.objects.Replace(ctx, KindNodes, w.self.Node, spec, revision)
 	}
-	err = k.objects.Create(ctx, KindNodes, k.self.Node, spec)
+	err = w.objects.Create(ctx, KindNodes, w.self.Node, spec)
 	if errors.Is(err, ErrExists) {
 		// Written by an earlier process; replaced once its revision is known.
 		return nil
 	}
 	if err == nil {
-		k.announcedAt = k.now()
+		w.announcedAt = w.now()
 	}
 	return err
 }
@@ -226,16 +226,16 @@
 // bootstrap creates the sets, unless the storage nodes in the store differ from the planned
 // ones, which are then updated. Otherwise a node with an outdated listing could assign all
 // sets to a few nodes for good.
-func (k *Writer) bootstrap(ctx context.Context, planned []register.Member, sets Sets) error {
-	snapshot, err := k.objects.List(ctx, KindNodes)
+func (w *Writer) bootstrap(ctx context.Context, planned []register.Member, sets Sets) error {
+	snapshot, err := w.objects.List(ctx, KindNodes)
 	if err != nil {
 		return merry.Prepend(err, "list storage nodes before creating replica sets")
 	}
 	if nodes, _ := DecodeNodes(snapshot); !sameMembers(nodes, planned) {
-		k.ApplyNodes(snapshot)
+		w.ApplyNodes(snapshot)
 		return merry.Appendf(errOutdatedNodes, "the store has %d, the plan %d", len(nodes), len(planned))
 	}
-	return k.encodeAndWrite(sets, func(spec []byte) error { return k.objects.Create(ctx, KindSets, SetsName, spec) })
+	return w.encodeAndWrite(sets, func(spec []byte) error { return w.objects.Create(ctx, KindSets, SetsName, spec) })
 }
 
 // sameMembers reports whether both lists have the same members in any order.
@@ -249,7 +249,7 @@
 }
 
 // encodeAndWrite encodes the sets and passes them to the given function.
-func (k *Writer) encodeAndWrite(sets Sets, write func(spec []byte) error) error {
+func (w *Writer) encodeAndWrite(sets Sets, write func(spec []byte) error) error {
 	spec, err := json.Marshal(sets)
 	if err != nil {
 		return err
--- a/coordination/directory/writer_test.go
+++ b/coordination/directory/writer_test.go
@@ -28,7 +28,7 @@
 	spec      []byte
 	writes    int
 	conflicts int
-	keepers   []*Writer
+	writers   []*Writer
 }
 
 func (s *sharedStore) Create(context.Context, string, string, []byte) error { return ErrExists }
@@ -54,8 +54,8 @@
 	s.revision++
 	s.spec = spec
 	snapshot := follow.Snapshot{At: s.revision, Objects: []follow.Object{{Name: SetsName, Revision: s.revision, Spec: spec}}}
-	for _, keeper := range s.keepers {
-		time.AfterFunc(publishLatency, func() { keeper.ApplySets(snapshot) })
+	for _, writer := range s.writers {
+		time.AfterFunc(publishLatency, func() { writer.ApplySets(snapshot) })
 	}
 }
 
@@ -73,10 +73,10 @@
 			self := register.Member{Node: fmt.Sprint("storage-", index)}
 			view.Members = append(view.Members, self)
 			maps[index] = shard.NewMap(1)
-			keeper := NewWriter(self, store, func() *shard.Map { return maps[index] }, Settings{Shards: 1, Factor: 3}, time.Now, zap.NewNop())
-			keeper.randomDelay = func(limit time.Duration) time.Duration { return limit * time.Duration(index) / nodes }
-			store.keepers = append(store.keepers, keeper)
-			serving.Go(func() { _ = keeper.Serve(ctx) })
+			writer := NewWriter(self, store, func() *shard.Map { return maps[index] }, Settings{Shards: 1, Factor: 3}, time.Now, zap.NewNop())
+			writer.randomDelay = func(limit time.Duration) time.Duration { return limit * time.Duration(index) / nodes }
+			store.writers = append(store.writers, writer)
+			serving.Go(func() { _ = writer.Serve(ctx) })
 		}
 		first, err := json.Marshal(Sets{Shards: 1, Views: []register.View{view}})
 		assert.NilError(t, err)
--- a/coordination/limit/adaptive_test.go
+++ b/coordination/limit/adaptive_test.go
@@ -74,9 +74,8 @@
 	}
 }
 
-// TestAdaptiveLimitKeepsGoodputUnderOverload checks that at four times the capacity most of the
-// capacity still goes to operations that complete in time, and that nothing is rejected
-// once the overload is over.
+// TestAdaptiveLimitKeepsGoodputUnderOverload guards against a loss of goodput at four times the
+// capacity, and against rejections once the overload is over.
 func TestAdaptiveLimitKeepsGoodputUnderOverload(t *testing.T) {
 	s := &processor{now: time.Unix(1_000_000, 0)}
 	s.adaptive = limit.NewAdaptiveLimit(limit.DefaultAdaptivePolicy(), func() time.Time { return s.now })
--- a/coordination/membership/benchmark_test.go
+++ b/coordination/membership/benchmark_test.go
@@ -58,9 +58,8 @@
 	b.ReportMetric(0, "ns/op")
 }
 
-// BenchmarkConvergence reports, in virtual milliseconds, how long a leaving
-// mark, a node failure and the start of a cluster take to reach all nodes. Its
-// wall-clock time has no meaning.
+// BenchmarkConvergence reports in virtual milliseconds how long a leaving mark, a node
+// failure and the start of a cluster take to reach all nodes.
 func BenchmarkConvergence(b *testing.B) {
 	for _, size := range benchmarkSizes {
 		for _, loss := range []float64{0, 0.05} {
--- a/coordination/mirror/changes_test.go
+++ b/coordination/mirror/changes_test.go
@@ -86,9 +86,8 @@
 	}
 }
 
-// TestChangesReproduceStoreState checks that the changes from a holder turn the state at any
-// earlier revision into the holder's state, and leave a state newer than the holder's as it
-// is.
+// TestChangesReproduceStoreState checks that a holder's changes turn any earlier state into its
+// own, and leave a newer state as it is.
 func TestChangesReproduceStoreState(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		states := drawHistory(rt)
--- a/coordination/mirror/holders_test.go
+++ b/coordination/mirror/holders_test.go
@@ -20,9 +20,8 @@
 	}
 }
 
-// TestFewNodesFollowStoreDirectly checks the number of direct nodes, that they are spread over
-// as many zones as possible, and that all others follow through direct nodes only, that of
-// their own zone first. Chains and cycles of followers are thus impossible.
+// TestFewNodesFollowStoreDirectly checks that a few nodes, spread over zones, follow the store
+// directly and all others follow these, which excludes chains and cycles.
 func TestFewNodesFollowStoreDirectly(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var members []register.Member
--- a/coordination/mirror/source.go
+++ b/coordination/mirror/source.go
@@ -14,13 +14,13 @@
 )
 
 const (
-	// holderSlack is the time beyond its wait after which a call to a holder times out.
-	holderSlack = 400 * time.Millisecond
+	// holderGrace is the time beyond its wait after which a call to a holder times out.
+	holderGrace = 400 * time.Millisecond
 	// probeTimeout is the timeout of a call to a holder without a wait. A healthy holder
 	// answers within a few milliseconds.
 	probeTimeout = 200 * time.Millisecond
 	// maxStoreWait is the longest wait of a call to the store in place of holders. With
-	// holderSlack an unresponsive store is detected about as soon as by a listing.
+	// holderGrace an unresponsive store is detected about as soon as by a listing.
 	maxStoreWait = time.Second
 	// minStoreWait is the shortest wait of a call to the store after the attempts at holders.
 	minStoreWait = 100 * time.Millisecond
@@ -200,7 +200,7 @@
 func (s *Source) watchStore(ctx context.Context, from int64, wait time.Duration) (follow.Changes, error) {
 	if !s.holders.isEmpty() {
 		wait = min(wait, maxStoreWait)
-		bounded, cancel := context.WithTimeout(ctx, wait+holderSlack)
+		bounded, cancel := context.WithTimeout(ctx, wait+holderGrace)
 		defer cancel()
 		ctx = bounded
 	}
@@ -219,7 +219,7 @@
 // watchHolder asks a holder for changes after the revision. The holder may hold the call for
 // the wait until there are any.
 func (s *Source) watchHolder(ctx context.Context, holder netip.AddrPort, from int64, wait time.Duration) (follow.Changes, error) {
-	ctx, cancel := context.WithTimeout(ctx, wait+holderSlack)
+	ctx, cancel := context.WithTimeout(ctx, wait+holderGrace)
 	defer cancel()
 	answer, err := s.watcher.WatchMirror(ctx, holder, s.kind, from, wait)
 	if err != nil {
--- a/coordination/mirror/source_test.go
+++ b/coordination/mirror/source_test.go
@@ -137,9 +137,8 @@
 	}
 }
 
-// TestSourceAsksStoreAfterSlowFailure checks that a holder's timeout is followed by a call to
-// the store, with the rest of the wait: another holder might time out too and delay changes
-// beyond their limit.
+// TestSourceAsksStoreAfterSlowFailure guards against changes that are late because a second
+// holder is asked after a timeout. The store must be asked for the rest of the wait.
 func TestSourceAsksStoreAfterSlowFailure(t *testing.T) {
 	f := newSourceFixture(map[netip.AddrPort]mirror.WatchAnswer{holderB: currentAnswer(8)})
 	f.watcher.delay = 1400 * time.Millisecond
@@ -259,9 +258,8 @@
 
 var errStore = errors.New("store unavailable")
 
-// TestSourceFollowsStoreUntilHolderAnswers checks that the delay applies only to the first
-// call. A single failure at the store changes nothing; after two in a row the delay applies
-// again.
+// TestSourceFollowsStoreUntilHolderAnswers checks that the delay applies only to the first call,
+// and again after two failures of the store in a row.
 func TestSourceFollowsStoreUntilHolderAnswers(t *testing.T) {
 	for name, answer := range map[string]mirror.WatchAnswer{"unreachable": nil, "lost": mirror.StoreLost{}} {
 		t.Run(name, func(t *testing.T) {
@@ -345,9 +343,8 @@
 	assert.Equal(t, f.watch(t, 7).At, int64(9))
 }
 
-// TestOnlyFirstHolderMayHoldCall checks that further holders of a call, and all holders while
-// the store is followed, are asked without a wait: an unreachable holder delays changes until
-// the call times out.
+// TestOnlyFirstHolderMayHoldCall guards against unreachable holders that delay changes: only the
+// first holder of a call is asked with a wait, and none while the store is followed.
 func TestOnlyFirstHolderMayHoldCall(t *testing.T) {
 	f := newDelayedSourceFixture(map[netip.AddrPort]mirror.WatchAnswer{holderC: currentAnswer(8)}, mirror.FallbackDelays{HoldersUnreachable: time.Minute})
 	f.watch(t, 7)
--- a/coordination/quota/holder_test.go
+++ b/coordination/quota/holder_test.go
@@ -30,9 +30,8 @@
 	return committed, err
 }
 
-// TestHolderUsesCommittedClaim guards against a holder that adopts the term of the last
-// attempt instead of the committed one, which would reset all accounts and grant each
-// tenant's burst again.
+// TestHolderUsesCommittedClaim guards against a holder that adopts the term of an
+// uncommitted attempt, which would grant each tenant's burst again.
 func TestHolderUsesCommittedClaim(t *testing.T) {
 	for name, second := range map[string]claim{
 		"held by another": {Holder: "b/1", Node: "b", Term: 7},
--- a/coordination/quota/plan_test.go
+++ b/coordination/quota/plan_test.go
@@ -104,9 +104,8 @@
 	return finished, served
 }
 
-// TestRunningProgramsHavePriority checks that under four and eight times the sustainable
-// load most of the programs that the rate can sustain finish, while few do if requests are
-// refused at random.
+// TestRunningProgramsHavePriority checks that under overload most of the programs that the
+// rate can sustain finish, unlike with refusals at random.
 func TestRunningProgramsHavePriority(t *testing.T) {
 	const requests, length = 25, 30 * time.Second
 	rate := limit.Rate{TokensPerSecond: 50, Burst: 50}
--- a/coordination/register/bench_test.go
+++ b/coordination/register/bench_test.go
@@ -25,9 +25,8 @@
 	return next, nil
 }
 
-// BenchmarkApply measures changes over a transport without latency. requests/op counts
-// the requests to all three members for one change, value-B/op the bytes of the values in
-// these requests and their answers.
+// BenchmarkApply measures changes without network latency: requests/op to all members
+// for one change, and value-B/op in these requests and their answers.
 func BenchmarkApply(b *testing.B) {
 	for _, test := range []struct {
 		name      string
--- a/coordination/register/client_test.go
+++ b/coordination/register/client_test.go
@@ -28,9 +28,8 @@
 	return []byte(strconv.Itoa(number + 1)), nil
 }
 
-// TestClientsUnderFaults lets concurrent clients append tags while every request may fail
-// before or after it takes effect. A change that is reported as applied must be in the
-// value exactly once, one that is reported as not applied must not be in it.
+// TestClientsUnderFaults guards against applied changes that are missing or repeated, and
+// rejected ones that took effect, while any request may fail.
 func TestClientsUnderFaults(t *testing.T) {
 	constructors := map[string]func(incarnation string, cluster *memoryCluster) *register.Client{
 		"all at once": newTestClient,
@@ -267,9 +266,8 @@
 	assert.Equal(t, string(value), "3")
 }
 
-// TestFastRoundOnExistingRegister checks that a change which attempts a fast round on an
-// existing register applies to its value, and that changes of other registers still skip
-// the prepare.
+// TestFastRoundOnExistingRegister guards against a fast round that ignores the existing value,
+// and against one that makes changes of other registers prepare.
 func TestFastRoundOnExistingRegister(t *testing.T) {
 	cluster := newMemoryCluster("a", "b", "c")
 	_, err := newFastRoundClient("first", cluster).Apply(context.Background(), 0, "key", increment)
--- a/coordination/register/evaluation_test.go
+++ b/coordination/register/evaluation_test.go
@@ -9,9 +9,8 @@
 	"github.com/marblering/marblering/state/replica"
 )
 
-// TestEarlierEvaluationMayBeChosen calls a change on two values and then has the first
-// result chosen. Only the value that Apply returns, not what the last call found, tells
-// which one that is.
+// TestEarlierEvaluationMayBeChosen guards against taking the result of a change from its last
+// call, although the result of an earlier call was chosen.
 func TestEarlierEvaluationMayBeChosen(t *testing.T) {
 	const members = 3
 	calls := 0
--- a/coordination/register/exchange.go
+++ b/coordination/register/exchange.go
@@ -31,8 +31,7 @@
 }
 
 // startExchange sends the request to all members, or to a majority with
-// Settings.ThriftyQuorum.
-// A fast round always asks all members, since it needs all answers.
+// Settings.ThriftyQuorum. A fast round always asks all members, since it needs all answers.
 func (r *round) startExchange(request Request) *exchange {
 	settings := r.client.settings
 	e := &exchange{
@@ -100,16 +99,16 @@
 // recordAnswer records that the member has answered or that its request has failed.
 func (e *exchange) recordAnswer(received answer) {
 	e.members.RecordAnswer(received.position)
-	thrift := e.round.client.settings.ThriftyQuorum
-	if thrift == nil {
+	thrifty := e.round.client.settings.ThriftyQuorum
+	if thrifty == nil {
 		return
 	}
 	address := e.round.view.Members[received.member].Address
 	if received.err != nil {
-		thrift.Reach.RecordFailure(address)
+		thrifty.Reach.RecordFailure(address)
 		return
 	}
-	thrift.Reach.RecordResponse(address)
+	thrifty.Reach.RecordResponse(address)
 	e.members.AvoidLate()
 }
 
--- a/coordination/register/model_test.go
+++ b/coordination/register/model_test.go
@@ -115,9 +115,8 @@
 	},
 }
 
-// TestLinearizable simulates proposers and replicas under message loss, duplication and
-// reordering, pauses, restarts with and without state and changes of the replica set, and
-// checks that the results the callers received are linearizable.
+// TestLinearizable checks that results are linearizable under faults of the network and
+// restarts of replicas, and changes of the replica set.
 func TestLinearizable(t *testing.T) {
 	var outcomes [4]int
 	epochChanges := 0
--- a/coordination/register/stored_test.go
+++ b/coordination/register/stored_test.go
@@ -124,9 +124,8 @@
 	return fmt.Sprintf("%d of %s", ballot.Counter, ballot.Proposer)
 }
 
-// TestStoredFormat has each package that stores data in registers or meta values of a
-// replica write it, and compares keys and values with a golden file. Stored data outlives
-// the version that wrote it, and nodes of two versions share registers.
+// TestStoredFormat guards against changes of the stored format, which nodes of two
+// versions share, by comparing each package's stored data with a golden file.
 func TestStoredFormat(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		n := newStorageNode()
--- a/coordination/register/thriftyquorum.go
+++ b/coordination/register/thriftyquorum.go
@@ -57,12 +57,12 @@
 	for i := range indexes {
 		indexes[i] = i
 	}
-	thrift := c.settings.ThriftyQuorum
-	if thrift == nil {
+	thrifty := c.settings.ThriftyQuorum
+	if thrifty == nil {
 		return indexes
 	}
 	isLocal := func(m Member) int {
-		if m.Incarnation == thrift.Local {
+		if m.Incarnation == thrifty.Local {
 			return 1
 		}
 		return 0
@@ -71,7 +71,7 @@
 		a, b := view.Members[i], view.Members[j]
 		return cmp.Or(
 			isLocal(b)-isLocal(a),
-			thrift.Reach.Compare(a.Address, b.Address),
+			thrifty.Reach.Compare(a.Address, b.Address),
 			cmp.Compare(Rank(b.Node, key), Rank(a.Node, key)),
 		)
 	})
--- a/coordination/register/trace_test.go
+++ b/coordination/register/trace_test.go
@@ -82,9 +82,8 @@
 	return c.memoryCluster.Accept(context.Background(), member, request)
 }
 
-// TestMemberRequestOrder compares with a golden file which members are asked at what time
-// if members are late, fail, refuse or stay silent. It covers the order, the hedges, their
-// budget, and which members are asked last.
+// TestMemberRequestOrder compares the order and times of requests to members, hedges
+// included, with a golden file if members are late, fail, refuse or stay silent.
 func TestMemberRequestOrder(t *testing.T) {
 	kinds := []struct {
 		name     string
@@ -118,10 +117,10 @@
 	settings := register.DefaultSettings()
 	settings.FastRoundTimeout = kind.FastRoundTimeout
 	if kind.ThriftyQuorum != nil {
-		thrift := *kind.ThriftyQuorum
-		thrift.Reach, thrift.Now = reach.New(time.Now), time.Now
-		thrift.HedgeBudget = limit.NewRetryBudget(limit.DefaultHedgePolicy(), time.Now())
-		settings.ThriftyQuorum = &thrift
+		thrifty := *kind.ThriftyQuorum
+		thrifty.Reach, thrifty.Now = reach.New(time.Now), time.Now
+		thrifty.HedgeBudget = limit.NewRetryBudget(limit.DefaultHedgePolicy(), time.Now())
+		settings.ThriftyQuorum = &thrifty
 	}
 	client := register.NewClient("client", cluster, cluster, register.SystemClock{}, rand.New(rand.NewPCG(seed, 2)), settings)
 	for change := range traceChanges {
--- a/coordination/shard/bench_test.go
+++ b/coordination/shard/bench_test.go
@@ -60,9 +60,8 @@
 	}
 }
 
-// BenchmarkRepair replaces one of three members. It reports the time from the first seal to
-// the first opening, during which the shard is unavailable, and the bytes copied. Messages
-// take no time.
+// BenchmarkRepair reports how long a shard is unavailable while one of three members is
+// replaced, and the bytes copied. Messages take no time.
 func BenchmarkRepair(b *testing.B) {
 	stores := map[string]func(b *testing.B) replica.Store{
 		"memory": func(*testing.B) replica.Store { return replica.NewMemory() },
--- a/coordination/shard/inherit_test.go
+++ b/coordination/shard/inherit_test.go
@@ -43,10 +43,8 @@
 	return l.link.Pull(ctx, to, request, visit)
 }
 
-// TestInheritedValueIsAcceptedAgain has two new members copy a value that only a minority of
-// the old ones accepted, and the third one copy a later value that isn't based on it. It
-// guards against a read from one majority that returns the first value although a later
-// read from another majority doesn't include it.
+// TestInheritedValueIsAcceptedAgain guards against a read that returns a value of a minority,
+// which a later read from another majority doesn't include.
 func TestInheritedValueIsAcceptedAgain(t *testing.T) {
 	ctx := context.Background()
 	n := newNetwork(1)
--- a/coordination/shard/locate_test.go
+++ b/coordination/shard/locate_test.go
@@ -9,9 +9,8 @@
 	"github.com/marblering/marblering/coordination/shard"
 )
 
-// TestLocateBeforeShardCountIsKnown guards against a program being located in the first shard
-// while the number of shards is unknown. The tokens reserved there would be in a record that
-// no other node reads, so the budget could be exceeded.
+// TestLocateBeforeShardCountIsKnown guards against locating programs in the first shard while
+// the number of shards is unknown, where budgets could be exceeded.
 func TestLocateBeforeShardCountIsKnown(t *testing.T) {
 	const shards = 2
 	views := shard.NewMap(0)
--- a/coordination/shard/model_test.go
+++ b/coordination/shard/model_test.go
@@ -348,9 +348,8 @@
 	return nil
 }
 
-// TestReconfigurationModel checks linearizability and the durability of turns in virtual time,
-// with concurrent and interrupted drivers, lost, duplicated and reordered messages, frozen nodes,
-// and restarts with and without data.
+// TestReconfigurationModel checks linearizability and the durability of turns while drivers,
+// messages and nodes fail.
 func TestReconfigurationModel(t *testing.T) {
 	operations, epochs := 0, uint64(0)
 	rapid.Check(t, func(rt *rapid.T) {
--- a/coordination/shard/precopy_test.go
+++ b/coordination/shard/precopy_test.go
@@ -49,9 +49,8 @@
 	return count
 }
 
-// TestRemainingMembersPrecopyTurns guards against sealing members that still lack many turns:
-// a turn is stored by a majority only. It also checks that an ended incarnation isn't asked,
-// since its address belongs to the new incarnation.
+// TestRemainingMembersPrecopyTurns guards against sealing members that lack many turns, and
+// against asking an ended incarnation, whose address belongs to the new one.
 func TestRemainingMembersPrecopyTurns(t *testing.T) {
 	const turns = 300
 	n := newNetwork(1)
--- a/coordination/shard/replacement_test.go
+++ b/coordination/shard/replacement_test.go
@@ -10,8 +10,8 @@
 	"github.com/marblering/marblering/coordination/shard"
 )
 
-// TestPlanReplacesSoonerIfReplacementStarted checks that a gone member is replaced after
-// ReplaceAfterStandby in every shard, even if the replacement has joined another one.
+// TestPlanReplacesSoonerIfReplacementStarted guards against waiting for ReplaceAfter although a
+// replacement has started, also in shards that it joins later.
 func TestPlanReplacesSoonerIfReplacementStarted(t *testing.T) {
 	settings := planSettings()
 	settings.ReplaceAfterStandby = time.Second
--- a/coordination/tokenbudget/early_end_test.go
+++ b/coordination/tokenbudget/early_end_test.go
@@ -60,9 +60,8 @@
 	assert.Equal(t, blocking.committed(t, "p"), uint64(0))
 }
 
-// TestReservationAfterItsEndIsRefused: a host that resumes after a pause may receive the end
-// of a reservation first. Gateways of earlier versions reuse the name for their next attempt,
-// which must be granted.
+// TestReservationAfterItsEndIsRefused guards against granting a reservation whose end
+// arrived first. Earlier versions reuse the name, which must then be granted.
 func TestReservationAfterItsEndIsRefused(t *testing.T) {
 	shared := newSharedRegister()
 	host, _ := newHost(shared)
--- a/coordination/tokenbudget/reserved_elsewhere_test.go
+++ b/coordination/tokenbudget/reserved_elsewhere_test.go
@@ -34,9 +34,8 @@
 	assert.NilError(t, second.Reserve(t.Context(), reservation))
 }
 
-// TestReserveHolderIsAsked: a host that failed holds a reserve and is asked last when it
-// answers again. If the rest of the budget is used up, it must be asked within the same
-// reservation and admit turns from its reserve.
+// TestReserveHolderIsAsked guards against a refusal while a recovered host, which is asked
+// last, still holds a reserve.
 func TestReserveHolderIsAsked(t *testing.T) {
 	transport, views := newNetwork(newSharedRegister(), 3)
 	client := newClient(transport, views)
--- a/coordination/tokenbudget/uncertain_outcome_test.go
+++ b/coordination/tokenbudget/uncertain_outcome_test.go
@@ -29,9 +29,8 @@
 	return chosen, nil
 }
 
-// TestDrawUsesChosenRecord guards against taking a draw's decision from a record that wasn't
-// chosen: turns then run without a reserve in any record, or are refused with their tokens
-// reserved.
+// TestDrawUsesChosenRecord guards against decisions from a record that wasn't chosen: turns
+// would run without a reserve, or be refused with their tokens reserved.
 func TestDrawUsesChosenRecord(t *testing.T) {
 	encode := func(settled uint64) []byte {
 		encoded, err := budget.Encode(&statev1.TokenBudget{Program: "p", Limit: 100, Settled: settled})
--- a/coordination/turnstore/store_test.go
+++ b/coordination/turnstore/store_test.go
@@ -128,9 +128,8 @@
 	// Output: 2 a b <nil>
 }
 
-// TestLineSurvivesLossOfAnyMember checks that a stored turn and its ancestors are found
-// after the loss of any member, from any zone. It runs in virtual time, since a hedge on
-// a busy machine would write a third copy.
+// TestLineSurvivesLossOfAnyMember guards against losing a stored turn or its ancestors with any
+// one member. Virtual time avoids hedges, which would write a third copy.
 func TestLineSurvivesLossOfAnyMember(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		m, v := newMembers(3)
@@ -343,9 +342,8 @@
 	})
 }
 
-// TestOtherShardsAreReadConcurrently checks that other shards are read concurrently. Read
-// one after the other, a lookup of an unknown turn exceeds the caller's time limit and
-// fails with ErrUnavailable.
+// TestOtherShardsAreReadConcurrently guards against reading other shards one after the other,
+// which makes lookups of unknown turns time out.
 func TestOtherShardsAreReadConcurrently(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		m, v := newMembers(8)
--- a/node/gateway/followplan.go
+++ b/node/gateway/followplan.go
@@ -10,8 +10,8 @@
 
 // Bounds of calls to the store.
 const (
-	// watchSlack is added to the wait of a watch call to cover the round trip.
-	watchSlack = 700 * time.Millisecond
+	// watchGrace is added to the wait of a watch call to cover the round trip.
+	watchGrace = 700 * time.Millisecond
 	// relistTime is reserved for a listing after a watch call that timed out.
 	relistTime = 800 * time.Millisecond
 	// minWatchWait prevents a busy loop if the undisturbed time is zero.
@@ -26,31 +26,31 @@
 
 // Bounds of calls to holders, the storage nodes that mirror the store.
 const (
-	// holderWait is the wait of a watch call. Together with the slack of package mirror it
+	// holderWait is the wait of a watch call. Together with the grace of package mirror it
 	// leaves time for a second holder within an undisturbed time of 3 s.
 	holderWait = time.Second
 	// replicaSetMaxAge may be long, since replicas announce changes of their sets.
 	replicaSetMaxAge = 30 * time.Second
 )
 
-// Bounds of mirror.FallbackDelays, the time for which a gateway asks holders alone before it asks
-// the store. A source waits for a random time of one to two times its patience.
+// Bounds of mirror.FallbackDelays, the time for which a gateway asks holders alone before
+// it asks the store. A source waits for a random time of one to two times its delay.
 const (
-	// maxUnreachedPatience bounds the patience while no holder answers. It leaves time to
+	// maxUnreachableDelay bounds the delay while no holder answers. It leaves time to
 	// try a second holder.
-	maxUnreachedPatience = 1500 * time.Millisecond
-	// unreachedPatienceFraction of the undisturbed time bounds the same patience. A quarter
-	// of the undisturbed time is left for calls in progress even after twice the patience.
-	unreachedPatienceFraction = 3.0 / 8
-	// minUnreachedPatience spreads the calls of gateways that lose their holders together
+	maxUnreachableDelay = 1500 * time.Millisecond
+	// unreachableDelayFraction of the undisturbed time bounds the same delay. A quarter
+	// of the undisturbed time is left for calls in progress even after twice the delay.
+	unreachableDelayFraction = 3.0 / 8
+	// minUnreachableDelay spreads the calls of gateways that lose their holders together
 	// if the undisturbed time is zero.
-	minUnreachedPatience = 100 * time.Millisecond
-	// replicaSetPatience is shorter, since replica sets list the holders for every kind of
-	// object.
-	replicaSetPatience = 700 * time.Millisecond
-	// lostPatience is the patience while holders answer but have lost the store, which a
+	minUnreachableDelay = 100 * time.Millisecond
+	// replicaSetUnreachableDelay is shorter, since replica sets list the holders for
+	// every kind of object.
+	replicaSetUnreachableDelay = 700 * time.Millisecond
+	// storeLostDelay is the delay while holders answer but have lost the store, which a
 	// gateway would probably not reach either.
-	lostPatience = 4 * time.Second
+	storeLostDelay = 4 * time.Second
 )
 
 // Pauses between calls to the store while no holder answers.
@@ -112,7 +112,7 @@
 		holders: mirror.SourceSettings{
 			HolderWait:     holderWait,
 			MaxHolderAge:   replicaSetMaxAge,
-			FallbackDelays: mirror.FallbackDelays{HoldersUnreachable: replicaSetPatience, StoreLost: lostPatience},
+			FallbackDelays: mirror.FallbackDelays{HoldersUnreachable: replicaSetUnreachableDelay, StoreLost: storeLostDelay},
 			StorePause:     replicaSetStorePause,
 		},
 	}
@@ -133,7 +133,7 @@
 func callSettings(limits settings.Gateway) follow.Settings {
 	calls := follow.DefaultSettings()
 	calls.WatchWait = watchWait(limits.UndisturbedTime)
-	calls.WatchGrace = watchSlack
+	calls.WatchGrace = watchGrace
 	calls.MaxBackoff = maxHolderPause
 	return calls
 }
@@ -143,7 +143,7 @@
 	return mirror.SourceSettings{
 		HolderWait:     holderWait,
 		MaxHolderAge:   limits.ApplyLimit,
-		FallbackDelays: holderPatience(limits.UndisturbedTime),
+		FallbackDelays: fallbackDelays(limits.UndisturbedTime),
 		StorePause:     limits.ApplyLimit / storePauseDivisor,
 	}
 }
@@ -159,12 +159,12 @@
 	return defaults
 }
 
-// holderPatience returns how long a gateway asks holders alone before it asks the store.
-func holderPatience(undisturbed time.Duration) mirror.FallbackDelays {
-	unreached := time.Duration(unreachedPatienceFraction * float64(undisturbed))
+// fallbackDelays returns how long a gateway asks holders alone before it asks the store.
+func fallbackDelays(undisturbed time.Duration) mirror.FallbackDelays {
+	unreachable := time.Duration(unreachableDelayFraction * float64(undisturbed))
 	return mirror.FallbackDelays{
-		HoldersUnreachable: min(max(unreached, minUnreachedPatience), maxUnreachedPatience),
-		StoreLost:          lostPatience,
+		HoldersUnreachable: min(max(unreachable, minUnreachableDelay), maxUnreachableDelay),
+		StoreLost:          storeLostDelay,
 	}
 }
 
@@ -172,5 +172,5 @@
 // out, and the objects be listed again, within the undisturbed time, after which the apply
 // limit applies again. The wait is at least half of the undisturbed time.
 func watchWait(undisturbed time.Duration) time.Duration {
-	return max(minWatchWait, undisturbed/2, undisturbed-watchSlack-relistTime)
+	return max(minWatchWait, undisturbed/2, undisturbed-watchGrace-relistTime)
 }
--- a/node/gateway/followplan_test.go
+++ b/node/gateway/followplan_test.go
@@ -60,24 +60,23 @@
 	}
 }
 
-func TestHolderPatience(t *testing.T) {
+func TestFallbackDelays(t *testing.T) {
 	cases := map[time.Duration]time.Duration{
-		0:                minUnreachedPatience,
+		0:                minUnreachableDelay,
 		3 * time.Second:  1125 * time.Millisecond,
-		4 * time.Second:  maxUnreachedPatience,
-		10 * time.Second: maxUnreachedPatience,
+		4 * time.Second:  maxUnreachableDelay,
+		10 * time.Second: maxUnreachableDelay,
 	}
 	for undisturbed, want := range cases {
-		assert.Equal(t, holderPatience(undisturbed), mirror.FallbackDelays{HoldersUnreachable: want, StoreLost: lostPatience}, undisturbed)
+		assert.Equal(t, fallbackDelays(undisturbed), mirror.FallbackDelays{HoldersUnreachable: want, StoreLost: storeLostDelay}, undisturbed)
 	}
 }
 
-// TestHungWatchTimesOutWithinUndisturbedTime checks that a watch call that the store never
-// answers because of an outage times out before the apply limit applies again. Until then it
-// hides newer configurations.
+// TestHungWatchTimesOutWithinUndisturbedTime guards against a hung watch call that hides newer
+// configurations after the undisturbed time.
 func TestHungWatchTimesOutWithinUndisturbedTime(t *testing.T) {
 	for _, undisturbed := range []time.Duration{2 * time.Second, 3 * time.Second, 4 * time.Second, time.Minute} {
-		detectedAfter := watchWait(undisturbed) + watchSlack
+		detectedAfter := watchWait(undisturbed) + watchGrace
 		assert.Assert(t, detectedAfter+min(relistTime, undisturbed/10) <= undisturbed, "undisturbed time %s: detected after %s", undisturbed, detectedAfter)
 	}
 	assert.Equal(t, watchWait(0), minWatchWait)
--- a/node/gateway/refusal.go
+++ b/node/gateway/refusal.go
@@ -58,14 +58,14 @@
 // maxConfirmationAge returns how long a table without proofs counts as the newest after a
 // confirmation by the store.
 //
-// A watch call without changes confirms the table again within its wait and slack. The
-// second slack covers the next call. After a failed call, changes may have been missed, so
+// A watch call without changes confirms the table again within its wait and grace. The
+// second grace covers the next call. After a failed call, changes may have been missed, so
 // the table counts as the newest only until those must be applied.
 func (f tableFreshness) maxConfirmationAge() time.Duration {
 	if f.lastCallFailed {
 		return f.applyLimit
 	}
-	return f.watchWait + 2*watchSlack
+	return f.watchWait + 2*watchGrace
 }
 
 // isConfigurationNewest reports whether a missing route or an unknown key is refused
--- a/node/gateway/refusal_test.go
+++ b/node/gateway/refusal_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestDecideRefusal(t *testing.T) {
-	// The greatest confirmation age is 3.9 s: watchWait and twice watchSlack.
+	// The greatest confirmation age is 3.9 s: watchWait and twice watchGrace.
 	const applyLimit, watchWait = 3 * time.Second, 2500 * time.Millisecond
 	cases := []struct {
 		name  string
@@ -45,7 +45,7 @@
 		{UndisturbedTime: 5 * time.Second, ApplyLimit: 4 * time.Second},
 	} {
 		table := tableFreshness{applyLimit: limits.ApplyLimit, watchWait: watchWait(limits.UndisturbedTime)}
-		maxCallTime := watchWait(limits.UndisturbedTime) + watchSlack
+		maxCallTime := watchWait(limits.UndisturbedTime) + watchGrace
 		assert.Assert(t, table.maxConfirmationAge() > maxCallTime, "a watch call may take that long")
 		table.lastCallFailed = true
 		assert.Equal(t, table.maxConfirmationAge(), limits.ApplyLimit)
--- a/node/gateway/revocation_test.go
+++ b/node/gateway/revocation_test.go
@@ -178,11 +178,11 @@
 	}, time.Now)
 	calls := follow.DefaultSettings()
 	calls.ListTimeout, calls.WatchWait, calls.WatchGrace = time.Second, mirror.ProofInterval(revokeLimit), 400*time.Millisecond
-	patience := mirror.FallbackDelays{HoldersUnreachable: time.Second, StoreLost: mirror.ProofInterval(revokeLimit)}
+	delays := mirror.FallbackDelays{HoldersUnreachable: time.Second, StoreLost: mirror.ProofInterval(revokeLimit)}
 	follower := follow.New(follow.Options{
 		Name: mirror.KindConfiguration, Settings: calls, Logger: zap.NewNop(), Now: time.Now,
 		Source: mirror.NewSource(mirror.KindConfiguration, s.source(address.String()), upstreams, simulatedNetwork{s, address.String()},
-			mirror.SourceSettings{HolderWait: 300 * time.Millisecond, MaxHolderAge: 3 * time.Second, FallbackDelays: patience}, zap.NewNop()),
+			mirror.SourceSettings{HolderWait: 300 * time.Millisecond, MaxHolderAge: 3 * time.Second, FallbackDelays: delays}, zap.NewNop()),
 		Apply:  func(snapshot follow.Snapshot) { holder.Update(mirror.KindConfiguration, snapshot) },
 		OnLost: func() { holder.NotifyLost(mirror.KindConfiguration) },
 	})
@@ -336,9 +336,8 @@
 	assert.Assert(t, 2*serving > checks)
 }
 
-// TestRevocationSimulationDetectsInjectedBug checks that the simulation can fail. Pauses of
-// nodes are random, so the sequences of a seed differ between runs, and few of them detect
-// the bug.
+// TestRevocationSimulationDetectsInjectedBug guards against a simulation that can't fail. Few
+// sequences detect the bug, since pauses of nodes are random.
 func TestRevocationSimulationDetectsInjectedBug(t *testing.T) {
 	const sequences = 4000
 	violations := 0
--- a/node/gateway/storageoutage_test.go
+++ b/node/gateway/storageoutage_test.go
@@ -94,9 +94,8 @@
 	changeInterval = 250 * time.Millisecond
 )
 
-// TestChangesAreInTimeWhileStorageNodesAreDown checks that gateways apply changes within the
-// apply limit while all storage nodes are down and the store is healthy, once the undisturbed
-// time has passed. They must not wait for their patience with holders before each call.
+// TestChangesAreInTimeWhileStorageNodesAreDown guards against gateways that wait for the fallback
+// delay before each call while all storage nodes are down and the store is healthy.
 func TestChangesAreInTimeWhileStorageNodesAreDown(t *testing.T) {
 	for _, limits := range []settings.Gateway{
 		{UndisturbedTime: 3 * time.Second, ApplyLimit: 2 * time.Second},
--- a/node/gateway/storeload_test.go
+++ b/node/gateway/storeload_test.go
@@ -269,10 +269,8 @@
 // have received the changes: the shortest undisturbed time of a deployment.
 const recoveryTime = 3 * time.Second
 
-// TestStoreLoadIsIndependentOfGatewayCount checks that gateways do not call the store when
-// they start together, while instances register, or during a short outage of the store.
-// During a long outage each gateway calls it occasionally. After both, all gateways receive
-// the changes in time.
+// TestStoreLoadIsIndependentOfGatewayCount guards against gateways that overload the store when
+// they start, instances register or an outage occurs, and against late changes after it.
 func TestStoreLoadIsIndependentOfGatewayCount(t *testing.T) {
 	for name, c := range map[string]struct {
 		gateways int
--- a/node/storage/mirroring.go
+++ b/node/storage/mirroring.go
@@ -10,13 +10,13 @@
 )
 
 const (
-	// maxMirrorWatchSlack is the maximum WatchGrace for mirrored objects: how much longer
+	// maxMirrorWatchGrace is the maximum WatchGrace for mirrored objects: how much longer
 	// than the requested wait a watch call at the store may take.
-	maxMirrorWatchSlack = 400 * time.Millisecond
+	maxMirrorWatchGrace = 400 * time.Millisecond
 	// maxMirrorListReserve is the maximum time that is reserved within the apply limit for
 	// gateways to list the objects themselves after a watch call has failed.
 	maxMirrorListReserve = 300 * time.Millisecond
-	// applyLimitDivisor limits the watch slack and the list reserve, for short apply
+	// applyLimitDivisor limits the watch grace and the list reserve, for short apply
 	// limits, to the apply limit divided by it.
 	applyLimitDivisor = 4
 	// mirrorListTimeout limits one listing at the store. A listing that hangs delays all
@@ -46,11 +46,11 @@
 
 // boundedFollowSettings returns the settings for objects that gateways must apply within
 // the apply limit. If this node's connection to the store fails silently, the watch wait,
-// its slack and the gateways' own listing together have to fit into that limit.
+// its grace and the gateways' own listing together have to fit into that limit.
 func boundedFollowSettings(applyLimit time.Duration) follow.Settings {
 	result := follow.DefaultSettings()
 	result.ListTimeout = mirrorListTimeout
-	result.WatchGrace = min(maxMirrorWatchSlack, applyLimit/applyLimitDivisor)
+	result.WatchGrace = min(maxMirrorWatchGrace, applyLimit/applyLimitDivisor)
 	result.WatchWait = applyLimit - result.WatchGrace - min(maxMirrorListReserve, applyLimit/applyLimitDivisor)
 	return result
 }
--- a/node/storage/sets.go
+++ b/node/storage/sets.go
@@ -55,7 +55,7 @@
 		Shards: uint32(n.settings.Shards), Factor: n.settings.ReplicationFactor(), StableFor: foundingDelay, DegradedAfter: incompleteFoundingDelay,
 	}
 	views := func() *shard.Map { return n.views }
-	n.keeper = directory.NewWriter(n.self, n.parts.DirectoryObjects, views, founding, time.Now, n.logger)
+	n.directoryWriter = directory.NewWriter(n.self, n.parts.DirectoryObjects, views, founding, time.Now, n.logger)
 	n.lookup = directory.NewLookup(n.views, n.logger)
 	n.lookup.OnShardCount(n.saveShardCount)
 	n.retirement = retirement.New(retirement.Options{
@@ -86,7 +86,7 @@
 		addresses = append(addresses, node.Address)
 	}
 	n.membership.SetSeeds(addresses)
-	n.keeper.ApplyNodes(snapshot)
+	n.directoryWriter.ApplyNodes(snapshot)
 }
 
 func newRandom() *rand.Rand { return rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())) }
--- a/node/storage/shards.go
+++ b/node/storage/shards.go
@@ -55,7 +55,7 @@
 			n.logger.Error("restoring replicas failed", zap.Error(err))
 		}
 	}
-	n.keeper.ApplySets(snapshot)
+	n.directoryWriter.ApplySets(snapshot)
 }
 
 // newSetsReader returns a service that reads the replica sets from other storage nodes
--- a/node/storage/storage.go
+++ b/node/storage/storage.go
@@ -69,11 +69,11 @@
 	collector *expiry.Collector
 
 	// Membership of nodes and of replica sets.
-	membership *membership.Service
-	repair     *repair.Service
-	keeper     *directory.Writer
-	lookup     *directory.Lookup
-	retirement *retirement.Service
+	membership      *membership.Service
+	repair          *repair.Service
+	directoryWriter *directory.Writer
+	lookup          *directory.Lookup
+	retirement      *retirement.Service
 
 	// Budgets and quotas for gateways.
 	ledger  *tokenbudget.Ledger
@@ -158,7 +158,7 @@
 // services returns the services that maintain this node's state.
 func (n *Node) services() []suture.Service {
 	return []suture.Service{
-		n.membership, n.repair, n.keeper, n.retirement, n.budgets, n.quotas, n.collector, n.mirror,
+		n.membership, n.repair, n.directoryWriter, n.retirement, n.budgets, n.quotas, n.collector, n.mirror,
 		telemetry.NewWorkload(n.metrics, workloadCounters, n.logger),
 		gcTuner{memoryLimit: uint64(n.settings.MemoryLimit)},
 	}
--- a/node/storage/storage_test.go
+++ b/node/storage/storage_test.go
@@ -7,9 +7,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestSilentStoreIsNoticedWithinApplyLimit checks that a storage node detects a silent
-// connection to the store early enough for gateways to list the objects themselves within
-// the apply limit.
+// TestSilentStoreIsNoticedWithinApplyLimit guards against noticing a silent store too late for
+// gateways to list the objects themselves within the apply limit.
 func TestSilentStoreIsNoticedWithinApplyLimit(t *testing.T) {
 	for _, limit := range []time.Duration{100 * time.Millisecond, time.Second, 2 * time.Second, 3 * time.Second, time.Minute} {
 		followSettings := boundedFollowSettings(limit)
--- a/settings/document_test.go
+++ b/settings/document_test.go
@@ -53,9 +53,8 @@
 	}
 }
 
-// TestExampleFile loads the example as it is and with its commented-out options enabled.
-// Both must yield the same settings except for the data folder, as the comments show the
-// defaults.
+// TestExampleFile guards against an example file that doesn't load or whose commented-out
+// options differ from the defaults, except for the data folder.
 func TestExampleFile(t *testing.T) {
 	loaded, err := settings.Load(examplePath, nil)
 	assert.NilError(t, err)
--- a/state/budget/budget.go
+++ b/state/budget/budget.go
@@ -50,29 +50,29 @@
 // Reserve records the holder's spending and sets its reserve to cover its running turns
 // and the new one, and future turns if enough tokens are left. It grants a turn as long as
 // any token is left, so all turns together generate less than the limit plus the maximum
-// of one turn. It returns ErrExhausted or ErrReserved if the turn must not begin, and records
-// the spending in that case too. Reserve is idempotent. The limit is in tokens; the record
-// keeps the lowest limit that it was given.
-func Reserve(record *statev1.TokenBudget, limit uint64, draw ReserveRequest) error {
+// of one turn. It returns ErrExhausted or ErrReserved if the turn must not begin, and
+// records the spending in that case too. Reserve is idempotent. The limit is in tokens; the
+// record keeps the lowest limit that it was given.
+func Reserve(record *statev1.TokenBudget, limit uint64, request ReserveRequest) error {
 	record.Limit = lowerLimit(record.GetLimit(), limit)
-	holder := findOrAddHolder(record, draw.Holder)
-	holder.Spent = draw.Spent
-	holder.Reserved = draw.Running
+	holder := findOrAddHolder(record, request.Holder)
+	holder.Spent = request.Spent
+	holder.Reserved = request.Running
 	committed := Committed(record)
 	if committed >= record.Limit {
 		return refusalReason(record, holder)
 	}
-	holder.Reserved += draw.TurnTokens
-	holder.Reserved += futureReserve(record.Limit-committed, draw.TurnTokens)
+	holder.Reserved += request.TurnTokens
+	holder.Reserved += futureReserve(record.Limit-committed, request.TurnTokens)
 	return nil
 }
 
-// ReserveResult reads the result of a draw from the record that Reserve has left: the tokens
-// reserved for the holder, and the error that Reserve returned.
-func ReserveResult(record *statev1.TokenBudget, draw ReserveRequest) (reserved uint64, refusal error) {
-	holder := findOrAddHolder(record, draw.Holder)
-	isGranted := holder.GetReserved() >= draw.Running+draw.TurnTokens
-	if draw.TurnTokens == 0 {
+// ReserveResult reads the result of a request from the record that Reserve has left: the
+// tokens reserved for the holder, and the error that Reserve returned.
+func ReserveResult(record *statev1.TokenBudget, request ReserveRequest) (reserved uint64, refusal error) {
+	holder := findOrAddHolder(record, request.Holder)
+	isGranted := holder.GetReserved() >= request.Running+request.TurnTokens
+	if request.TurnTokens == 0 {
 		// A turn without tokens needs no reserve, so the holder's entry doesn't tell
 		// whether it was granted.
 		isGranted = Committed(record) < record.GetLimit()
@@ -116,10 +116,10 @@
 
 // ReleaseUnused reduces the holder's reserve to what its running turns may generate. It does
 // nothing if the record doesn't list the holder.
-func ReleaseUnused(record *statev1.TokenBudget, name string, spent, underWay uint64) {
+func ReleaseUnused(record *statev1.TokenBudget, name string, spent, running uint64) {
 	for _, holder := range record.GetHolders() {
 		if holder.GetHolder() == name {
-			holder.Spent, holder.Reserved = spent, underWay
+			holder.Spent, holder.Reserved = spent, running
 		}
 	}
 }
--- a/state/budget/budget_test.go
+++ b/state/budget/budget_test.go
@@ -29,10 +29,10 @@
 
 // holderModel models the state that a ledger keeps for one holder.
 type holderModel struct {
-	name            string
-	spent, underWay uint64
-	reserved        uint64
-	turns           []uint64
+	name           string
+	spent, running uint64
+	reserved       uint64
+	turns          []uint64
 }
 
 // TestLimitHolds checks that holders together generate less than the limit plus the
@@ -57,12 +57,12 @@
 					used := rapid.Uint64Range(0, h.turns[0]).Draw(t, "used")
 					generated += used
 					h.spent += used
-					h.underWay -= h.turns[0]
+					h.running -= h.turns[0]
 					h.reserved -= min(h.reserved, used)
 					h.turns = h.turns[1:]
 				}
 			case 3:
-				if h.underWay == 0 {
+				if h.running == 0 {
 					budget.Release(record, h.name, h.spent)
 					budget.Release(record, h.name, h.spent)
 					*h = holderModel{name: fmt.Sprint(h.name, "+", step)}
@@ -70,7 +70,7 @@
 			case 4:
 				// The holder crashes, and a new process replaces it. Its running turns
 				// may have generated as much as they were allowed.
-				generated += h.underWay
+				generated += h.running
 				ended := h.name
 				*h = holderModel{name: fmt.Sprint(h.name, "+", step)}
 				if rapid.Bool().Draw(t, "settle") {
@@ -79,7 +79,7 @@
 			}
 		}
 		for _, h := range holders {
-			generated += h.underWay
+			generated += h.running
 		}
 		assert.Assert(t, generated < limit+turnMax, "%d generated, the limit is %d and the maximum of a turn %d", generated, limit, turnMax)
 	})
@@ -88,20 +88,20 @@
 // begin starts a turn from the holder's reserve, or reserves tokens first. It checks that
 // ReserveResult agrees with Reserve and that Reserve is idempotent.
 func begin(t *rapid.T, record *statev1.TokenBudget, h *holderModel, limit, turnMax uint64) {
-	if h.reserved < h.underWay+turnMax {
-		draw := budget.ReserveRequest{Holder: h.name, Spent: h.spent, Running: h.underWay, TurnTokens: turnMax}
-		refusal := budget.Reserve(record, limit, draw)
-		reserved, decided := budget.ReserveResult(record, draw)
+	if h.reserved < h.running+turnMax {
+		request := budget.ReserveRequest{Holder: h.name, Spent: h.spent, Running: h.running, TurnTokens: turnMax}
+		refusal := budget.Reserve(record, limit, request)
+		reserved, decided := budget.ReserveResult(record, request)
 		assert.Equal(t, decided, refusal)
 		if refusal != nil {
-			h.reserved = h.underWay
+			h.reserved = h.running
 			return
 		}
-		assert.NilError(t, budget.Reserve(record, limit, draw), "repeating a draw changes the decision")
+		assert.NilError(t, budget.Reserve(record, limit, request), "repeating a request changes the decision")
 		h.reserved = reserved
 	}
 	h.turns = append(h.turns, turnMax)
-	h.underWay += turnMax
+	h.running += turnMax
 }
 
 // TestTurnWithoutTokens checks turns that reserve nothing, for which
@@ -112,9 +112,9 @@
 		spent   uint64
 		refusal error
 	}{{99, nil}, {100, budget.ErrExhausted}} {
-		draw := budget.ReserveRequest{Holder: "a", Spent: c.spent}
-		assert.Equal(t, budget.Reserve(record, 100, draw), c.refusal)
-		_, decided := budget.ReserveResult(record, draw)
+		request := budget.ReserveRequest{Holder: "a", Spent: c.spent}
+		assert.Equal(t, budget.Reserve(record, 100, request), c.refusal)
+		_, decided := budget.ReserveResult(record, request)
 		assert.Equal(t, decided, c.refusal)
 	}
 }
--- a/telemetry/logfile/requests_test.go
+++ b/telemetry/logfile/requests_test.go
@@ -13,7 +13,7 @@
 
 // Requests must be grouped by route, status, code and wait cause, and counted by the outcome
 // of the next request of the same program.
-func TestSummarizeTriesGroupsByOutcome(t *testing.T) {
+func TestSummarizeRequestsGroupsByOutcome(t *testing.T) {
 	const log = `
 time=2026-01-01T00:00:01Z msg="not answered" node=a key=p1 route=chat status=503 code=2004 sends=0 prepared=0.7 took=0.701
 time=2026-01-01T00:00:02Z msg=answered node=b key=p1 route=chat status=200 code=0 sends=1 prepared=0.01 took=0.5
@@ -24,9 +24,9 @@
 time=2026-01-01T00:00:07Z msg="trying another back end" node=a key=p2 route=chat
 time=2026-01-01T00:00:20Z msg=answered node=b key=p2 route=chat status=200 code=0 sends=1 prepared=0.01 took=0.1
 `
-	tries, err := logfile.SummarizeRequests([]io.Reader{strings.NewReader(log)})
+	summaries, err := logfile.SummarizeRequests([]io.Reader{strings.NewReader(log)})
 	assert.NilError(t, err)
-	assert.DeepEqual(t, tries, []logfile.RequestSummary{
+	assert.DeepEqual(t, summaries, []logfile.RequestSummary{
 		{Route: "chat", Status: "200", Code: "0", Count: 2, TotalTime: 600 * time.Millisecond, Longest: 500 * time.Millisecond},
 		{
 			Route: "chat", Status: "503", Code: "2004", WaitCause: logfile.WaitHistoryAndBudget, Count: 2,
--- a/transport/peer/budget_test.go
+++ b/transport/peer/budget_test.go
@@ -19,9 +19,8 @@
 	uniqueField      = "2001"
 )
 
-// TestEndedTurnsOfEarlierVersionsMayRecur guards compatibility with earlier versions in
-// both directions: a turn without the field may recur, and current gateways send the
-// fields of earlier versions unchanged.
+// TestEndedTurnsOfEarlierVersionsMayRecur guards compatibility with earlier versions: a turn
+// without the field may recur, and their fields are sent unchanged.
 func TestEndedTurnsOfEarlierVersionsMayRecur(t *testing.T) {
 	encoded, err := hex.DecodeString(earlierEndedTurn)
 	assert.NilError(t, err)
--- a/transport/relay/attempt.go
+++ b/transport/relay/attempt.go
@@ -26,8 +26,8 @@
 	a.choice.RecordActivity()
 }
 
-// ending returns what the attempt tells about the health of the instance.
-func (a *attempt) ending(ended outcome, now time.Time) backend.Outcome {
+// healthOutcome returns what the attempt tells about the health of the instance.
+func (a *attempt) healthOutcome(ended outcome, now time.Time) backend.Outcome {
 	waited := now.Sub(a.started)
 	if a.status == http.StatusGatewayTimeout {
 		return backend.NoResponse{Wait: waited}
--- a/transport/relay/run.go
+++ b/transport/relay/run.go
@@ -98,7 +98,7 @@
 	if c.isDone(ctx) && ended != delivered {
 		ended = abandoned
 	}
-	choice.Release(current.ending(ended, c.handler.options.Now()))
+	choice.Release(current.healthOutcome(ended, c.handler.options.Now()))
 	return ended, cause
 }
 
