--- a/coordination/backend/bench_test.go
+++ b/coordination/backend/bench_test.go
@@ -18,10 +18,10 @@
 	}
 	b.ReportAllocs()
 	for index := 0; b.Loop(); index++ {
-		choice, err := pool.Acquire(backend.Query{Service: "app", Route: "r", Key: keys[index%len(keys)]})
+		assignment, err := pool.Acquire(backend.Query{Service: "app", Route: "r", Key: keys[index%len(keys)]})
 		if err != nil {
 			b.Fatal(err)
 		}
-		choice.Release(backend.Completed{Wait: 50 * time.Millisecond})
+		assignment.Release(backend.Completed{Wait: 50 * time.Millisecond})
 	}
 }
--- a/coordination/backend/health.go
+++ b/coordination/backend/health.go
@@ -84,11 +84,11 @@
 func (h *serviceHealth) observe(instance, route string, outcome Outcome, now time.Time) limit.EngineHealth {
 	switch e := outcome.(type) {
 	case Completed:
-		outcome := limit.Outcome{Failed: e.ServerError, Duration: e.Wait}
+		observed := limit.Outcome{Failed: e.ServerError, Duration: e.Wait}
 		if !e.ServerError {
-			outcome.Expected = h.recordWait(route, e.Wait, now)
+			observed.Expected = h.recordWait(route, e.Wait, now)
 		}
-		return h.ejector.Observe(instance, outcome, now)
+		return h.ejector.Observe(instance, observed, now)
 	case Failed:
 		return h.ejector.Observe(instance, limit.Outcome{Failed: true}, now)
 	case NoResponse:
--- a/coordination/backend/load.go
+++ b/coordination/backend/load.go
@@ -24,21 +24,21 @@
 	inFlight map[*Assignment]struct{}
 }
 
-func (l *load) add(c *Assignment) {
+func (l *load) add(a *Assignment) {
 	l.outstanding.Add(1)
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if l.inFlight == nil {
 		l.inFlight = map[*Assignment]struct{}{}
 	}
-	l.inFlight[c] = struct{}{}
+	l.inFlight[a] = struct{}{}
 }
 
-func (l *load) remove(c *Assignment) {
+func (l *load) remove(a *Assignment) {
 	l.outstanding.Add(-1)
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	delete(l.inFlight, c)
+	delete(l.inFlight, a)
 }
 
 // isStalled reports whether a request has made no progress for longer than its stall
@@ -46,8 +46,8 @@
 func (l *load) isStalled(now time.Time) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	for c := range l.inFlight {
-		if now.Sub(time.Unix(0, c.lastActivity.Load())) > c.stallTimeout {
+	for a := range l.inFlight {
+		if now.Sub(time.Unix(0, a.lastActivity.Load())) > a.stallTimeout {
 			return true
 		}
 	}
--- a/coordination/backend/pool.go
+++ b/coordination/backend/pool.go
@@ -99,8 +99,8 @@
 	previous.services[old.Service].health.ejector.Remove(old.ID)
 }
 
-// MarkAddressLost records that another instance was found at the address of this incarnation, which
-// from then on gets requests only as a last resort.
+// MarkAddressLost records that another instance was found at the address of this
+// incarnation, which from then on gets requests only as a last resort.
 func (p *Pool) MarkAddressLost(incarnation Incarnation) {
 	if known, found := p.current.Load().byID[incarnation.ID]; found && known.Incarnation().isSame(incarnation) {
 		known.load.addressLost.Store(true)
@@ -184,34 +184,34 @@
 		isStalled:  func(c candidate) bool { return c.member.load.isStalled(now) },
 		random:     rand.IntN,
 	})
-	c := &Assignment{
+	a := &Assignment{
 		Instance: chosen.member.Instance, Preferred: preferred, Outstanding: chosen.outstanding,
 		pool: p, load: chosen.member.load, health: svc.health,
 		route: query.Route, stallTimeout: svc.health.stallTimeout(query.Route, now),
 	}
-	c.lastActivity.Store(now.UnixNano())
-	c.load.add(c)
-	return c, nil
+	a.lastActivity.Store(now.UnixNano())
+	a.load.add(a)
+	return a, nil
 }
 
 // RecordActivity records that a part of the response arrived.
-func (c *Assignment) RecordActivity() { c.lastActivity.Store(c.pool.now().UnixNano()) }
+func (a *Assignment) RecordActivity() { a.lastActivity.Store(a.pool.now().UnixNano()) }
 
 // Release ends the assignment and returns the instance's health afterwards. Only the first
 // call has an effect.
-func (c *Assignment) Release(outcome Outcome) limit.EngineHealth {
-	now := c.pool.now()
-	if c.released.Swap(true) {
-		return c.health.ejector.Health(c.Instance.ID, now)
+func (a *Assignment) Release(outcome Outcome) limit.EngineHealth {
+	now := a.pool.now()
+	if a.released.Swap(true) {
+		return a.health.ejector.Health(a.Instance.ID, now)
 	}
-	c.load.remove(c)
-	if c.load.ended.Load() {
-		return c.health.ejector.Health(c.Instance.ID, now)
+	a.load.remove(a)
+	if a.load.ended.Load() {
+		return a.health.ejector.Health(a.Instance.ID, now)
 	}
-	before := c.health.ejector.Health(c.Instance.ID, now)
-	after := c.health.observe(c.Instance.ID, c.route, outcome, now)
+	before := a.health.ejector.Health(a.Instance.ID, now)
+	after := a.health.observe(a.Instance.ID, a.route, outcome, now)
 	if before != limit.Ejected && after == limit.Ejected {
-		c.pool.onEjected(c.Instance, outcome)
+		a.pool.onEjected(a.Instance, outcome)
 	}
 	return after
 }
--- a/coordination/backend/pool_test.go
+++ b/coordination/backend/pool_test.go
@@ -60,9 +60,9 @@
 		requests := rapid.IntRange(1, 100).Draw(t, "requests")
 		loads := make(map[string]int)
 		for range requests {
-			choice, err := pool.Acquire(backend.Query{Service: "app", Key: rapid.SampledFrom([]string{"x", "y"}).Draw(t, "key")})
+			assignment, err := pool.Acquire(backend.Query{Service: "app", Key: rapid.SampledFrom([]string{"x", "y"}).Draw(t, "key")})
 			assert.NilError(t, err)
-			loads[choice.Instance.ID]++
+			loads[assignment.Instance.ID]++
 		}
 		for _, load := range loads {
 			assert.Assert(t, float64(load) <= 1.5*float64(requests)/float64(count)+3, "%v", loads)
@@ -74,9 +74,9 @@
 	pool := newPool(newClock(), 2)
 	pool.Replace([]backend.Instance{{ID: "i0", Service: "app", Leaving: true}, {ID: "i1", Service: "app"}})
 	for range 10 {
-		choice, err := pool.Acquire(backend.Query{Service: "app"})
+		assignment, err := pool.Acquire(backend.Query{Service: "app"})
 		assert.NilError(t, err)
-		assert.Equal(t, choice.Instance.ID, "i1")
+		assert.Equal(t, assignment.Instance.ID, "i1")
 	}
 	_, err := pool.Acquire(backend.Query{Service: "app", Tried: []string{"i1"}})
 	assert.ErrorIs(t, err, backend.ErrNoInstance)
@@ -97,18 +97,18 @@
 	clk := newClock()
 	pool := newPool(clk, 3)
 	fail := func() {
-		choice, err := pool.Acquire(backend.Query{Service: "app", Tried: []string{"i1", "i2"}})
+		assignment, err := pool.Acquire(backend.Query{Service: "app", Tried: []string{"i1", "i2"}})
 		assert.NilError(t, err)
-		choice.Release(backend.Failed{})
+		assignment.Release(backend.Failed{})
 	}
 	for range 3 {
 		fail()
 	}
 	for range 20 {
-		choice, err := pool.Acquire(backend.Query{Service: "app"})
+		assignment, err := pool.Acquire(backend.Query{Service: "app"})
 		assert.NilError(t, err)
-		assert.Assert(t, choice.Instance.ID != "i0")
-		choice.Release(backend.Completed{})
+		assert.Assert(t, assignment.Instance.ID != "i0")
+		assignment.Release(backend.Completed{})
 	}
 	clk.now = clk.now.Add(1100 * time.Millisecond)
 	probe, err := pool.Acquire(backend.Query{Service: "app"})
@@ -124,18 +124,18 @@
 func TestAllEjected(t *testing.T) {
 	pool := newPool(newClock(), 1)
 	for range 5 {
-		choice, err := pool.Acquire(backend.Query{Service: "app"})
+		assignment, err := pool.Acquire(backend.Query{Service: "app"})
 		assert.NilError(t, err)
-		choice.Release(backend.Failed{})
+		assignment.Release(backend.Failed{})
 	}
 }
 
 func TestReleaseIsIdempotent(t *testing.T) {
 	pool := newPool(newClock(), 1)
-	choice, err := pool.Acquire(backend.Query{Service: "app"})
+	assignment, err := pool.Acquire(backend.Query{Service: "app"})
 	assert.NilError(t, err)
-	choice.Release(backend.Inconclusive{})
-	choice.Release(backend.Inconclusive{})
+	assignment.Release(backend.Inconclusive{})
+	assignment.Release(backend.Inconclusive{})
 	next, err := pool.Acquire(backend.Query{Service: "app"})
 	assert.NilError(t, err)
 	assert.Equal(t, next.Outstanding, int64(0))
--- a/coordination/backend/zones_test.go
+++ b/coordination/backend/zones_test.go
@@ -13,9 +13,9 @@
 
 // inFlight is a request at a simulated instance.
 type inFlight struct {
-	choice *backend.Assignment
-	ends   time.Time
-	waited time.Duration
+	assignment *backend.Assignment
+	ends       time.Time
+	waited     time.Duration
 }
 
 // simulateZones simulates gateways in three zones, each gateway with a pool of its own,
@@ -62,24 +62,24 @@
 					remaining = append(remaining, request)
 					continue
 				}
-				request.choice.Release(backend.Completed{Wait: request.waited})
+				request.assignment.Release(backend.Completed{Wait: request.waited})
 			}
 			atInstance[id] = remaining
 		}
 		for _, zone := range zones {
 			for arrivals[zone] += perSecond * shares[zone] * step.Seconds(); arrivals[zone] >= 1; arrivals[zone]-- {
 				pool := pools[zone][random.IntN(len(pools[zone]))]
-				choice, err := pool.Acquire(backend.Query{Service: "s", Route: "r", Key: fmt.Sprint(random.Uint64())})
+				assignment, err := pool.Acquire(backend.Query{Service: "s", Route: "r", Key: fmt.Sprint(random.Uint64())})
 				assert.NilError(t, err)
-				requests := atInstance[choice.Instance.ID]
+				requests := atInstance[assignment.Instance.ID]
 				starts := now
 				if excess := len(requests) - slots; excess >= 0 {
 					starts = requests[excess].ends
 				}
 				wait := starts.Sub(now)
-				waited[choice.Instance.Zone] += wait
-				requestCount[choice.Instance.Zone]++
-				atInstance[choice.Instance.ID] = append(requests, inFlight{choice: choice, ends: starts.Add(work), waited: wait + 20*time.Millisecond})
+				waited[assignment.Instance.Zone] += wait
+				requestCount[assignment.Instance.Zone]++
+				atInstance[assignment.Instance.ID] = append(requests, inFlight{assignment: assignment, ends: starts.Add(work), waited: wait + 20*time.Millisecond})
 			}
 		}
 	}
--- a/coordination/directory/plan.go
+++ b/coordination/directory/plan.go
@@ -58,7 +58,7 @@
 //
 //   - Announce, while the listed nodes lack this one, because it is new or was replaced.
 //   - Bootstrap, if the store has no sets, once at least Factor nodes have been unchanged
-//     for Settle, or fewer for DegradedAfter. Sets created too early would leave nodes that
+//     for StableFor, or fewer for DegradedAfter. Sets created too early would leave nodes that
 //     start later without work.
 //   - Publish, if this node knows a newer view of a shard than the store has.
 //   - None otherwise, and before both nodes and sets were listed.
--- a/coordination/directory/writer.go
+++ b/coordination/directory/writer.go
@@ -73,7 +73,7 @@
 }
 
 // String returns the service name for the supervisor's log messages.
-func (w *Writer) String() string { return "directory keeper" }
+func (w *Writer) String() string { return "directory writer" }
 
 // ApplyNodes records the announced storage nodes. A snapshot older than the last one is
 // ignored.
--- a/coordination/tokenbudget/flush.go
+++ b/coordination/tokenbudget/flush.go
@@ -59,18 +59,18 @@
 // already refuse new turns.
 func (l *Ledger) trim(ctx context.Context, program string, current *account) {
 	select {
-	case current.drawLock <- struct{}{}:
+	case current.reserveLock <- struct{}{}:
 	case <-ctx.Done():
 		return
 	}
-	defer func() { <-current.drawLock }()
+	defer func() { <-current.reserveLock }()
 	l.mutex.Lock()
-	spent, underWay := current.spent, current.underWay
+	spent, running := current.spent, current.running
 	// A turn that waits to begin must not use what is released.
-	current.reserved = min(current.reserved, underWay)
+	current.reserved = min(current.reserved, running)
 	l.mutex.Unlock()
 	_, err := l.apply(ctx, program, lowPriority, func(record *statev1.TokenBudget) {
-		budget.ReleaseUnused(record, current.holder, spent, underWay)
+		budget.ReleaseUnused(record, current.holder, spent, running)
 	})
 	if err != nil {
 		// The reserve is released when the last turn ends, if that is before the stop.
--- a/coordination/tokenbudget/host_test.go
+++ b/coordination/tokenbudget/host_test.go
@@ -242,7 +242,7 @@
 		reservation.Program = fmt.Sprint("p", i)
 		go func() { _ = host.Reserve(ctx, reservation) }()
 	}
-	harness.Eventually(t, func() (bool, string) { return hanging.asked.Load() == 2, "no draw is in progress" })
+	harness.Eventually(t, func() (bool, string) { return hanging.asked.Load() == 2, "no request for a reserve is in progress" })
 	before := transport.reservationCount()
 	assert.ErrorIs(t, client.Reserve(ctx, newReservation("t")), tokenbudget.ErrOverloaded)
 	assert.Equal(t, transport.reservationCount(), before+1)
@@ -277,7 +277,7 @@
 	for i := range 2 {
 		go func() { _ = reserve(fmt.Sprint("p", i), fmt.Sprint("p", i), false) }()
 	}
-	harness.Eventually(t, func() (bool, string) { return hanging.asked.Load() == 2, "no draw is in progress" })
+	harness.Eventually(t, func() (bool, string) { return hanging.asked.Load() == 2, "no request for a reserve is in progress" })
 	assert.ErrorIs(t, reserve("fresh", "f", false), tokenbudget.ErrOverloaded)
 	assert.Equal(t, hanging.asked.Load(), int64(2), "a refused program doesn't reach the register")
 	assert.NilError(t, reserve("known", "k1", false))
@@ -300,7 +300,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go func() { _ = transport.hosts[first].Reserve(ctx, newReservation("waits")) }()
-	harness.Eventually(t, func() (bool, string) { return hanging.asked.Load() == 1, "no draw is in progress" })
+	harness.Eventually(t, func() (bool, string) { return hanging.asked.Load() == 1, "no request for a reserve is in progress" })
 	assert.NilError(t, client.Reserve(ctx, newReservation("u")))
 	assert.Equal(t, transport.reservationCount(), 3, "the isolated host and the next one")
 }
--- a/coordination/tokenbudget/ledger.go
+++ b/coordination/tokenbudget/ledger.go
@@ -31,7 +31,8 @@
 	ReleaseTimeout     time.Duration
 	ReleasePause       time.Duration
 	MaxReleaseAttempts int
-	// AllChanges bounds all changes of records in progress, Crowd those of low priority.
+	// AllChanges bounds all changes of records in progress, LowPriorityChanges those of low
+	// priority.
 	AllChanges         limit.AdaptivePolicy
 	LowPriorityChanges limit.AdaptivePolicy
 }
@@ -47,7 +48,7 @@
 
 const (
 	// maxReleasePauseFactor is the longest pause between two attempts to release a reserve, as
-	// a multiple of Settings.ReleasePause.
+	// a multiple of LedgerSettings.ReleasePause.
 	maxReleasePauseFactor = 16
 	// maxConcurrentReleases bounds the releases in progress, as many accounts become idle
 	// while a record can't be reached.
@@ -90,14 +91,14 @@
 }
 
 // account is the reserve of one program at this host. The ledger's mutex guards it. A turn
-// holds drawLock while it takes tokens from the reserve or draws more.
+// holds reserveLock while it takes tokens from the reserve or reserves more.
 type account struct {
-	holder   string
-	drawLock chan struct{}
-	// The amounts are in tokens: spent is what ended turns have generated, underWay the most
+	holder      string
+	reserveLock chan struct{}
+	// The amounts are in tokens: spent is what ended turns have generated, running the most
 	// that turns in progress may generate, and reserved what the record grants this host.
 	spent    uint64
-	underWay uint64
+	running  uint64
 	reserved uint64
 	// users counts the turns that are in progress or waiting to begin.
 	users int
@@ -106,9 +107,10 @@
 	isReleased bool
 }
 
-// Reserve lets a turn of the program begin that generates at most reservation.Most tokens. It
-// returns budget.ErrExhausted, budget.ErrReserved, ErrOverloaded, or an error that says that the
-// record can't be reached or that this node is stopping. After success, End must be called.
+// Reserve lets a turn of the program begin that generates at most reservation.MaxTokens
+// tokens. It returns budget.ErrExhausted, budget.ErrReserved, ErrOverloaded, or an error that
+// says that the record can't be reached or that this node is stopping. After success, End
+// must be called.
 func (l *Ledger) Reserve(ctx context.Context, reservation Reservation) error {
 	current := l.openAccount(reservation.Program)
 	if current == nil {
@@ -127,7 +129,7 @@
 	l.mutex.Lock()
 	current := l.accounts[program]
 	if current != nil {
-		current.underWay -= min(most, current.underWay)
+		current.running -= min(most, current.running)
 		current.spent += handedOut
 		current.reserved -= min(handedOut, current.reserved)
 	}
@@ -152,7 +154,7 @@
 	if current == nil {
 		l.accountsOpened++
 		l.unreleased++
-		current = &account{holder: holderName(l.holder, l.accountsOpened), drawLock: make(chan struct{}, 1)}
+		current = &account{holder: holderName(l.holder, l.accountsOpened), reserveLock: make(chan struct{}, 1)}
 		l.accounts[program] = current
 	}
 	current.users++
@@ -177,35 +179,35 @@
 	current.timer = time.AfterFunc(idle, func() { l.release(program, current) })
 }
 
-// begin takes the turn's tokens from the reserve, or draws more first.
+// begin takes the turn's tokens from the reserve, or reserves more first.
 func (l *Ledger) begin(ctx context.Context, current *account, reservation Reservation) error {
 	select {
-	case current.drawLock <- struct{}{}:
+	case current.reserveLock <- struct{}{}:
 	case <-ctx.Done():
 		return ctx.Err()
 	}
-	defer func() { <-current.drawLock }()
+	defer func() { <-current.reserveLock }()
 	if l.takeReserved(current, reservation.MaxTokens) {
 		return nil
 	}
-	return l.draw(ctx, current, reservation)
+	return l.requestReserve(ctx, current, reservation)
 }
 
 func (l *Ledger) takeReserved(current *account, most uint64) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if current.reserved < current.underWay+most {
+	if current.reserved < current.running+most {
 		return false
 	}
-	current.underWay += most
+	current.running += most
 	return true
 }
 
-// draw asks the record for a reserve that covers the turn. Other turns of the account may end
-// meanwhile, but none begins.
-func (l *Ledger) draw(ctx context.Context, current *account, reservation Reservation) error {
+// requestReserve asks the record for a reserve that covers the turn. Other turns of the
+// account may end meanwhile, but none begins.
+func (l *Ledger) requestReserve(ctx context.Context, current *account, reservation Reservation) error {
 	l.mutex.Lock()
-	request := budget.ReserveRequest{Holder: current.holder, Spent: current.spent, Running: current.underWay, TurnTokens: reservation.MaxTokens}
+	request := budget.ReserveRequest{Holder: current.holder, Spent: current.spent, Running: current.running, TurnTokens: reservation.MaxTokens}
 	l.mutex.Unlock()
 	record, err := l.apply(ctx, reservation.Program, l.admission.priorityOf(reservation), func(record *statev1.TokenBudget) {
 		budget.SettleEnded(record, l.isEarlierIncarnation)
@@ -225,17 +227,17 @@
 	current.reserved = granted - min(granted, current.spent-request.Spent)
 	if refusal != nil {
 		l.logger.Info("budget refused", zap.String("program", reservation.Program), zap.String("reservation", reservation.Name),
-			zap.Uint64("most", reservation.MaxTokens), zap.Uint64("under_way", current.underWay),
+			zap.Uint64("most", reservation.MaxTokens), zap.Uint64("under_way", current.running),
 			zap.String("record", budget.Describe(record)), zap.Error(refusal))
 		return refusal
 	}
-	current.underWay += reservation.MaxTokens
+	current.running += reservation.MaxTokens
 	return nil
 }
 
-// keepGuaranteed reduces the reserve to what the record grants whether or not a draw took
-// effect: what turns in progress need. A refused draw releases the rest, which must not be
-// used for other turns.
+// keepGuaranteed reduces the reserve to what the record grants whether or not a request
+// took effect: what turns in progress need. A refused request releases the rest, which
+// must not be used for other turns.
 func (l *Ledger) keepGuaranteed(current *account, request budget.ReserveRequest) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
--- a/coordination/tokenbudget/ledger_test.go
+++ b/coordination/tokenbudget/ledger_test.go
@@ -98,18 +98,18 @@
 		limit := rapid.Uint64Range(1, 6000).Draw(t, "limit")
 		most := rapid.Uint64Range(1, 600).Draw(t, "most")
 		hosts := []*tokenbudget.Ledger{newLedger("a", shared), newLedger("b", shared)}
-		underWay := make([]int, len(hosts))
+		running := make([]int, len(hosts))
 		var handedOut uint64
 		for step := range 60 {
 			index := rapid.IntRange(0, len(hosts)-1).Draw(t, "host")
 			switch rapid.IntRange(0, 5).Draw(t, "action") {
 			case 0, 1:
 				if hosts[index].Reserve(context.Background(), tokenbudget.Reservation{Program: "p", ProgramLimit: limit, MaxTokens: most}) == nil {
-					underWay[index]++
+					running[index]++
 				}
 			case 2, 3:
-				if underWay[index] > 0 {
-					underWay[index]--
+				if running[index] > 0 {
+					running[index]--
 					used := rapid.Uint64Range(0, most).Draw(t, "used")
 					handedOut += used
 					hosts[index].End("p", most, used)
@@ -118,12 +118,12 @@
 				shared.lose = rapid.IntRange(0, 1).Draw(t, "lose")
 				shared.fail = rapid.IntRange(0, 1).Draw(t, "fail")
 			case 5:
-				handedOut += uint64(underWay[index]) * most
-				underWay[index] = 0
+				handedOut += uint64(running[index]) * most
+				running[index] = 0
 				hosts[index] = newLedger(fmt.Sprint("restarted", step), shared)
 			}
 		}
-		for _, count := range underWay {
+		for _, count := range running {
 			handedOut += uint64(count) * most
 		}
 		assert.Assert(t, handedOut < limit+most, "%d tokens handed out, the limit is %d, the most per turn %d", handedOut, limit, most)
--- a/coordination/tokenbudget/uncertain_outcome_test.go
+++ b/coordination/tokenbudget/uncertain_outcome_test.go
@@ -29,9 +29,9 @@
 	return chosen, nil
 }
 
-// TestDrawUsesChosenRecord guards against decisions from a record that wasn't chosen: turns
+// TestReserveUsesChosenRecord guards against decisions from a record that wasn't chosen: turns
 // would run without a reserve, or be refused with their tokens reserved.
-func TestDrawUsesChosenRecord(t *testing.T) {
+func TestReserveUsesChosenRecord(t *testing.T) {
 	encode := func(settled uint64) []byte {
 		encoded, err := budget.Encode(&statev1.TokenBudget{Program: "p", Limit: 100, Settled: settled})
 		assert.NilError(t, err)
@@ -61,7 +61,7 @@
 }
 
 // TestUnknownOutcomeKeepsOnlyGuaranteedReserve guards against turns that begin from a reserve
-// that a refused draw, whose answer was lost, has already released.
+// that a refused request, whose answer was lost, has already released.
 func TestUnknownOutcomeKeepsOnlyGuaranteedReserve(t *testing.T) {
 	shared := newSharedRegister()
 	lossy := &lossyRegister{sharedRegister: shared}
@@ -76,7 +76,7 @@
 	lossy.isLossy = true
 	reservation.MaxTokens = 300
 	assert.ErrorIs(t, first.Reserve(t.Context(), reservation), register.ErrUnknownOutcome)
-	assert.Equal(t, shared.committed(t, "p"), uint64(1000), "the refused draw has released 260 tokens")
+	assert.Equal(t, shared.committed(t, "p"), uint64(1000), "the refused request has released 260 tokens")
 	reservation.MaxTokens = 260
 	assert.Assert(t, first.Reserve(t.Context(), reservation) != nil, "the released tokens aren't available to this host any more")
 }
--- a/node/storage/sets.go
+++ b/node/storage/sets.go
@@ -18,26 +18,26 @@
 const (
 	// repairInterval is the interval between two rounds of repair.
 	repairInterval = 400 * time.Millisecond
-	// replaceGoneAfter is how long a member may be gone before its replicas are replaced.
+	// replaceAfter is how long a member may be gone before its replicas are replaced.
 	// It is longer than a restart of the node.
-	replaceGoneAfter = 20 * time.Second
-	// replaceWithSpareAfter is the same if there is a spare node that started at about the
+	replaceAfter = 20 * time.Second
+	// replaceAfterStandby is the same if there is a standby node that started at about the
 	// time when the member stopped answering, or later.
-	replaceWithSpareAfter = 500 * time.Millisecond
+	replaceAfterStandby = 500 * time.Millisecond
 	// maxMovesPerPlan is the maximum number of replica sets that one repair plan changes.
 	maxMovesPerPlan = 8
-	// foundingDelay is how long the announced nodes must be unchanged before the first
+	// bootstrapDelay is how long the announced nodes must be unchanged before the first
 	// replica sets are created.
-	foundingDelay = 800 * time.Millisecond
-	// incompleteFoundingDelay is the same if there are fewer nodes than the replication
+	bootstrapDelay = 800 * time.Millisecond
+	// degradedBootstrapDelay is the same if there are fewer nodes than the replication
 	// factor.
-	incompleteFoundingDelay = 6 * time.Second
+	degradedBootstrapDelay = 6 * time.Second
 )
 
 // buildRepair creates the service that repairs the replica sets.
 func (n *Node) buildRepair() {
 	plan := shard.PlanSettings{
-		ReplicationFactor: n.settings.ReplicationFactor(), ReplaceAfter: replaceGoneAfter, ReplaceAfterStandby: replaceWithSpareAfter, MaxMoves: maxMovesPerPlan,
+		ReplicationFactor: n.settings.ReplicationFactor(), ReplaceAfter: replaceAfter, ReplaceAfterStandby: replaceAfterStandby, MaxMoves: maxMovesPerPlan,
 	}
 	driver := shard.NewDriver(n.self.Incarnation+"/"+uuid.NewString(), n.peers, n.views, register.SystemClock{},
 		newRandom(), register.DefaultSettings(), n.logger)
@@ -51,11 +51,11 @@
 // buildDirectory creates the services that announce this node, create the first replica
 // sets, and carry out orders to empty this node.
 func (n *Node) buildDirectory() {
-	founding := directory.Settings{
-		Shards: uint32(n.settings.Shards), Factor: n.settings.ReplicationFactor(), StableFor: foundingDelay, DegradedAfter: incompleteFoundingDelay,
+	bootstrap := directory.Settings{
+		Shards: uint32(n.settings.Shards), Factor: n.settings.ReplicationFactor(), StableFor: bootstrapDelay, DegradedAfter: degradedBootstrapDelay,
 	}
 	views := func() *shard.Map { return n.views }
-	n.directoryWriter = directory.NewWriter(n.self, n.parts.DirectoryObjects, views, founding, time.Now, n.logger)
+	n.directoryWriter = directory.NewWriter(n.self, n.parts.DirectoryObjects, views, bootstrap, time.Now, n.logger)
 	n.lookup = directory.NewLookup(n.views, n.logger)
 	n.lookup.OnShardCount(n.saveShardCount)
 	n.retirement = retirement.New(retirement.Options{
--- a/transport/relay/attempt.go
+++ b/transport/relay/attempt.go
@@ -9,8 +9,8 @@
 
 // attempt is one try of a request at an instance.
 type attempt struct {
-	choice  *backend.Assignment
-	started time.Time
+	assignment *backend.Assignment
+	started    time.Time
 	// timeToFirst is the time to the first event of a stream, or to the complete body (or
 	// its buffered part) of another response; zero until then.
 	timeToFirst time.Duration
@@ -23,7 +23,7 @@
 	if a.timeToFirst == 0 {
 		a.timeToFirst = now.Sub(a.started)
 	}
-	a.choice.RecordActivity()
+	a.assignment.RecordActivity()
 }
 
 // healthOutcome returns what the attempt tells about the health of the instance.
--- a/transport/relay/run.go
+++ b/transport/relay/run.go
@@ -14,17 +14,17 @@
 func (c *call) run(ctx context.Context) {
 	c.handler.options.Retries.RecordAttempt(c.routing.route.Name, c.handler.options.Now())
 	for {
-		choice, err := c.acquire()
+		assignment, err := c.acquire()
 		if err != nil {
 			c.finish(c.attemptResult(ctx, unsent, err).giveUp())
 			return
 		}
 		if failure := c.reauthorize(); failure != nil {
-			choice.Release(backend.Inconclusive{})
+			assignment.Release(backend.Inconclusive{})
 			c.finishRevoked(ctx, failure)
 			return
 		}
-		ended, cause := c.tryInstance(ctx, choice)
+		ended, cause := c.tryInstance(ctx, assignment)
 		if ended == delivered {
 			return
 		}
@@ -33,7 +33,7 @@
 			c.finish(step)
 			return
 		}
-		c.logRetry(choice, ended, cause)
+		c.logRetry(assignment, ended, cause)
 	}
 }
 
@@ -90,15 +90,15 @@
 }
 
 // tryInstance makes one attempt and reports its result to the backend pool.
-func (c *call) tryInstance(ctx context.Context, choice *backend.Assignment) (outcome, error) {
-	c.attempts.instances = append(c.attempts.instances, choice.Instance.ID)
-	current := &attempt{choice: choice, started: c.handler.options.Now()}
+func (c *call) tryInstance(ctx context.Context, assignment *backend.Assignment) (outcome, error) {
+	c.attempts.instances = append(c.attempts.instances, assignment.Instance.ID)
+	current := &attempt{assignment: assignment, started: c.handler.options.Now()}
 	ended, cause := c.exchange(ctx, current)
 	c.attempts.record(ended)
 	if c.isDone(ctx) && ended != delivered {
 		ended = abandoned
 	}
-	choice.Release(current.healthOutcome(ended, c.handler.options.Now()))
+	assignment.Release(current.healthOutcome(ended, c.handler.options.Now()))
 	return ended, cause
 }
 
@@ -110,7 +110,7 @@
 
 // exchange sends the request to the instance and handles the response by its judgement.
 func (c *call) exchange(ctx context.Context, current *attempt) (outcome, error) {
-	backendResponse, err := c.handler.options.Upstream.Do(ctx, c.upstreamRequest(current.choice))
+	backendResponse, err := c.handler.options.Upstream.Do(ctx, c.upstreamRequest(current.assignment))
 	if err != nil {
 		return outcomeOfError(err), err
 	}
@@ -120,7 +120,7 @@
 		return refused, errRefused
 	case MisdirectedResponse:
 		drain(backendResponse)
-		c.handler.options.OnInstanceGone(current.choice.Instance.Incarnation())
+		c.handler.options.OnInstanceGone(current.assignment.Instance.Incarnation())
 		return unsent, errMisdirected
 	case InvalidResponse:
 		backendResponse.CloseBody()
@@ -130,27 +130,27 @@
 }
 
 // upstreamRequest builds the request to the instance.
-func (c *call) upstreamRequest(choice *backend.Assignment) *upstream.Request {
+func (c *call) upstreamRequest(assignment *backend.Assignment) *upstream.Request {
 	header := copyEndToEnd(c.request.Header)
 	c.handler.options.HeaderCodec.WriteAttempt(header, AttemptInfo{
 		ID: c.input.facts.ID, Tenant: c.tenantName(),
 		Remaining:   c.timing.deadline.Sub(c.handler.options.Now()),
-		Instance:    choice.Instance.ID,
+		Instance:    assignment.Instance.ID,
 		LastEventID: c.response.lastEventID,
 	})
 	return &upstream.Request{
-		Address: choice.Instance.Address, Instance: choice.Instance.ID, Started: choice.Instance.Started,
+		Address: assignment.Instance.Address, Instance: assignment.Instance.ID, Started: assignment.Instance.Started,
 		Method: c.request.Method, Target: c.input.target, Host: c.request.Host,
 		Header: header, Body: c.input.body, ID: c.input.facts.ID, Repeatable: c.routing.route.Repeatable(),
 	}
 }
 
 // logRetry logs and counts a retry at another instance.
-func (c *call) logRetry(choice *backend.Assignment, ended outcome, cause error) {
+func (c *call) logRetry(assignment *backend.Assignment, ended outcome, cause error) {
 	c.handler.options.Metrics.retries.Inc()
 	c.handler.options.Logger.Info("trying another back end",
 		zap.String("request", c.input.facts.ID), zap.String("route", c.routing.route.Name),
-		zap.String("instance", choice.Instance.ID), zap.String("address", choice.Instance.Address),
-		zap.Int64("outstanding", choice.Outstanding), zap.Int("sends", c.attempts.sends),
+		zap.String("instance", assignment.Instance.ID), zap.String("address", assignment.Instance.Address),
+		zap.Int64("outstanding", assignment.Outstanding), zap.Int("sends", c.attempts.sends),
 		zap.Bool("refused", ended == refused), zap.Bool("began", c.response.headerWritten), zap.Error(cause))
 }
