--- a/coordination/conversation/budget_simulation_test.go
+++ b/coordination/conversation/budget_simulation_test.go
@@ -144,7 +144,7 @@
 	return value, err
 }
 
-// Reserve implements tokenbudget.Hosts. The host continues with an abandoned request until
+// Reserve implements tokenbudget.HostClient. The host continues with an abandoned request until
 // it learns of that, which takes as long as any message.
 func (s *simulation) Reserve(ctx context.Context, address string, wanted tokenbudget.Reservation, ended []tokenbudget.EndedTurn) error {
 	answer := make(chan error, 1)
@@ -167,7 +167,7 @@
 	}
 }
 
-// End implements tokenbudget.Hosts.
+// End implements tokenbudget.HostClient.
 func (s *simulation) End(ctx context.Context, address string, ended []tokenbudget.EndedTurn) error {
 	answer := make(chan struct{})
 	requestDelay := s.delay()
--- a/coordination/limit/retry.go
+++ b/coordination/limit/retry.go
@@ -52,7 +52,7 @@
 	tenantIdleTimeout = time.Minute
 )
 
-// NewRetryBudget returns a budget with policy.Saved retries.
+// NewRetryBudget returns a budget with policy.InitialRetries retries.
 func NewRetryBudget(policy RetryPolicy, now time.Time) *RetryBudget {
 	budget := &RetryBudget{
 		policy: policy,
--- a/coordination/register/batch.go
+++ b/coordination/register/batch.go
@@ -52,7 +52,7 @@
 	return merry.Wrap(ErrNoQuorum, merry.WithCause(cause), merry.AppendMessagef("%v", cause))
 }
 
-// join adds the call to a batch and returns false if it was already abandoned. OnAbandon
+// join adds the call to a batch and returns false if it was already abandoned. onAbandon
 // is called if the call is abandoned later.
 func (c *call) join(onAbandon func()) bool {
 	c.mutex.Lock()
--- a/transport/peer/budget.go
+++ b/transport/peer/budget.go
@@ -56,7 +56,7 @@
 }
 
 // BudgetClient sends reservations to the nodes that host budgets. It implements
-// tokenbudget.Hosts.
+// tokenbudget.HostClient.
 type BudgetClient struct {
 	client *Client
 }
@@ -66,7 +66,7 @@
 
 var _ tokenbudget.HostClient = BudgetClient{}
 
-// Reserve implements tokenbudget.Hosts.
+// Reserve implements tokenbudget.HostClient.
 func (b BudgetClient) Reserve(ctx context.Context, address string, reservation tokenbudget.Reservation, ended []tokenbudget.EndedTurn) error {
 	answer, err := b.client.call(ctx, address, &peerv1.Call{Request: &peerv1.Call_ReserveTokens{ReserveTokens: &peerv1.ReserveTokensRequest{
 		Program: reservation.Program, Turn: reservation.Name, Limit: reservation.ProgramLimit, Most: reservation.MaxTokens,
@@ -89,7 +89,7 @@
 	return merry.Errorf("the budget's host can't access the record of program %q: %s", reservation.Program, response.GetReason())
 }
 
-// End implements tokenbudget.Hosts.
+// End implements tokenbudget.HostClient.
 func (b BudgetClient) End(ctx context.Context, address string, ended []tokenbudget.EndedTurn) error {
 	_, err := b.client.call(ctx, address, &peerv1.Call{Request: &peerv1.Call_EndTurns{
 		EndTurns: &peerv1.EndTurnsRequest{Ended: endedToWire(ended)},
