--- a/coordination/backend/pool.go
+++ b/coordination/backend/pool.go
@@ -19,7 +19,7 @@
 type Pool struct {
 	now    func() time.Time
 	policy limit.EjectionPolicy
-	// onEjected is called for each ejected instance, with the ending that caused it.
+	// onEjected is called for each ejected instance, with the outcome that caused it.
 	onEjected func(Instance, Outcome)
 	// onRestarted is called for each instance that was restarted under its ID.
 	onRestarted func(Restart)
@@ -45,7 +45,8 @@
 
 // Replace sets the instances that requests are sent to. Instances that vanished in a mass
 // expiry are kept. It returns the IDs of the removed instances and the number of instances
-// kept without an entry: if there are any, Expire must be called after LapseTime.
+// kept without an entry: if there are any, Expire must be called after
+// ExpiryGracePeriod.
 func (p *Pool) Replace(instances []Instance) (removed []string, kept int) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -98,10 +99,10 @@
 	previous.services[old.Service].health.ejector.Remove(old.ID)
 }
 
-// MarkAddressLost records that another instance was found at the address of this incarnation, which
-// from then on gets requests only as a last resort.
-func (p *Pool) MarkAddressLost(life Incarnation) {
-	if known, found := p.current.Load().byID[life.ID]; found && known.Incarnation().isSame(life) {
+// MarkAddressLost records that another instance was found at the address of this
+// incarnation, which from then on gets requests only as a last resort.
+func (p *Pool) MarkAddressLost(incarnation Incarnation) {
+	if known, found := p.current.Load().byID[incarnation.ID]; found && known.Incarnation().isSame(incarnation) {
 		known.load.addressLost.Store(true)
 	}
 }
@@ -110,7 +111,7 @@
 // its ID. It must be called before the pool is used.
 func (p *Pool) OnRestarted(callback func(Restart)) { p.onRestarted = callback }
 
-// OnEjected sets the function that is called for each ejected instance, with the ending
+// OnEjected sets the function that is called for each ejected instance, with the outcome
 // that caused it. It must be called before the pool is used.
 func (p *Pool) OnEjected(callback func(Instance, Outcome)) { p.onEjected = callback }
 
@@ -183,34 +184,34 @@
 		isStalled:  func(c candidate) bool { return c.member.load.isStalled(now) },
 		random:     rand.IntN,
 	})
-	c := &Assignment{
+	a := &Assignment{
 		Instance: chosen.member.Instance, Preferred: preferred, Outstanding: chosen.outstanding,
 		pool: p, load: chosen.member.load, health: svc.health,
 		route: query.Route, stallTimeout: svc.health.stallTimeout(query.Route, now),
 	}
-	c.lastActivity.Store(now.UnixNano())
-	c.load.add(c)
-	return c, nil
+	a.lastActivity.Store(now.UnixNano())
+	a.load.add(a)
+	return a, nil
 }
 
 // RecordActivity records that a part of the response arrived.
-func (c *Assignment) RecordActivity() { c.lastActivity.Store(c.pool.now().UnixNano()) }
+func (a *Assignment) RecordActivity() { a.lastActivity.Store(a.pool.now().UnixNano()) }
 
 // Release ends the assignment and returns the instance's health afterwards. Only the first
 // call has an effect.
-func (c *Assignment) Release(ending Outcome) limit.EngineHealth {
-	now := c.pool.now()
-	if c.released.Swap(true) {
-		return c.health.ejector.Health(c.Instance.ID, now)
+func (a *Assignment) Release(outcome Outcome) limit.EngineHealth {
+	now := a.pool.now()
+	if a.released.Swap(true) {
+		return a.health.ejector.Health(a.Instance.ID, now)
 	}
-	c.load.remove(c)
-	if c.load.ended.Load() {
-		return c.health.ejector.Health(c.Instance.ID, now)
+	a.load.remove(a)
+	if a.load.ended.Load() {
+		return a.health.ejector.Health(a.Instance.ID, now)
 	}
-	before := c.health.ejector.Health(c.Instance.ID, now)
-	after := c.health.observe(c.Instance.ID, c.route, ending, now)
+	before := a.health.ejector.Health(a.Instance.ID, now)
+	after := a.health.observe(a.Instance.ID, a.route, outcome, now)
 	if before != limit.Ejected && after == limit.Ejected {
-		c.pool.onEjected(c.Instance, ending)
+		a.pool.onEjected(a.Instance, outcome)
 	}
 	return after
 }
--- a/coordination/conversation/budget_simulation_test.go
+++ b/coordination/conversation/budget_simulation_test.go
@@ -144,7 +144,7 @@
 	return value, err
 }
 
-// Reserve implements tokenbudget.Hosts. The host continues with an abandoned request until
+// Reserve implements tokenbudget.HostClient. The host continues with an abandoned request until
 // it learns of that, which takes as long as any message.
 func (s *simulation) Reserve(ctx context.Context, address string, wanted tokenbudget.Reservation, ended []tokenbudget.EndedTurn) error {
 	answer := make(chan error, 1)
@@ -167,7 +167,7 @@
 	}
 }
 
-// End implements tokenbudget.Hosts.
+// End implements tokenbudget.HostClient.
 func (s *simulation) End(ctx context.Context, address string, ended []tokenbudget.EndedTurn) error {
 	answer := make(chan struct{})
 	requestDelay := s.delay()
@@ -286,10 +286,8 @@
 	return budget.Committed(record)
 }
 
-// TestBudgetIsCountedThoughMessagesAreLate checks that, whatever is abandoned, repeated or
-// delivered late between gateways and hosts, a program generates less than its budget plus
-// the most of one turn, is refused only if its budget is spent, and is charged with exactly
-// what its callers received.
+// TestBudgetIsCountedThoughMessagesAreLate checks limits, refusals and charges of budgets while
+// messages between gateways and hosts are abandoned, repeated or late.
 func TestBudgetIsCountedThoughMessagesAreLate(t *testing.T) {
 	for seed := range uint64(200) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
--- a/coordination/directory/keeper_test.go
+++ b/coordination/directory/writer_test.go
@@ -21,14 +21,14 @@
 // publishLatency is the time until published sets reach a node.
 const publishLatency = 20 * time.Millisecond
 
-// sharedStore is a store that only holds the replica sets, shared by several keepers.
+// sharedStore is a store that only holds the replica sets, shared by several writers.
 type sharedStore struct {
 	mutex     sync.Mutex
 	revision  int64
 	spec      []byte
 	writes    int
 	conflicts int
-	keepers   []*Writer
+	writers   []*Writer
 }
 
 func (s *sharedStore) Create(context.Context, string, string, []byte) error { return ErrExists }
@@ -49,13 +49,13 @@
 	return nil
 }
 
-// publish stores the sets and delivers them to the keepers after publishLatency.
+// publish stores the sets and delivers them to the writers after publishLatency.
 func (s *sharedStore) publish(spec []byte) {
 	s.revision++
 	s.spec = spec
 	snapshot := follow.Snapshot{At: s.revision, Objects: []follow.Object{{Name: SetsName, Revision: s.revision, Spec: spec}}}
-	for _, keeper := range s.keepers {
-		time.AfterFunc(publishLatency, func() { keeper.ApplySets(snapshot) })
+	for _, writer := range s.writers {
+		time.AfterFunc(publishLatency, func() { writer.ApplySets(snapshot) })
 	}
 }
 
@@ -73,10 +73,10 @@
 			self := register.Member{Node: fmt.Sprint("storage-", index)}
 			view.Members = append(view.Members, self)
 			maps[index] = shard.NewMap(1)
-			keeper := NewWriter(self, store, func() *shard.Map { return maps[index] }, Settings{Shards: 1, Factor: 3}, time.Now, zap.NewNop())
-			keeper.randomDelay = func(limit time.Duration) time.Duration { return limit * time.Duration(index) / nodes }
-			store.keepers = append(store.keepers, keeper)
-			serving.Go(func() { _ = keeper.Serve(ctx) })
+			writer := NewWriter(self, store, func() *shard.Map { return maps[index] }, Settings{Shards: 1, Factor: 3}, time.Now, zap.NewNop())
+			writer.randomDelay = func(limit time.Duration) time.Duration { return limit * time.Duration(index) / nodes }
+			store.writers = append(store.writers, writer)
+			serving.Go(func() { _ = writer.Serve(ctx) })
 		}
 		first, err := json.Marshal(Sets{Shards: 1, Views: []register.View{view}})
 		assert.NilError(t, err)
--- a/coordination/register/thrift.go
+++ b/coordination/register/thriftyquorum.go
@@ -51,18 +51,18 @@
 
 // memberOrder returns the indexes of the members in the order in which they are asked: the
 // local member first, then the others by rank, with those that failed lately last. Without
-// Settings.Thrift all are asked at once, in the order of the view.
+// Settings.ThriftyQuorum all are asked at once, in the order of the view.
 func (c *Client) memberOrder(view View, key string) []int {
 	indexes := make([]int, len(view.Members))
 	for i := range indexes {
 		indexes[i] = i
 	}
-	thrift := c.settings.ThriftyQuorum
-	if thrift == nil {
+	thrifty := c.settings.ThriftyQuorum
+	if thrifty == nil {
 		return indexes
 	}
 	isLocal := func(m Member) int {
-		if m.Incarnation == thrift.Local {
+		if m.Incarnation == thrifty.Local {
 			return 1
 		}
 		return 0
@@ -71,7 +71,7 @@
 		a, b := view.Members[i], view.Members[j]
 		return cmp.Or(
 			isLocal(b)-isLocal(a),
-			thrift.Reach.Compare(a.Address, b.Address),
+			thrifty.Reach.Compare(a.Address, b.Address),
 			cmp.Compare(Rank(b.Node, key), Rank(a.Node, key)),
 		)
 	})
--- a/transport/relay/attempt.go
+++ b/transport/relay/attempt.go
@@ -9,8 +9,8 @@
 
 // attempt is one try of a request at an instance.
 type attempt struct {
-	choice  *backend.Assignment
-	started time.Time
+	assignment *backend.Assignment
+	started    time.Time
 	// timeToFirst is the time to the first event of a stream, or to the complete body (or
 	// its buffered part) of another response; zero until then.
 	timeToFirst time.Duration
@@ -23,11 +23,11 @@
 	if a.timeToFirst == 0 {
 		a.timeToFirst = now.Sub(a.started)
 	}
-	a.choice.RecordActivity()
+	a.assignment.RecordActivity()
 }
 
-// ending returns what the attempt tells about the health of the instance.
-func (a *attempt) ending(ended outcome, now time.Time) backend.Outcome {
+// healthOutcome returns what the attempt tells about the health of the instance.
+func (a *attempt) healthOutcome(ended outcome, now time.Time) backend.Outcome {
 	waited := now.Sub(a.started)
 	if a.status == http.StatusGatewayTimeout {
 		return backend.NoResponse{Wait: waited}
