--- a/coordination/admission/admission_test.go
+++ b/coordination/admission/admission_test.go
@@ -15,11 +15,11 @@
 
 var testTime = time.Unix(1_000_000, 0)
 
-// TestPointMatchesModel compares the admission point with a plain map.
+// TestPointMatchesModel compares the admission point with a model based on a map.
 func TestPointMatchesModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const capacity = 1000
-		point := admission.NewPoint(time.Hour)
+		point := admission.NewController(time.Hour)
 		point.SetCapacity("e", admission.Capacity{MaxTokens: capacity, TokensPerSecond: 100})
 		inside := make(map[string]uint64)
 		var total uint64
@@ -47,7 +47,7 @@
 }
 
 func TestReservationsExpire(t *testing.T) {
-	point := admission.NewPoint(time.Minute)
+	point := admission.NewController(time.Minute)
 	point.SetCapacity("e", admission.Capacity{MaxRequests: 2})
 	reserve := func(id string, deadline, now time.Time) bool {
 		return point.Reserve(admission.Reservation{Engine: "e", RequestID: id, PromptTokens: 10, Deadline: deadline}, now).Admitted
@@ -61,10 +61,10 @@
 	assert.Equal(t, requests, 0)
 }
 
-func TestRefusedCallsComeBackOneAfterAnother(t *testing.T) {
-	point := admission.NewPoint(time.Hour)
+func TestRefusalsStaggerRetryAfter(t *testing.T) {
+	point := admission.NewController(time.Hour)
 	point.SetCapacity("e", admission.Capacity{MaxTokens: 1000, TokensPerSecond: 1000})
-	reserve := func(id string) admission.Verdict {
+	reserve := func(id string) admission.Decision {
 		return point.Reserve(admission.Reservation{Engine: "e", RequestID: id, PromptTokens: 1000}, testTime)
 	}
 	assert.Assert(t, reserve("0").Admitted)
@@ -73,31 +73,31 @@
 	}
 }
 
-// nodeClient reaches the pool, or doesn't.
+// nodeClient is a Granter whose pool may be unreachable.
 type nodeClient struct {
 	pool    *admission.Pool
 	reached bool
 	now     time.Time
 }
 
-func (n nodeClient) Grant(name string, needed float64) (admission.Slice, bool) {
+func (n nodeClient) Grant(name string, needed float64) (admission.Lease, bool) {
 	if !n.reached {
-		return admission.Slice{}, false
+		return admission.Lease{}, false
 	}
 	return n.pool.Grant(name, needed, n.now), true
 }
 
-// TestSharesHoldTheBound drives nodes that sometimes lose their pool and
-// checks the documented bound over every window.
-func TestSharesHoldTheBound(t *testing.T) {
+// TestSharesStayWithinRateBound checks the bound documented at Pool over
+// every window, with one node that may be cut off from the pool.
+func TestSharesStayWithinRateBound(t *testing.T) {
 	const nodes, lifetime = 4, 2 * time.Second
 	rate := limit.Rate{TokensPerSecond: 100, Burst: 200}
 	rapid.Check(t, func(t *rapid.T) {
 		pool := admission.NewPool(lifetime)
 		pool.SetRate("tenant", rate, testTime)
-		var shares [nodes]*admission.Share
+		var shares [nodes]*admission.NodeLimiter
 		for i := range shares {
-			shares[i] = admission.NewShare(nodes)
+			shares[i] = admission.NewNodeLimiter(nodes)
 		}
 		cutNode := rapid.IntRange(-1, nodes-1).Draw(t, "cut node")
 		now := testTime
@@ -116,7 +116,7 @@
 			perSecond *= 1 + 1.0/nodes
 			burst *= 1 + 1.0/nodes
 		}
-		checkWindows(t, uses, perSecond, burst, lifetime)
+		checkRateBound(t, uses, perSecond, burst, lifetime)
 	})
 }
 
@@ -125,7 +125,7 @@
 	tokens float64
 }
 
-func checkWindows(t *rapid.T, uses []use, perSecond, burst float64, lifetime time.Duration) {
+func checkRateBound(t *rapid.T, uses []use, perSecond, burst float64, lifetime time.Duration) {
 	for first := range uses {
 		total := 0.0
 		for _, last := range uses[first:] {
@@ -136,11 +136,11 @@
 	}
 }
 
-func TestShareUsesTheWholeRateFromOneNode(t *testing.T) {
+func TestSingleNodeCanUseWholeRate(t *testing.T) {
 	rate := limit.Rate{TokensPerSecond: 100, Burst: 200}
 	pool := admission.NewPool(2 * time.Second)
 	pool.SetRate("tenant", rate, testTime)
-	share := admission.NewShare(4)
+	share := admission.NewNodeLimiter(4)
 	used := 0.0
 	for i := range 1000 {
 		now := testTime.Add(time.Duration(i) * 10 * time.Millisecond)
@@ -148,21 +148,21 @@
 			used += 10
 		}
 	}
-	assert.Assert(t, used >= 900, "used %v of 1000", used)
+	assert.Assert(t, used >= 900, "used %v of 1000 tokens", used)
 }
 
-func TestShedderPrefersBegunProgramsAndSpreadsReturns(t *testing.T) {
-	shedder := admission.NewShedder(admission.ShedPolicy{MaxStretch: 2, MaxQueue: 10 * time.Second, MaxLine: 4 * time.Second, Away: time.Minute})
+func TestShedderPrefersRunningProgramsAndStaggersRetries(t *testing.T) {
+	shedder := admission.NewShedder(admission.ShedPolicy{MaxSlowdown: 2, MaxQueue: 10 * time.Second, MaxScheduledRetry: 4 * time.Second, BackoffRetryAfter: time.Minute})
 	random := rand.New(rand.NewPCG(1, 2))
-	demand := admission.Demand{Expected: 10 * time.Second, Unloaded: 4 * time.Second, Service: 4 * time.Second, Engines: 4}
-	pauses := []time.Duration{2 * time.Second, 3 * time.Second, 4 * time.Second, time.Minute, time.Minute}
-	for _, want := range pauses {
+	demand := admission.Demand{ExpectedDuration: 10 * time.Second, UnloadedDuration: 4 * time.Second, ServiceTime: 4 * time.Second, Engines: 4}
+	delays := []time.Duration{2 * time.Second, 3 * time.Second, 4 * time.Second, time.Minute, time.Minute}
+	for _, want := range delays {
 		assert.Equal(t, shedder.Admit(demand, random, testTime), want)
 	}
-	demand.Begun = true
+	demand.Started = true
 	assert.Equal(t, shedder.Admit(demand, random, testTime), time.Duration(0))
 	demand.ExpectedQueue = 11 * time.Second
 	assert.Assert(t, shedder.Admit(demand, random, testTime) > 0)
-	light := admission.Demand{Expected: 8 * time.Second, Unloaded: 4 * time.Second, Engines: 4}
+	light := admission.Demand{ExpectedDuration: 8 * time.Second, UnloadedDuration: 4 * time.Second, Engines: 4}
 	assert.Equal(t, shedder.Admit(light, random, testTime), time.Duration(0))
 }
--- a/coordination/register/exchange.go
+++ b/coordination/register/exchange.go
@@ -23,15 +23,15 @@
 	members *multicast.Round
 	answers chan answer
 	// hedgeDue receives a value when the members asked so far take longer than
-	// Thrift.Delay; nil if all members are asked at once.
+	// ThriftyQuorum.HedgeDelay; nil if all members are asked at once.
 	hedgeDue       chan struct{}
 	stopHedgeTimer func() bool
 	// pending counts the requests under way, plus one while the round waits for them.
 	pending atomic.Int32
 }
 
-// startExchange sends the request to all members, or to a majority with Settings.Thrift.
-// A fast round always asks all members, since it needs all answers.
+// startExchange sends the request to all members, or to a majority with
+// Settings.ThriftyQuorum. A fast round always asks all members, since it needs all answers.
 func (r *round) startExchange(request Request) *exchange {
 	settings := r.client.settings
 	e := &exchange{
@@ -99,16 +99,16 @@
 // recordAnswer records that the member has answered or that its request has failed.
 func (e *exchange) recordAnswer(received answer) {
 	e.members.RecordAnswer(received.position)
-	thrift := e.round.client.settings.ThriftyQuorum
-	if thrift == nil {
+	thrifty := e.round.client.settings.ThriftyQuorum
+	if thrifty == nil {
 		return
 	}
 	address := e.round.view.Members[received.member].Address
 	if received.err != nil {
-		thrift.Reach.RecordFailure(address)
+		thrifty.Reach.RecordFailure(address)
 		return
 	}
-	thrift.Reach.RecordResponse(address)
+	thrifty.Reach.RecordResponse(address)
 	e.members.AvoidLate()
 }
 
--- a/node/limits.go
+++ b/node/limits.go
@@ -37,9 +37,9 @@
 // other nodes about the rest.
 type limits struct {
 	holder    *configuration.Holder
-	admission *admission.Point
+	admission *admission.Controller
 	pool      *admission.Pool
-	share     *admission.Share
+	share     *admission.NodeLimiter
 	retries   *limit.RetryBudget
 	peers     *nodepeer.Client
 	// owner returns the address of the node that looks after the name; local is
@@ -64,9 +64,9 @@
 func newLimits(holder *configuration.Holder, peers *nodepeer.Client, owner func(string) (string, bool), logger *zap.Logger, instruments *instruments) *limits {
 	return &limits{
 		holder:      holder,
-		admission:   admission.NewPoint(reservationLifetime),
+		admission:   admission.NewController(reservationLifetime),
 		pool:        admission.NewPool(sliceLifetime),
-		share:       admission.NewShare(1),
+		share:       admission.NewNodeLimiter(1),
 		retries:     limit.NewRetryBudget(limit.DefaultRetryPolicy(), time.Now()),
 		peers:       peers,
 		owner:       owner,
@@ -149,8 +149,8 @@
 	return verdict.Admitted, verdict.RetryAfter
 }
 
-// Leave implements fleet.Admitter.
-func (l *limits) Leave(engine, request string) { l.queueRelease(enginePrefix+engine, request) }
+// Release implements fleet.Admitter.
+func (l *limits) Release(engine, request string) { l.queueRelease(enginePrefix+engine, request) }
 
 // SetCapacity implements fleet.Admitter.
 func (l *limits) SetCapacity(engine string, capacity admission.Capacity) {
@@ -159,7 +159,7 @@
 
 // reserve asks the admission point of the name. Where it can't be reached the
 // call goes on: the engine's own queue bounds it.
-func (l *limits) reserve(ctx context.Context, reservation admission.Reservation) admission.Verdict {
+func (l *limits) reserve(ctx context.Context, reservation admission.Reservation) admission.Decision {
 	address, local := l.owner(reservation.Engine)
 	if local || address == "" {
 		return l.reserveHere(reservation)
@@ -176,9 +176,9 @@
 	if err != nil {
 		l.unanswered(limitOf(reservation.Engine))
 		l.logger.Debug("admission point did not answer", zap.String("name", reservation.Engine), zap.Error(err))
-		return admission.Verdict{Admitted: true}
+		return admission.Decision{Admitted: true}
 	}
-	return admission.Verdict{
+	return admission.Decision{
 		Admitted:          response.GetAdmitted(),
 		RetryAfter:        time.Duration(response.GetRetryAfterMs()) * time.Millisecond,
 		OutstandingTokens: response.GetOutstandingTokens(),
@@ -201,7 +201,7 @@
 }
 
 // reserveHere is the admission point's side.
-func (l *limits) reserveHere(reservation admission.Reservation) admission.Verdict {
+func (l *limits) reserveHere(reservation admission.Reservation) admission.Decision {
 	l.refreshTenant(reservation.Engine)
 	return l.admission.Reserve(reservation, time.Now())
 }
@@ -250,23 +250,23 @@
 }
 
 // Grant implements admission.Granter.
-func (g rateGranter) Grant(name string, needed float64) (admission.Slice, bool) {
+func (g rateGranter) Grant(name string, needed float64) (admission.Lease, bool) {
 	address, local := g.limits.owner(name)
 	if local {
 		g.limits.refreshTenant(name)
 		return g.limits.pool.Grant(name, needed, time.Now()), true
 	}
 	if address == "" {
-		return admission.Slice{}, false
+		return admission.Lease{}, false
 	}
 	ctx, cancel := context.WithTimeout(g.ctx, limitTimeout)
 	defer cancel()
 	response, err := g.limits.peers.Grant(ctx, address, &peerv1.GrantRequest{Name: name, NeededTokens: needed})
 	if err != nil {
 		g.limits.unanswered(limitTokenRate)
-		return admission.Slice{}, false
+		return admission.Lease{}, false
 	}
-	return admission.Slice{
+	return admission.Lease{
 		Tokens:     response.GetTokens(),
 		Expires:    time.Now().Add(time.Duration(response.GetLifetimeMs()) * time.Millisecond),
 		RetryAfter: time.Duration(response.GetRetryAfterMs()) * time.Millisecond,
--- a/state/result/code.go
+++ b/state/result/code.go
@@ -1,9 +1,10 @@
 // Package result defines the numbered result codes that callers and operators
-// receive, and the HTTP answer that tells them of an error.
+// receive, and the HTTP response that reports an error.
 //
-// It owns the codes with their names, HTTP statuses and advice (a test holds
-// docs/RESULT-CODES.md to the same table) and the JSON form of an error. It
-// relies on the standard library alone, so that every layer may import it.
+// It holds the codes with their names, HTTP statuses and retry advice, and the
+// JSON form of an error. A test checks that docs/RESULT-CODES.md has the same
+// table. The package depends only on the standard library, so that every layer
+// can import it.
 package result
 
 import (
@@ -16,39 +17,38 @@
 
 // Code is a numbered result. The thousands digit gives the class:
 //
-//   - 1: the request is at fault;
+//   - 1: the request is invalid;
 //   - 2: the system can't serve the request now;
-//   - 3: the request was run, or may have been, and there is no whole answer;
-//   - 4: a command of an operator;
-//   - 5: a fault of this program.
+//   - 3: the request was or may have been run, and its response is incomplete;
+//   - 4: an operator command failed;
+//   - 5: an internal error.
 type Code uint32
 
 // Execution says whether the request was run.
 type Execution string
 
-// What a caller can be told about its request.
+// Values of Execution.
 const (
 	// Run means that the request was run.
 	Run Execution = "run"
-	// NotRun means that the request certainly wasn't run.
+	// NotRun means that the request was definitely not run.
 	NotRun Execution = "not run"
 	// Unknown means that the request may have been run.
 	Unknown Execution = "unknown"
 )
 
-// Repeat says whether asking again can help.
+// Repeat says whether and how a client may retry.
 type Repeat string
 
-// Advice on asking again.
+// Values of Repeat.
 const (
-	// RepeatNever means that asking again doesn't help: the same request will
-	// get the same answer.
+	// RepeatNever means that a retry is useless: the same request fails again.
 	RepeatNever Repeat = "never"
-	// RepeatLater means that the request may be sent again after Retry-After,
-	// under a new idempotency key: the old one stands for the refusal.
-	RepeatLater Repeat = "new key, after Retry-After"
-	// RepeatSameKey means that the same request, with the same idempotency key,
-	// finds out what became of it.
+	// RepeatNewKey means that the request may be retried after Retry-After with a
+	// new idempotency key; the old key keeps returning the refusal.
+	RepeatNewKey Repeat = "new key, after Retry-After"
+	// RepeatSameKey means that a retry with the same idempotency key returns the
+	// outcome of the request.
 	RepeatSameKey Repeat = "same key, after Retry-After"
 )
 
@@ -113,11 +113,11 @@
 	Code Code
 	// Name is the code's name on the wire, in logs and in metrics.
 	Name string
-	// HTTP is the status of an answer with the code.
+	// HTTP is the HTTP status of responses with the code.
 	HTTP      int
 	Execution Execution
 	Repeat    Repeat
-	// Meaning is a sentence for docs/RESULT-CODES.md.
+	// Meaning is the description in docs/RESULT-CODES.md.
 	Meaning string
 }
 
@@ -135,26 +135,26 @@
 	{KeyConflict, "key_conflict", http.StatusUnprocessableEntity, NotRun, RepeatNever, "The idempotency key was used for a different request."},
 	{BudgetExhausted, "budget_exhausted", http.StatusPaymentRequired, NotRun, RepeatNever, "The request doesn't fit in what is left of the program's budget."},
 	{TurnLimit, "turn_limit", http.StatusConflict, NotRun, RepeatNever, "The program has taken all the turns it may take."},
-	{DeadlineExceeded, "deadline_exceeded", http.StatusGatewayTimeout, NotRun, RepeatLater, "The deadline passed before the request was dispatched."},
+	{DeadlineExceeded, "deadline_exceeded", http.StatusGatewayTimeout, NotRun, RepeatNewKey, "The deadline passed before the request was dispatched."},
 	{UnknownPath, "unknown_path", http.StatusNotFound, NotRun, RepeatNever, "The API has no such path or method."},
-	{CallInProgress, "call_in_progress", http.StatusConflict, NotRun, RepeatLater, "Another call of the same program is still running."},
+	{CallInProgress, "call_in_progress", http.StatusConflict, NotRun, RepeatNewKey, "Another call of the same program is still running."},
 	{ContextTooLong, "context_too_long", http.StatusBadRequest, NotRun, RepeatNever, "History, request and answer together exceed the model's context."},
 	{UnknownRoute, "unknown_route", http.StatusNotFound, NotRun, RepeatNever, "The configuration in force has no route for this host and path."},
 	{HeaderTooLarge, "header_too_large", http.StatusRequestHeaderFieldsTooLarge, NotRun, RepeatNever, "The request's header exceeds the size limit."},
-	{BodyTimeout, "body_timeout", http.StatusRequestTimeout, NotRun, RepeatLater, "The request's body didn't arrive in time."},
+	{BodyTimeout, "body_timeout", http.StatusRequestTimeout, NotRun, RepeatNewKey, "The request's body didn't arrive in time."},
 	{UnknownTurn, "unknown_turn", http.StatusNotFound, NotRun, RepeatNever, "The turn that this one goes on from isn't kept."},
-	{Overloaded, "overloaded", http.StatusTooManyRequests, NotRun, RepeatLater, "The engines can't serve the request in time."},
-	{TenantLimit, "tenant_limit", http.StatusTooManyRequests, NotRun, RepeatLater, "The tenant has reached its limit."},
-	{NoEngine, "no_engine", http.StatusServiceUnavailable, NotRun, RepeatLater, "No engine that serves the model can be reached."},
-	{NoQuorum, "no_quorum", http.StatusServiceUnavailable, NotRun, RepeatLater, "Too few replicas of the program's record answer."},
-	{Draining, "draining", http.StatusServiceUnavailable, NotRun, RepeatLater, "This node is stopping; ask another one."},
-	{NotReady, "not_ready", http.StatusServiceUnavailable, NotRun, RepeatLater, "This node has no configuration or shard map yet."},
-	{HistoryUnavailable, "history_unavailable", http.StatusServiceUnavailable, NotRun, RepeatLater, "Too few replicas of the program's history answer."},
-	{BackendBusy, "backend_busy", http.StatusServiceUnavailable, NotRun, RepeatLater, "Every back end that was asked refused the request."},
-	{NoBackend, "no_backend", http.StatusServiceUnavailable, NotRun, RepeatLater, "No back end of the service can be reached."},
-	{BudgetReserved, "budget_reserved", http.StatusServiceUnavailable, NotRun, RepeatLater, "The rest of the program's budget is reserved for turns at other nodes."},
-	{ConfigurationStale, "configuration_stale", http.StatusServiceUnavailable, NotRun, RepeatLater, "This node can't show that the caller's key hasn't been taken away."},
-	{QuotaUnavailable, "quota_unavailable", http.StatusServiceUnavailable, NotRun, RepeatLater, "Nobody who grants requests of the tenant's quota can be reached."},
+	{Overloaded, "overloaded", http.StatusTooManyRequests, NotRun, RepeatNewKey, "The engines can't serve the request in time."},
+	{TenantLimit, "tenant_limit", http.StatusTooManyRequests, NotRun, RepeatNewKey, "The tenant has reached its limit."},
+	{NoEngine, "no_engine", http.StatusServiceUnavailable, NotRun, RepeatNewKey, "No engine that serves the model can be reached."},
+	{NoQuorum, "no_quorum", http.StatusServiceUnavailable, NotRun, RepeatNewKey, "Too few replicas of the program's record answer."},
+	{Draining, "draining", http.StatusServiceUnavailable, NotRun, RepeatNewKey, "This node is stopping; ask another one."},
+	{NotReady, "not_ready", http.StatusServiceUnavailable, NotRun, RepeatNewKey, "This node has no configuration or shard map yet."},
+	{HistoryUnavailable, "history_unavailable", http.StatusServiceUnavailable, NotRun, RepeatNewKey, "Too few replicas of the program's history answer."},
+	{BackendBusy, "backend_busy", http.StatusServiceUnavailable, NotRun, RepeatNewKey, "Every back end that was asked refused the request."},
+	{NoBackend, "no_backend", http.StatusServiceUnavailable, NotRun, RepeatNewKey, "No back end of the service can be reached."},
+	{BudgetReserved, "budget_reserved", http.StatusServiceUnavailable, NotRun, RepeatNewKey, "The rest of the program's budget is reserved for turns at other nodes."},
+	{ConfigurationStale, "configuration_stale", http.StatusServiceUnavailable, NotRun, RepeatNewKey, "This node can't show that the caller's key hasn't been taken away."},
+	{QuotaUnavailable, "quota_unavailable", http.StatusServiceUnavailable, NotRun, RepeatNewKey, "Nobody who grants requests of the tenant's quota can be reached."},
 	{OutcomeUnknown, "outcome_unknown", http.StatusBadGateway, Unknown, RepeatNever, "A request that must not be repeated lost its executor after dispatch. Final: it isn't tried again."},
 	{OutcomeUnresolved, "outcome_unresolved", http.StatusServiceUnavailable, Unknown, RepeatSameKey, "The record couldn't be read after a change; the same key finds out."},
 	{EngineFailed, "engine_failed", http.StatusBadGateway, Run, RepeatNever, "Every attempt the call may have failed at an engine. Final."},
@@ -164,7 +164,7 @@
 	{ClientGone, "client_gone", http.StatusBadGateway, Unknown, RepeatNever, "The caller closed the connection; the code is only logged."},
 	{SyntaxError, "syntax_error", http.StatusBadRequest, NotRun, RepeatNever, "The operator's text can't be parsed; the message gives the column."},
 	{VersionConflict, "version_conflict", http.StatusConflict, NotRun, RepeatNever, "The object has another version; the message gives it and who wrote it."},
-	{PlatformUnavailable, "platform_unavailable", http.StatusServiceUnavailable, NotRun, RepeatLater, "The object API doesn't answer; nothing was changed."},
+	{PlatformUnavailable, "platform_unavailable", http.StatusServiceUnavailable, NotRun, RepeatNewKey, "The object API doesn't answer; nothing was changed."},
 	{CommandUnresolved, "command_unresolved", http.StatusServiceUnavailable, Unknown, RepeatSameKey, "The object API's answer was lost and can't be read back; the same command id finds out."},
 	{UnknownObject, "unknown_object", http.StatusNotFound, NotRun, RepeatNever, "No such object."},
 	{InvalidConfiguration, "invalid_configuration", http.StatusUnprocessableEntity, NotRun, RepeatNever, "The configuration fails its checks; the message names the field."},
@@ -182,7 +182,7 @@
 	return index
 }
 
-// Info returns the description of the code; that of Internal where Table doesn't
+// Info returns the description of the code, or that of Internal if Table doesn't
 // list the code.
 func (c Code) Info() Info {
 	info, found := byCode[c]
@@ -195,31 +195,30 @@
 // String returns the code's name.
 func (c Code) String() string { return c.Info().Name }
 
-// Error is a failure that a caller or operator is told of.
+// Error is a failure that is reported to a caller or operator.
 type Error struct {
 	Code Code
 	// Message is shown to whoever sent the request.
 	Message string
-	// RetryAfter is the pause before another try; zero where the error names
-	// none.
+	// RetryAfter is the delay before a retry, or zero if the error sets none.
 	RetryAfter time.Duration
 }
 
-// Errorf makes an error of the code.
+// Errorf returns an error with the code and a formatted message.
 func Errorf(code Code, format string, args ...any) *Error {
 	return &Error{Code: code, Message: fmt.Sprintf(format, args...)}
 }
 
-// After returns a copy of the error that asks for a pause before another try.
-func (e *Error) After(pause time.Duration) *Error {
+// WithRetryAfter returns a copy of the error with the retry delay.
+func (e *Error) WithRetryAfter(delay time.Duration) *Error {
 	delayed := *e
-	delayed.RetryAfter = pause
+	delayed.RetryAfter = delay
 	return &delayed
 }
 
-// FromError returns what a caller or an operator is told of any error: the *Error
-// that it wraps; unresolved where a context ended, since the outcome is then open;
-// else Internal without the error's text, which stays in the log.
+// FromError converts any error into one that may be shown to a caller or operator:
+// the *Error that it wraps, unresolved if a context ended, since the outcome is then
+// unknown, or else Internal without the text of err, which may be confidential.
 func FromError(err error, unresolved *Error) *Error {
 	var failure *Error
 	if errors.As(err, &failure) {
@@ -231,7 +230,7 @@
 	return Errorf(Internal, "a fault of this program; the log has the details")
 }
 
-// Error gives code, name and message.
+// Error returns the code, its name and the message.
 func (e *Error) Error() string {
 	return fmt.Sprintf("%d %s: %s", e.Code, e.Code, e.Message)
 }
