--- a/protocol/objectapi/client.go
+++ b/protocol/objectapi/client.go
@@ -26,7 +26,7 @@
 // Client sends requests to one object API. It is safe for concurrent use.
 //
 // A read fails with *UnavailableError, *RejectedError or, if it names one object,
-// *NotFoundError. A write can also fail with *Conflict or *UnknownOutcomeError.
+// *NotFoundError. A write can also fail with *ConflictError or *UnknownOutcomeError.
 type Client struct {
 	base string
 	node string
@@ -178,7 +178,7 @@
 	return &UnavailableError{Action: action, Cause: rejected}
 }
 
-// convertNotFound replaces a RejectedError of status 404 by NotFound.
+// convertNotFound replaces a RejectedError of status 404 by a NotFoundError.
 func convertNotFound(err error, kind, name string) error {
 	var rejected *RejectedError
 	if errors.As(err, &rejected) && rejected.Status == http.StatusNotFound {
--- a/protocol/objectapi/resolve.go
+++ b/protocol/objectapi/resolve.go
@@ -38,7 +38,7 @@
 	return header.WrittenBy
 }
 
-// Exponential backoff between the attempts of PutResolved.
+// Exponential backoff between the attempts of PutWithRetry.
 const (
 	initialBackoff = 50 * time.Millisecond
 	maxBackoff     = time.Second
@@ -49,8 +49,8 @@
 // was done or the context ends. Repeating a command that was already done returns
 // the stored object, which a later command may have written.
 //
-// *Conflict, *NotFoundError, *RejectedError and *UnavailableError mean that the
-// command wasn't done; *UnknownOutcomeError means that it may have been.
+// *ConflictError, *NotFoundError, *RejectedError and *UnavailableError mean that
+// the command wasn't done; *UnknownOutcomeError means that it may have been.
 func (c *Client) PutWithRetry(ctx context.Context, kind, name string, condition Condition, body json.RawMessage) (Object, error) {
 	commandID := ParseWrittenBy(body).CommandID
 	var lost *UnknownOutcomeError
