--- a/transport/relay/freshness.go
+++ b/transport/relay/freshness.go
@@ -6,7 +6,8 @@
 	"github.com/marblering/marblering/state/result"
 )
 
-// ConfigurationFreshness tells how recently the configuration in force was confirmed to be the newest.
+// ConfigurationFreshness tells how recently the configuration in force was confirmed to be
+// the newest.
 type ConfigurationFreshness interface {
 	// Staleness is the time since the last moment at which the store is known to have had
 	// no newer configuration than the one in force; ok is false if there was none yet.
--- a/transport/relay/handler.go
+++ b/transport/relay/handler.go
@@ -23,17 +23,17 @@
 	HeaderCodec HeaderCodec
 	Turns       Turns
 	Quotas      Quotas
-	// IsConfigurationNewest tells whether the configuration in force is known to be the newest. Only then
-	// are the errors for a missing route and an unknown key permanent.
+	// IsConfigurationNewest reports whether the configuration in force is known to be the
+	// newest. Only then are the errors for a missing route and an unknown key permanent.
 	IsConfigurationNewest func() bool
-	// ConfigurationAge is the time since the store confirmed the configuration in force, for the
-	// log; ok is false if it hasn't yet. It may be nil.
+	// ConfigurationAge returns the time since the store confirmed the configuration in force,
+	// for the log; ok is false if it hasn't yet. It may be nil.
 	ConfigurationAge func() (age time.Duration, ok bool)
 	// Freshness tells how recently the configuration in force was confirmed; nil if keys are
 	// accepted at any age.
 	Freshness ConfigurationFreshness
-	// IsUnready tells that this gateway is stopping or can't serve turns. Each response then
-	// closes its connection, so that the client's next request goes to another gateway.
+	// IsUnready reports whether this gateway is stopping or can't serve turns. Each response
+	// then closes its connection, so that the client's next request goes to another gateway.
 	IsUnready func() bool
 	// MaxInFlight is the maximum number of requests in flight.
 	MaxInFlight int64
@@ -42,8 +42,8 @@
 	// Retries is the retry budget of all requests. See RetryPolicy.
 	Retries *limit.RetryBudget
 	Metrics *Metrics
-	// Logger logs each failed request and each retry, Answered each request with a complete
-	// response. Both should be rate limited.
+	// Logger logs each failed request and each retry, AccessLogger each request with a
+	// complete response. Both should be rate limited.
 	Logger       *zap.Logger
 	AccessLogger *zap.Logger
 	Now          func() time.Time
