--- a/node/gateway/configuration.go
+++ b/node/gateway/configuration.go
@@ -10,7 +10,7 @@
 // applyConfiguration makes a newer configuration the active one. An invalid one leaves the
 // active one in place.
 func (g *Gateway) applyConfiguration(snapshot follow.Snapshot) {
-	decoded, found, err := g.parts.DecodeConfiguration(snapshot)
+	decoded, found, err := g.dependencies.DecodeConfiguration(snapshot)
 	if !found && err == nil {
 		return
 	}
--- a/node/gateway/doc.go
+++ b/node/gateway/doc.go
@@ -8,7 +8,7 @@
 //
 // It depends on the store and on the storage nodes that mirror it (holders in package
 // coordination/mirror). While neither responds, it keeps serving with its copies. The
-// formats of objects and headers, which differ between deployments, come in as Parts.
+// formats of objects and headers, which differ between deployments, come in as Dependencies.
 //
 // Two decisions are pure functions: how each kind of object is followed (followplan.go),
 // and whether a missing route or an unknown key is refused permanently (refusal.go).
--- a/node/gateway/followers.go
+++ b/node/gateway/followers.go
@@ -33,9 +33,9 @@
 	f.holders = mirror.NewHolderSelector(g.orderedHolders, time.Now)
 	f.storeCalls = telemetry.NewStoreCallsCounter()
 	f.logger = telemetry.RateLimitedForFollowers(g.logger)
-	f.configuration, f.configurationSource = g.newFollower(mirror.KindConfiguration, g.parts.Configuration, g.applyConfiguration)
-	f.instances, _ = g.newFollower(mirror.KindInstances, g.parts.Instances, g.applyInstances)
-	f.replicaSets, _ = g.newFollower(mirror.KindReplicaSets, g.parts.ReplicaSets, g.storage.lookup.Apply)
+	f.configuration, f.configurationSource = g.newFollower(mirror.KindConfiguration, g.dependencies.Configuration, g.applyConfiguration)
+	f.instances, _ = g.newFollower(mirror.KindInstances, g.dependencies.Instances, g.applyInstances)
+	f.replicaSets, _ = g.newFollower(mirror.KindReplicaSets, g.dependencies.ReplicaSets, g.storage.lookup.Apply)
 }
 
 // newFollower creates a follower that asks holders first and falls back to the store.
--- a/node/gateway/freshness.go
+++ b/node/gateway/freshness.go
@@ -11,13 +11,14 @@
 // 0.01%.
 const clockRateMargin = 0.01
 
-// configurationFreshness implements relay.Proof with the follower of the configuration.
+// configurationFreshness implements relay.ConfigurationFreshness with the follower of the
+// configuration.
 type configurationFreshness struct{ gateway *Gateway }
 
 var _ relay.ConfigurationFreshness = configurationFreshness{}
 
-// Staleness implements relay.Proof. While the newest configuration is invalid, the
-// staleness of the active one is unknown.
+// Staleness implements relay.ConfigurationFreshness. While the newest configuration is
+// invalid, the staleness of the active one is unknown.
 func (f configurationFreshness) Staleness() (staleness time.Duration, ok bool) {
 	staleness, ok = f.gateway.followers.configuration.Staleness()
 	// The order matters: the follower reports a proof only after the configuration was
@@ -28,12 +29,12 @@
 	return staleness, ok
 }
 
-// Limit implements relay.Proof.
+// Limit implements relay.ConfigurationFreshness.
 func (f configurationFreshness) Limit() time.Duration {
 	return time.Duration((1 - clockRateMargin) * float64(f.gateway.settings.RevokeLimit))
 }
 
-// Source implements relay.Proof.
+// Source implements relay.ConfigurationFreshness.
 func (f configurationFreshness) Source() string {
 	return f.gateway.followers.configurationSource.UpstreamName()
 }
--- a/node/gateway/gateway.go
+++ b/node/gateway/gateway.go
@@ -57,9 +57,9 @@
 
 // Gateway is a running gateway daemon.
 type Gateway struct {
-	settings settings.Gateway
-	parts    Dependencies
-	logger   *zap.Logger
+	settings     settings.Gateway
+	dependencies Dependencies
+	logger       *zap.Logger
 
 	// Copies of the objects in the store.
 	followers      followers
@@ -90,9 +90,9 @@
 }
 
 // Run runs a gateway until ctx is done, then drains it.
-func Run(ctx context.Context, loaded settings.Gateway, parts Dependencies, logger *zap.Logger) error {
+func Run(ctx context.Context, loaded settings.Gateway, dependencies Dependencies, logger *zap.Logger) error {
 	debug.SetMemoryLimit(int64(memoryLimitFraction * float64(loaded.MemoryLimit)))
-	g, err := Start(loaded, parts, logger)
+	g, err := Start(loaded, dependencies, logger)
 	if err != nil {
 		return err
 	}
@@ -107,8 +107,8 @@
 
 // Start opens the listeners and starts the services. It fails if a listener cannot be
 // opened.
-func Start(loaded settings.Gateway, parts Dependencies, logger *zap.Logger) (*Gateway, error) {
-	g, err := newGateway(loaded, parts, logger)
+func Start(loaded settings.Gateway, dependencies Dependencies, logger *zap.Logger) (*Gateway, error) {
+	g, err := newGateway(loaded, dependencies, logger)
 	if err != nil {
 		return nil, err
 	}
@@ -142,9 +142,9 @@
 func (g *Gateway) OperatorAddress() string { return g.operatorListener.Address() }
 
 // newGateway builds a gateway without starting anything.
-func newGateway(loaded settings.Gateway, parts Dependencies, logger *zap.Logger) (*Gateway, error) {
+func newGateway(loaded settings.Gateway, dependencies Dependencies, logger *zap.Logger) (*Gateway, error) {
 	g := &Gateway{
-		settings: loaded, parts: parts, logger: logger,
+		settings: loaded, dependencies: dependencies, logger: logger,
 		activeTable: &routetable.ActiveTable{},
 		metrics:     telemetry.NewRegistry(),
 	}
@@ -174,14 +174,14 @@
 	g.backends.OnEjected(g.onInstanceEjected)
 	g.backends.OnRestarted(g.onInstanceRestarted)
 	upstreamSettings := upstream.DefaultSettings()
-	upstreamSettings.IDHeader = g.parts.RequestIDHeader
+	upstreamSettings.IDHeader = g.dependencies.RequestIDHeader
 	g.upstream = upstream.NewClient(upstreamSettings, time.Now)
 }
 
 // buildRelay creates the handler of requests.
 func (g *Gateway) buildRelay() {
 	g.relay = relay.New(relay.Options{
-		Tables: g.activeTable, Backends: g.backends, Upstream: g.upstream, HeaderCodec: g.parts.HeaderCodec,
+		Tables: g.activeTable, Backends: g.backends, Upstream: g.upstream, HeaderCodec: g.dependencies.HeaderCodec,
 		Turns: g.storage.conversations, Quotas: g.storage.quotas,
 		IsConfigurationNewest: g.isConfigurationNewest, ConfigurationAge: g.followers.configuration.Age, Freshness: configurationFreshness{g},
 		IsUnready: g.isUnready, MaxInFlight: maxInFlight, OnInstanceGone: g.onInstanceGone,
--- a/node/gateway/instances.go
+++ b/node/gateway/instances.go
@@ -53,7 +53,7 @@
 	instances := make([]backend.Instance, 0, len(snapshot.Objects))
 	invalid := make(map[string]int64)
 	for _, object := range snapshot.Objects {
-		instance, err := g.parts.DecodeInstance(object)
+		instance, err := g.dependencies.DecodeInstance(object)
 		if err == nil {
 			instances = append(instances, instance)
 			continue
--- a/transport/relay/answer.go
+++ b/transport/relay/answer.go
@@ -25,7 +25,7 @@
 	body, err := json.Marshal(result.Body{Error: failure.Detail()})
 	if err != nil {
 		// Can't happen: numbers and strings can always be encoded. The status is sent anyway.
-		c.handler.options.Logger.Error("cannot encode error response", zap.String("request", c.input.facts.ID), zap.Error(err))
+		c.handler.options.Logger.Error("cannot encode error response", zap.String("request", c.input.info.ID), zap.Error(err))
 	}
 	header.Set("Content-Length", strconv.Itoa(len(body)))
 	c.discardBody(header)
@@ -47,7 +47,7 @@
 	took := c.handler.options.Now().Sub(c.timing.arrived)
 	c.handler.options.Metrics.observe(c, took)
 	fields := []zap.Field{
-		zap.String("request", c.input.facts.ID), zap.String("key", c.input.facts.AffinityKey),
+		zap.String("request", c.input.info.ID), zap.String("key", c.input.info.AffinityKey),
 		zap.String("route", c.routeName()), zap.Int64("configuration", c.routing.configVersion), c.ageField(),
 		zap.String("tenant", c.tenantName()),
 		zap.Int("status", c.response.status), zap.Uint32("code", uint32(c.response.code)),
--- a/transport/relay/authorize.go
+++ b/transport/relay/authorize.go
@@ -29,12 +29,12 @@
 // checkFreshness rejects requests with keys while the configuration isn't confirmed to be
 // recent enough.
 func (c *call) checkFreshness() *result.Error {
-	proof := c.handler.options.Freshness
-	if proof == nil || proof.Limit() == 0 {
+	configurationFreshness := c.handler.options.Freshness
+	if configurationFreshness == nil || configurationFreshness.Limit() == 0 {
 		return nil
 	}
-	staleness, isKnown := proof.Staleness()
-	return freshness{staleness, isKnown, proof.Limit()}.check(proof.Source)
+	staleness, isKnown := configurationFreshness.Staleness()
+	return freshness{staleness, isKnown, configurationFreshness.Limit()}.check(configurationFreshness.Source)
 }
 
 // reauthorize calls authorize before an attempt. A request whose response has begun
@@ -56,6 +56,6 @@
 
 // digestKey replaces the key by its digest, so that the key can't be logged.
 func (c *call) digestKey() {
-	c.input.key = tenant.DigestOf(c.input.facts.APIKey)
-	c.input.facts.APIKey = ""
+	c.input.key = tenant.DigestOf(c.input.info.APIKey)
+	c.input.info.APIKey = ""
 }
--- a/transport/relay/authorize_test.go
+++ b/transport/relay/authorize_test.go
@@ -21,10 +21,10 @@
 	"github.com/marblering/marblering/transport/relay"
 )
 
-// keyDialect returns a fixed API key.
-type keyDialect struct{ plainDialect }
+// keyHeaderCodec returns a fixed API key.
+type keyHeaderCodec struct{ plainHeaderCodec }
 
-func (keyDialect) ReadRequest(*http.Request) (relay.RequestInfo, *result.Error) {
+func (keyHeaderCodec) ReadRequest(*http.Request) (relay.RequestInfo, *result.Error) {
 	return relay.RequestInfo{ID: "id", APIKey: "key"}, nil
 }
 
@@ -35,38 +35,38 @@
 	return quota.Permit{}, nil
 }
 
-// scriptedProof calls onCall with the number of calls of Staleness so far.
-type scriptedProof struct {
+// scriptedFreshness calls onCall with the number of calls of Staleness so far.
+type scriptedFreshness struct {
 	staleness time.Duration
 	calls     int
 	onCall    func(call int)
 }
 
-func (p *scriptedProof) Staleness() (time.Duration, bool) {
-	p.calls++
-	p.onCall(p.calls)
-	return p.staleness, true
+func (f *scriptedFreshness) Staleness() (time.Duration, bool) {
+	f.calls++
+	f.onCall(f.calls)
+	return f.staleness, true
 }
-func (*scriptedProof) Limit() time.Duration { return time.Second }
-func (*scriptedProof) Source() string       { return "a test" }
+func (*scriptedFreshness) Limit() time.Duration { return time.Second }
+func (*scriptedFreshness) Source() string       { return "a test" }
 
 // keyFixture is a handler whose clients send an API key.
 type keyFixture struct {
 	tables    *routetable.ActiveTable
-	proof     *scriptedProof
-	exchanger *failingExchanger
+	freshness *scriptedFreshness
+	upstream  *failingUpstream
 	handler   http.Handler
 	version   int64
 }
 
 func newKeyFixture(t *testing.T, kind routetable.Kind) *keyFixture {
 	t.Helper()
-	f := &keyFixture{tables: &routetable.ActiveTable{}, proof: &scriptedProof{onCall: func(int) {}}, exchanger: &failingExchanger{afterAttempt: func() {}}}
+	f := &keyFixture{tables: &routetable.ActiveTable{}, freshness: &scriptedFreshness{onCall: func(int) {}}, upstream: &failingUpstream{afterAttempt: func() {}}}
 	f.install(t, kind, "key")
 	pool := backend.NewPool(backend.EjectionPolicy(), time.Now)
 	pool.Replace([]backend.Instance{{ID: "i-1", Service: "app"}, {ID: "i-2", Service: "app"}})
 	f.handler = relay.New(relay.Options{
-		Tables: f.tables, Backends: pool, Upstream: f.exchanger, HeaderCodec: keyDialect{}, Quotas: unlimitedQuotas{}, Freshness: f.proof,
+		Tables: f.tables, Backends: pool, Upstream: f.upstream, HeaderCodec: keyHeaderCodec{}, Quotas: unlimitedQuotas{}, Freshness: f.freshness,
 		IsConfigurationNewest: func() bool { return true }, IsUnready: func() bool { return false }, MaxInFlight: 10,
 		Retries: limit.NewRetryBudget(relay.RetryPolicy(), time.Now()),
 		Metrics: relay.NewMetrics(prometheus.NewRegistry()), Logger: zap.NewNop(), AccessLogger: zap.NewNop(), Now: time.Now,
@@ -105,48 +105,48 @@
 // the configuration whose freshness was checked.
 func TestTableIsReadAfterFreshnessCheck(t *testing.T) {
 	f := newKeyFixture(t, routetable.Safe)
-	f.proof.onCall = func(call int) {
+	f.freshness.onCall = func(call int) {
 		if call == 1 {
 			f.install(t, routetable.Safe)
 		}
 	}
 	assert.Equal(t, f.serve(), http.StatusUnauthorized)
-	assert.Equal(t, f.exchanger.attempts.Load(), int64(0))
+	assert.Equal(t, f.upstream.attempts.Load(), int64(0))
 }
 
 // TestKeyRevokedBeforeSend guards against sending a request whose key was revoked while it
 // waited.
 func TestKeyRevokedBeforeSend(t *testing.T) {
 	f := newKeyFixture(t, routetable.Safe)
-	f.proof.onCall = func(call int) {
+	f.freshness.onCall = func(call int) {
 		if call == 2 {
 			f.install(t, routetable.Safe)
 		}
 	}
 	assert.Equal(t, f.serve(), http.StatusUnauthorized)
-	assert.Equal(t, f.exchanger.attempts.Load(), int64(0))
+	assert.Equal(t, f.upstream.attempts.Load(), int64(0))
 }
 
 // TestStaleConfigurationBeforeSend guards against sending a request after the process was
 // paused for longer than the staleness limit.
 func TestStaleConfigurationBeforeSend(t *testing.T) {
 	f := newKeyFixture(t, routetable.Safe)
-	f.proof.onCall = func(call int) {
+	f.freshness.onCall = func(call int) {
 		if call == 2 {
-			f.proof.staleness = 2 * time.Second
+			f.freshness.staleness = 2 * time.Second
 		}
 	}
 	assert.Equal(t, f.serve(), http.StatusServiceUnavailable)
-	assert.Equal(t, f.exchanger.attempts.Load(), int64(0))
+	assert.Equal(t, f.upstream.attempts.Load(), int64(0))
 }
 
 // TestKeyRevokedBetweenAttempts guards against retrying a request with a revoked key, and
 // against a response that claims that it hasn't run.
 func TestKeyRevokedBetweenAttempts(t *testing.T) {
 	f := newKeyFixture(t, routetable.Safe)
-	f.exchanger.afterAttempt = func() { f.install(t, routetable.Safe) }
+	f.upstream.afterAttempt = func() { f.install(t, routetable.Safe) }
 	assert.Equal(t, f.serve(), http.StatusBadGateway)
-	assert.Equal(t, f.exchanger.attempts.Load(), int64(1))
+	assert.Equal(t, f.upstream.attempts.Load(), int64(1))
 }
 
 // TestFailureLogHasConfigurationAge checks the log field that tells a route not known yet
@@ -160,7 +160,7 @@
 			core, lines := observer.New(zap.InfoLevel)
 			f := newKeyFixture(t, routetable.Safe)
 			f.handler = relay.New(relay.Options{
-				Tables: f.tables, HeaderCodec: keyDialect{}, IsConfigurationNewest: func() bool { return true }, MaxInFlight: 10,
+				Tables: f.tables, HeaderCodec: keyHeaderCodec{}, IsConfigurationNewest: func() bool { return true }, MaxInFlight: 10,
 				ConfigurationAge: func() (time.Duration, bool) { return 2200 * time.Millisecond, c.known },
 				IsUnready:        func() bool { return false },
 				Metrics:          relay.NewMetrics(prometheus.NewRegistry()), Logger: zap.New(core), AccessLogger: zap.NewNop(), Now: time.Now,
--- a/transport/relay/call.go
+++ b/transport/relay/call.go
@@ -27,7 +27,7 @@
 
 // input is what the client sent.
 type input struct {
-	facts RequestInfo
+	info RequestInfo
 	// key is the digest of the client's API key.
 	key tenant.Digest
 	// target is the path and query, unchanged.
--- a/transport/relay/deadline_test.go
+++ b/transport/relay/deadline_test.go
@@ -20,36 +20,36 @@
 	"github.com/marblering/marblering/transport/upstream"
 )
 
-// plainDialect ignores all headers.
-type plainDialect struct{}
+// plainHeaderCodec ignores all headers.
+type plainHeaderCodec struct{}
 
-func (plainDialect) ReadRequest(*http.Request) (relay.RequestInfo, *result.Error) {
+func (plainHeaderCodec) ReadRequest(*http.Request) (relay.RequestInfo, *result.Error) {
 	return relay.RequestInfo{ID: "id"}, nil
 }
-func (plainDialect) WriteAttempt(http.Header, relay.AttemptInfo)     {}
-func (plainDialect) Classify(*upstream.Response) relay.ResponseClass { return relay.ValidResponse }
+func (plainHeaderCodec) WriteAttempt(http.Header, relay.AttemptInfo)     {}
+func (plainHeaderCodec) Classify(*upstream.Response) relay.ResponseClass { return relay.ValidResponse }
 
-// failingExchanger fails and counts all attempts.
-type failingExchanger struct {
+// failingUpstream fails and counts all attempts.
+type failingUpstream struct {
 	attempts     atomic.Int64
 	afterAttempt func()
 	// unsent makes requests fail before they are sent.
 	unsent bool
-	// unready is the result of Options.Unready.
+	// unready is the result of Options.IsUnready.
 	unready bool
 }
 
-func (e *failingExchanger) Do(context.Context, *upstream.Request) (*upstream.Response, error) {
-	e.attempts.Add(1)
-	e.afterAttempt()
-	if e.unsent {
+func (u *failingUpstream) Do(context.Context, *upstream.Request) (*upstream.Response, error) {
+	u.attempts.Add(1)
+	u.afterAttempt()
+	if u.unsent {
 		return nil, &upstream.Error{Stage: upstream.StageDial, Cause: context.DeadlineExceeded}
 	}
 	return nil, &upstream.Error{Sent: true, Stage: upstream.StageHead, Cause: context.DeadlineExceeded}
 }
 
 // serveUntilDeadline serves a request whose deadline passes during its first attempt.
-func serveUntilDeadline(t *testing.T, kind routetable.Kind, exchanger *failingExchanger) *httptest.ResponseRecorder {
+func serveUntilDeadline(t *testing.T, kind routetable.Kind, client *failingUpstream) *httptest.ResponseRecorder {
 	t.Helper()
 	table, err := routetable.NewTable(routetable.Configuration{
 		Version: 1, Services: []routetable.Service{{Name: "app"}},
@@ -64,10 +64,10 @@
 	pool := backend.NewPool(backend.EjectionPolicy(), time.Now)
 	pool.Replace([]backend.Instance{{ID: "i-1", Service: "app"}, {ID: "i-2", Service: "app"}})
 	var passed atomic.Int64
-	exchanger.afterAttempt = func() { passed.Store(int64(time.Minute)) }
+	client.afterAttempt = func() { passed.Store(int64(time.Minute)) }
 	handler := relay.New(relay.Options{
-		Tables: tables, Backends: pool, Upstream: exchanger, HeaderCodec: plainDialect{},
-		IsConfigurationNewest: func() bool { return true }, IsUnready: func() bool { return exchanger.unready }, MaxInFlight: 10,
+		Tables: tables, Backends: pool, Upstream: client, HeaderCodec: plainHeaderCodec{},
+		IsConfigurationNewest: func() bool { return true }, IsUnready: func() bool { return client.unready }, MaxInFlight: 10,
 		Retries: limit.NewRetryBudget(relay.RetryPolicy(), time.Now()),
 		Metrics: relay.NewMetrics(prometheus.NewRegistry()), Logger: zap.NewNop(), AccessLogger: zap.NewNop(),
 		Now: func() time.Time { return time.Now().Add(time.Duration(passed.Load())) },
@@ -83,10 +83,10 @@
 // deadline just before the context expires.
 func TestDeadlinePassedBeforeContextExpires(t *testing.T) {
 	for name, kind := range map[string]routetable.Kind{"safe": routetable.Safe, "unsafe": routetable.Unsafe} {
-		exchanger := &failingExchanger{}
-		recorder := serveUntilDeadline(t, kind, exchanger)
+		client := &failingUpstream{}
+		recorder := serveUntilDeadline(t, kind, client)
 		assert.Equal(t, recorder.Code, http.StatusGatewayTimeout, name)
-		assert.Equal(t, exchanger.attempts.Load(), int64(1), name)
+		assert.Equal(t, client.attempts.Load(), int64(1), name)
 	}
 }
 
@@ -94,7 +94,7 @@
 // elsewhere.
 func TestUnreadyHandlerClosesConnections(t *testing.T) {
 	for _, unready := range []bool{false, true} {
-		recorder := serveUntilDeadline(t, routetable.Safe, &failingExchanger{unsent: true, unready: unready})
+		recorder := serveUntilDeadline(t, routetable.Safe, &failingUpstream{unsent: true, unready: unready})
 		assert.Equal(t, recorder.Header().Get("Connection") == "close", unready)
 	}
 }
@@ -103,10 +103,10 @@
 // run, so that a client may repeat one that must not run twice.
 func TestDeadlinePassedBeforeSend(t *testing.T) {
 	for name, kind := range map[string]routetable.Kind{"safe": routetable.Safe, "unsafe": routetable.Unsafe} {
-		exchanger := &failingExchanger{unsent: true}
-		recorder := serveUntilDeadline(t, kind, exchanger)
+		client := &failingUpstream{unsent: true}
+		recorder := serveUntilDeadline(t, kind, client)
 		assert.Equal(t, recorder.Code, http.StatusServiceUnavailable, name)
 		assert.Assert(t, recorder.Header().Get("Retry-After") != "", name)
-		assert.Equal(t, exchanger.attempts.Load(), int64(1), name)
+		assert.Equal(t, client.attempts.Load(), int64(1), name)
 	}
 }
--- a/transport/relay/freshness.go
+++ b/transport/relay/freshness.go
@@ -41,7 +41,7 @@
 	return outdatedConfiguration.errorf("the key is unknown, and the configuration may be out of date")
 }
 
-// freshness is a snapshot of a Proof.
+// freshness is a snapshot of a ConfigurationFreshness.
 type freshness struct {
 	// staleness is the time since the configuration was known to be the newest; isKnown
 	// is false if it never was.
--- a/transport/relay/handler.go
+++ b/transport/relay/handler.go
@@ -111,11 +111,11 @@
 	if limits.HeaderBytes > 0 && headerBytes(c.request) > limits.HeaderBytes {
 		return result.Errorf(result.HeaderTooLarge, "the limit is %d bytes", limits.HeaderBytes)
 	}
-	facts, failure := options.HeaderCodec.ReadRequest(c.request)
+	info, failure := options.HeaderCodec.ReadRequest(c.request)
 	if failure != nil {
 		return failure
 	}
-	c.input.facts = facts
+	c.input.info = info
 	c.digestKey()
 	c.input.target = originForm(c.request.RequestURI)
 	path, _, _ := strings.Cut(c.input.target, "?")
@@ -135,8 +135,8 @@
 func (c *call) setRoute(route *routetable.Route) {
 	c.routing.route = route
 	total := route.Timeout
-	if c.input.facts.Remaining > 0 {
-		total = min(total, c.input.facts.Remaining)
+	if c.input.info.Remaining > 0 {
+		total = min(total, c.input.info.Remaining)
 	}
 	c.timing.deadline = c.timing.arrived.Add(total)
 }
--- a/transport/relay/quota.go
+++ b/transport/relay/quota.go
@@ -16,7 +16,7 @@
 	started := c.handler.options.Now()
 	permit, failure := c.handler.options.Quotas.Take(ctx, quota.Request{
 		Tenant: c.grants.tenant.Name, Rate: c.grants.tenant.Rate, Version: c.routing.configVersion,
-		Program: c.input.facts.Program, Kind: c.routing.route.Name,
+		Program: c.input.info.Program, Kind: c.routing.route.Name,
 	})
 	c.timing.permitWait = c.handler.options.Now().Sub(started)
 	c.grants.permit = permit
--- a/transport/relay/run.go
+++ b/transport/relay/run.go
@@ -40,8 +40,8 @@
 // acquire selects an instance that the request hasn't tried yet.
 func (c *call) acquire() (*backend.Assignment, error) {
 	return c.handler.options.Backends.Acquire(backend.Query{
-		Service: c.routing.route.Pick(backend.KeyFraction(c.input.facts.AffinityKey)), Route: c.routing.route.Name,
-		Key: c.input.facts.AffinityKey, Tried: c.attempts.instances,
+		Service: c.routing.route.Pick(backend.KeyFraction(c.input.info.AffinityKey)), Route: c.routing.route.Name,
+		Key: c.input.info.AffinityKey, Tried: c.attempts.instances,
 	})
 }
 
@@ -108,7 +108,7 @@
 	return ctx.Err() != nil || !c.handler.options.Now().Before(c.timing.deadline)
 }
 
-// exchange sends the request to the instance and handles the response by its judgement.
+// exchange sends the request to the instance and handles the response by its class.
 func (c *call) exchange(ctx context.Context, current *attempt) (outcome, error) {
 	backendResponse, err := c.handler.options.Upstream.Do(ctx, c.upstreamRequest(current.assignment))
 	if err != nil {
@@ -133,7 +133,7 @@
 func (c *call) upstreamRequest(assignment *backend.Assignment) *upstream.Request {
 	header := copyEndToEnd(c.request.Header)
 	c.handler.options.HeaderCodec.WriteAttempt(header, AttemptInfo{
-		ID: c.input.facts.ID, Tenant: c.tenantName(),
+		ID: c.input.info.ID, Tenant: c.tenantName(),
 		Remaining:   c.timing.deadline.Sub(c.handler.options.Now()),
 		Instance:    assignment.Instance.ID,
 		LastEventID: c.response.lastEventID,
@@ -141,7 +141,7 @@
 	return &upstream.Request{
 		Address: assignment.Instance.Address, Instance: assignment.Instance.ID, Started: assignment.Instance.Started,
 		Method: c.request.Method, Target: c.input.target, Host: c.request.Host,
-		Header: header, Body: c.input.body, ID: c.input.facts.ID, Repeatable: c.routing.route.Repeatable(),
+		Header: header, Body: c.input.body, ID: c.input.info.ID, Repeatable: c.routing.route.Repeatable(),
 	}
 }
 
@@ -149,7 +149,7 @@
 func (c *call) logRetry(assignment *backend.Assignment, ended outcome, cause error) {
 	c.handler.options.Metrics.retries.Inc()
 	c.handler.options.Logger.Info("trying another back end",
-		zap.String("request", c.input.facts.ID), zap.String("route", c.routing.route.Name),
+		zap.String("request", c.input.info.ID), zap.String("route", c.routing.route.Name),
 		zap.String("instance", assignment.Instance.ID), zap.String("address", assignment.Instance.Address),
 		zap.Int64("outstanding", assignment.Outstanding), zap.Int("sends", c.attempts.sends),
 		zap.Bool("refused", ended == refused), zap.Bool("began", c.response.headerWritten), zap.Error(cause))
--- a/transport/relay/turn.go
+++ b/transport/relay/turn.go
@@ -12,18 +12,18 @@
 // beginTurn prepares a request that is a turn of a program: it prepends the previous turns
 // to the body and reserves tokens from the budget. It does nothing for other requests.
 func (c *call) beginTurn(ctx context.Context, table *routetable.Table) *result.Error {
-	if c.routing.route.Kind != routetable.Stream || c.input.facts.TokenBudget == 0 && !c.routing.route.Retained {
+	if c.routing.route.Kind != routetable.Stream || c.input.info.TokenBudget == 0 && !c.routing.route.Retained {
 		return nil
 	}
-	if c.routing.route.Retained && c.input.facts.LastEventID != "" {
+	if c.routing.route.Retained && c.input.info.LastEventID != "" {
 		// The events that the client already received are unknown here, so the turn
 		// couldn't be stored completely.
 		return resumedRetainedTurn.errorf("a retained turn begins at its start")
 	}
-	service := table.Service(c.routing.route.Pick(backend.KeyFraction(c.input.facts.AffinityKey)))
+	service := table.Service(c.routing.route.Pick(backend.KeyFraction(c.input.info.AffinityKey)))
 	turn, failure := c.handler.options.Turns.Begin(ctx, conversation.Request{
-		ID: c.input.facts.ID, Program: c.input.facts.Program, Tenant: c.tenantName(), Previous: c.input.facts.PreviousTurn,
-		Budget: c.input.facts.TokenBudget, MaxTokens: c.input.facts.MaxTokens, TokensPerEvent: service.TokensPerEvent,
+		ID: c.input.info.ID, Program: c.input.info.Program, Tenant: c.tenantName(), Previous: c.input.info.PreviousTurn,
+		Budget: c.input.info.TokenBudget, MaxTokens: c.input.info.MaxTokens, TokensPerEvent: service.TokensPerEvent,
 		Retained: c.routing.route.Retained, Retention: c.routing.route.Retention, Timeout: c.timing.timeout(), Input: c.input.body,
 	})
 	if failure != nil {
