--- a/transport/relay/freshness.go
+++ b/transport/relay/freshness.go
@@ -6,7 +6,8 @@
 	"github.com/marblering/marblering/state/result"
 )
 
-// ConfigurationFreshness tells how recently the configuration in force was confirmed to be the newest.
+// ConfigurationFreshness tells how recently the configuration in force was confirmed to be
+// the newest.
 type ConfigurationFreshness interface {
 	// Staleness is the time since the last moment at which the store is known to have had
 	// no newer configuration than the one in force; ok is false if there was none yet.
@@ -40,7 +41,7 @@
 	return outdatedConfiguration.errorf("the key is unknown, and the configuration may be out of date")
 }
 
-// freshness is a snapshot of a Proof.
+// freshness is a snapshot of a ConfigurationFreshness.
 type freshness struct {
 	// staleness is the time since the configuration was known to be the newest; isKnown
 	// is false if it never was.
