--- a/state/history/stored_test.go
+++ b/state/history/stored_test.go
@@ -44,9 +44,8 @@
 	}
 }
 
-// TestEncodedObjectsAreStable compares the encoded objects with testdata. Another version
-// of the compressor may change the objects, provided that TestDecodeStoredObjects passes.
-// The digests must never change, because records refer to turns by digest.
+// TestEncodedObjectsAreStable guards against changes to the digests of turns, which existing
+// records contain as references, and to the encoded objects.
 func TestEncodedObjectsAreStable(t *testing.T) {
 	var text strings.Builder
 	for _, turn := range storedTurns() {
@@ -54,5 +53,7 @@
 		assert.NilError(t, err)
 		fmt.Fprintf(&text, "digest %x object %x\n", digest[:], object)
 	}
+	// Another version of the compressor may change the objects, but not the digests, provided
+	// that TestDecodeStoredObjects passes.
 	golden.Assert(t, text.String(), "objects.golden")
 }
