--- a/coordination/admission/pool.go
+++ b/coordination/admission/pool.go
@@ -31,7 +31,7 @@
 // corresponds to the fraction of configured nodes that it sees, so disjoint
 // partitions stay within the same bound. Until the partition is detected, each
 // node reaches only one pool, which adds at most rate times the detection time.
-// Nodes that reach no pool use the fallback of Share, which adds at most
+// Nodes that reach no pool use the fallback of NodeLimiter, which adds at most
 // rate * (nodes in fallback) / (configured nodes).
 type Pool struct {
 	lifetime time.Duration
--- a/coordination/admission/shed.go
+++ b/coordination/admission/shed.go
@@ -60,15 +60,15 @@
 	ExpectedQueue time.Duration
 	// ServiceTime is the engine time that the call needs.
 	ServiceTime time.Duration
-	// ExpectedDuration is the duration of the call at the current load, and Unloaded that
+	// ExpectedDuration is the duration of the call at the current load, and UnloadedDuration that
 	// on idle engines; zero if unknown.
 	ExpectedDuration time.Duration
 	UnloadedDuration time.Duration
 	// MemoryUse is the fraction of the engines' context memory in use.
 	MemoryUse float64
-	// TimeLeft is the time until the program's caller gives up, and Usual the usual
+	// TimeLeft is the time until the program's caller gives up, and UsualDuration the usual
 	// duration of such programs; zero if unknown. A new program is shed if TimeLeft is
-	// shorter than Usual.
+	// shorter than UsualDuration.
 	TimeLeft      time.Duration
 	UsualDuration time.Duration
 	// Engines is the number of engines that can serve the call.
--- a/coordination/follow/view.go
+++ b/coordination/follow/view.go
@@ -50,7 +50,7 @@
 	// IsFull is set if the events list all existing objects, so that any other object
 	// was deleted.
 	IsFull bool
-	// Age and Proved have the same meaning as in Snapshot.
+	// Age and FreshAt have the same meaning as in Snapshot.
 	Age     time.Duration
 	FreshAt time.Time
 }
--- a/coordination/limit/adaptive.go
+++ b/coordination/limit/adaptive.go
@@ -44,7 +44,7 @@
 	return &AdaptiveLimit{policy: policy, now: now, limit: policy.Start, slowStartThreshold: policy.Max}
 }
 
-// TryAcquire reports whether an operation may start. If so, it counts as in flight until End is
+// TryAcquire reports whether an operation may start. If so, it counts as in flight until Release is
 // called.
 func (a *AdaptiveLimit) TryAcquire() bool {
 	a.mutex.Lock()
@@ -56,7 +56,7 @@
 	return true
 }
 
-// ForceAcquire starts an operation regardless of the limit. It counts as in flight until End is
+// ForceAcquire starts an operation regardless of the limit. It counts as in flight until Release is
 // called.
 func (a *AdaptiveLimit) ForceAcquire() {
 	a.mutex.Lock()
--- a/coordination/limit/ejection.go
+++ b/coordination/limit/ejection.go
@@ -129,7 +129,7 @@
 }
 
 // Health returns an engine's health; unknown engines are Healthy. A call may be sent to a
-// Probed engine only after Probe returned true.
+// Probing engine only after ClaimProbe returned true.
 func (e *Ejector) Health(engine string, now time.Time) EngineHealth {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -141,7 +141,7 @@
 	return record.health
 }
 
-// ClaimProbe claims the single call that a Probed engine may receive, and reports whether it
+// ClaimProbe claims the single call that a Probing engine may receive, and reports whether it
 // succeeded. Observe or the timeout ends the claim.
 func (e *Ejector) ClaimProbe(engine string, timeout time.Duration, now time.Time) bool {
 	e.mutex.Lock()
--- a/coordination/mirror/changes.go
+++ b/coordination/mirror/changes.go
@@ -23,7 +23,7 @@
 	revision int64
 }
 
-// WatchAnswer is a holder's answer to a watch call: Current, Lost or Missed.
+// WatchAnswer is a holder's answer to a watch call: Changed, StoreLost or NotFollowed.
 type WatchAnswer interface{ isAnswer() }
 
 // Changed carries the changes since the revision that was asked for.
--- a/coordination/mirror/holders.go
+++ b/coordination/mirror/holders.go
@@ -16,7 +16,7 @@
 	backoffs map[netip.AddrPort]backoff
 }
 
-// NewHolderSelector creates Holders over the listed addresses, most preferred first. The list may
+// NewHolderSelector creates a HolderSelector over the listed addresses, most preferred first. The list may
 // change between calls.
 func NewHolderSelector(list func() []netip.AddrPort, now func() time.Time) *HolderSelector {
 	return &HolderSelector{list: list, now: now, backoffs: make(map[netip.AddrPort]backoff)}
--- a/coordination/quota/account.go
+++ b/coordination/quota/account.go
@@ -9,7 +9,7 @@
 // PermitRequest is a gateway's request for permits.
 type PermitRequest struct {
 	Tenant string
-	// Version is the configuration version that Part was computed from.
+	// Version is the configuration version that Share was computed from.
 	Version int64
 	Share   Share
 	// Program is the program that the request belongs to, empty for none. Kind groups
@@ -20,7 +20,7 @@
 	Prefetch int
 }
 
-// PermitAnswer is the answer to an Ask: one of the types below.
+// PermitAnswer is the answer to a PermitRequest: one of the types below.
 type PermitAnswer interface{ isGrant() }
 
 // Granted carries permits, one of them for the request itself.
@@ -30,7 +30,7 @@
 
 // Exhausted means that the tenant has used up its share of the quota at this slot.
 type Exhausted struct {
-	// RetryAfter is the time until the next permit is available, Left the number of
+	// RetryAfter is the time until the next permit is available, Remaining the number of
 	// permits in the bucket, less than one.
 	RetryAfter time.Duration
 	Remaining  float64
--- a/coordination/quota/client.go
+++ b/coordination/quota/client.go
@@ -92,7 +92,7 @@
 	Rate   limit.Rate
 	// Version is the configuration version that Rate was read from.
 	Version int64
-	// Program and Kind are passed on in Ask.
+	// Program and Kind are passed on in PermitRequest.
 	Program string
 	Kind    string
 }
--- a/coordination/quota/holder.go
+++ b/coordination/quota/holder.go
@@ -75,7 +75,7 @@
 func (h *Holder) String() string { return "quota holder" }
 
 // Take grants permits if this node holds the slot; otherwise it makes Serve try to take
-// the slot. An Ask without a tenant only shows that the slot is needed.
+// the slot. A PermitRequest without a tenant only shows that the slot is needed.
 func (h *Holder) Take(ask PermitRequest) PermitAnswer {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
--- a/coordination/quota/plan.go
+++ b/coordination/quota/plan.go
@@ -18,7 +18,7 @@
 }
 
 const (
-	// maxPermitLifetime bounds the lifetime of permits where Over is large. Permits that
+	// maxPermitLifetime bounds the lifetime of permits where Fraction is large. Permits that
 	// expire unused are lost to the tenant.
 	maxPermitLifetime = time.Second
 	// reserveBurstFraction and reserveRateFraction are the fractions of Slack that a
--- a/coordination/retirement/retirement.go
+++ b/coordination/retirement/retirement.go
@@ -31,7 +31,7 @@
 // Order requests the retirement of a node.
 type Order struct {
 	Node string
-	// Reported is the last reported state. It is only valid if Known is set.
+	// Reported is the last reported state. It is only valid if HasReport is set.
 	Reported  State
 	HasReport bool
 }
--- a/coordination/turnstore/quorum.go
+++ b/coordination/turnstore/quorum.go
@@ -31,7 +31,7 @@
 func nearestOnly(register.View) int { return 1 }
 
 // retryUntilQuorum repeats rounds until a quorum has performed the action or one answer
-// suffices. If the context ends first, it returns ErrUnavailable with the error of the
+// suffices. If the context ends first, it returns ErrNoQuorum with the error of the
 // last round.
 func (s *Store) retryUntilQuorum(ctx context.Context, shard uint32, act action, first fanOut) error {
 	lastErr := error(ErrNoQuorum)
--- a/coordination/turnstore/store.go
+++ b/coordination/turnstore/store.go
@@ -81,7 +81,7 @@
 }
 
 // Put stores a turn of the program on a quorum. It retries until the context ends and then
-// returns ErrUnavailable, in which case the turn may still have been stored.
+// returns ErrNoQuorum, in which case the turn may still have been stored.
 func (s *Store) Put(ctx context.Context, program string, retained *statev1.RetainedTurn) error {
 	object, digest, err := s.codec.Encode(retained)
 	if err != nil {
@@ -104,7 +104,7 @@
 
 // History returns the turn with the id and all its ancestors, the oldest first. It reads the
 // shard of the program first and then all others, since ancestors may belong to another
-// program. It returns ErrTurnNotFound if a turn isn't stored, and ErrUnavailable if that
+// program. It returns ErrTurnNotFound if a turn isn't stored, and ErrNoQuorum if that
 // can't be determined in time.
 func (s *Store) History(ctx context.Context, program, id string) ([]*statev1.RetainedTurn, error) {
 	if err := s.awaitReplicaSetsForRead(ctx); err != nil {
--- a/node/storage/doc.go
+++ b/node/storage/doc.go
@@ -5,7 +5,7 @@
 //
 // The node's only durable state is its data folder. Changes of replicated state are
 // decided by majorities of the replica sets. The store is needed only to create the first
-// replica sets and for the mirrored objects. Parts connect a node to the store of a
+// replica sets and for the mirrored objects. Dependencies connect a node to the store of a
 // deployment.
 //
 // The package wires others that decide: coordination/directory, which nodes form the first
--- a/telemetry/logfile/times.go
+++ b/telemetry/logfile/times.go
@@ -13,7 +13,7 @@
 )
 
 // TimeBreakdown is a breakdown of the time that the requests of a program took. Concurrent requests
-// are counted separately, so the parts may add up to more than Whole.
+// are counted separately, so the parts may add up to more than Total.
 type TimeBreakdown struct {
 	// Answered and Failed are the numbers of answered and failed requests.
 	Answered, Failed int
--- a/transport/listener/listener.go
+++ b/transport/listener/listener.go
@@ -37,7 +37,7 @@
 // 0, it has the port that the system chose.
 func (l *Listener) Address() string { return l.Socket.Addr().String() }
 
-// Serve serves requests until the context ends. After Finish, it waits for the
+// Serve serves requests until the context ends. After Shutdown, it waits for the
 // context without serving.
 func (l *Listener) Serve(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, func() { _ = l.server.Close() })
--- a/transport/peer/client.go
+++ b/transport/peer/client.go
@@ -57,7 +57,7 @@
 }
 
 // Node returns the generated client for the node at the address, for calls that not
-// every kind of node serves. Callers have to apply the timeout with Bound.
+// every kind of node serves. Callers have to apply the timeout with WithTimeout.
 func (c *Client) Node(address string) peerv1connect.NodeServiceClient { return c.stubs(address).node }
 
 // WithTimeout returns a context that ends after the client's timeout at the latest.
